--- a/capacity/late_list_test.go
+++ b/capacity/late_list_test.go
@@ -28,7 +28,7 @@
 		p.SetSurvey(now, "a", schedule.Survey{Instances: []schedule.InstanceLoad{
 			{Instance: "m-00", Incarnation: "i-present", Runs: 3, Silent: true, Known: time.Second},
 		}})
-		if over := p.Over("a"); len(over) > 0 {
+		if over := p.EndedIncarnations("a"); len(over) > 0 {
 			t.Errorf("before its present life the instance was %s %s: %+v", before.State, before.Addressee, over)
 		}
 	}
--- a/capacity/list.go
+++ b/capacity/list.go
@@ -107,18 +107,18 @@
 	m.life = life
 }
 
-// An OverIncarnation is an incarnation that the list of machines shows to be over, and what
+// An EndedIncarnation is an incarnation that the list of machines shows to be over, and what
 // shows it.
-type OverIncarnation struct {
-	ID       pointport.IncarnationID
-	Instance pointport.InstanceID
-	Life     pointport.Addressee    // of the instance's life, by the list; empty if it has none
-	State    pointport.MachineState // of the instance, by the list
-	Asked    time.Time              // when the list was asked for
-	Known    time.Duration          // for how long the owner has known the incarnation
+type EndedIncarnation struct {
+	ID        pointport.IncarnationID
+	Instance  pointport.InstanceID
+	Addressee pointport.Addressee    // of the instance's life, by the list; empty if it has none
+	State     pointport.MachineState // of the instance, by the list
+	ListedAt  time.Time              // when the list was asked for
+	KnownFor  time.Duration          // for how long the owner has known the incarnation
 }
 
-// Over returns the incarnations of a pool's instances that the platform shows to
+// EndedIncarnations returns the incarnations of a pool's instances that the platform shows to
 // be over although the pool's owner still counts on them.
 //
 // The list is behind reality, nobody knows how far. So a life is over once the list has shown
@@ -130,8 +130,8 @@
 // A life that shares its addressee may have followed the one that the list has shown and shows no
 // more. The list shows it to be over by another addressee, or if its owner has known it for longer
 // than the list can be behind.
-func (p *Planner) Over(pool string) []OverIncarnation {
-	var out []OverIncarnation
+func (p *Planner) EndedIncarnations(pool string) []EndedIncarnation {
+	var out []EndedIncarnation
 	s := p.surveys[pool]
 	for _, l := range s.Instances {
 		m := p.machines[l.Instance]
@@ -144,7 +144,7 @@
 		}
 		longGone := m.state != pointport.MachineUp && (!l.Incarnation.Shares() || l.Known > backMost)
 		if m.life != "" || longGone {
-			out = append(out, OverIncarnation{ID: l.Incarnation, Instance: l.Instance, Life: m.life, State: m.state, Asked: p.listed, Known: l.Known})
+			out = append(out, EndedIncarnation{ID: l.Incarnation, Instance: l.Instance, Addressee: m.life, State: m.state, ListedAt: p.listed, KnownFor: l.Known})
 		}
 	}
 	return out
--- a/capacity/planner_test.go
+++ b/capacity/planner_test.go
@@ -554,7 +554,7 @@
 		p.SetSurvey(now.Add(time.Minute), "p", schedule.Survey{Instances: []schedule.InstanceLoad{
 			{Instance: "m", Incarnation: c.silent, Silent: true, Runs: 4, Known: time.Minute},
 		}})
-		if over := len(p.Over("p")) > 0; over != c.over {
+		if over := len(p.EndedIncarnations("p")) > 0; over != c.over {
 			t.Errorf("shown %v: %s counts as over: %v, want %v", c.shown, c.silent, over, c.over)
 		}
 	}
@@ -571,7 +571,7 @@
 		p.SetSurvey(now.Add(time.Minute), "p", schedule.Survey{Instances: []schedule.InstanceLoad{
 			{Instance: "m", Incarnation: pointport.NewIncarnationID("i", time.UnixMilli(5)), Silent: true, Runs: 4, Known: known},
 		}})
-		if got := len(p.Over("p")) > 0; got != over {
+		if got := len(p.EndedIncarnations("p")) > 0; got != over {
 			t.Errorf("known for %v, the life counts as over: %v, want %v", known, got, over)
 		}
 	}
@@ -635,7 +635,7 @@
 		p.SetMachines(now.Add(time.Duration(n)*time.Second), up(life))
 		for _, silent := range []pointport.IncarnationID{"i-1", "i-2"} {
 			p.SetSurvey(now, "p", schedule.Survey{Instances: []schedule.InstanceLoad{{Instance: "m", Incarnation: silent, Silent: true, Runs: 1, Known: time.Minute}}})
-			if over, want := len(p.Over("p")) > 0, n > 0 && silent == "i-1"; over != want {
+			if over, want := len(p.EndedIncarnations("p")) > 0, n > 0 && silent == "i-1"; over != want {
 				t.Errorf("list %d, which shows %s: %s counts as over: %v, want %v", n, life, silent, over, want)
 			}
 		}
@@ -655,7 +655,7 @@
 		p.SetFormer(map[pointport.InstanceID]capacity.FormerOrder{"m": {Order: capacity.Order{Pool: row.Pool}}})
 		p.SetMachines(now.Add(time.Duration(n)*time.Second), []pointport.Machine{row})
 		p.SetSurvey(now, "p", schedule.Survey{Instances: []schedule.InstanceLoad{{Instance: "m", Incarnation: "i-2", Silent: true, Runs: 1, Known: time.Minute}}})
-		if over, want := len(p.Over("p")) > 0, row.Pool == "q" && n > 0; over != want {
+		if over, want := len(p.EndedIncarnations("p")) > 0, row.Pool == "q" && n > 0; over != want {
 			t.Errorf("list %d, %+v: the life that has come counts as over: %v, want %v", n, row, over, want)
 		}
 	}
@@ -692,7 +692,7 @@
 		p.SetMachines(now.Add(time.Duration(n)*4*time.Second), []pointport.Machine{{ID: "m", Pool: "p", State: pointport.MachineUp, Addressee: life}})
 	}
 	p.SetSurvey(now, "p", schedule.Survey{Instances: []schedule.InstanceLoad{{Instance: "m", Incarnation: "i-2", Silent: true, Runs: 1, Known: time.Minute}}})
-	if over := p.Over("p"); len(over) != 1 {
+	if over := p.EndedIncarnations("p"); len(over) != 1 {
 		t.Errorf("%+v are over, want the life that has not been shown for 28 s", over)
 	}
 }
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -296,14 +296,14 @@
 	now := s.services.Clock.Now()
 	told := make(map[pointport.IncarnationID]bool)
 	var out []pointport.IncarnationID
-	for _, o := range s.planner.Over(pool) {
+	for _, o := range s.planner.EndedIncarnations(pool) {
 		out = append(out, o.ID)
 		told[o.ID] = true
 		if s.toldOver[pool][o.ID] {
 			continue
 		}
 		event.IncarnationOver.Log(s.logger, slog.String("pool", pool), slog.String("incarnation", string(o.ID)), slog.String("instance", string(o.Instance)),
-			slog.String("life", string(o.Life)), slog.String("state", string(o.State)), slog.Duration("listAge", now.Sub(o.Asked)), slog.Duration("known", o.Known))
+			slog.String("life", string(o.Addressee)), slog.String("state", string(o.State)), slog.Duration("listAge", now.Sub(o.ListedAt)), slog.Duration("known", o.KnownFor))
 	}
 	s.toldOver[pool] = told
 	return out
