--- a/capacity/doubt_test.go
+++ b/capacity/doubt_test.go
@@ -52,7 +52,7 @@
 				switch {
 				case f.machine(o.Machine).State != pointport.MachineUp:
 					refused++
-					p.Answered(f.now, o, refusedBusy, true)
+					p.HandleAnswer(f.now, o, refusedBusy, true)
 				case !lost[o.Machine]:
 					lost[o.Machine] = true
 					f.carryOut(o)
@@ -98,7 +98,7 @@
 	f, p, given := ordered(t)
 	for range 16 {
 		f.step(p, 250*time.Millisecond, func(o capacity.Order) bool {
-			p.Unsent(o)
+			p.WithdrawUnsent(o)
 			f.need["a"], f.need["b"] = 6500, 6500 // it is needed where it is
 			return false
 		})
@@ -166,7 +166,7 @@
 			if _, ok := given[o.Machine]; ok {
 				f.need["a"], f.need["b"] = 6500, 6500 // it is not ordered away again
 				gone++
-				p.Answered(f.now, o, &pointport.MachineRefusedError{Machine: o.Machine, Reason: pointport.RefuseUnknown}, true)
+				p.HandleAnswer(f.now, o, &pointport.MachineRefusedError{Machine: o.Machine, Reason: pointport.RefuseUnknown}, true)
 			}
 			return false
 		})
--- a/capacity/order.go
+++ b/capacity/order.go
@@ -53,8 +53,8 @@
 	At time.Time
 }
 
-// OrderMost is for how long an order of an earlier planner may count as under way.
-const OrderMost = unshownMost
+// PendingOrderTimeout is for how long an order of an earlier planner may count as under way.
+const PendingOrderTimeout = unshownMost
 
 // underWay reports whether the order may be one of which the list does not show yet that it is
 // done. What was ordered is not known of orders that were recorded without it.
@@ -106,10 +106,10 @@
 	}
 }
 
-// Answered takes in the answer to an order; err is nil if it was carried out, and settled says
+// HandleAnswer takes in the answer to an order; err is nil if it was carried out, and settled says
 // that it was refused. That a machine is busy says nothing of a former sending that got no
 // answer: one that is moving refuses to be moved.
-func (p *Planner) Answered(now time.Time, o Order, err error, settled bool) {
+func (p *Planner) HandleAnswer(now time.Time, o Order, err error, settled bool) {
 	m := p.machines[o.Machine]
 	if m == nil || m.order == nil || *m.order != o {
 		return
@@ -162,9 +162,9 @@
 	return errors.As(err, &refused) && refused.Reason == pointport.RefuseBusy
 }
 
-// Unsent takes in that an order was not given after all. What was given of it before may still
+// WithdrawUnsent takes in that an order was not given after all. What was given of it before may still
 // be carried out.
-func (p *Planner) Unsent(o Order) {
+func (p *Planner) WithdrawUnsent(o Order) {
 	if m := p.machines[o.Machine]; m != nil && m.order != nil && *m.order == o && !m.unheard {
 		m.order = nil
 	}
--- a/capacity/planner.go
+++ b/capacity/planner.go
@@ -26,17 +26,17 @@
 type Decision struct {
 	// Closures lists, for each pool, the instances to close.
 	Closures map[string][]schedule.Closure
-	// Soon lists the instances that are to be maintained before long.
-	Soon []pointport.InstanceID
-	// Fresh reports whether an instance is to be closed that was not before.
-	Fresh  bool
-	Orders []Order
+	// PendingMaintenance lists the instances that are to be maintained before long.
+	PendingMaintenance []pointport.InstanceID
+	// NewClosures reports whether an instance is to be closed that was not before.
+	NewClosures bool
+	Orders      []Order
 	// Sizes says how many instances the pools have and should have.
-	Sizes []Size
+	Sizes []PoolSize
 }
 
-// A Size is how many instances a pool has and should have, and why.
-type Size struct {
+// A PoolSize is how many instances a pool has and should have, and why.
+type PoolSize struct {
 	Pool    string
 	Have    int // in use or on their way
 	Want    int
@@ -146,8 +146,8 @@
 	}
 }
 
-// Restore takes in what an earlier planner has recorded of a wave.
-func (p *Planner) Restore(wave int64, begun time.Time, ordered []pointport.InstanceID) {
+// RestoreWave takes in what an earlier planner has recorded of a wave.
+func (p *Planner) RestoreWave(wave int64, begun time.Time, ordered []pointport.InstanceID) {
 	s := p.waves[wave]
 	if s == nil {
 		return
@@ -211,13 +211,13 @@
 	for _, id := range ids {
 		p.planWave(now, p.waves[id], &d)
 		for _, m := range p.waves[id].left(p.machines) {
-			d.Soon = append(d.Soon, m.id)
+			d.PendingMaintenance = append(d.PendingMaintenance, m.id)
 		}
 	}
 	p.planSizes(now, &d)
 	for id, m := range p.machines {
 		if m.closing && !was[id] {
-			d.Fresh = true
+			d.NewClosures = true
 		}
 	}
 	return d
--- a/capacity/planner_test.go
+++ b/capacity/planner_test.go
@@ -151,7 +151,7 @@
 	for _, o := range decision.Orders {
 		if answer == nil || answer(o) {
 			f.carryOut(o)
-			p.Answered(f.now, o, nil, false)
+			p.HandleAnswer(f.now, o, nil, false)
 		}
 	}
 	return decision
@@ -614,7 +614,7 @@
 			if first == nil {
 				t.Fatal("no maintenance is ordered")
 			}
-			p.Answered(now, *first, nil, true)
+			p.HandleAnswer(now, *first, nil, true)
 			look(3*time.Second, c.born)
 			if second := ordered(2, c.born); (second != nil) != c.free {
 				t.Errorf("order %+v, want one: %v", second, c.free)
--- a/capacity/retire_test.go
+++ b/capacity/retire_test.go
@@ -26,7 +26,7 @@
 		d := f.step(p, 100*time.Millisecond, func(o capacity.Order) bool {
 			given++
 			if given > ordersPerRound {
-				p.Unsent(o)
+				p.WithdrawUnsent(o)
 				return false
 			}
 			return true
--- a/capacity/supply.go
+++ b/capacity/supply.go
@@ -37,7 +37,7 @@
 	sizes := p.sizes(now)
 	for _, s := range sizes {
 		v := p.surveys[s.pool]
-		d.Sizes = append(d.Sizes, Size{Pool: s.pool, Have: s.have, Want: s.want, Idle: len(s.idle), Need: v.Need, Waiting: v.Waiting})
+		d.Sizes = append(d.Sizes, PoolSize{Pool: s.pool, Have: s.have, Want: s.want, Idle: len(s.idle), Need: v.Need, Waiting: v.Waiting})
 	}
 	spare := p.spares(now)
 	sort.SliceStable(sizes, func(i, k int) bool { return sizes[i].before(&sizes[k]) })
--- a/capacity/unasked_test.go
+++ b/capacity/unasked_test.go
@@ -36,7 +36,7 @@
 		t.Fatalf("orders %+v, want one", d.Orders)
 	}
 	first := d.Orders[0]
-	p.Answered(now, first, nil, false)
+	p.HandleAnswer(now, first, nil, false)
 	for n := range list {
 		if list[n].ID == first.Machine {
 			list[n].Addressee = "i-new"
--- a/steward/journal.go
+++ b/steward/journal.go
@@ -95,7 +95,7 @@
 // add writes that machines are about to be ordered.
 func (j *journal) add(ctx context.Context, now time.Time, orders []capacity.Order) error {
 	for id, o := range j.doc.Ordered {
-		if now.Sub(time.UnixMilli(o.At)) > max(keepRests*j.rest, capacity.OrderMost+clockSkew) {
+		if now.Sub(time.UnixMilli(o.At)) > max(keepRests*j.rest, capacity.PendingOrderTimeout+clockSkew) {
 			delete(j.doc.Ordered, id)
 		}
 	}
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -132,7 +132,7 @@
 	pace     *rate.Limiter // of orders
 	stored   map[int64]string
 	restored map[int64]bool
-	sizes    map[string]capacity.Size // as last logged
+	sizes    map[string]capacity.PoolSize // as last logged
 	// toldOver holds, by pool, the incarnations of which it was last logged that they are over.
 	toldOver map[string]map[pointport.IncarnationID]bool
 }
@@ -152,7 +152,7 @@
 		planner: capacity.NewPlanner(settings.Planner), inbox: make(chan func(time.Time), inboxSize),
 		stored: make(map[int64]string), restored: make(map[int64]bool),
 		pace:  rate.NewLimiter(rate.Limit(paceShare*taken), max(1, int(burstShare*taken))),
-		sizes: make(map[string]capacity.Size), toldOver: make(map[string]map[pointport.IncarnationID]bool),
+		sizes: make(map[string]capacity.PoolSize), toldOver: make(map[string]map[pointport.IncarnationID]bool),
 	}
 	st.writer = member.NewWriter(s.KV, s.Clock, own, st.logger)
 	st.journal = newJournal(s.KV, st.writer, own, settings.HolderTime+turnSlack)
@@ -220,11 +220,11 @@
 	}
 	s.planner.SetFormer(s.journal.former)
 	d := s.planner.Decide(now)
-	s.closures, s.soon = d.Closures, d.Soon
+	s.closures, s.soon = d.Closures, d.PendingMaintenance
 	s.logSizes(d.Sizes)
 	s.orders(ctx, d.Orders)
 	s.report(ctx, now)
-	if d.Fresh {
+	if d.NewClosures {
 		return freshEvery
 	}
 	return roundEvery
@@ -257,7 +257,7 @@
 }
 
 // logSizes notes the pools whose size has changed, or should.
-func (s *Steward) logSizes(sizes []capacity.Size) {
+func (s *Steward) logSizes(sizes []capacity.PoolSize) {
 	for _, z := range sizes {
 		if last, ok := s.sizes[z.Pool]; ok && last.Have == z.Have && last.Want == z.Want {
 			continue
@@ -349,7 +349,7 @@
 		// Either it is not known whether they are in the journal, or the write took
 		// too long to count on what was surveyed and on the key.
 		for _, o := range orders {
-			s.planner.Unsent(o)
+			s.planner.WithdrawUnsent(o)
 		}
 		return
 	}
@@ -367,7 +367,7 @@
 			out = append(out, o)
 			continue
 		}
-		s.planner.Unsent(o)
+		s.planner.WithdrawUnsent(o)
 	}
 	if held := len(orders) - len(out); held > 0 {
 		event.OrdersHeldBack.Log(s.logger, slog.Int("given", len(out)), slog.Int("held", held))
@@ -390,7 +390,7 @@
 			event.MachineOrdered.Log(s.logger, slog.String("instance", string(o.Machine)), slog.String("pool", o.Pool),
 				slog.Int64("wave", o.Wave), slog.String("reason", o.Reason), slog.Duration("took", now.Sub(from)), slog.Any("error", err))
 			var refused *pointport.MachineRefusedError
-			s.planner.Answered(now, o, err, errors.As(err, &refused))
+			s.planner.HandleAnswer(now, o, err, errors.As(err, &refused))
 		})
 	}()
 }
@@ -426,7 +426,7 @@
 			event.PlanFailed.Log(s.logger, slog.Int64("wave", w.ID), slog.Any("error", err))
 			continue
 		}
-		s.planner.Restore(w.ID, r.Begun, r.Ordered)
+		s.planner.RestoreWave(w.ID, r.Begun, r.Ordered)
 	}
 }
 
