--- a/node/follow.go
+++ b/node/follow.go
@@ -196,10 +196,10 @@
 	if k == nil {
 		return steward.Layout{}
 	}
-	l := steward.Layout{Work: k.WorkPools()}
+	l := steward.Layout{WorkPools: k.WorkPools()}
 	for _, p := range k.Pools {
 		if p.Spare {
-			l.Spare = p.Name
+			l.SparePool = p.Name
 		}
 	}
 	return l
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -20,7 +20,7 @@
 // on it until its process ends (tippijako-prod trouble-2 --seed 917730157450:
 // pools stood still for 3.3 s of a rolling stop).
 func TestStoppingNodeTakesNoPool(t *testing.T) {
-	for _, pool := range []string{"shift", "payout", steward.Post} {
+	for _, pool := range []string{"shift", "payout", steward.OwnershipName} {
 		t.Run(pool, func(t *testing.T) {
 			bubble(t, 4, func(c *cluster) {
 				owner := c.owner(pool)
--- a/node/node.go
+++ b/node/node.go
@@ -203,8 +203,8 @@
 		KV: s.KV, Machines: s.Machines, Clock: s.Clock, Session: n.session, Pools: pools,
 		Waves: newWaves(ctx, s.KV, s.Clock, s.Waves, n.logger), Layout: n.configs.layout, Evacuations: n.emptied.Zones,
 	}
-	settings := steward.Settings{Name: n.params.Name, HolderTime: n.params.HolderTime, Orders: n.params.MachineOrders, Planner: n.params.Capacity}
-	posts := func() []string { return []string{steward.Post} }
+	settings := steward.Settings{Name: n.params.Name, HolderTime: n.params.HolderTime, OrdersPerSecond: n.params.MachineOrders, Planner: n.params.Capacity}
+	posts := func() []string { return []string{steward.OwnershipName} }
 	n.stewards = member.StartKeeper(ctx, s.Clock, n.session, n.roster, posts, func(own member.Ownership) *steward.Steward {
 		return steward.Start(ctx, services, settings, own, n.logger)
 	}, n.logger)
--- a/steward/journal.go
+++ b/steward/journal.go
@@ -16,7 +16,7 @@
 // what was ordered, so a new steward must know what its predecessor ordered last.
 
 // journalKey is the key of the journal in the store.
-const journalKey = "journal" + Post
+const journalKey = "journal" + OwnershipName
 
 // keepRests is for how many times the least time between two holders an order is
 // kept in the journal.
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -36,9 +36,9 @@
 // This file defines the steward and its rounds.
 
 const (
-	// Post is the name under which the steward's ownership is kept. It is no
+	// OwnershipName is the name under which the steward's ownership is kept. It is no
 	// pool's name, because those have no slash.
-	Post = "/steward"
+	OwnershipName = "/steward"
 	// roundEvery is how often the steward looks, freshEvery how soon after it has
 	// closed an instance.
 	roundEvery = 100 * time.Millisecond
@@ -73,8 +73,8 @@
 
 // A Layout says which pools there are.
 type Layout struct {
-	Work  []string // the pools that run tasks
-	Spare string   // the pool whose instances are switched off, or empty
+	WorkPools []string // the pools that run tasks
+	SparePool string   // the pool whose instances are switched off, or empty
 }
 
 // Waves follows the waves that operators ask for and reports on them.
@@ -103,10 +103,10 @@
 	Name string
 	// HolderTime must lie between the orders of two holders.
 	HolderTime time.Duration
-	// Orders is how many orders about machines the platform takes in a second from all
+	// OrdersPerSecond is how many orders about machines the platform takes in a second from all
 	// members, zero if it does not say.
-	Orders  float64
-	Planner capacity.Settings
+	OrdersPerSecond float64
+	Planner         capacity.Settings
 }
 
 // A Steward is the one member that orders machines about. Its methods are safe
@@ -143,7 +143,7 @@
 // steward.
 func Start(ctx context.Context, s Services, settings Settings, own member.Ownership, logger *slog.Logger) *Steward {
 	ctx, cancel := context.WithCancel(ctx)
-	taken := cmp.Or(settings.Orders, defaultOrders)
+	taken := cmp.Or(settings.OrdersPerSecond, defaultOrders)
 	settings.Planner.HolderTime = settings.HolderTime + turnSlack
 	settings.Planner.OrdersPerSecond = paceShare * taken
 	st := &Steward{
@@ -205,9 +205,9 @@
 // round surveys, decides and orders, and returns when to do so again.
 func (s *Steward) round(ctx context.Context) time.Duration {
 	layout := s.services.Layout()
-	s.planner.SetSpare(layout.Spare)
+	s.planner.SetSpare(layout.SparePool)
 	s.planner.SetEvacuations(s.services.Evacuations())
-	s.survey(ctx, layout.Work)
+	s.survey(ctx, layout.WorkPools)
 	s.list(ctx)
 	now := s.services.Clock.Now()
 	s.takeWaves(ctx, now)
