--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -193,7 +193,7 @@
 		return
 	}
 	planner.Start(ctx, e.clock, zone, e.settings.zoneIDs(), e.platform, e.platform, e.configs, e.assigns[zone], e.election,
-		planner.WithLogger(e.logger), planner.WithPause(e.planPause), planner.WithListed(e.feeder.planned), planner.WithAuthor("planner/"+e.holder))
+		planner.WithLogger(e.logger), planner.WithInterval(e.planPause), planner.WithListObserver(e.feeder.planned), planner.WithAuthor("planner/"+e.holder))
 	placer.Start(ctx, e.clock, zone, e.platform,
 		placer.Sources{Config: e.configs.State, Assign: e.assigns[zone].State}, e.jobs[zone], e.election,
 		placer.WithLogger(e.logger), placer.WithAuthor("placer/"+e.holder))
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -79,11 +79,11 @@
 // WithLogger sets where events go.
 func WithLogger(l *slog.Logger) Option { return func(p *Planner) { p.logger = l } }
 
-// WithPause sets how long the planner waits between two looks.
-func WithPause(pause func() time.Duration) Option { return func(p *Planner) { p.pause = pause } }
+// WithInterval sets how long the planner waits between two looks.
+func WithInterval(pause func() time.Duration) Option { return func(p *Planner) { p.pause = pause } }
 
-// WithListed sets who else is told of each reading of the platform's list.
-func WithListed(told func([]pointport.Instance)) Option {
+// WithListObserver sets who else is told of each reading of the platform's list.
+func WithListObserver(told func([]pointport.Instance)) Option {
 	return func(p *Planner) { p.listedTo = told }
 }
 
