--- a/cli/evaluate.go
+++ b/cli/evaluate.go
@@ -19,7 +19,7 @@
 		{Name: "12 instances, budget 1", Size: 12, Budget: 1, Drain: drain, Reboot: reboot, Seed: 1},
 		{Name: "12 instances, budget 1, spare 1", Size: 12, Spare: 1, Budget: 1, Drain: drain, Reboot: reboot, Seed: 1},
 		{Name: "40 instances, budget 4", Size: 40, Budget: 4, Drain: drain, Reboot: reboot, Seed: 1},
-		{Name: "40 instances, budget 4, a failure each 10 min", Size: 40, Budget: 4, Drain: drain, Reboot: reboot, FailEach: 10 * time.Minute, FailFor: 4 * time.Minute, Seed: 1},
+		{Name: "40 instances, budget 4, a failure each 10 min", Size: 40, Budget: 4, Drain: drain, Reboot: reboot, MeanTimeBetweenFailures: 10 * time.Minute, FailureDuration: 4 * time.Minute, Seed: 1},
 		{Name: "250 instances, budget 25", Size: 250, Budget: 25, Drain: drain, Reboot: reboot, Seed: 1},
 		{Name: "2000 instances, budget 200", Size: 2000, Budget: 200, Drain: drain, Reboot: reboot, Seed: 1},
 	}
@@ -63,8 +63,8 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "| %s | %s | %v | %.2f | %d | %d | %.1f | %d | %d |\n", r.Name, name, o.Took.Round(time.Second),
-			float64(o.Took)/float64(o.Bound), o.WorstLeft, o.Broken, o.SpareHours, o.Failures, o.Changes)
+		fmt.Fprintf(out, "| %s | %s | %v | %.2f | %d | %d | %.1f | %d | %d |\n", r.Name, name, o.Duration.Round(time.Second),
+			float64(o.Duration)/float64(o.LowerBound), o.MinBudgetLeft, o.BudgetViolations, o.SpareHours, o.Failures, o.Changes)
 	}
 	return nil
 }
--- a/evaluate/evaluate_test.go
+++ b/evaluate/evaluate_test.go
@@ -38,7 +38,7 @@
 				template(t, "b", rapid.IntRange(0, 8).Draw(t, "size b"), rapid.IntRange(0, 2).Draw(t, "spare b"), rapid.IntRange(0, 3).Draw(t, "budget b")),
 			}
 		}
-		w := evaluate.NewWorld(watch(t), 1, rapid.IntRange(1, 16).Draw(t, "instances"), 20*time.Second, time.Minute, sizes())
+		w := evaluate.NewSimulation(watch(t), 1, rapid.IntRange(1, 16).Draw(t, "instances"), 20*time.Second, time.Minute, sizes())
 		version := 1
 		for range rapid.IntRange(0, 40).Draw(t, "events") {
 			version++
@@ -58,7 +58,7 @@
 				w.Step(time.Second)
 			}
 		}
-		if n := w.Tally().Broken; n > 0 {
+		if n := w.Stats().BudgetViolations; n > 0 {
 			t.Fatalf("%d steps broke a budget", n)
 		}
 		checkRest(t, w)
@@ -83,15 +83,15 @@
 }
 
 // checkRest lets events stop.
-func checkRest(t *rapid.T, w *evaluate.World) {
+func checkRest(t *rapid.T, w *evaluate.Simulation) {
 	for range 200 {
 		w.Step(time.Minute)
 	}
-	before := w.Tally()
+	before := w.Stats()
 	for range 60 {
 		w.Step(time.Minute)
 	}
-	if after := w.Tally(); after.Changes != before.Changes {
+	if after := w.Stats(); after.Changes != before.Changes {
 		t.Fatalf("%d changes long after the last event", after.Changes-before.Changes)
 	}
 	for _, wave := range w.State().Waves() {
@@ -111,10 +111,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if o.Broken > 0 || o.WorstLeft < 0 {
+		if o.BudgetViolations > 0 || o.MinBudgetLeft < 0 {
 			t.Errorf("%s: %+v", name, o)
 		}
-		took[name] = float64(o.Took) / float64(o.Bound)
+		took[name] = float64(o.Duration) / float64(o.LowerBound)
 	}
 	if took["window"] > 1.25 {
 		t.Errorf("the roll-out takes %.2f times its bound", took["window"])
--- a/evaluate/rollout.go
+++ b/evaluate/rollout.go
@@ -12,22 +12,22 @@
 
 // A RollOut is a wave over one pool of a zone.
 type RollOut struct {
-	Name     string
-	Size     int // instances that must serve
-	Spare    int // instances beyond them
-	Budget   int // how many of Size may be out
-	Drain    time.Duration
-	Reboot   time.Duration
-	FailEach time.Duration // mean time between failures of any instance; zero for none
-	FailFor  time.Duration
-	Seed     uint64
+	Name                    string
+	Size                    int // instances that must serve
+	Spare                   int // instances beyond them
+	Budget                  int // how many of Size may be out
+	Drain                   time.Duration
+	Reboot                  time.Duration
+	MeanTimeBetweenFailures time.Duration // mean time between failures of any instance; zero for none
+	FailureDuration         time.Duration
+	Seed                    uint64
 }
 
 // An Outcome is what a roll-out came to.
 type Outcome struct {
-	Took  time.Duration
-	Bound time.Duration // the shortest that the budget allows
-	Tally
+	Duration   time.Duration
+	LowerBound time.Duration // the shortest that the budget allows
+	Stats
 }
 
 // step is the time between decisions.
@@ -47,16 +47,16 @@
 	if err != nil {
 		return Outcome{}, err
 	}
-	w := NewWorld(policy, r.Seed, r.Size+r.Spare, r.Drain, r.Reboot, []*config.Template{objects[0].Template()})
+	w := NewSimulation(policy, r.Seed, r.Size+r.Spare, r.Drain, r.Reboot, []*config.Template{objects[0].Template()})
 	w.SetWaves([]assign.WaveOrder{{Wave: &config.Wave{Name: "wave", Template: "pool", State: config.WaveRun}, Version: 1}})
 	start := w.Now()
 	for w.Now().Sub(start) < longest {
-		if r.FailEach > 0 && w.chance.Float64() < float64(step)/float64(r.FailEach) {
-			w.Fail(w.chance.IntN(len(w.machines)), r.FailFor)
+		if r.MeanTimeBetweenFailures > 0 && w.chance.Float64() < float64(step)/float64(r.MeanTimeBetweenFailures) {
+			w.Fail(w.chance.IntN(len(w.machines)), r.FailureDuration)
 		}
 		w.Step(step)
 		if wave, ok := w.State().Wave("wave"); ok && !wave.Ended.IsZero() {
-			return Outcome{w.Now().Sub(start), r.bound(w), w.Tally()}, nil
+			return Outcome{w.Now().Sub(start), r.bound(w), w.Stats()}, nil
 		}
 	}
 	return Outcome{}, fmt.Errorf("the roll-out %s did not end in %v", r.Name, longest)
@@ -64,6 +64,6 @@
 
 // bound returns the shortest roll-out that the budget allows: all the time that
 // instances were out, spread evenly over as many as may be out at once.
-func (r *RollOut) bound(w *World) time.Duration {
-	return w.Tally().Work / time.Duration(r.Budget+r.Spare)
+func (r *RollOut) bound(w *Simulation) time.Duration {
+	return w.Stats().Work / time.Duration(r.Budget+r.Spare)
 }
--- a/evaluate/world.go
+++ b/evaluate/world.go
@@ -36,8 +36,8 @@
 	quiet time.Time // since when the planner has seen it idle
 }
 
-// A World is one zone under a policy.
-type World struct {
+// A Simulation is one zone under a policy.
+type Simulation struct {
 	policy    Policy
 	chance    *rand.Rand
 	now       time.Time
@@ -48,25 +48,25 @@
 	byID      map[pointport.InstanceID]*machine
 
 	drainMean, rebootMean time.Duration
-	tally                 Tally
+	tally                 Stats
 }
 
-// A Tally is what a world has counted.
-type Tally struct {
-	Moves      int           // instances that changed their pool after the first fill
-	Drains     int           // instances that waves took out
-	Failures   int           // instances that failed by themselves
-	SpareHours float64       // instance-hours beyond what the pools must have
-	WorstLeft  int           // the least budget that any pool had left
-	Broken     int           // steps that the budget did not allow
-	Decisions  int           // decisions made
-	Changes    int           // decisions that changed something: writes to the store
-	Work       time.Duration // time that instances were out of service in waves
+// A Stats is what a world has counted.
+type Stats struct {
+	Moves            int           // instances that changed their pool after the first fill
+	Drains           int           // instances that waves took out
+	Failures         int           // instances that failed by themselves
+	SpareHours       float64       // instance-hours beyond what the pools must have
+	MinBudgetLeft    int           // the least budget that any pool had left
+	BudgetViolations int           // steps that the budget did not allow
+	Decisions        int           // decisions made
+	Changes          int           // decisions that changed something: writes to the store
+	Work             time.Duration // time that instances were out of service in waves
 }
 
-// NewWorld returns a world of n instances that has come to rest.
-func NewWorld(policy Policy, seed uint64, n int, drainMean, rebootMean time.Duration, templates []*config.Template) *World {
-	w := &World{
+// NewSimulation returns a world of n instances that has come to rest.
+func NewSimulation(policy Policy, seed uint64, n int, drainMean, rebootMean time.Duration, templates []*config.Template) *Simulation {
+	w := &Simulation{
 		policy: policy, chance: rand.New(rand.NewPCG(seed, seed)), now: time.Unix(1_800_000_000, 0),
 		state: assign.NewState(), templates: templates, byID: make(map[pointport.InstanceID]*machine),
 		drainMean: drainMean, rebootMean: rebootMean,
@@ -84,27 +84,27 @@
 		changes = w.tally.Changes
 		w.Step(time.Second)
 	}
-	w.tally = Tally{WorstLeft: w.leastLeft()}
+	w.tally = Stats{MinBudgetLeft: w.leastLeft()}
 	return w
 }
 
-// Tally returns what the world has counted.
-func (w *World) Tally() Tally { return w.tally }
+// Stats returns what the world has counted.
+func (w *Simulation) Stats() Stats { return w.tally }
 
 // State returns the assignment.
-func (w *World) State() *assign.State { return w.state }
+func (w *Simulation) State() *assign.State { return w.state }
 
 // Now returns the world's time.
-func (w *World) Now() time.Time { return w.now }
+func (w *Simulation) Now() time.Time { return w.now }
 
 // SetTemplates changes what operators want.
-func (w *World) SetTemplates(templates []*config.Template) { w.templates = templates }
+func (w *Simulation) SetTemplates(templates []*config.Template) { w.templates = templates }
 
 // SetWaves changes the waves.
-func (w *World) SetWaves(waves []assign.WaveOrder) { w.waves = waves }
+func (w *Simulation) SetWaves(waves []assign.WaveOrder) { w.waves = waves }
 
 // Fail lets an instance fail for a time.
-func (w *World) Fail(n int, d time.Duration) {
+func (w *Simulation) Fail(n int, d time.Duration) {
 	m := w.machines[n%len(w.machines)]
 	if m.info.State == pointport.InstanceDown {
 		return
@@ -113,12 +113,12 @@
 	w.down(m, d)
 }
 
-func (w *World) down(m *machine, d time.Duration) {
+func (w *Simulation) down(m *machine, d time.Duration) {
 	m.info.State, m.back, m.quiet = pointport.InstanceDown, w.now.Add(d), time.Time{}
 }
 
 // Step lets d pass, and then lets the policy decide once.
-func (w *World) Step(d time.Duration) {
+func (w *Simulation) Step(d time.Duration) {
 	w.now = w.now.Add(d)
 	w.live()
 	w.count(d)
@@ -140,7 +140,7 @@
 }
 
 // live lets each instance come as far as the time says.
-func (w *World) live() {
+func (w *Simulation) live() {
 	for _, m := range w.machines {
 		m.info.Reported = w.now
 		if m.info.State == pointport.InstanceDown && !w.now.Before(m.back) {
@@ -153,7 +153,7 @@
 	}
 }
 
-func (w *World) input() assign.Input {
+func (w *Simulation) input() assign.Input {
 	in := assign.Input{
 		Now: w.now, Zone: zone, Zones: []pointport.ZoneID{zone}, State: w.state, Templates: w.templates, Waves: w.waves,
 		Quiet: make(map[pointport.InstanceID]time.Duration), Share: share,
@@ -171,7 +171,7 @@
 func share(t *config.Template) int { return t.Maintenance.Budget.Down(t.Pool.Size) }
 
 // tell does what the committed state calls for.
-func (w *World) tell() {
+func (w *Simulation) tell() {
 	for _, member := range w.state.Members() {
 		m := w.byID[member.ID]
 		if m.info.Boots != member.Boots {
@@ -189,12 +189,12 @@
 }
 
 // around returns a time by chance, from half the mean to one and a half.
-func (w *World) around(mean time.Duration) time.Duration {
+func (w *Simulation) around(mean time.Duration) time.Duration {
 	return time.Duration(float64(mean) * (0.5 + w.chance.Float64()))
 }
 
 // working returns how many of a pool's members really serve.
-func (w *World) working(s *assign.State, pool string) int {
+func (w *Simulation) working(s *assign.State, pool string) int {
 	n := 0
 	for _, member := range s.Members() {
 		if member.Pool == pool && member.Phase == assign.Serving && w.byID[member.ID].info.State == pointport.InstanceLive {
@@ -205,7 +205,7 @@
 }
 
 // leastLeft returns the least budget that any pool has left.
-func (w *World) leastLeft() int {
+func (w *Simulation) leastLeft() int {
 	least := 1 << 30
 	for _, t := range w.templates {
 		least = min(least, share(t)-max(0, t.Pool.Size-w.working(w.state, t.Name)))
@@ -213,8 +213,8 @@
 	return least
 }
 
-func (w *World) count(d time.Duration) {
-	w.tally.WorstLeft = min(w.tally.WorstLeft, w.leastLeft())
+func (w *Simulation) count(d time.Duration) {
+	w.tally.MinBudgetLeft = min(w.tally.MinBudgetLeft, w.leastLeft())
 	spare := len(w.machines)
 	for _, t := range w.templates {
 		spare -= t.Pool.Size
@@ -229,7 +229,7 @@
 
 // check counts what a change does, and whether the budget allows it: a pool
 // from which the change takes an instance must keep its size less its budget.
-func (w *World) check(c assign.Change) {
+func (w *Simulation) check(c assign.Change) {
 	started := make(map[string]bool)
 	next, err := w.state.Apply(assign.Change{Version: w.state.Version() + 1, Steps: c.Steps})
 	if err != nil {
@@ -250,7 +250,7 @@
 	}
 	for _, t := range w.templates {
 		if started[t.Name] && w.working(next, t.Name) < t.Pool.Size-share(t) {
-			w.tally.Broken++
+			w.tally.BudgetViolations++
 		}
 	}
 }
