--- a/capacity/evacuation_test.go
+++ b/capacity/evacuation_test.go
@@ -12,7 +12,7 @@
 
 // This file tests what becomes of pools when an availability zone is evacuated.
 
-var northEmpty = evacuation.Known([]evacuation.Request{{Zone: "north"}})
+var northEmpty = evacuation.NewZones([]evacuation.Request{{Zone: "north"}})
 
 // zoned puts the machines of a fleet into two availability zones by turns of its pools, so that
 // each pool has as many in north as in south.
--- a/capacity/planner.go
+++ b/capacity/planner.go
@@ -87,7 +87,7 @@
 // evacuated reports whether nothing may be started on a machine because of its availability
 // zone.
 func (p *Planner) evacuated(m *machine) bool {
-	return p.zones.Standing(m.zone) == evacuation.Evacuated
+	return p.zones.State(m.zone) == evacuation.Evacuated
 }
 
 // SetSurvey takes in how a pool stands.
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -355,7 +355,7 @@
 			},
 		},
 		Evacuations: node.Source[evacuation.Request]{Prefix: evacuationPrefix, Decode: func(e pointport.Entry) (evacuation.Request, error) {
-			return evacuation.Request{Zone: pointport.ZoneID(strings.TrimPrefix(e.Key(), evacuationPrefix)), Made: e.Revision()}, nil
+			return evacuation.Request{Zone: pointport.ZoneID(strings.TrimPrefix(e.Key(), evacuationPrefix)), Revision: e.Revision()}, nil
 		}},
 		PeerTransport: c,
 	}
--- a/schedule/evacuate.go
+++ b/schedule/evacuate.go
@@ -18,7 +18,7 @@
 func (b *Book) Evacuate(z evacuation.Zones) { *b.zones = z }
 
 // standing says whether tasks may be started in the worker's availability zone.
-func (w *Worker) standing() evacuation.Standing { return w.zones.Standing(w.inc.Zone()) }
+func (w *Worker) standing() evacuation.ZoneState { return w.zones.State(w.inc.Zone()) }
 
 // evacuated reports whether the worker's availability zone is evacuated.
 func (w *Worker) evacuated() bool { return w.standing() == evacuation.Evacuated }
--- a/schedule/evacuate_test.go
+++ b/schedule/evacuate_test.go
@@ -16,7 +16,7 @@
 // something is started.
 
 // northEmpty is what an owner knows while the availability zone north is evacuated.
-var northEmpty = evacuation.Known([]evacuation.Request{{Zone: "north", Made: 7}})
+var northEmpty = evacuation.NewZones([]evacuation.Request{{Zone: "north", Revision: 7}})
 
 // north and south return an instance of an availability zone.
 func north(n int) pointport.Incarnation { return incarnation(n, pointport.WithZone("north")) }
