--- a/node/random_test.go
+++ b/node/random_test.go
@@ -142,7 +142,7 @@
 	w.Crashes = n == s.poison && ref == workload.TaskRef{}
 	for _, before := range step.After {
 		for i := range s.jobs[n].Steps[before].Count {
-			w.After = append(w.After, workload.TaskName(id, workload.TaskRef{K: ref.K, Step: before, Index: i}))
+			w.After = append(w.After, workload.TaskName(id, workload.TaskRef{Occurrence: ref.Occurrence, Step: before, Index: i}))
 		}
 	}
 	return w
--- a/schedule/advice.go
+++ b/schedule/advice.go
@@ -59,7 +59,7 @@
 	if !t.entry.job.Policy().Advised {
 		return true
 	}
-	a := t.entry.advice[stepKey{t.ref.K, t.ref.Step}]
+	a := t.entry.advice[stepKey{t.ref.Occurrence, t.ref.Step}]
 	if a == nil {
 		return false
 	}
@@ -70,7 +70,7 @@
 // ticketFor returns the ticket with which a task may run on a worker, empty if
 // none is needed.
 func (b *Book) ticketFor(t waiting, w *Worker) string {
-	a := t.entry.advice[stepKey{t.ref.K, t.ref.Step}]
+	a := t.entry.advice[stepKey{t.ref.Occurrence, t.ref.Step}]
 	if a == nil {
 		return ""
 	}
@@ -82,7 +82,7 @@
 	if !t.entry.job.Policy().Advised {
 		return
 	}
-	key := stepKey{t.ref.K, t.ref.Step}
+	key := stepKey{t.ref.Occurrence, t.ref.Step}
 	a := t.entry.advice[key]
 	if a == nil {
 		a = &advice{asked: make(map[pointport.IncarnationID]bool), good: make(map[pointport.IncarnationID]ticket)}
--- a/schedule/book.go
+++ b/schedule/book.go
@@ -206,7 +206,7 @@
 		for n, step := range o.Steps {
 			for i := range step {
 				if step[i].Crashes > 0 {
-					e.crashesOf(workload.TaskRef{K: o.K, Step: n, Index: i}).last = now
+					e.crashesOf(workload.TaskRef{Occurrence: o.Index, Step: n, Index: i}).last = now
 				}
 			}
 		}
@@ -219,7 +219,7 @@
 	e.job.Occurrences(func(o *workload.Occurrence) {
 		for n, step := range o.Steps {
 			for i := range step {
-				ref := workload.TaskRef{K: o.K, Step: n, Index: i}
+				ref := workload.TaskRef{Occurrence: o.Index, Step: n, Index: i}
 				if step[i].Phase == workload.Pending && step[i].On != "" {
 					e.beWary(ref, now)
 				}
--- a/schedule/explain.go
+++ b/schedule/explain.go
@@ -73,7 +73,7 @@
 }
 
 func (b *Book) explainStep(now time.Time, e *entry, o *workload.Occurrence, n int) StepExplanation {
-	x := StepExplanation{Occurrence: o.K, Step: n, Tasks: len(o.Steps[n]), Done: len(o.Steps[n]) - o.Left(n)}
+	x := StepExplanation{Occurrence: o.Index, Step: n, Tasks: len(o.Steps[n]), Done: len(o.Steps[n]) - o.Remaining(n)}
 	pending := 0
 	for i, t := range o.Steps[n] {
 		switch t.Phase {
@@ -95,7 +95,7 @@
 	case !e.job.Ready(o, n):
 		x.Waits = fmt.Sprintf("%d tasks wait for earlier steps", pending)
 	default:
-		x.Waits = b.explainWait(now, waiting{e, workload.TaskRef{K: o.K, Step: n}, &e.job.Spec().Steps[n]}, pending)
+		x.Waits = b.explainWait(now, waiting{e, workload.TaskRef{Occurrence: o.Index, Step: n}, &e.job.Spec().Steps[n]}, pending)
 	}
 	return x
 }
@@ -174,7 +174,7 @@
 	e.toldWait = now
 	tasks := 0
 	for _, t := range e.ready {
-		if t.ref.K == missed.ref.K && t.ref.Step == missed.ref.Step {
+		if t.ref.Occurrence == missed.ref.Occurrence && t.ref.Step == missed.ref.Step {
 			tasks++
 		}
 	}
--- a/schedule/gang.go
+++ b/schedule/gang.go
@@ -31,7 +31,7 @@
 func (b *Book) mates(r *Run) []*Run {
 	var out []*Run
 	for ref, other := range r.entry.runs {
-		if other != r && ref.K == r.ref.K && ref.Step == r.ref.Step {
+		if other != r && ref.Occurrence == r.ref.Occurrence && ref.Step == r.ref.Step {
 			out = append(out, other)
 		}
 	}
@@ -69,7 +69,7 @@
 	for g := range b.gangs {
 		gathered, first := 0, (*Run)(nil)
 		for ref, r := range g.entry.runs {
-			if ref.K != g.k || ref.Step != g.step || r.number != g.number {
+			if ref.Occurrence != g.k || ref.Step != g.step || r.number != g.number {
 				continue
 			}
 			first = r
@@ -106,7 +106,7 @@
 			p.book.placeAs(p.now, t, chosen[n], number+1, len(workers))
 		}
 		t := tasks[0]
-		p.book.gangs[&gang{entry: t.entry, k: t.ref.K, step: t.ref.Step, number: number + 1, since: p.now}] = struct{}{}
+		p.book.gangs[&gang{entry: t.entry, k: t.ref.Occurrence, step: t.ref.Step, number: number + 1, since: p.now}] = struct{}{}
 		return true
 	}
 	p.reserveGang(tasks)
--- a/schedule/plan.go
+++ b/schedule/plan.go
@@ -137,7 +137,7 @@
 		return tasks[:1]
 	}
 	n := 1
-	for n < len(tasks) && tasks[n].ref.K == first.ref.K && tasks[n].ref.Step == first.ref.Step {
+	for n < len(tasks) && tasks[n].ref.Occurrence == first.ref.Occurrence && tasks[n].ref.Step == first.ref.Step {
 		n++
 	}
 	return tasks[:n]
@@ -257,7 +257,7 @@
 
 // crowd returns how many tasks of the step a worker holds.
 func (b *Book) crowd(t waiting, w *Worker) int {
-	return w.steps[stepOf{t.entry, t.ref.K, t.ref.Step}]
+	return w.steps[stepOf{t.entry, t.ref.Occurrence, t.ref.Step}]
 }
 
 const (
--- a/schedule/quarantine.go
+++ b/schedule/quarantine.go
@@ -75,7 +75,7 @@
 	if !t.step.Gang {
 		return len(w.runs) == 0
 	}
-	return len(w.runs) == w.steps[stepOf{t.entry, t.ref.K, t.ref.Step}]
+	return len(w.runs) == w.steps[stepOf{t.entry, t.ref.Occurrence, t.ref.Step}]
 }
 
 // lastCrash returns when an instance last crashed under a task, or another of its gang.
@@ -83,7 +83,7 @@
 	gang := e.job.Spec().Steps[ref.Step].Gang
 	var last time.Time
 	for other, c := range e.crashed {
-		mate := gang && other.K == ref.K && other.Step == ref.Step
+		mate := gang && other.Occurrence == ref.Occurrence && other.Step == ref.Step
 		if (other == ref || mate) && c.last.After(last) {
 			last = c.last
 		}
--- a/schedule/queue.go
+++ b/schedule/queue.go
@@ -104,7 +104,7 @@
 	}
 	e.job.Occurrences(func(o *workload.Occurrence) {
 		for n, step := range o.Steps {
-			if o.Left(n) == 0 || !e.job.Ready(o, n) {
+			if o.Remaining(n) == 0 || !e.job.Ready(o, n) {
 				continue
 			}
 			if e.job.Spec().Steps[n].Gang && !allPending(step) {
@@ -112,7 +112,7 @@
 			}
 			for i := range step {
 				if step[i].Phase == workload.Pending {
-					ref := workload.TaskRef{K: o.K, Step: n, Index: i}
+					ref := workload.TaskRef{Occurrence: o.Index, Step: n, Index: i}
 					e.ready = append(e.ready, waiting{e, ref, &e.job.Spec().Steps[n]})
 				}
 			}
@@ -132,8 +132,8 @@
 
 func lessRef(a, b workload.TaskRef) bool {
 	switch {
-	case a.K != b.K:
-		return a.K < b.K
+	case a.Occurrence != b.Occurrence:
+		return a.Occurrence < b.Occurrence
 	case a.Step != b.Step:
 		return a.Step < b.Step
 	}
@@ -165,7 +165,7 @@
 		left = max(left, chains[t.ref.Step])
 	}
 	from := job.Submitted()
-	if due := job.Spec().Due(first.K); !due.IsZero() {
+	if due := job.Spec().Due(first.Occurrence); !due.IsZero() {
 		from = due
 	}
 	s.latest = from.Add(allowance(job.Policy(), whole) - left)
--- a/schedule/relocate.go
+++ b/schedule/relocate.go
@@ -80,7 +80,7 @@
 func (h *homes) take(t waiting) bool {
 	room := t.step.Room()
 	for _, w := range h.workers {
-		at := home{w, stepOf{t.entry, t.ref.K, t.ref.Step}}
+		at := home{w, stepOf{t.entry, t.ref.Occurrence, t.ref.Step}}
 		if !h.left[w].Fits(room) || !h.book.permits(t, w, h.now) {
 			continue
 		}
@@ -166,7 +166,7 @@
 // mayMiss reports whether a serving task may be taken away for a moment: fewer
 // of its step's other tasks than may be missing are not at work.
 func (b *Book) mayMiss(r *Run) bool {
-	o := r.entry.job.Occurrence(r.ref.K)
+	o := r.entry.job.Occurrence(r.ref.Occurrence)
 	if o == nil {
 		return true
 	}
--- a/schedule/report.go
+++ b/schedule/report.go
@@ -270,7 +270,7 @@
 func (b *Book) runDone(now time.Time, r *Run) {
 	if !r.liveAt.IsZero() && !r.inherited && r.from == 0 {
 		b.learned.observe(r.entry.job.Queue(), r.step(), now.Sub(r.liveAt))
-		r.entry.note(stepKey{r.ref.K, r.ref.Step}, now.Sub(r.liveAt))
+		r.entry.note(stepKey{r.ref.Occurrence, r.ref.Step}, now.Sub(r.liveAt))
 	}
 	if r.worker.health.succeeded() {
 		event.SoundWorker.Log(b.logger, slog.String("incarnation", string(r.worker.inc.ID())))
--- a/schedule/run.go
+++ b/schedule/run.go
@@ -96,7 +96,7 @@
 	k, step int
 }
 
-func (r *Run) stepOf() stepOf { return stepOf{r.entry, r.ref.K, r.ref.Step} }
+func (r *Run) stepOf() stepOf { return stepOf{r.entry, r.ref.Occurrence, r.ref.Step} }
 
 func (r *Run) step() *workload.Step { return &r.entry.job.Spec().Steps[r.ref.Step] }
 
--- a/schedule/stall.go
+++ b/schedule/stall.go
@@ -152,13 +152,13 @@
 // done or, if none is, those that run on other instances; zero if neither says
 // anything.
 func (b *Book) others(r *Run) time.Duration {
-	if took := r.entry.took[stepKey{r.ref.K, r.ref.Step}]; took.n > 0 {
+	if took := r.entry.took[stepKey{r.ref.Occurrence, r.ref.Step}]; took.n > 0 {
 		return took.mean()
 	}
 	var sum time.Duration
 	n := 0
 	for ref, o := range r.entry.runs {
-		if ref.K != r.ref.K || ref.Step != r.ref.Step || o.worker == r.worker || o.progress <= o.from || o.state != runLive {
+		if ref.Occurrence != r.ref.Occurrence || ref.Step != r.ref.Step || o.worker == r.worker || o.progress <= o.from || o.state != runLive {
 			continue
 		}
 		sum += o.whole()
@@ -178,7 +178,7 @@
 		return max(0, left-now.Sub(r.movedAt))
 	}
 	expected := b.learned.duration(r.entry.job.Queue(), r.step())
-	if took := r.entry.took[stepKey{r.ref.K, r.ref.Step}]; took.n > 0 {
+	if took := r.entry.took[stepKey{r.ref.Occurrence, r.ref.Step}]; took.n > 0 {
 		expected = took.mean()
 	}
 	return max(0, expected-age)
--- a/schedule/survey.go
+++ b/schedule/survey.go
@@ -175,7 +175,7 @@
 	for e := range b.hungry {
 		for _, t := range e.ready {
 			if e.account.affords(t.step.Need) && (t.step.MaxPerInstance > 0 || len(e.wary) > 0 || len(e.crashed) > 0) && b.bestOf(now, t, workers) == nil {
-				crowded[group{t.entry, t.ref.K, t.ref.Step}]++
+				crowded[group{t.entry, t.ref.Occurrence, t.ref.Step}]++
 			}
 		}
 	}
--- a/schedule/world_model_test.go
+++ b/schedule/world_model_test.go
@@ -355,7 +355,7 @@
 
 func stepName(task string) string {
 	id, ref, _ := workload.ParseTaskName(task)
-	return fmt.Sprint(id, ref.K, ref.Step)
+	return fmt.Sprint(id, ref.Occurrence, ref.Step)
 }
 
 // gather lets a gang work once all of it is there.
--- a/workload/codec.go
+++ b/workload/codec.go
@@ -179,7 +179,7 @@
 const progressBytes = 512
 
 func (o *Occurrence) append(b []byte) []byte {
-	b = strconv.AppendInt(append(b, `{"k":`...), int64(o.K), 10)
+	b = strconv.AppendInt(append(b, `{"k":`...), int64(o.Index), 10)
 	b = append(b, `,"s":[`...)
 	for n, step := range o.Steps {
 		if n > 0 {
--- a/workload/job.go
+++ b/workload/job.go
@@ -61,7 +61,7 @@
 
 // An Occurrence is the progress of one run of all steps.
 type Occurrence struct {
-	K     int
+	Index int
 	Steps [][]Task
 	// left counts the tasks of each step that are not done.
 	left []int
@@ -168,7 +168,7 @@
 }
 
 func newOccurrence(k int, spec *Spec) *Occurrence {
-	o := &Occurrence{K: k, Steps: make([][]Task, len(spec.Steps)), left: make([]int, len(spec.Steps))}
+	o := &Occurrence{Index: k, Steps: make([][]Task, len(spec.Steps)), left: make([]int, len(spec.Steps))}
 	for n := range spec.Steps {
 		o.Steps[n] = make([]Task, spec.Steps[n].Count)
 		o.left[n] = spec.Steps[n].Count
@@ -196,13 +196,13 @@
 	return true
 }
 
-// Left returns how many tasks of step n are not done.
-func (o *Occurrence) Left(n int) int { return o.left[n] }
+// Remaining returns how many tasks of step n are not done.
+func (o *Occurrence) Remaining(n int) int { return o.left[n] }
 
 // Task returns the task that ref names, or nil if its occurrence is not under
 // way.
 func (j *Job) Task(ref TaskRef) *Task {
-	o := j.occurrences[ref.K]
+	o := j.occurrences[ref.Occurrence]
 	if o == nil || ref.Step >= len(o.Steps) || ref.Index >= len(o.Steps[ref.Step]) {
 		return nil
 	}
@@ -226,13 +226,13 @@
 func (j *Job) Finish(ref TaskRef) (stepDone bool) {
 	t := j.Task(ref)
 	t.Phase, t.On, t.Checkpoint, t.Crashes = Done, "", "", 0
-	o := j.occurrences[ref.K]
+	o := j.occurrences[ref.Occurrence]
 	o.left[ref.Step]--
 	if o.left[ref.Step] > 0 {
 		return false
 	}
 	if o.done() {
-		delete(j.occurrences, ref.K)
+		delete(j.occurrences, ref.Occurrence)
 		j.over++
 	}
 	return true
@@ -278,7 +278,7 @@
 	t.FailedRuns = append(t.FailedRuns, run)
 	if step.Gang {
 		// A gang fails as one.
-		mates := j.occurrences[ref.K].Steps[ref.Step]
+		mates := j.occurrences[ref.Occurrence].Steps[ref.Step]
 		for i := range mates {
 			mates[i].Failures, mates[i].FailedRuns = t.Failures, slices.Clone(t.FailedRuns)
 		}
@@ -436,17 +436,17 @@
 
 // A TaskRef names a task within its job.
 type TaskRef struct {
-	K, Step, Index int
+	Occurrence, Step, Index int
 }
 
 // TaskName returns the name under which instances know a task.
 func TaskName(job string, ref TaskRef) string {
-	return job + "." + strconv.Itoa(ref.K) + "." + strconv.Itoa(ref.Step) + "." + strconv.Itoa(ref.Index)
+	return job + "." + strconv.Itoa(ref.Occurrence) + "." + strconv.Itoa(ref.Step) + "." + strconv.Itoa(ref.Index)
 }
 
 // StepName returns the name under which the advisor knows a step.
 func StepName(job string, ref TaskRef) string {
-	return job + "." + strconv.Itoa(ref.K) + "." + strconv.Itoa(ref.Step)
+	return job + "." + strconv.Itoa(ref.Occurrence) + "." + strconv.Itoa(ref.Step)
 }
 
 // taskNameParts is a job and three numbers.
--- a/workload/workload_test.go
+++ b/workload/workload_test.go
@@ -40,7 +40,7 @@
 		for n, step := range o.Steps {
 			for i := range step {
 				if step[i].Phase == phase {
-					out = append(out, workload.TaskRef{K: o.K, Step: n, Index: i})
+					out = append(out, workload.TaskRef{Occurrence: o.Index, Step: n, Index: i})
 				}
 			}
 		}
@@ -124,7 +124,7 @@
 		j.Occurrences(func(o *workload.Occurrence) {
 			for n := range o.Steps {
 				for _, before := range spec.Steps[n].After {
-					if j.Ready(o, n) && o.Left(before) > 0 {
+					if j.Ready(o, n) && o.Remaining(before) > 0 {
 						t.Fatalf("step %d is ready and step %d before it is not done", n, before)
 					}
 				}
@@ -137,7 +137,7 @@
 }
 
 func TestTaskNames(t *testing.T) {
-	ref := workload.TaskRef{K: 3, Step: 1, Index: 17}
+	ref := workload.TaskRef{Occurrence: 3, Step: 1, Index: 17}
 	id, got, err := workload.ParseTaskName(workload.TaskName("5c0e7a21d94b36f8", ref))
 	if err != nil || id != "5c0e7a21d94b36f8" || got != ref {
 		t.Errorf("parsed %s %+v %v", id, got, err)
@@ -409,7 +409,7 @@
 		t.Fatalf("%d tasks are open", open)
 	}
 	for i := range 100 {
-		ref := workload.TaskRef{K: 0, Index: i}
+		ref := workload.TaskRef{Occurrence: 0, Index: i}
 		j.Place(ref, "i-1", 1)
 		j.Finish(ref)
 	}
