--- a/schedule/book.go
+++ b/schedule/book.go
@@ -351,7 +351,7 @@
 	if e.ended != "" {
 		return
 	}
-	e.job.Begin(now.Add(b.settings.Early))
+	e.job.BeginDue(now.Add(b.settings.Early))
 	s := e.job.Status()
 	if !s.Ended() || len(e.runs) > 0 {
 		return
@@ -392,7 +392,7 @@
 	}
 	b.forget(now, r)
 	if t := r.task(); !detached && t != nil && t.Phase == workload.Placed && t.Run == r.number {
-		r.entry.job.Return(r.ref)
+		r.entry.job.Requeue(r.ref)
 		b.touch(r.entry, false)
 	}
 	if r.uncertainty != nil {
--- a/schedule/copies_test.go
+++ b/schedule/copies_test.go
@@ -122,7 +122,7 @@
 // successor, which must not count it twice.
 func TestFailedEndThatComesAgainCountsOnce(t *testing.T) {
 	j := job("a", policy, step(1, 100, nil))
-	j.Begin(start)
+	j.BeginDue(start)
 	ref := workload.TaskRef{}
 	j.Place(ref, incarnation(0).ID(), 1)
 	j.Fail(ref, 1)
--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -198,7 +198,7 @@
 	case r.justStarted():
 		return workload.CrashAtStart
 	}
-	return workload.CrashBeside
+	return workload.CrashShared
 }
 
 // justStarted reports whether a run was not known to run for long when its instance last
--- a/schedule/later_test.go
+++ b/schedule/later_test.go
@@ -308,7 +308,7 @@
 			for _, has := range []bool{true, false} {
 				b := newBook()
 				j := job("a", policy, step(1, 100, nil))
-				j.Begin(start)
+				j.BeginDue(start)
 				j.Place(workload.TaskRef{}, on, 1)
 				b.Add(start, j)
 				now := start.Add(time.Second)
--- a/schedule/plan.go
+++ b/schedule/plan.go
@@ -64,7 +64,7 @@
 // begin starts the occurrences that are due.
 func (b *Book) begin(now time.Time) {
 	for e := range b.recurring {
-		if e.ended == "" && e.job.Begin(now.Add(b.settings.Early)) {
+		if e.ended == "" && e.job.BeginDue(now.Add(b.settings.Early)) {
 			b.touch(e, false)
 		}
 	}
--- a/schedule/quarantine.go
+++ b/schedule/quarantine.go
@@ -115,7 +115,7 @@
 		r.worker.clear(r)
 	}
 	if r.step().Service && lives >= exoneratedAfter && r.progress >= atWork && r.entry.suspected(r.ref) {
-		r.entry.job.Exonerate(r.ref)
+		r.entry.job.ResetCrashes(r.ref)
 		b.touch(r.entry, false)
 	}
 }
--- a/schedule/quarantine_test.go
+++ b/schedule/quarantine_test.go
@@ -15,10 +15,10 @@
 // crashedJob returns a job of one step whose tasks have seen so many crashes.
 func crashedJob(id string, crashes int, s workload.Step) *workload.Job {
 	j := job(id, policy, s)
-	j.Begin(start)
+	j.BeginDue(start)
 	for i := range s.Count {
 		for range crashes {
-			j.Crash(workload.TaskRef{Index: i}, workload.CrashBeside)
+			j.Crash(workload.TaskRef{Index: i}, workload.CrashShared)
 		}
 	}
 	return j
--- a/schedule/report.go
+++ b/schedule/report.go
@@ -253,7 +253,7 @@
 		return
 	}
 	before := e.job.Task(ref).Failures
-	jobFailed := e.job.FailGivenUp(ref, run)
+	jobFailed := e.job.FailReplacedRun(ref, run)
 	if e.job.Task(ref).Failures == before {
 		return // it was counted before
 	}
--- a/schedule/silence.go
+++ b/schedule/silence.go
@@ -55,7 +55,7 @@
 				// arrives later would start it although a copy may be done.
 				b.stop(now, r, "its task was given to another instance")
 			}
-			r.entry.job.Return(r.ref)
+			r.entry.job.Requeue(r.ref)
 			b.touch(r.entry, true)
 			b.settleJob(now, r.entry)
 		}
--- a/schedule/takeover_test.go
+++ b/schedule/takeover_test.go
@@ -20,7 +20,7 @@
 func takenOver(t interface{ Fatal(args ...any) }) (*schedule.Book, *schedule.Worker) {
 	b := newBook()
 	j := job("a", policy, step(1, 100, nil))
-	j.Begin(start)
+	j.BeginDue(start)
 	j.Place(workload.TaskRef{}, incarnation(0).ID(), 1)
 	b.Add(start, j)
 	b.SetIncarnations(start, []pointport.Incarnation{incarnation(0), incarnation(1)})
--- a/workload/job.go
+++ b/workload/job.go
@@ -144,9 +144,9 @@
 	return len(j.occurrences) > 0 && (len(j.occurrences)+1)*j.spec.tasks() > mostOpenTasks
 }
 
-// Begin makes the tasks of the occurrences that are due by now. It reports
+// BeginDue makes the tasks of the occurrences that are due by now. It reports
 // whether there were any.
-func (j *Job) Begin(now time.Time) bool {
+func (j *Job) BeginDue(now time.Time) bool {
 	begun := false
 	for j.next < j.spec.Occurrences() && !j.Stopping() && !j.full() {
 		if due := j.spec.Due(j.next); due.After(now) {
@@ -216,8 +216,8 @@
 	t.Phase, t.On, t.Run = Placed, on, run
 }
 
-// Return puts a placed task back to wait.
-func (j *Job) Return(ref TaskRef) {
+// Requeue puts a placed task back to wait.
+func (j *Job) Requeue(ref TaskRef) {
 	t := j.Task(ref)
 	t.Phase, t.On = Pending, ""
 }
@@ -254,9 +254,9 @@
 	return j.countFailure(ref, run)
 }
 
-// FailGivenUp notes that a run of a task has failed that was given up before its end was
+// FailReplacedRun notes that a run of a task has failed that was given up before its end was
 // known; the task stays where it is. It reports whether the job has failed with it.
-func (j *Job) FailGivenUp(ref TaskRef, run int) bool {
+func (j *Job) FailReplacedRun(ref TaskRef, run int) bool {
 	t := j.Task(ref)
 	if len(t.FailedRuns) != t.Failures || run > t.Run {
 		return false // which runs were counted is not known, or it is none of ours
@@ -307,20 +307,20 @@
 
 // The cases, in the order of what they say against the task.
 const (
-	// CrashBeside: other tasks ran there, and this one had for a while.
-	CrashBeside CrashCase = iota
+	// CrashShared: other tasks ran there, and this one had for a while.
+	CrashShared CrashCase = iota
 	// CrashAtStart: other tasks ran there, and this one had just been started.
 	CrashAtStart
 	// CrashAlone: nothing else ran there.
 	CrashAlone
 )
 
-// A CrashVerdict says what follows from a crash for the task that had a run there.
-type CrashVerdict uint8
+// A CrashOutcome says what follows from a crash for the task that had a run there.
+type CrashOutcome uint8
 
 // The verdicts on a task under which an instance has crashed.
 const (
-	CrashRetried CrashVerdict = iota // it is started again, or runs elsewhere already
+	CrashRetried CrashOutcome = iota // it is started again, or runs elsewhere already
 	CrashGivenUp                     // it is not started again; its job goes on without it
 	CrashFailed                      // its job has failed with it
 )
@@ -335,7 +335,7 @@
 // What ran for a while and was hit beside others decides nothing: of 11 tasks that were
 // given up in a fleet of twelve instances with nine that crash theirs, two were serving
 // tasks that had been at work for 5 s each time.
-func (j *Job) Crash(ref TaskRef, how CrashCase) CrashVerdict {
+func (j *Job) Crash(ref TaskRef, how CrashCase) CrashOutcome {
 	t := j.Task(ref)
 	t.Crashes++
 	decided := how == CrashAlone && t.Crashes >= crashesAlone || how == CrashAtStart && t.Crashes >= crashesMost
@@ -366,8 +366,8 @@
 	return false
 }
 
-// Exonerate forgets the crashes of a task that has shown that it does not cause them.
-func (j *Job) Exonerate(ref TaskRef) { j.Task(ref).Crashes = 0 }
+// ResetCrashes forgets the crashes of a task that has shown that it does not cause them.
+func (j *Job) ResetCrashes(ref TaskRef) { j.Task(ref).Crashes = 0 }
 
 // PlacedTasks returns how many tasks are placed.
 func (j *Job) PlacedTasks() int {
