--- a/schedule/advice.go
+++ b/schedule/advice.go
@@ -112,7 +112,7 @@
 		id := w.inc.ID()
 		ticket, good := a.good[id]
 		expired := good && !now.Add(ticketReserve).Before(ticket.until)
-		if w.hasLabel(t.step.Label) && w.inc.Capacity().Fits(t.step.Room()) && (!a.asked[id] || expired) {
+		if w.hasLabel(t.step.Label) && w.inc.Capacity().Fits(t.step.Reservation()) && (!a.asked[id] || expired) {
 			workers = append(workers, w)
 		}
 	}
--- a/schedule/book_test.go
+++ b/schedule/book_test.go
@@ -386,7 +386,7 @@
 			}
 			at := o.Worker.Endpoint().Incarnation
 			s := specs[id]
-			used[at] = used[at].Plus(s.Room())
+			used[at] = used[at].Plus(s.Reservation())
 			perStep[id+string(at)]++
 			perJob[id]++
 			if most := specs[id].MaxPerInstance; most > 0 && perStep[id+string(at)] > most {
--- a/schedule/excess.go
+++ b/schedule/excess.go
@@ -98,7 +98,7 @@
 	spec := e.job.Spec()
 	for n := range spec.Steps {
 		step := &spec.Steps[n]
-		share := dominantShare(step.Room().Times(step.Count), capacity)
+		share := dominantShare(step.Reservation().Times(step.Count), capacity)
 		sum += time.Duration(share * float64(b.learned.duration(e.job.Queue(), step)))
 	}
 	return sum
--- a/schedule/explain.go
+++ b/schedule/explain.go
@@ -118,7 +118,7 @@
 		}
 		permitted++
 		most = largest(most, w.free)
-		if !w.free.Fits(t.step.Room()) {
+		if !w.free.Fits(t.step.Reservation()) {
 			continue
 		}
 		roomy++
@@ -126,7 +126,7 @@
 			open++
 		}
 	}
-	need := t.step.Room()
+	need := t.step.Reservation()
 	if a := t.entry.account; !a.affords(t.step.Need) {
 		return fmt.Sprintf("%d tasks wait for the cap of %s: its tasks take %d thousandths of a core and %d MiB here, and may take %d and %d",
 			tasks, a.name, a.used.CPUMilli, a.used.MemoryMiB, a.allowed.CPUMilli, a.allowed.MemoryMiB)
--- a/schedule/gang.go
+++ b/schedule/gang.go
@@ -139,7 +139,7 @@
 // fit.
 func (p *placement) fitGang(tasks []waiting, workers []*Worker) []*Worker {
 	step := tasks[0].step
-	room := step.Room()
+	room := step.Reservation()
 	taken := make(map[*Worker]int)
 	chosen := make([]*Worker, 0, len(tasks))
 	for _, t := range tasks {
@@ -184,7 +184,7 @@
 	}
 	p.gangWaits = true
 	step := tasks[0].step
-	room := step.Room()
+	room := step.Reservation()
 	rest := make([]*Worker, 0, len(p.workers))
 	byFree := append([]*Worker(nil), p.workers...)
 	sort.SliceStable(byFree, func(i, k int) bool { return byFree[i].free.CPUMilli > byFree[k].free.CPUMilli })
--- a/schedule/plan.go
+++ b/schedule/plan.go
@@ -145,7 +145,7 @@
 
 // place gives a task to the worker that suits it best; false if none has room.
 func (p *placement) place(t waiting) bool {
-	room := t.step.Room()
+	room := t.step.Reservation()
 	if p.knownFull(room) {
 		return false
 	}
@@ -179,7 +179,7 @@
 func (p *placement) reserve(t waiting) {
 	best := -1
 	for i, w := range p.workers {
-		if !p.book.permits(t, w, p.now) || p.book.crowded(t, w) || !w.soonFree().Fits(t.step.Room()) {
+		if !p.book.permits(t, w, p.now) || p.book.crowded(t, w) || !w.soonFree().Fits(t.step.Reservation()) {
 			continue
 		}
 		if best < 0 || w.free.CPUMilli > p.workers[best].free.CPUMilli {
@@ -217,7 +217,7 @@
 func (b *Book) bestOf(now time.Time, t waiting, workers []*Worker) *Worker {
 	var best *Worker
 	bestScore := 0.0
-	room := t.step.Room()
+	room := t.step.Reservation()
 	for _, w := range workers {
 		if !w.free.Fits(room) || !b.permits(t, w, now) || b.crowded(t, w) {
 			continue
@@ -328,7 +328,7 @@
 	r := b.newRun(now, t.entry, t.ref, w, number, runDecided)
 	r.ticket = b.ticketFor(t, w)
 	if rack := t.step.DataRack; rack != "" && w.inc.Rack() != rack {
-		b.far.add(now, rack, t.step.Room())
+		b.far.add(now, rack, t.step.Reservation())
 	}
 	b.decided = append(b.decided, r)
 	b.touch(t.entry, true)
--- a/schedule/preempt.go
+++ b/schedule/preempt.go
@@ -37,7 +37,7 @@
 		if !b.permits(t, w, now) || b.crowded(t, w) {
 			continue
 		}
-		victims, cost := b.victims(now, w, t.step.Room())
+		victims, cost := b.victims(now, w, t.step.Reservation())
 		if len(victims) > 0 && (best == nil || cost < bestCost) {
 			best, bestCost = victims, cost
 		}
@@ -56,7 +56,7 @@
 	var low []*Run
 	for _, r := range w.runs {
 		if r.stopping {
-			free = free.Plus(r.step().Room()) // falls free in a moment
+			free = free.Plus(r.step().Reservation()) // falls free in a moment
 			continue
 		}
 		if r.entry.job.Policy().Priority > 0 && !r.step().Gang && r.state == runLive {
@@ -69,7 +69,7 @@
 		if free.Fits(room) {
 			return low[:n], cost
 		}
-		free = free.Plus(r.step().Room())
+		free = free.Plus(r.step().Reservation())
 		cost += r.lost(now)
 	}
 	if !free.Fits(room) {
--- a/schedule/relocate.go
+++ b/schedule/relocate.go
@@ -78,7 +78,7 @@
 
 // take promises room to a serving task; false if there is none.
 func (h *homes) take(t waiting) bool {
-	room := t.step.Room()
+	room := t.step.Reservation()
 	for _, w := range h.workers {
 		at := home{w, stepOf{t.entry, t.ref.Occurrence, t.ref.Step}}
 		if !h.left[w].Fits(room) || !h.book.permits(t, w, h.now) {
@@ -142,7 +142,7 @@
 	capacity := h.book.largestInstance()
 	opened := 0
 	for _, t := range tasks {
-		if t.step.Label != "" || !capacity.Fits(t.step.Room()) || h.take(t) {
+		if t.step.Label != "" || !capacity.Fits(t.step.Reservation()) || h.take(t) {
 			continue
 		}
 		w := &Worker{inc: pointport.NewIncarnation("", "", "", pointport.WithCapacity(capacity)), steps: make(map[stepOf]int)}
--- a/schedule/resize_test.go
+++ b/schedule/resize_test.go
@@ -101,7 +101,7 @@
 		s.t.Fatal(err)
 	}
 	at := slices.IndexFunc(s.jobs, func(j *workload.Job) bool { return j.ID() == id })
-	return s.jobs[at].Spec().Steps[ref.Step].Room()
+	return s.jobs[at].Spec().Steps[ref.Step].Reservation()
 }
 
 func (s *roomSim) end(id pointport.IncarnationID, run pointport.TaskRun, kind pointport.EndKind) {
--- a/schedule/share_test.go
+++ b/schedule/share_test.go
@@ -48,7 +48,7 @@
 	c.owner[id], c.sent[id] = customer, c.now
 	c.asked[customer]++
 	spec := &workload.Spec{Steps: []workload.Step{{Count: 4, Need: pointport.Shape{CPUMilli: 1000, MemoryMiB: 10}, Estimate: crowdTask}}}
-	c.book.Add(c.now, workload.New(id, "q", policy, spec, c.now, workload.Of(customer)))
+	c.book.Add(c.now, workload.New(id, "q", policy, spec, c.now, workload.WithCustomer(customer)))
 }
 
 // step lets 20 ms pass.
--- a/schedule/survey.go
+++ b/schedule/survey.go
@@ -125,7 +125,7 @@
 			if !afford(t) {
 				continue // room would not help it
 			}
-			room := t.step.Room()
+			room := t.step.Reservation()
 			s.Waiting = s.Waiting.Plus(room)
 			if e.standing.class == classLate {
 				s.WaitingLate = s.WaitingLate.Plus(room)
@@ -228,7 +228,7 @@
 	for _, w := range b.workers {
 		for _, r := range w.runs {
 			if !r.staysInZone() {
-				sum = sum.Plus(r.step().Room())
+				sum = sum.Plus(r.step().Reservation())
 			}
 		}
 	}
@@ -244,7 +244,7 @@
 	for _, w := range b.workers {
 		for _, r := range w.runs {
 			if r.entry.standing.class == classLate {
-				sum = sum.Plus(r.step().Room())
+				sum = sum.Plus(r.step().Reservation())
 			}
 		}
 	}
@@ -257,7 +257,7 @@
 	for _, w := range b.workers {
 		for _, r := range w.runs {
 			if r.step().Service && !r.staysInZone() {
-				sum = sum.Plus(r.step().Room())
+				sum = sum.Plus(r.step().Reservation())
 			}
 		}
 	}
--- a/schedule/worker.go
+++ b/schedule/worker.go
@@ -272,7 +272,7 @@
 	if r.quarantined {
 		w.quarantined++
 	}
-	w.free = w.free.Minus(r.step().Room())
+	w.free = w.free.Minus(r.step().Reservation())
 }
 
 // drop removes a run and gives its room back.
@@ -288,7 +288,7 @@
 		w.serving--
 	}
 	w.clear(r)
-	w.free = w.free.Plus(r.step().Room())
+	w.free = w.free.Plus(r.step().Reservation())
 }
 
 // hasAny reports whether the instance has any of some labels.
@@ -307,7 +307,7 @@
 	free := w.free
 	for _, r := range w.runs {
 		if !r.step().Service {
-			free = free.Plus(r.step().Room())
+			free = free.Plus(r.step().Reservation())
 		}
 	}
 	return free
--- a/workload/codec.go
+++ b/workload/codec.go
@@ -41,7 +41,7 @@
 		// Each owner in turn would run out of memory for a step of a billion tasks.
 		return nil, fmt.Errorf("stored job %s: %w", id, err)
 	}
-	return New(id, d.Queue, d.Policy, d.Spec, d.Submitted, Of(d.Customer)), nil
+	return New(id, d.Queue, d.Policy, d.Spec, d.Submitted, WithCustomer(d.Customer)), nil
 }
 
 // progressDocument is the stored form of a job's progress. The rows of an
--- a/workload/job.go
+++ b/workload/job.go
@@ -88,8 +88,8 @@
 // An Option changes a Job that is made.
 type Option func(*Job)
 
-// Of names the customer whose the job is.
-func Of(customer string) Option { return func(j *Job) { j.customer = customer } }
+// WithCustomer names the customer whose the job is.
+func WithCustomer(customer string) Option { return func(j *Job) { j.customer = customer } }
 
 // New returns a job none of whose tasks has begun.
 func New(id, queue string, policy Policy, spec *Spec, submitted time.Time, options ...Option) *Job {
