--- a/schedule/book.go
+++ b/schedule/book.go
@@ -134,7 +134,7 @@
 	// gangs holds the gangs that are gathering.
 	gangs map[*gang]struct{}
 	// questions are to be put to the advisor.
-	questions []Question
+	questions []AdviceRequest
 	// lowRuns counts the runs of jobs that others may preempt.
 	lowRuns int
 	// scarce holds the labels that waiting tasks require.
--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -174,8 +174,8 @@
 	return out
 }
 
-// Sending takes in that an order is sent now.
-func (b *Book) Sending(o Order) {
+// MarkSending takes in that an order is sent now.
+func (b *Book) MarkSending(o Order) {
 	if o.Kind == OrderStart {
 		o.Run.ordered = true
 	}
--- a/schedule/doubt_test.go
+++ b/schedule/doubt_test.go
@@ -30,7 +30,7 @@
 	hear(b, start, incs...)
 	workers := b.Workers()[:silent]
 	for _, w := range workers {
-		b.Silent(w, start, silence)
+		b.PollFailed(w, start, silence)
 	}
 	b.Plan(start)
 	b.Plan(start.Add(time.Second))
@@ -84,7 +84,7 @@
 	now := start
 	for range 10 {
 		for _, w := range b.Workers() {
-			b.Silent(w, now, silence)
+			b.PollFailed(w, now, silence)
 		}
 		for range 9 {
 			b.Plan(now)
@@ -137,7 +137,7 @@
 			now := start
 			for range 300 { // half a minute
 				for _, w := range silent {
-					b.Silent(w, now, silence)
+					b.PollFailed(w, now, silence)
 				}
 				for _, o := range orders(b, now) {
 					if o.Kind == schedule.OrderStart {
@@ -151,7 +151,7 @@
 			}
 			again := 0
 			for range 20 {
-				b.Silent(first.Worker, now, silence)
+				b.PollFailed(first.Worker, now, silence)
 				again += len(placed(orders(b, now)))
 				now = now.Add(100 * time.Millisecond)
 			}
--- a/schedule/silence.go
+++ b/schedule/silence.go
@@ -13,9 +13,9 @@
 // This file defines what becomes of the tasks on an instance that gives no answer or
 // is over.
 
-// Silent takes in that a look at a worker got no answer, or an answer that
+// PollFailed takes in that a look at a worker got no answer, or an answer that
 // settles what became of the incarnation.
-func (b *Book) Silent(w *Worker, now time.Time, err error) {
+func (b *Book) PollFailed(w *Worker, now time.Time, err error) {
 	b.checkFence(err)
 	if w.ended {
 		return // several looks may tell of it, and it is over once
--- a/shard/ask.go
+++ b/shard/ask.go
@@ -57,7 +57,7 @@
 	case errors.As(err, &unavailable):
 		return // nobody hears it
 	case err != nil:
-		o.book.Silent(w, now, err) // what it says tells what became of it, or of this owner
+		o.book.PollFailed(w, now, err) // what it says tells what became of it, or of this owner
 		return
 	}
 	if w.Silent() {
--- a/shard/look.go
+++ b/shard/look.go
@@ -99,5 +99,5 @@
 	if errors.As(err, &unavailable) && w.ReportedSince(sent) {
 		return
 	}
-	o.book.Silent(w, now, err)
+	o.book.PollFailed(w, now, err)
 }
--- a/shard/orders.go
+++ b/shard/orders.go
@@ -152,7 +152,7 @@
 	if start {
 		o.starts.underWay++
 	}
-	o.book.Sending(order)
+	o.book.MarkSending(order)
 	sent := o.clock.Now()
 	at, until := l.worker.Endpoint(), l.worker.Until(now, o.lease) // the loop alone may read the worker
 	way := o.wayTo(now, l.worker)
--- a/shard/owner.go
+++ b/shard/owner.go
@@ -283,7 +283,7 @@
 // evacuate tells the book what is known now of evacuated availability zones.
 func (o *Owner) evacuate() {
 	if o.evacuated != nil {
-		o.book.Evacuate(o.evacuated())
+		o.book.SetEvacuations(o.evacuated())
 	}
 }
 
--- a/shard/write.go
+++ b/shard/write.go
@@ -100,7 +100,7 @@
 
 // consult puts the questions that are due to the advisor.
 func (o *Owner) consult(ctx context.Context, asked time.Time) {
-	for _, q := range o.book.TakeQuestions() {
+	for _, q := range o.book.TakeAdviceRequests() {
 		go func() {
 			var tickets map[pointport.IncarnationID]string
 			var valid time.Duration
@@ -108,7 +108,7 @@
 			if o.advisor != nil {
 				tickets, valid, err = o.advisor.Advise(ctx, q.Step, q.Incarnations)
 			}
-			o.do(func(now time.Time) { o.book.Advised(q, asked, now, tickets, valid, err) })
+			o.do(func(now time.Time) { o.book.AdviceAnswered(q, asked, now, tickets, valid, err) })
 		}()
 	}
 }
