--- a/schedule/book.go
+++ b/schedule/book.go
@@ -144,7 +144,7 @@
 	// zones says in which availability zones tasks may be started; the workers share it.
 	zones *evacuation.Zones
 	// sight says how well the registrations are known.
-	sight   Sight
+	sight   RegistryCoverage
 	hearing hearing
 	// deposed says that an instance has seen a higher fence.
 	deposed bool
@@ -445,7 +445,7 @@
 		listed[inc.ID()] = true
 		b.register(now, inc)
 	}
-	b.list(now, listed)
+	b.updateListed(now, listed)
 	b.sweep(now)
 }
 
--- a/schedule/book_test.go
+++ b/schedule/book_test.go
@@ -249,7 +249,7 @@
 		var again time.Duration
 		for now := start; again == 0 && now.Before(start.Add(8*time.Second)); now = now.Add(50 * time.Millisecond) {
 			b.PollFailed(o.Worker, now, silent)
-			b.See(schedule.Sight{From: start, Until: now})
+			b.SetRegistryCoverage(schedule.RegistryCoverage{Since: start, Until: now})
 			if now.Sub(start) == time.Second {
 				b.SetIncarnations(now, []pointport.Incarnation{incarnation(1)})
 			}
--- a/schedule/expiry_test.go
+++ b/schedule/expiry_test.go
@@ -108,7 +108,7 @@
 				other = other[:1]
 			}
 			again := pointport.NewIncarnation("i-again", "p", "10.0.0.9:1", pointport.WithInstance(silent.Instance()), pointport.WithCapacity(size))
-			sight := schedule.Sight{From: start}
+			sight := schedule.RegistryCoverage{Since: start}
 			for at := time.Duration(0); at < never; at += 50 * time.Millisecond {
 				now := start.Add(at)
 				b.PollFailed(first.Worker, now, silence)
@@ -121,14 +121,14 @@
 				}
 				switch unread := c.unread != nil && c.unread(at); {
 				case unread:
-					sight = schedule.Sight{}
-				case sight.From.IsZero():
-					sight = schedule.Sight{From: now, Until: now}
+					sight = schedule.RegistryCoverage{}
+				case sight.Since.IsZero():
+					sight = schedule.RegistryCoverage{Since: now, Until: now}
 				default:
 					sight.Until = now
 				}
 				b.SetIncarnations(now, registered)
-				b.See(sight)
+				b.SetRegistryCoverage(sight)
 				for _, o := range orders(b, now) {
 					if o.Kind != schedule.OrderStart || o.Worker == first.Worker {
 						continue
--- a/schedule/later_test.go
+++ b/schedule/later_test.go
@@ -404,7 +404,7 @@
 		for _, w := range silent {
 			b.PollFailed(w, now, silence)
 		}
-		b.See(schedule.Sight{From: start, Until: now})
+		b.SetRegistryCoverage(schedule.RegistryCoverage{Since: start, Until: now})
 		b.SetIncarnations(now, append([]pointport.Incarnation{other}, registered...))
 		for _, w := range b.Workers() {
 			if w.Incarnation().ID() == other.ID() {
--- a/schedule/takeover_test.go
+++ b/schedule/takeover_test.go
@@ -67,7 +67,7 @@
 	now := start.Add(settings.PredecessorBound + 100*time.Millisecond)
 	b.SetIncarnations(now, []pointport.Incarnation{incarnation(1)})
 	now = now.Add(registrationsAreBack) // it will not say how the task ended
-	b.See(schedule.Sight{From: start, Until: now})
+	b.SetRegistryCoverage(schedule.RegistryCoverage{Since: start, Until: now})
 	if got := placed(orders(b, now)); got[incarnation(1).ID()] != 1 {
 		t.Errorf("starts %v once the bound has passed, want one on the other instance", got)
 	}
--- a/shard/owner.go
+++ b/shard/owner.go
@@ -69,7 +69,7 @@
 	Of(pool string) ([]pointport.Incarnation, <-chan struct{})
 	// Sight returns how well the registrations are known. Whatever was known at its end
 	// has closed the channel that Of returned before it.
-	Sight() schedule.Sight
+	Sight() schedule.RegistryCoverage
 }
 
 // Services are what an owner stands on.
@@ -276,7 +276,7 @@
 		moved = o.refresh()
 	default:
 	}
-	o.book.See(sight)
+	o.book.SetRegistryCoverage(sight)
 	return moved
 }
 
