--- a/schedule/book.go
+++ b/schedule/book.go
@@ -145,7 +145,7 @@
 	zones *evacuation.Zones
 	// sight says how well the registrations are known.
 	sight   RegistryCoverage
-	hearing hearing
+	hearing reachability
 	// deposed says that an instance has seen a higher fence.
 	deposed bool
 }
--- a/schedule/doubt_test.go
+++ b/schedule/doubt_test.go
@@ -46,8 +46,8 @@
 	}{
 		{2, 1, false}, {2, 2, false}, {3, 3, false}, {10, 5, false}, {11, 6, false}, {12, 8, true}, {102, 68, true}, {102, 102, true},
 	} {
-		if b, _ := silenced(c.all, c.silent); b.Doubts() != c.want {
-			t.Errorf("%d silent of %d: doubts itself %v, want %v", c.silent, c.all, b.Doubts(), c.want)
+		if b, _ := silenced(c.all, c.silent); b.SuspectsIsolation() != c.want {
+			t.Errorf("%d silent of %d: doubts itself %v, want %v", c.silent, c.all, b.SuspectsIsolation(), c.want)
 		}
 	}
 }
@@ -63,11 +63,11 @@
 		b.Plan(start)
 	}
 	answer(silent[:20])
-	if !b.Doubts() {
+	if !b.SuspectsIsolation() {
 		t.Error("the owner trusts itself while 40 of 100 instances are silent")
 	}
 	answer(silent[20:40])
-	if b.Doubts() {
+	if b.SuspectsIsolation() {
 		t.Error("the owner doubts itself while 20 of 100 instances are silent")
 	}
 }
@@ -88,7 +88,7 @@
 		}
 		for range 9 {
 			b.Plan(now)
-			if b.Doubts() {
+			if b.SuspectsIsolation() {
 				t.Fatal("the owner doubts itself after less than a second")
 			}
 			now = now.Add(100 * time.Millisecond)
@@ -105,7 +105,7 @@
 	b, _ := silenced(10, 8)
 	b.SetIncarnations(start, []pointport.Incarnation{incarnation(8), incarnation(9)})
 	b.Plan(start)
-	if b.Doubts() {
+	if b.SuspectsIsolation() {
 		t.Error("the owner doubts itself although it hears all that are registered")
 	}
 }
--- a/schedule/silence.go
+++ b/schedule/silence.go
@@ -104,7 +104,7 @@
 		if r.mayBeLater() && r.mayBeDone() && b.listedLife(w) {
 			continue // that life says what became of it
 		}
-		if gone || !b.Doubts() && !r.mayBeDone() {
+		if gone || !b.SuspectsIsolation() && !r.mayBeDone() {
 			over = append(over, r)
 		}
 	}
--- a/shard/orders.go
+++ b/shard/orders.go
@@ -118,7 +118,7 @@
 
 // mostStarts returns how many starts may be under way.
 func (o *Owner) mostStarts() float64 {
-	if o.book.Doubts() {
+	if o.book.SuspectsIsolation() {
 		return startsInDoubt
 	}
 	return o.window.size
