--- a/schedule/book.go
+++ b/schedule/book.go
@@ -257,7 +257,7 @@
 			inc:   pointport.NewIncarnation(id, "", ""),
 			runs:  make(map[string]*Run),
 			steps: make(map[stepOf]int),
-			life:  lifetime{inherited: b.taken.Add(b.predecessorBound(id)), foreign: b.foreign[id.Addressee()]},
+			life:  executionLease{inherited: b.taken.Add(b.predecessorBound(id)), misdirectedUntil: b.foreign[id.Addressee()]},
 			burns: b.burnFor(id),
 			zones: b.zones,
 		}
@@ -388,7 +388,7 @@
 	if r.state != runDecided {
 		event.TaskReturned.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
 			slog.String("incarnation", string(r.worker.inc.ID())), slog.String("reason", reason),
-			slog.Int("unanswered", r.unanswered), slog.Duration("sinceHeard", r.worker.life.sinceHeard(now)))
+			slog.Int("unanswered", r.unanswered), slog.Duration("sinceHeard", r.worker.life.sinceLastAnswer(now)))
 	}
 	b.forget(now, r)
 	if t := r.task(); !detached && t != nil && t.Phase == workload.Placed && t.Run == r.number {
--- a/schedule/later.go
+++ b/schedule/later.go
@@ -123,13 +123,13 @@
 	return ordered.Add(takenLate + time.Duration(float64(b.settings.MaxHold)*slowClock) + lapseSlack)
 }
 
-// endsOf returns when everything has surely ended that was ordered to a worker, if no further answer
+// executionExpiry returns when everything has surely ended that was ordered to a worker, if no further answer
 // comes: also what a later life may have taken.
-func (b *Book) endsOf(w *Worker) time.Time {
+func (b *Book) executionExpiry(w *Worker) time.Time {
 	if !w.anyUncertain() {
-		return w.life.ends()
+		return w.life.expiry()
 	}
-	return latest(w.life.ends(), b.foreignUntil(w.life.ordered))
+	return latest(w.life.expiry(), b.foreignUntil(w.life.ordered))
 }
 
 // noteForeign notes until when orders to a worker that is over may extend what later lives of its
@@ -142,7 +142,7 @@
 	b.foreign[to] = latest(b.foreign[to], until)
 	for _, o := range b.workers {
 		if o.sharesWith(w) {
-			o.life.foreign = latest(o.life.foreign, until)
+			o.life.misdirectedUntil = latest(o.life.misdirectedUntil, until)
 		}
 	}
 }
--- a/schedule/order.go
+++ b/schedule/order.go
@@ -65,7 +65,7 @@
 		return
 	}
 	if err == nil && o.Kind != OrderPace && !w.inc.ID().Shares() { // the answer to a pace shows no clock
-		w.life.read(now, clock)
+		w.life.observeClock(now, clock)
 	}
 	b.checkFence(err)
 	if o.Kind == OrderStop && ruledOut(err) {
@@ -90,7 +90,7 @@
 	}
 	if err == nil {
 		if r.worker.inc.ID().Shares() {
-			clock = r.worker.life.reads(now) // it may be another life that has answered
+			clock = r.worker.life.clockAt(now) // it may be another life that has answered
 		}
 		b.live(r, now, clock)
 		return
@@ -260,7 +260,7 @@
 			case r.stopping && !now.Before(r.stopAgainAt):
 				r.stopAgainAt = now.Add(stopAgain)
 				b.sends = append(b.sends, Order{Kind: OrderStop, Run: r, Worker: w, TaskRun: r.TaskRun()})
-			case r.state == runSent && !r.stopping && !r.detached() && !r.againAt.IsZero() && now.After(r.againAt) && now.Before(b.endsOf(w)):
+			case r.state == runSent && !r.stopping && !r.detached() && !r.againAt.IsZero() && now.After(r.againAt) && now.Before(b.executionExpiry(w)):
 				r.againAt = time.Time{}
 				b.sends = append(b.sends, startOrder(r))
 			}
