--- a/schedule/book.go
+++ b/schedule/book.go
@@ -258,7 +258,7 @@
 			runs:  make(map[string]*Run),
 			steps: make(map[stepOf]int),
 			life:  executionLease{inherited: b.taken.Add(b.predecessorBound(id)), misdirectedUntil: b.foreign[id.Addressee()]},
-			burns: b.burnFor(id),
+			burns: b.startsToRuleOut(id),
 			zones: b.zones,
 		}
 		b.workers[id] = w
@@ -396,7 +396,7 @@
 		b.touch(r.entry, false)
 	}
 	if r.uncertainty != nil {
-		b.diedBefore(now, r)
+		b.recordEarlierLoss(now, r)
 	}
 	if detached {
 		return
--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -89,11 +89,11 @@
 	b.EndIncarnation(now, id)
 }
 
-// endFormerLives takes in that a worker has answered a look that was sent at sent. A machine
+// endEarlierIncarnations takes in that a worker has answered a look that was sent at sent. A machine
 // has one life at a time, so its lives that were there before are over: those that the owner
 // had known, and not heard of, since then. With this their tasks wait for no list of machines
 // nor for their time to pass.
-func (b *Book) endFormerLives(w *Worker, sent, now time.Time) {
+func (b *Book) endEarlierIncarnations(w *Worker, sent, now time.Time) {
 	id := w.inc.Instance()
 	for _, former := range b.formers(w) {
 		if former == w || former.ended || b.workers[former.inc.ID()] != former || !former.lastKnown().Before(sent) {
@@ -153,8 +153,8 @@
 	}
 }
 
-// answeredOver takes in that an incarnation answers that counts as over, and says so once.
-func (b *Book) answeredOver(w *Worker, now time.Time) {
+// noteAnswerAfterEnd takes in that an incarnation answers that counts as over, and says so once.
+func (b *Book) noteAnswerAfterEnd(w *Worker, now time.Time) {
 	if w.answeredOver {
 		return
 	}
--- a/schedule/order.go
+++ b/schedule/order.go
@@ -55,7 +55,7 @@
 	if w.ended {
 		var rejected *pointport.RejectedError
 		if (err == nil || errors.As(err, &rejected)) && !w.inc.ID().Shares() {
-			b.answeredOver(w, now)
+			b.noteAnswerAfterEnd(w, now)
 		}
 		return
 	}
--- a/schedule/report.go
+++ b/schedule/report.go
@@ -14,11 +14,11 @@
 // Report takes in what an instance said at now to a look that was sent at sent.
 func (b *Book) Report(w *Worker, sent, now time.Time, report pointport.Report) {
 	if w.ended {
-		b.answeredOver(w, now)
+		b.noteAnswerAfterEnd(w, now)
 		b.ends(w, now, report.Ended) // what has ended well need not run again
 		return
 	}
-	b.endFormerLives(w, sent, now)
+	b.endEarlierIncarnations(w, sent, now)
 	w.life.observeClock(now, report.Clock)
 	w.reported = now
 	w.silent = false // an answer to an order would not tell what the instance runs
@@ -48,7 +48,7 @@
 			b.stray(w, row.TaskRun)
 			continue
 		}
-		r.found()
+		r.confirmListed()
 		b.live(r, now, report.Clock)
 		if r.detached() {
 			b.stop(now, r, "its job has no use for it any more")
@@ -119,7 +119,7 @@
 		case r.state == runSettling:
 			gone = sent.After(r.settleAfter)
 		case r.uncertainty != nil:
-			gone = b.notFollowed(now, sent, r)
+			gone = b.notListedByLater(now, sent, r)
 		case r.state == runLive:
 			gone = sent.After(r.liveAt)
 		}
@@ -144,7 +144,7 @@
 	event.RunEnded.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
 		slog.String("incarnation", string(w.inc.ID())), slog.String("how", string(end.Kind)),
 		slog.Duration("after", now.Sub(r.placedAt)), slog.Duration("startedAfter", r.startedAfter()))
-	r.found()
+	r.confirmListed()
 	if r.detached() {
 		b.forget(now, r)
 		b.givenUpEnded(w, now, end)
