--- a/schedule/book.go
+++ b/schedule/book.go
@@ -60,7 +60,7 @@
 	// silent, and of which it is not known yet what became.
 	abandoned map[workload.TaskRef]int
 	// took is how long the tasks took that are done.
-	took map[stepKey]stepTook
+	took map[stepKey]stepDurations
 	// advice is what the advisor has said of the job's steps.
 	advice map[stepKey]*advice
 	// starved is since when the job has found no room, preempted when it last
@@ -221,7 +221,7 @@
 			for i := range step {
 				ref := workload.TaskRef{Occurrence: o.Index, Step: n, Index: i}
 				if step[i].Phase == workload.Pending && step[i].On != "" {
-					e.beWary(ref, now)
+					e.avoidFailedWorker(ref, now)
 				}
 				if step[i].Phase != workload.Placed {
 					continue
@@ -238,7 +238,7 @@
 		entry: e, ref: ref, name: workload.TaskName(e.job.ID(), ref), number: number,
 		worker: w, state: s, placedAt: now, pace: fullPace,
 	}
-	r.suspected, r.quarantined, r.apartFor = e.suspected(ref), e.quarantines(ref), e.apartFor(ref)
+	r.suspected, r.quarantined, r.apartFor = e.suspected(ref), e.quarantines(ref), e.quarantineTime(ref)
 	e.runs[ref] = r
 	w.take(r)
 	e.account.started(r.step().Need)
@@ -454,7 +454,7 @@
 	if !w.registered {
 		w.registered = true
 		b.looks[w] = struct{}{}
-		b.comeBack(w, inc.Instance())
+		b.restoreHealth(w, inc.Instance())
 	}
 	b.resize(w, inc.Capacity())
 	leaving := inc.Draining() && !w.inc.Draining()
--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -317,15 +317,15 @@
 func (b *Book) noteCrashOf(w *Worker, now time.Time) {
 	if w.health.failed(now) {
 		event.SuspectWorker.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
-			slog.Int("failures", w.health.failures), slog.Duration("avoidedFor", w.health.span))
+			slog.Int("failures", w.health.failures), slog.Duration("avoidedFor", w.health.avoidFor))
 	}
 	if id := w.inc.Instance(); id != "" {
 		b.crashedHealth[id] = w.health
 	}
 }
 
-// comeBack gives the next life of an instance that has crashed the health of its last.
-func (b *Book) comeBack(w *Worker, id pointport.InstanceID) {
+// restoreHealth gives the next life of an instance that has crashed the health of its last.
+func (b *Book) restoreHealth(w *Worker, id pointport.InstanceID) {
 	if h, ok := b.crashedHealth[id]; ok {
 		w.health = h
 		delete(b.crashedHealth, id)
--- a/schedule/report.go
+++ b/schedule/report.go
@@ -56,7 +56,7 @@
 		}
 		r.load = row.Load
 		r.moved(now, report.Clock, row.Progress)
-		b.acquit(now, r)
+		b.reviewSuspicion(now, r)
 		if t := r.task(); t != nil && row.Checkpoint != "" {
 			t.Checkpoint = row.Checkpoint
 		}
@@ -270,7 +270,7 @@
 func (b *Book) runDone(now time.Time, r *Run) {
 	if !r.liveAt.IsZero() && !r.inherited && r.from == 0 {
 		b.learned.observe(r.entry.job.Queue(), r.step(), now.Sub(r.liveAt))
-		r.entry.note(stepKey{r.ref.Occurrence, r.ref.Step}, now.Sub(r.liveAt))
+		r.entry.addDuration(stepKey{r.ref.Occurrence, r.ref.Step}, now.Sub(r.liveAt))
 	}
 	if r.worker.health.succeeded() {
 		event.SoundWorker.Log(b.logger, slog.String("incarnation", string(r.worker.inc.ID())))
@@ -292,14 +292,14 @@
 func (b *Book) runFailed(now time.Time, r *Run) {
 	if r.worker.health.failed(now) {
 		event.SuspectWorker.Log(b.logger, slog.String("incarnation", string(r.worker.inc.ID())),
-			slog.Int("failures", r.worker.health.failures), slog.Duration("avoidedFor", r.worker.health.span))
+			slog.Int("failures", r.worker.health.failures), slog.Duration("avoidedFor", r.worker.health.avoidFor))
 	}
 	b.forget(now, r)
 	if r.task() == nil {
 		return
 	}
 	jobFailed := r.entry.job.Fail(r.ref, r.number)
-	r.entry.beWary(r.ref, now)
+	r.entry.avoidFailedWorker(r.ref, now)
 	b.touch(r.entry, true)
 	switch {
 	case jobFailed:
--- a/schedule/stall.go
+++ b/schedule/stall.go
@@ -184,19 +184,19 @@
 	return max(0, expected-age)
 }
 
-// stepTook is how long the tasks of a step took that are done.
-type stepTook struct {
+// stepDurations is how long the tasks of a step took that are done.
+type stepDurations struct {
 	n   int
 	sum time.Duration
 }
 
-func (t stepTook) mean() time.Duration { return t.sum / time.Duration(t.n) }
+func (t stepDurations) mean() time.Duration { return t.sum / time.Duration(t.n) }
 
-// note takes in how long a task of a step took.
-func (e *entry) note(key stepKey, d time.Duration) {
+// addDuration takes in how long a task of a step took.
+func (e *entry) addDuration(key stepKey, d time.Duration) {
 	if e.took == nil {
-		e.took = make(map[stepKey]stepTook)
+		e.took = make(map[stepKey]stepDurations)
 	}
 	t := e.took[key]
-	e.took[key] = stepTook{t.n + 1, t.sum + d}
+	e.took[key] = stepDurations{t.n + 1, t.sum + d}
 }
--- a/schedule/worker.go
+++ b/schedule/worker.go
@@ -287,7 +287,7 @@
 	if r.step().Service {
 		w.serving--
 	}
-	w.clear(r)
+	w.clearSuspicion(r)
 	w.free = w.free.Plus(r.step().Reservation())
 }
 
