--- a/schedule/book.go
+++ b/schedule/book.go
@@ -113,7 +113,7 @@
 
 	learned  *estimates
 	arrivals arrivals
-	far      farRooms
+	far      rackDemand
 	// dirty holds the jobs that have changed since they were last taken to be stored,
 	// and whether something waits for that.
 	dirty map[*entry]bool
@@ -402,7 +402,7 @@
 		return
 	}
 	if r.step().Gang {
-		b.breakGang(now, r, "another of its gang has ended")
+		b.stopRestOfGang(now, r, "another of its gang has ended")
 	}
 	b.settleJob(now, r.entry)
 }
@@ -463,7 +463,7 @@
 	}
 	w.inc = inc
 	if leaving {
-		b.leaveWorker(now, w)
+		b.handleDraining(now, w)
 	}
 }
 
--- a/schedule/order.go
+++ b/schedule/order.go
@@ -162,9 +162,9 @@
 		return true // nothing wants it, or it was answered
 	case r.stopping || r.detached():
 		return true // a run that was never sent was dropped instead
-	case w.overfull() && r.ordered:
+	case w.overcommitted() && r.ordered:
 		b.stop(now, r, "its instance has shrunk, and it is not known to run there")
-	case w.overfull():
+	case w.overcommitted():
 		b.dropUnsent(now, r, "its instance shrank before its start was sent")
 	case w.silent && !r.ordered:
 		b.dropUnsent(now, r, "its instance fell silent before its start was sent")
--- a/schedule/plan.go
+++ b/schedule/plan.go
@@ -20,7 +20,7 @@
 	b.repeatOrders(now)
 	b.begin(now)
 	b.relocate(now)
-	b.tendGangs(now)
+	b.expireGangs(now)
 	b.forgetHeldBack()
 	if len(b.hungry) == 0 {
 		return
--- a/schedule/report.go
+++ b/schedule/report.go
@@ -27,8 +27,8 @@
 	b.ends(w, now, report.Ended)
 	b.running(w, now, report)
 	b.missing(w, sent, now, report)
-	b.inspect(now, w)
-	b.steer(now, w)
+	b.stopStalledRuns(now, w)
+	b.adjustPace(now, w)
 }
 
 // ends takes in the ends that an instance lists.
@@ -55,7 +55,7 @@
 			continue
 		}
 		r.load = row.Load
-		r.moved(now, report.Clock, row.Progress)
+		r.observeProgress(now, report.Clock, row.Progress)
 		b.reviewSuspicion(now, r)
 		if t := r.task(); t != nil && row.Checkpoint != "" {
 			t.Checkpoint = row.Checkpoint
@@ -305,7 +305,7 @@
 	case jobFailed:
 		b.stopAll(now, r.entry, "another task of its job has failed too often")
 	case r.step().Gang:
-		b.breakGang(now, r, "another of its gang has failed")
+		b.stopRestOfGang(now, r, "another of its gang has failed")
 	}
 	b.settleJob(now, r.entry)
 }
--- a/schedule/stall.go
+++ b/schedule/stall.go
@@ -36,8 +36,8 @@
 	wholePercent = 100
 )
 
-// inspect stops the runs of a worker that would be done sooner elsewhere.
-func (b *Book) inspect(now time.Time, w *Worker) {
+// stopStalledRuns stops the runs of a worker that would be done sooner elsewhere.
+func (b *Book) stopStalledRuns(now time.Time, w *Worker) {
 	for _, r := range w.runs {
 		if r.state != runLive || r.stopping || r.step().Service || r.step().Gang || r.progress >= wholePercent || r.pace < fullPace {
 			continue
@@ -103,9 +103,9 @@
 	return time.Duration(r.movedClock-r.liveClock) * wholePercent / time.Duration(r.progress-r.from)
 }
 
-// moved takes in the progress that a report shows whose clock showed a time. A report that
+// observeProgress takes in the progress that a report shows whose clock showed a time. A report that
 // was passed by a newer one says nothing new.
-func (r *Run) moved(now time.Time, clock pointport.InstanceClock, progress int) {
+func (r *Run) observeProgress(now time.Time, clock pointport.InstanceClock, progress int) {
 	if clock < r.shownAt {
 		return
 	}
