--- a/schedule/batch.go
+++ b/schedule/batch.go
@@ -184,14 +184,14 @@
 	return orders
 }
 
-// TakeLooks returns the workers whose report is wanted at once.
-func (b *Book) TakeLooks() []*Worker {
+// TakePolls returns the workers whose report is wanted at once.
+func (b *Book) TakePolls() []*Worker {
 	var out []*Worker
-	for w := range b.looks {
+	for w := range b.pollNow {
 		if !w.ended && w.inc.Address() != "" {
 			out = append(out, w)
 		}
 	}
-	clear(b.looks)
+	clear(b.pollNow)
 	return out
 }
--- a/schedule/batch_test.go
+++ b/schedule/batch_test.go
@@ -41,11 +41,11 @@
 			}
 			acked := make(map[*schedule.Worker]int64)
 			for _, w := range b.Workers() {
-				acked[w] = w.Look().Acknowledged
+				acked[w] = w.NextPoll().Acknowledged
 			}
 			b.Stored(batch, start)
 			for _, w := range b.Workers() {
-				if w.Look().Acknowledged != acked[w] && !batch.Whole {
+				if w.NextPoll().Acknowledged != acked[w] && !batch.Whole {
 					t.Fatalf("ends are acknowledged although jobs are left to be stored")
 				}
 			}
--- a/schedule/book.go
+++ b/schedule/book.go
@@ -129,8 +129,8 @@
 	sends []Order
 	// urgent says that something waits for the next batch to be stored.
 	urgent bool
-	// looks are workers whose report is wanted at once.
-	looks map[*Worker]struct{}
+	// pollNow are workers whose report is wanted at once.
+	pollNow map[*Worker]struct{}
 	// gangs holds the gangs that are gathering.
 	gangs map[*gang]struct{}
 	// questions are to be put to the advisor.
@@ -166,8 +166,8 @@
 		learned:       newEstimates(),
 		dirty:         make(map[*entry]bool),
 		hungry:        make(map[*entry]struct{}), recurring: make(map[*entry]struct{}),
-		gangs: make(map[*gang]struct{}),
-		looks: make(map[*Worker]struct{}), unsentMost: math.MaxInt,
+		gangs:   make(map[*gang]struct{}),
+		pollNow: make(map[*Worker]struct{}), unsentMost: math.MaxInt,
 	}
 }
 
@@ -257,7 +257,7 @@
 			inc:   pointport.NewIncarnation(id, "", ""),
 			runs:  make(map[string]*Run),
 			steps: make(map[stepOf]int),
-			life:  executionLease{inherited: b.taken.Add(b.predecessorBound(id)), misdirectedUntil: b.foreign[id.Addressee()]},
+			lease: executionLease{inherited: b.taken.Add(b.predecessorBound(id)), misdirectedUntil: b.foreign[id.Addressee()]},
 			burns: b.startsToRuleOut(id),
 			zones: b.zones,
 		}
@@ -388,7 +388,7 @@
 	if r.state != runDecided {
 		event.TaskReturned.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
 			slog.String("incarnation", string(r.worker.inc.ID())), slog.String("reason", reason),
-			slog.Int("unanswered", r.unanswered), slog.Duration("sinceHeard", r.worker.life.sinceLastAnswer(now)))
+			slog.Int("unanswered", r.unanswered), slog.Duration("sinceHeard", r.worker.lease.sinceLastAnswer(now)))
 	}
 	b.forget(now, r)
 	if t := r.task(); !detached && t != nil && t.Phase == workload.Placed && t.Run == r.number {
@@ -453,7 +453,7 @@
 	w := b.worker(now, inc.ID())
 	if !w.registered {
 		w.registered = true
-		b.looks[w] = struct{}{}
+		b.pollNow[w] = struct{}{}
 		b.restoreHealth(w, inc.Instance())
 	}
 	b.resize(w, inc.Capacity())
--- a/schedule/book_test.go
+++ b/schedule/book_test.go
@@ -242,7 +242,7 @@
 		hear(b, start, incarnation(0))
 		b.Add(start, job("a", policy, step(1, 100, func(s *workload.Step) { s.Copies = copies })))
 		o := orders(b, start)[0]
-		o.Worker.Until(start, settings.Lease)
+		o.Worker.ExtendLease(start, settings.Lease)
 		b.Answered(o, start, 1, nil)
 		b.SetIncarnations(start, []pointport.Incarnation{incarnation(0), incarnation(1)})
 		silent := &pointport.UnavailableError{Op: "hold", Ambiguous: true}
--- a/schedule/copies_test.go
+++ b/schedule/copies_test.go
@@ -24,7 +24,7 @@
 		t.Fatalf("orders %v, want one start", sent)
 	}
 	first := sent[0]
-	first.Worker.Until(start, 10*time.Second) // as whoever sends it extends the instance
+	first.Worker.ExtendLease(start, 10*time.Second) // as whoever sends it extends the instance
 	silence := &pointport.UnavailableError{Op: "start", Ambiguous: true, Err: errors.New("reset")}
 	now := start
 	started, stopped := 0, 0
@@ -93,7 +93,7 @@
 		failed(next())
 	}
 	third := next()
-	third.Worker.Until(now, settings.Lease)
+	third.Worker.ExtendLease(now, settings.Lease)
 	silence := &pointport.UnavailableError{Op: "hold", Ambiguous: true}
 	b.PollFailed(third.Worker, now, silence)
 	b.PollFailed(third.Worker, now.Add(600*time.Millisecond), silence)
--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -82,8 +82,8 @@
 // its life gone. If it has answered since, also that it is not well, its own word counts.
 func (b *Book) shownOver(now time.Time, id pointport.IncarnationID) {
 	w := b.workers[id]
-	if w != nil && !w.ended && w.life.clockKnown() && (!w.silent || w.refuses) {
-		event.IncarnationLives.Log(b.logger, slog.String("incarnation", string(id)), slog.Int("runs", len(w.runs)), slog.Duration("sinceHeard", w.life.sinceLastAnswer(now)))
+	if w != nil && !w.ended && w.lease.clockKnown() && (!w.silent || w.pollRefused) {
+		event.IncarnationLives.Log(b.logger, slog.String("incarnation", string(id)), slog.Int("runs", len(w.runs)), slog.Duration("sinceHeard", w.lease.sinceLastAnswer(now)))
 		return
 	}
 	b.EndIncarnation(now, id)
@@ -111,7 +111,7 @@
 // formers returns the workers among which those are that a worker has followed: any when it is
 // first heard, and later those that are not registered.
 func (b *Book) formers(w *Worker) []*Worker {
-	if w.life.clockKnown() {
+	if w.lease.clockKnown() {
 		return b.unlisted
 	}
 	return slices.Collect(maps.Values(b.workers))
@@ -120,8 +120,8 @@
 // lastKnown returns when the owner last had a sign of the incarnation: an answer, or that it
 // was there.
 func (w *Worker) lastKnown() time.Time {
-	if w.life.heard.After(w.since) {
-		return w.life.heard
+	if w.lease.heard.After(w.since) {
+		return w.lease.heard
 	}
 	return w.since
 }
@@ -138,7 +138,7 @@
 		r.uncertainty = nil // the end of this life counts, and once
 	}
 	event.WorkerEnded.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
-		slog.Int("runs", len(w.runs)), slog.String("cause", string(cause)), slog.String("reason", why), slog.Duration("sinceHeard", w.life.sinceLastAnswer(now)))
+		slog.Int("runs", len(w.runs)), slog.String("cause", string(cause)), slog.String("reason", why), slog.Duration("sinceHeard", w.lease.sinceLastAnswer(now)))
 	w.ended, w.endedAt = true, now
 	b.noteForeign(w)
 	b.dropAll(w, now, "its incarnation is over")
@@ -224,7 +224,7 @@
 	if r.liveAt.IsZero() {
 		return 0
 	}
-	return r.worker.life.heard.Sub(r.liveAt)
+	return r.worker.lease.heard.Sub(r.liveAt)
 }
 
 // allOfGang reports whether runs are all of one run's gang, or that run alone.
--- a/schedule/crash_test.go
+++ b/schedule/crash_test.go
@@ -180,7 +180,7 @@
 			s.book.PollFailed(w, s.now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 			continue
 		}
-		w.Until(s.now, settings.Lease)
+		w.ExtendLease(s.now, settings.Lease)
 		report := pointport.Report{Clock: pointport.InstanceClock(s.now.Sub(start)), Ended: s.ends[id]}
 		for task, run := range runs {
 			report.Running = append(report.Running, pointport.RunningTask{TaskRun: pointport.TaskRun{Task: task, Run: run}, Progress: 10})
@@ -408,7 +408,7 @@
 		w := b.Workers()[0]
 		now := start.Add(c.lived)
 		report(b, started, w, now, 100)
-		w.Until(now, settings.Lease)
+		w.ExtendLease(now, settings.Lease)
 		b.PollFailed(w, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 		b.SetIncarnations(now, nil)
 		now = now.Add(10 * time.Second)
--- a/schedule/doubt_test.go
+++ b/schedule/doubt_test.go
@@ -126,7 +126,7 @@
 			hear(b, start, all...)
 			b.Add(start, job("a", policy, step(1, 100, change)))
 			first := orders(b, start)[0]
-			first.Worker.Until(start, settings.Lease)
+			first.Worker.ExtendLease(start, settings.Lease)
 			b.Answered(first, start, 1, nil)
 			silent := []*schedule.Worker{first.Worker}
 			for _, w := range b.Workers() {
--- a/schedule/evacuate_test.go
+++ b/schedule/evacuate_test.go
@@ -164,7 +164,7 @@
 	hear(b, start, north(0))
 	b.Add(start, job("a", policy, step(1, 500, nil)))
 	first := orders(b, start)[0]
-	first.Worker.Until(start, settings.Lease)
+	first.Worker.ExtendLease(start, settings.Lease)
 	b.Answered(first, start, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true, Err: errors.New("reset")})
 	b.SetEvacuations(evacuation.Zones{})
 	now := start
--- a/schedule/expiry_test.go
+++ b/schedule/expiry_test.go
@@ -28,7 +28,7 @@
 		t.Fatalf("orders %v, want one start", sent)
 	}
 	first := sent[0]
-	first.Worker.Until(start, settings.Lease)
+	first.Worker.ExtendLease(start, settings.Lease)
 	b.Answered(first, start, 0, silence)
 	now := start
 	for range 60 { // well beyond the lease
@@ -99,7 +99,7 @@
 			hear(b, start, other...)
 			b.Add(start, job("a", policy, step(1, 100, c.change)))
 			first := orders(b, start)[0]
-			first.Worker.Until(start, settings.Lease)
+			first.Worker.ExtendLease(start, settings.Lease)
 			b.Answered(first, start, 0, nil)
 			silent := first.Worker.Incarnation()
 			if silent.ID() == other[0].ID() {
@@ -153,7 +153,7 @@
 	hear(b, start, incarnation(0))
 	b.Add(start, job("a", policy, step(1, 100, nil)))
 	first := orders(b, start)[0]
-	first.Worker.Until(start, settings.Lease)
+	first.Worker.ExtendLease(start, settings.Lease)
 	b.Answered(first, start, 0, nil)
 	b.Cancel(start, "a")
 	now := start
@@ -196,7 +196,7 @@
 	hear(b, start, incarnation(0))
 	b.Add(start, job("a", policy, step(1, 100, nil)))
 	sent := orders(b, start)
-	sent[0].Worker.Until(start, settings.Lease)
+	sent[0].Worker.ExtendLease(start, settings.Lease)
 	b.Answered(sent[0], start, 0, silence)
 	b.PollFailed(sent[0].Worker, start, silence)
 	if b.Forgo(start, sent[0]) {
--- a/schedule/forgo_test.go
+++ b/schedule/forgo_test.go
@@ -27,7 +27,7 @@
 	sent := orders(b, start)
 	answer(b, sent, start)
 	first = sent[0]
-	first.Worker.Until(start, settings.Lease)
+	first.Worker.ExtendLease(start, settings.Lease)
 	silence := &pointport.UnavailableError{Op: "hold", Ambiguous: true}
 	b.PollFailed(first.Worker, start, silence)
 	now = start.Add(600 * time.Millisecond)
--- a/schedule/late_end_test.go
+++ b/schedule/late_end_test.go
@@ -26,7 +26,7 @@
 	}
 	for _, o := range sent {
 		b.MarkSending(o)
-		o.Worker.Until(start, settings.Lease)
+		o.Worker.ExtendLease(start, settings.Lease)
 		b.Answered(o, start, 1, nil)
 	}
 	now := start
--- a/schedule/later_incarnation.go
+++ b/schedule/later_incarnation.go
@@ -59,7 +59,7 @@
 	if later.inc.Address() == "" {
 		later.inc = pointport.NewIncarnation(id, w.inc.Pool(), w.inc.Address(), pointport.WithInstance(w.inc.Instance()),
 			pointport.WithZone(w.inc.Zone()), pointport.WithRack(w.inc.Rack()), pointport.WithLabels(w.inc.Labels()))
-		b.looks[later] = struct{}{}
+		b.pollNow[later] = struct{}{}
 	}
 	return later
 }
@@ -110,7 +110,7 @@
 		event.RunFollows.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number), slog.String("incarnation", string(former.inc.ID())),
 			slog.String("later", string(later.inc.ID())), slog.Int("unanswered", r.unanswered), slog.Duration("sinceSeen", r.sinceSeen(now)))
 	}
-	b.looks[later] = struct{}{}
+	b.pollNow[later] = struct{}{}
 }
 
 // takenLate is for how long an order may be on its way, and be held back by the life that it
@@ -127,9 +127,9 @@
 // comes: also what a later life may have taken.
 func (b *Book) executionExpiry(w *Worker) time.Time {
 	if !w.anyUncertain() {
-		return w.life.expiry()
+		return w.lease.expiry()
 	}
-	return latest(w.life.expiry(), b.foreignUntil(w.life.ordered))
+	return latest(w.lease.expiry(), b.foreignUntil(w.lease.ordered))
 }
 
 // noteForeign notes until when orders to a worker that is over may extend what later lives of its
@@ -138,11 +138,11 @@
 	if !w.inc.ID().Shares() {
 		return
 	}
-	to, until := w.inc.ID().Addressee(), b.foreignUntil(w.life.ordered)
+	to, until := w.inc.ID().Addressee(), b.foreignUntil(w.lease.ordered)
 	b.foreign[to] = latest(b.foreign[to], until)
 	for _, o := range b.workers {
 		if o.sharesWith(w) {
-			o.life.misdirectedUntil = latest(o.life.misdirectedUntil, until)
+			o.lease.misdirectedUntil = latest(o.lease.misdirectedUntil, until)
 		}
 	}
 }
--- a/schedule/later_test.go
+++ b/schedule/later_test.go
@@ -57,7 +57,7 @@
 		t.Fatalf("orders %v, want a start", all)
 	}
 	b.MarkSending(all[0])
-	all[0].Worker.Until(start, settings.Lease)
+	all[0].Worker.ExtendLease(start, settings.Lease)
 	return b, all[0], j
 }
 
@@ -82,25 +82,25 @@
 	b.Add(now, job("a", policy, step(1, 100, nil)))
 	first := orders(b, now)[0]
 	b.MarkSending(first)
-	if got := w.Look(); got.Acknowledged != 0 {
+	if got := w.NextPoll(); got.Acknowledged != 0 {
 		t.Errorf("with a start under way, whoever takes the look may forget ends up to %d", got.Acknowledged)
 	}
 	b.Answered(first, now, 3, nil)
-	if got := w.Look(); got.Acknowledged != 0 {
+	if got := w.NextPoll(); got.Acknowledged != 0 {
 		t.Errorf("with a start that was answered by whoever was there, whoever takes the look may forget ends up to %d", got.Acknowledged)
 	}
 	b.Report(w, now, now, listing(first.TaskRun))
-	look := w.Look()
-	if look != (schedule.Look{Acknowledged: 9}) || !w.Acknowledging(now) {
-		t.Errorf("once it has listed the run, the look is %+v and starts are held back: %v, want an acknowledgement of 9 that waits for nothing", look, w.Acknowledging(now))
+	look := w.NextPoll()
+	if look != (schedule.Poll{Acknowledged: 9}) || !w.AckInFlight(now) {
+		t.Errorf("once it has listed the run, the look is %+v and starts are held back: %v, want an acknowledgement of 9 that waits for nothing", look, w.AckInFlight(now))
 	}
-	if again := w.Look(); again.Acknowledged != 0 || !again.MayWait {
+	if again := w.NextPoll(); again.Acknowledged != 0 || !again.MayWait {
 		t.Errorf("beside it, the look is %+v", again)
 	}
-	if !w.Looked(look, now, true) || w.Acknowledging(now) {
+	if !w.PollDone(look, now, true) || w.AckInFlight(now) {
 		t.Error("once it is answered, starts are held back")
 	}
-	if after := w.Look(); after != (schedule.Look{MayWait: true}) {
+	if after := w.NextPoll(); after != (schedule.Poll{MayWait: true}) {
 		t.Errorf("after it, the look is %+v, want one that waits for an end and acknowledges nothing", after)
 	}
 }
@@ -113,8 +113,8 @@
 	b.Report(w, start, start, pointport.Report{Clock: 2, Ended: []pointport.TaskEnd{{Number: 9, TaskRun: pointport.TaskRun{Task: "b.0.0.0", Run: 1}, Kind: pointport.EndDone}}})
 	b.Add(start, job("a", policy, step(1, 100, nil)))
 	b.MarkSending(orders(b, start)[0])
-	if got := w.Look(); got != (schedule.Look{Acknowledged: 9, MayWait: true}) || w.Acknowledging(start) {
-		t.Errorf("the look is %+v, starts held back: %v", got, w.Acknowledging(start))
+	if got := w.NextPoll(); got != (schedule.Poll{Acknowledged: 9, MayWait: true}) || w.AckInFlight(start) {
+		t.Errorf("the look is %+v, starts held back: %v", got, w.AckInFlight(start))
 	}
 }
 
@@ -134,7 +134,7 @@
 		if got := placed(orders(b, now)); len(got) != 0 {
 			t.Fatalf("starts %v before the later life was asked", got)
 		}
-		if !slices.ContainsFunc(b.TakeLooks(), func(w *schedule.Worker) bool { return w.Incarnation().ID() == life(1).ID() }) {
+		if !slices.ContainsFunc(b.TakePolls(), func(w *schedule.Worker) bool { return w.Incarnation().ID() == life(1).ID() }) {
 			t.Error("the later life is not asked, which has not registered yet")
 		}
 		later := workerOf(t, b, life(1))
@@ -263,9 +263,9 @@
 	for _, clock := range []pointport.InstanceClock{0, pointport.InstanceClock(time.Hour)} {
 		b, first, _ := started(t)
 		now := start.Add(time.Second)
-		before := first.Worker.Until(now, settings.Lease)
+		before := first.Worker.ExtendLease(now, settings.Lease)
 		b.Answered(first, now, clock, nil)
-		if got := first.Worker.Until(now, settings.Lease); got != before {
+		if got := first.Worker.ExtendLease(now, settings.Lease); got != before {
 			t.Errorf("after an answer whose clock shows %v, what runs is extended to %v, want %v", clock, got, before)
 		}
 	}
@@ -289,8 +289,8 @@
 		b.Report(later, now, now, pointport.Report{Clock: 1})
 		all := orders(b, now)
 		again := kindOf(all, schedule.OrderStop, first.TaskRun)
-		if len(again) != 1 || again[0].Worker != later || placed(all)[life(n).ID()] != 0 || later.Until(now, settings.Lease) != 0 {
-			t.Fatalf("life %d: orders %+v, extended to %v, want the start ruled out before anything else", n, all, later.Until(now, settings.Lease))
+		if len(again) != 1 || again[0].Worker != later || placed(all)[life(n).ID()] != 0 || later.ExtendLease(now, settings.Lease) != 0 {
+			t.Fatalf("life %d: orders %+v, extended to %v, want the start ruled out before anything else", n, all, later.ExtendLease(now, settings.Lease))
 		}
 		b.Answered(again[0], now, 0, nil)
 	}
@@ -391,7 +391,7 @@
 	b, first, _ := started(t)
 	now := start.Add(time.Second)
 	b.PollFailed(first.Worker, now, silence)
-	if got := first.Worker.Until(now, settings.Lease); got != 0 {
+	if got := first.Worker.ExtendLease(now, settings.Lease); got != 0 {
 		t.Errorf("it is extended to %v, want nothing", got)
 	}
 }
@@ -439,7 +439,7 @@
 		b.PollFailed(first.Worker, now, replacedBy(life(0), life(1)))
 		later := workerOf(t, b, life(1))
 		b.Report(later, now, now, listing(first.TaskRun))
-		later.Until(now, settings.Lease)
+		later.ExtendLease(now, settings.Lease)
 		if got := restartedAfter(b, now.Add(time.Second), []*schedule.Worker{later}); got < least {
 			t.Errorf("it starts again after %v, want %v and more: an order to the life before may have extended it", got, least)
 		}
--- a/schedule/order.go
+++ b/schedule/order.go
@@ -65,7 +65,7 @@
 		return
 	}
 	if err == nil && o.Kind != OrderPace && !w.inc.ID().Shares() { // the answer to a pace shows no clock
-		w.life.observeClock(now, clock)
+		w.lease.observeClock(now, clock)
 	}
 	b.checkFence(err)
 	if o.Kind == OrderStop && ruledOut(err) {
@@ -90,7 +90,7 @@
 	}
 	if err == nil {
 		if r.worker.inc.ID().Shares() {
-			clock = r.worker.life.clockAt(now) // it may be another life that has answered
+			clock = r.worker.lease.clockAt(now) // it may be another life that has answered
 		}
 		b.live(r, now, clock)
 		return
@@ -142,7 +142,7 @@
 	event.StartUnanswered.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
 		slog.String("incarnation", string(r.worker.inc.ID())), slog.Int("times", r.unanswered), slog.Any("error", err))
 	if r.unanswered >= silentAfter {
-		r.worker.fallSilent(now)
+		r.worker.markSilent(now)
 	}
 }
 
@@ -217,7 +217,7 @@
 // any more.
 func (b *Book) settle(r *Run, now time.Time) {
 	r.state, r.settleAfter = runSettling, now
-	b.looks[r.worker] = struct{}{}
+	b.pollNow[r.worker] = struct{}{}
 }
 
 // burn notes that a run on a worker is given up although its start may still be
--- a/schedule/proof_test.go
+++ b/schedule/proof_test.go
@@ -24,7 +24,7 @@
 		t.Fatalf("orders %v, want one start", sent)
 	}
 	former = sent[0].Worker
-	former.Until(start, settings.Lease)
+	former.ExtendLease(start, settings.Lease)
 	b.Answered(sent[0], start, 0, nil)
 	b.SetIncarnations(start, []pointport.Incarnation{first, second})
 	for _, w := range b.Workers() {
--- a/schedule/quarantine_test.go
+++ b/schedule/quarantine_test.go
@@ -160,7 +160,7 @@
 		for _, o := range orders(b, now) {
 			b.MarkSending(o)
 			if o.Kind == schedule.OrderStart {
-				o.Worker.Until(now, settings.Lease)
+				o.Worker.ExtendLease(now, settings.Lease)
 				starts[o.Worker.Endpoint().Incarnation] = true
 			}
 			b.Answered(o, now, 0, silence)
--- a/schedule/relocate_test.go
+++ b/schedule/relocate_test.go
@@ -74,7 +74,7 @@
 func hearAll(b *schedule.Book, now time.Time, all ...pointport.Incarnation) {
 	b.SetIncarnations(now, all)
 	for _, w := range b.Workers() {
-		if !w.Heard() {
+		if !w.HasAnswered() {
 			b.Report(w, now, now, pointport.Report{Clock: 1})
 		}
 	}
--- a/schedule/report.go
+++ b/schedule/report.go
@@ -19,7 +19,7 @@
 		return
 	}
 	b.endEarlierIncarnations(w, sent, now)
-	w.life.observeClock(now, report.Clock)
+	w.lease.observeClock(now, report.Clock)
 	w.reported = now
 	w.silent = false // an answer to an order would not tell what the instance runs
 	w.answeredUnlisted = w.answeredUnlisted || !w.listed
--- a/schedule/ruled_out_test.go
+++ b/schedule/ruled_out_test.go
@@ -41,7 +41,7 @@
 			b.Add(start, job("a", policy, step(1, 100, nil)))
 			first := orders(b, start)[0]
 			b.MarkSending(first)
-			first.Worker.Until(start, settings.Lease)
+			first.Worker.ExtendLease(start, settings.Lease)
 			now := start.Add(400 * time.Millisecond)
 			b.Answered(first, now, 0, silence)
 			now = now.Add(200 * time.Millisecond)
@@ -89,7 +89,7 @@
 	b.Add(start, job("a", policy, step(1, 100, func(s *workload.Step) { s.Service = true })))
 	first := orders(b, start)[0]
 	b.MarkSending(first)
-	first.Worker.Until(start, settings.Lease)
+	first.Worker.ExtendLease(start, settings.Lease)
 	now := start.Add(400 * time.Millisecond)
 	b.Answered(first, now, 0, silence)
 	if !stays {
@@ -118,7 +118,7 @@
 // mayStart reports whether an instance would take a start that is under way: what runs
 // there is extended beyond now.
 func mayStart(w *schedule.Worker, now time.Time) bool {
-	return w.Until(now, settings.Lease) > pointport.InstanceClock(now.Sub(start))
+	return w.ExtendLease(now, settings.Lease) > pointport.InstanceClock(now.Sub(start))
 }
 
 // clockAt is what the instance's clock shows.
@@ -143,7 +143,7 @@
 			now = now.Add(time.Second)
 			all := orders(b, now)
 			if got := placed(all); len(got) != 0 || mayStart(first.Worker, now) {
-				t.Errorf("starts %v and an extension to %v at %v; the given up start may still be carried out", got, first.Worker.Until(now, settings.Lease), clockAt(now))
+				t.Errorf("starts %v and an extension to %v at %v; the given up start may still be carried out", got, first.Worker.ExtendLease(now, settings.Lease), clockAt(now))
 			}
 			stops = kindOf(all, schedule.OrderStop, first.TaskRun)
 			if len(stops) != 1 {
@@ -169,7 +169,7 @@
 	b.Report(w, now, now, pointport.Report{Clock: clockAt(now)})
 	all := orders(b, now)
 	if got := placed(all); len(got) != 0 || mayStart(w, now) {
-		t.Errorf("starts %v and an extension to %v at %v; the given up start may still be carried out", got, w.Until(now, settings.Lease), clockAt(now))
+		t.Errorf("starts %v and an extension to %v at %v; the given up start may still be carried out", got, w.ExtendLease(now, settings.Lease), clockAt(now))
 	}
 	stops := kindOf(all, schedule.OrderStop, first.TaskRun)
 	if len(stops) != 1 {
--- a/schedule/silence.go
+++ b/schedule/silence.go
@@ -27,11 +27,11 @@
 	}
 	if !w.silent {
 		event.WorkerSilent.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
-			slog.Duration("expiresIn", w.life.expiry().Sub(now)), slog.Any("error", err))
+			slog.Duration("expiresIn", w.lease.expiry().Sub(now)), slog.Any("error", err))
 	}
-	w.fallSilent(now)
+	w.markSilent(now)
 	var rejected *pointport.RejectedError
-	w.refuses = errors.As(err, &rejected)
+	w.pollRefused = errors.As(err, &rejected)
 	if now.Sub(w.silentSince) > abandonAfter && b.hearing.littleSince.IsZero() {
 		b.abandon(now, w)
 	}
@@ -112,7 +112,7 @@
 		return
 	}
 	event.WorkerExpired.Log(b.logger, slog.String("incarnation", string(w.inc.ID())), slog.Int("runs", len(over)), slog.Int("unheard", len(w.runs)-len(over)),
-		slog.Bool("gone", gone), slog.Duration("sinceHeard", w.life.sinceLastAnswer(now)))
+		slog.Bool("gone", gone), slog.Duration("sinceHeard", w.lease.sinceLastAnswer(now)))
 	for _, r := range over {
 		w.burn(r)
 		w.unproven = append(w.unproven, r)
@@ -139,7 +139,7 @@
 // back as one to which no start is under way, it would be extended and carry out those
 // that are.
 func (w *Worker) remembered(now time.Time) bool {
-	return len(w.burns) > 0 && !w.ended && now.Sub(w.life.expiry()) < burnsKept
+	return len(w.burns) > 0 && !w.ended && now.Sub(w.lease.expiry()) < burnsKept
 }
 
 // countUnproven counts the crash of a worker that is gone against tasks that were there.
@@ -159,10 +159,10 @@
 	var heard tally
 	for id, w := range b.workers {
 		heard.count(w)
-		if len(w.runs) > 0 && now.After(b.executionExpiry(w)) && (w.silent || !w.life.clockKnown()) {
+		if len(w.runs) > 0 && now.After(b.executionExpiry(w)) && (w.silent || !w.lease.clockKnown()) {
 			b.expire(w, now)
 		}
-		if len(w.runs) == 0 && !w.listed && (w.ended || now.After(w.life.expiry())) {
+		if len(w.runs) == 0 && !w.listed && (w.ended || now.After(w.lease.expiry())) {
 			b.countUnproven(now, w)
 			if !w.remembered(now) {
 				delete(b.workers, id)
--- a/shard/orders.go
+++ b/shard/orders.go
@@ -75,7 +75,7 @@
 // pump sends what waits in a lane, as far as its width and the window allow.
 func (o *Owner) pump(ctx context.Context, now time.Time, l *lane) {
 	for len(l.queue) > 0 && l.inFlight < laneWidth {
-		order, ok := o.next(l, o.mayStart() && !l.worker.Acknowledging(o.clock.Now()))
+		order, ok := o.next(l, o.mayStart() && !l.worker.AckInFlight(o.clock.Now()))
 		switch {
 		case !ok && o.mayStart():
 			return // it goes on once the instance has answered
@@ -154,7 +154,7 @@
 	}
 	o.book.MarkSending(order)
 	sent := o.clock.Now()
-	at, until := l.worker.Endpoint(), l.worker.Until(now, o.lease) // the loop alone may read the worker
+	at, until := l.worker.Endpoint(), l.worker.ExtendLease(now, o.lease) // the loop alone may read the worker
 	way := o.wayTo(now, l.worker)
 	go func() {
 		clock, err := o.carryOut(ctx, way, at, order, until)
