--- a/schedule/batch.go
+++ b/schedule/batch.go
@@ -173,14 +173,14 @@
 			continue
 		}
 		r.state = runSent
-		b.sends = append(b.sends, startOrder(r))
+		b.pendingOrders = append(b.pendingOrders, startOrder(r))
 	}
 }
 
 // TakeOrders returns the orders to send now.
 func (b *Book) TakeOrders() []Order {
-	orders := b.sends
-	b.sends = nil
+	orders := b.pendingOrders
+	b.pendingOrders = nil
 	return orders
 }
 
--- a/schedule/batch_test.go
+++ b/schedule/batch_test.go
@@ -77,7 +77,7 @@
 					owed[at] = make(map[string]bool)
 				}
 				owed[at][id] = true
-				b.Answered(o, start, 1, nil)
+				b.OrderAnswered(o, start, 1, nil)
 				b.Report(o.Worker, start, start, pointport.Report{Clock: 1, Ended: []pointport.TaskEnd{
 					{Number: number, TaskRun: o.TaskRun, Kind: pointport.EndDone},
 				}})
@@ -122,7 +122,7 @@
 	}
 	var first schedule.Order
 	for _, o := range orders(b, start) {
-		b.Answered(o, start, 1, nil)
+		b.OrderAnswered(o, start, 1, nil)
 		first = o
 	}
 	// One end in each job is to be stored some time, the end of one job soon.
--- a/schedule/book.go
+++ b/schedule/book.go
@@ -96,9 +96,9 @@
 	workers map[pointport.IncarnationID]*Worker
 	// unlisted holds the workers that are not registered and not known to be over.
 	unlisted []*Worker
-	// underWay holds since when starts may be carried out that nothing wants any more, by whichever
+	// startsInFlight holds since when starts may be carried out that nothing wants any more, by whichever
 	// life of their addressee.
-	underWay map[pointport.Addressee]map[pointport.TaskRun]time.Time
+	startsInFlight map[pointport.Addressee]map[pointport.TaskRun]time.Time
 	// foreign holds until when orders to lives that are over may extend what a later one runs.
 	foreign map[pointport.Addressee]time.Time
 	// crashedHealth holds the health of instances that have crashed and are not back.
@@ -125,8 +125,8 @@
 	limited bool
 	// unsentMost is how many tasks may be placed of which the start is not stored yet.
 	unsentMost int
-	// sends are orders that need nothing stored: stops and repeated starts.
-	sends []Order
+	// pendingOrders are orders that need nothing stored: stops and repeated starts.
+	pendingOrders []Order
 	// urgent says that something waits for the next batch to be stored.
 	urgent bool
 	// pollNow are workers whose report is wanted at once.
@@ -146,8 +146,8 @@
 	// sight says how well the registrations are known.
 	sight   RegistryCoverage
 	hearing reachability
-	// deposed says that an instance has seen a higher fence.
-	deposed bool
+	// fenced says that an instance has seen a higher fence.
+	fenced bool
 }
 
 // NewBook returns the empty book of an owner that took over at now. Until it is told
@@ -156,23 +156,23 @@
 	zones := evacuation.None
 	return &Book{
 		settings: s, logger: logger, taken: now, zones: &zones,
-		jobs:          make(map[string]*entry),
-		underWay:      make(map[pointport.Addressee]map[pointport.TaskRun]time.Time),
-		foreign:       make(map[pointport.Addressee]time.Time),
-		crashedHealth: make(map[pointport.InstanceID]health),
-		workers:       make(map[pointport.IncarnationID]*Worker),
-		over:          make(map[string]finished),
-		accounts:      make(map[string]*account),
-		learned:       newEstimates(),
-		dirty:         make(map[*entry]bool),
-		hungry:        make(map[*entry]struct{}), recurring: make(map[*entry]struct{}),
+		jobs:           make(map[string]*entry),
+		startsInFlight: make(map[pointport.Addressee]map[pointport.TaskRun]time.Time),
+		foreign:        make(map[pointport.Addressee]time.Time),
+		crashedHealth:  make(map[pointport.InstanceID]health),
+		workers:        make(map[pointport.IncarnationID]*Worker),
+		over:           make(map[string]finished),
+		accounts:       make(map[string]*account),
+		learned:        newEstimates(),
+		dirty:          make(map[*entry]bool),
+		hungry:         make(map[*entry]struct{}), recurring: make(map[*entry]struct{}),
 		gangs:   make(map[*gang]struct{}),
 		pollNow: make(map[*Worker]struct{}), unsentMost: math.MaxInt,
 	}
 }
 
-// Deposed reports whether an instance has seen a higher fence than this owner's.
-func (b *Book) Deposed() bool { return b.deposed }
+// Fenced reports whether an instance has seen a higher fence than this owner's.
+func (b *Book) Fenced() bool { return b.fenced }
 
 // Add takes in a job. Tasks that are placed already were placed by an earlier
 // owner. Adding a job again changes nothing; Add reports whether it was new.
@@ -253,13 +253,13 @@
 	w := b.workers[id]
 	if w == nil {
 		w = &Worker{
-			since: now,
-			inc:   pointport.NewIncarnation(id, "", ""),
-			runs:  make(map[string]*Run),
-			steps: make(map[stepOf]int),
-			lease: executionLease{inherited: b.taken.Add(b.predecessorBound(id)), misdirectedUntil: b.foreign[id.Addressee()]},
-			burns: b.startsToRuleOut(id),
-			zones: b.zones,
+			since:           now,
+			inc:             pointport.NewIncarnation(id, "", ""),
+			runs:            make(map[string]*Run),
+			steps:           make(map[stepOf]int),
+			lease:           executionLease{inherited: b.taken.Add(b.predecessorBound(id)), misdirectedUntil: b.foreign[id.Addressee()]},
+			startsToRuleOut: b.startsToRuleOut(id),
+			zones:           b.zones,
 		}
 		b.workers[id] = w
 	}
@@ -369,7 +369,7 @@
 
 // stop orders a run to stop, or drops it if it was never sent.
 func (b *Book) stop(now time.Time, r *Run, reason string) {
-	if r.state == runDecided || r.state == runSent && !r.ordered {
+	if r.state == runDecided || r.state == runSent && !r.startSent {
 		b.drop(now, r, reason)
 		return
 	}
@@ -378,7 +378,7 @@
 	}
 	r.stopping, r.stopAgainAt, r.stopReason = true, now.Add(stopAgain), reason
 	if r.worker.inc.Address() != "" {
-		b.sends = append(b.sends, Order{Kind: OrderStop, Run: r, Worker: r.worker, TaskRun: r.TaskRun()})
+		b.pendingOrders = append(b.pendingOrders, Order{Kind: OrderStop, Run: r, Worker: r.worker, TaskRun: r.TaskRun()})
 	}
 }
 
@@ -420,7 +420,7 @@
 
 // forget removes a run from its job and its worker.
 func (b *Book) forget(now time.Time, r *Run) {
-	if r.underWay() {
+	if r.startInFlight() {
 		b.rememberStart(now, r.worker, r.TaskRun())
 	}
 	if r.worker.runs[r.name] == r {
--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -177,7 +177,7 @@
 // MarkSending takes in that an order is sent now.
 func (b *Book) MarkSending(o Order) {
 	if o.Kind == OrderStart {
-		o.Run.ordered = true
+		o.Run.startSent = true
 	}
 }
 
@@ -193,7 +193,7 @@
 // there. At is nil if it is not known what else was there.
 func crashCase(there []*Run, r *Run, at *Worker) workload.CrashCase {
 	switch {
-	case at != nil && at.strays == 0 && len(at.burns) == 0 && allOfGang(there, r):
+	case at != nil && at.strays == 0 && len(at.startsToRuleOut) == 0 && allOfGang(there, r):
 		return workload.CrashAlone
 	case r.justStarted():
 		return workload.CrashAtStart
--- a/schedule/doubt_test.go
+++ b/schedule/doubt_test.go
@@ -127,7 +127,7 @@
 			b.Add(start, job("a", policy, step(1, 100, change)))
 			first := orders(b, start)[0]
 			first.Worker.ExtendLease(start, settings.Lease)
-			b.Answered(first, start, 1, nil)
+			b.OrderAnswered(first, start, 1, nil)
 			silent := []*schedule.Worker{first.Worker}
 			for _, w := range b.Workers() {
 				if w != first.Worker && len(silent) < 8 {
--- a/schedule/later_incarnation.go
+++ b/schedule/later_incarnation.go
@@ -30,7 +30,7 @@
 
 // mayBeLater reports whether a later life of the addressee may have the run, or may yet take a start
 // of it that has got no answer.
-func (r *Run) mayBeLater() bool { return r.mayHaveBegun() && (!r.listed || r.underWay()) }
+func (r *Run) mayBeLater() bool { return r.mayHaveBegun() && (!r.listed || r.startInFlight()) }
 
 // uncertain reports whether that is so, and there may be a later life of its worker's addressee.
 func (r *Run) uncertain() bool { return r.worker.inc.ID().Shares() && r.mayBeLater() }
@@ -101,12 +101,12 @@
 		former.drop(r) // which has it count as any other
 		r.worker, r.listed, r.suspected, r.quarantined = later, false, suspected, quarantined
 		later.take(r)
-		delete(later.burns, r.TaskRun())
+		delete(later.startsToRuleOut, r.TaskRun())
 		if r.state == runSettling {
 			r.state = runSent // what ruled it out may have been the life that is over
 			r.stopAgainAt = now
 		}
-		r.againAt = time.Time{} // to be ordered again it would have to be placed there
+		r.resendAt = time.Time{} // to be ordered again it would have to be placed there
 		event.RunFollows.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number), slog.String("incarnation", string(former.inc.ID())),
 			slog.String("later", string(later.inc.ID())), slog.Int("unanswered", r.unanswered), slog.Duration("sinceSeen", r.sinceSeen(now)))
 	}
@@ -189,15 +189,15 @@
 		return
 	}
 	to := w.inc.ID().Addressee()
-	if b.underWay[to] == nil {
-		b.underWay[to] = make(map[pointport.TaskRun]time.Time)
+	if b.startsInFlight[to] == nil {
+		b.startsInFlight[to] = make(map[pointport.TaskRun]time.Time)
 	}
-	b.underWay[to][run] = now
+	b.startsInFlight[to][run] = now
 }
 
 // startsToRuleOut returns the starts that a life which is new to the owner must rule out first.
 func (b *Book) startsToRuleOut(id pointport.IncarnationID) map[pointport.TaskRun]bool {
-	all := b.underWay[id.Addressee()]
+	all := b.startsInFlight[id.Addressee()]
 	if len(all) == 0 {
 		return nil
 	}
@@ -215,14 +215,14 @@
 			delete(b.foreign, to)
 		}
 	}
-	for to, all := range b.underWay {
+	for to, all := range b.startsInFlight {
 		for run, at := range all {
 			if now.Sub(at) > burnsKept {
 				delete(all, run)
 			}
 		}
 		if len(all) == 0 {
-			delete(b.underWay, to)
+			delete(b.startsInFlight, to)
 		}
 	}
 }
--- a/schedule/owner_model_test.go
+++ b/schedule/owner_model_test.go
@@ -190,7 +190,7 @@
 		}
 		order := l.queue[n]
 		l.queue = slices.Delete(l.queue, n, n+1)
-		if !o.book.Forgo(o.world.now, order) {
+		if !o.book.SkipStart(o.world.now, order) {
 			o.sendOne(l, order)
 		}
 	}
@@ -206,7 +206,7 @@
 	taken := func(clock pointport.InstanceClock, err error) {
 		w.t.Logf("%v taken in: %s of %v at %s: %v", w.since(), kindName(order.Kind), order.TaskRun, order.Worker.Endpoint().Incarnation, err)
 		l.inFlight--
-		o.book.Answered(order, w.now, clock, err)
+		o.book.OrderAnswered(order, w.now, clock, err)
 		o.pump(l)
 	}
 	w.call(kindName(order.Kind), order.TaskRun, order.Worker.Endpoint(), modelPatience, func(at *modelLife, answer func(any, error)) {
--- a/schedule/proof_test.go
+++ b/schedule/proof_test.go
@@ -25,7 +25,7 @@
 	}
 	former = sent[0].Worker
 	former.ExtendLease(start, settings.Lease)
-	b.Answered(sent[0], start, 0, nil)
+	b.OrderAnswered(sent[0], start, 0, nil)
 	b.SetIncarnations(start, []pointport.Incarnation{first, second})
 	for _, w := range b.Workers() {
 		if w != former {
--- a/schedule/report.go
+++ b/schedule/report.go
@@ -82,7 +82,7 @@
 func (b *Book) stray(w *Worker, run pointport.TaskRun) {
 	event.StrayRun.Log(b.logger, slog.String("task", run.Task), slog.Int("run", run.Run),
 		slog.String("incarnation", string(w.inc.ID())), slog.String("elsewhere", string(b.runsOn(run.Task))))
-	b.sends = append(b.sends, Order{Kind: OrderStop, Worker: w, TaskRun: run})
+	b.pendingOrders = append(b.pendingOrders, Order{Kind: OrderStop, Worker: w, TaskRun: run})
 }
 
 // runsOn returns the incarnation on which a task has a run, empty if it has none.
--- a/schedule/ruled_out_test.go
+++ b/schedule/ruled_out_test.go
@@ -43,18 +43,18 @@
 			b.MarkSending(first)
 			first.Worker.ExtendLease(start, settings.Lease)
 			now := start.Add(400 * time.Millisecond)
-			b.Answered(first, now, 0, silence)
+			b.OrderAnswered(first, now, 0, silence)
 			now = now.Add(200 * time.Millisecond)
 			again := kindOf(orders(b, now), schedule.OrderStart, first.TaskRun)
 			if len(again) != 1 {
 				t.Fatalf("%d starts, want the first one again", len(again))
 			}
-			b.Answered(again[0], now, 0, refusal(first, pointport.RejectUnhealthy))
+			b.OrderAnswered(again[0], now, 0, refusal(first, pointport.RejectUnhealthy))
 			stops := kindOf(orders(b, now), schedule.OrderStop, first.TaskRun)
 			if len(stops) != 1 {
 				t.Fatalf("%d stops, want one that rules the start out", len(stops))
 			}
-			b.Answered(stops[0], now, 0, refusal(first, reason))
+			b.OrderAnswered(stops[0], now, 0, refusal(first, reason))
 			for range 20 { // until the stop has been ordered again
 				now = now.Add(100 * time.Millisecond)
 				b.Report(first.Worker, now.Add(-time.Millisecond), now, pointport.Report{Clock: pointport.InstanceClock(now.Sub(start))})
@@ -69,7 +69,7 @@
 			if len(stops) == 0 {
 				t.Fatal("the stop is not ordered again")
 			}
-			b.Answered(stops[0], now, pointport.InstanceClock(now.Sub(start)), nil)
+			b.OrderAnswered(stops[0], now, pointport.InstanceClock(now.Sub(start)), nil)
 			now = now.Add(time.Millisecond)
 			b.Report(first.Worker, now, now, pointport.Report{Clock: pointport.InstanceClock(now.Sub(start))})
 			if got := placed(orders(b, now)); len(got) != 1 {
@@ -91,7 +91,7 @@
 	b.MarkSending(first)
 	first.Worker.ExtendLease(start, settings.Lease)
 	now := start.Add(400 * time.Millisecond)
-	b.Answered(first, now, 0, silence)
+	b.OrderAnswered(first, now, 0, silence)
 	if !stays {
 		b.SetIncarnations(now, nil)
 	}
@@ -99,7 +99,7 @@
 		now = now.Add(100 * time.Millisecond)
 		b.PollFailed(first.Worker, now, silence)
 		for _, o := range orders(b, now) {
-			b.Answered(o, now, 0, silence)
+			b.OrderAnswered(o, now, 0, silence)
 		}
 	}
 	return b, first, now
@@ -139,7 +139,7 @@
 			if len(stops) != 1 {
 				t.Fatalf("%d stops, want one that rules the start out", len(stops))
 			}
-			b.Answered(stops[0], now, 0, refusal(first, reason))
+			b.OrderAnswered(stops[0], now, 0, refusal(first, reason))
 			now = now.Add(time.Second)
 			all := orders(b, now)
 			if got := placed(all); len(got) != 0 || mayStart(first.Worker, now) {
@@ -149,7 +149,7 @@
 			if len(stops) != 1 {
 				t.Fatalf("%d stops, want it ordered again", len(stops))
 			}
-			b.Answered(stops[0], now, clockAt(now), nil)
+			b.OrderAnswered(stops[0], now, clockAt(now), nil)
 			if !mayStart(first.Worker, now) {
 				t.Error("nothing is extended once the start is ruled out")
 			}
@@ -175,7 +175,7 @@
 	if len(stops) != 1 {
 		t.Fatalf("%d stops, want one that rules the start out", len(stops))
 	}
-	b.Answered(stops[0], now, clockAt(now), nil)
+	b.OrderAnswered(stops[0], now, clockAt(now), nil)
 	if !mayStart(w, now) {
 		t.Error("nothing is extended once the start is ruled out")
 	}
@@ -204,7 +204,7 @@
 		now = now.Add(100 * time.Millisecond)
 		for _, o := range kindOf(orders(b, now), schedule.OrderStop, first.TaskRun) {
 			stops++
-			b.Answered(o, now, 0, silence)
+			b.OrderAnswered(o, now, 0, silence)
 		}
 	}
 	if stops > 1 {
--- a/schedule/run.go
+++ b/schedule/run.go
@@ -50,10 +50,10 @@
 	// unanswered counts the start orders without an answer. If there is one, the
 	// instance may still carry it out later.
 	unanswered int
-	// againAt is when a start without an answer is ordered again.
-	againAt time.Time
-	// ordered says that the start order was sent, so that the run may have begun.
-	ordered bool
+	// resendAt is when a start without an answer is ordered again.
+	resendAt time.Time
+	// startSent says that the start order was sent, so that the run may have begun.
+	startSent bool
 	// listed says that a report of its worker's life has listed it: the answer to a start may be
 	// of a later life.
 	listed bool
@@ -111,6 +111,8 @@
 
 // mayHaveBegun reports whether the instance may have started the run: it was ordered, by this
 // owner or an earlier one.
-func (r *Run) mayHaveBegun() bool { return r.state != runDecided && (r.state != runSent || r.ordered) }
+func (r *Run) mayHaveBegun() bool {
+	return r.state != runDecided && (r.state != runSent || r.startSent)
+}
 
 func (r *Run) task() *workload.Task { return r.entry.job.Task(r.ref) }
--- a/schedule/silence.go
+++ b/schedule/silence.go
@@ -72,7 +72,7 @@
 func (b *Book) checkFence(err error) {
 	var rejected *pointport.RejectedError
 	if errors.As(err, &rejected) && rejected.Reason == pointport.RejectFence {
-		b.deposed = true
+		b.fenced = true
 	}
 }
 
@@ -114,7 +114,7 @@
 	event.WorkerExpired.Log(b.logger, slog.String("incarnation", string(w.inc.ID())), slog.Int("runs", len(over)), slog.Int("unheard", len(w.runs)-len(over)),
 		slog.Bool("gone", gone), slog.Duration("sinceHeard", w.lease.sinceLastAnswer(now)))
 	for _, r := range over {
-		w.burn(r)
+		w.mustRuleOut(r)
 		w.unproven = append(w.unproven, r)
 	}
 	for _, r := range over {
@@ -139,7 +139,7 @@
 // back as one to which no start is under way, it would be extended and carry out those
 // that are.
 func (w *Worker) remembered(now time.Time) bool {
-	return len(w.burns) > 0 && !w.ended && now.Sub(w.lease.expiry()) < burnsKept
+	return len(w.startsToRuleOut) > 0 && !w.ended && now.Sub(w.lease.expiry()) < burnsKept
 }
 
 // countUnproven counts the crash of a worker that is gone against tasks that were there.
--- a/schedule/takeover_test.go
+++ b/schedule/takeover_test.go
@@ -57,7 +57,7 @@
 	b, old := takenOver(t)
 	b.PollFailed(old, start.Add(500*time.Millisecond), &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 	answered := start.Add(2 * time.Second)
-	b.Answered(strayStop(old), answered, pointport.InstanceClock(time.Hour), nil)
+	b.OrderAnswered(strayStop(old), answered, pointport.InstanceClock(time.Hour), nil)
 	for now := answered; now.Before(start.Add(settings.PredecessorBound)); now = now.Add(50 * time.Millisecond) {
 		reportOther(b, old, now)
 		if got := placed(orders(b, now)); len(got) != 0 {
@@ -152,7 +152,7 @@
 			switch event {
 			case 0: // an order is answered, now or late
 				clock := i.clock(now)
-				late = append(late, answer{due, func(now time.Time) { b.Answered(strayStop(old), now, clock, nil) }})
+				late = append(late, answer{due, func(now time.Time) { b.OrderAnswered(strayStop(old), now, clock, nil) }})
 			case 1: // a look is answered, now or late
 				i.extend(now, old.ExtendLease(now, settings.Lease))
 				report := i.report(now)
--- a/schedule/worker.go
+++ b/schedule/worker.go
@@ -79,11 +79,11 @@
 	// strays is how many runs the instance has that no task is placed as. Their
 	// room is not known, so nothing is placed until they are gone.
 	strays int
-	// burns holds runs that were given up although a start order had got no
+	// startsToRuleOut holds runs that were given up although a start order had got no
 	// answer and may still be under way. The instance would take it as long as its
 	// time is extended, so each is stopped, which rules it out, before anything is
 	// extended or placed there again.
-	burns map[pointport.TaskRun]bool
+	startsToRuleOut map[pointport.TaskRun]bool
 	// burnAt is when they may be stopped again.
 	burnAt time.Time
 	// paced is when the pace of tasks there was last changed.
@@ -163,7 +163,7 @@
 	if !w.inc.ID().Shares() {
 		return false
 	}
-	if len(w.burns) > 0 {
+	if len(w.startsToRuleOut) > 0 {
 		return true
 	}
 	for _, r := range w.runs {
@@ -209,7 +209,7 @@
 	switch {
 	case w.silent && w.inc.ID().Shares():
 		return 0 // a later life may hear it, to whose clock the time says something else
-	case !w.lease.clockKnown() || w.silent || len(w.burns) > 0:
+	case !w.lease.clockKnown() || w.silent || len(w.startsToRuleOut) > 0:
 		return w.lease.extendedUntil()
 	}
 	return w.lease.extend(now, lease)
@@ -249,7 +249,7 @@
 		return "closed for a move or for maintenance"
 	case w.strays > 0:
 		return "running what it should not"
-	case len(w.burns) > 0:
+	case len(w.startsToRuleOut) > 0:
 		return "being asked to forget starts"
 	case now.Before(w.fullUntil):
 		return "refusing starts"
--- a/shard/orders.go
+++ b/shard/orders.go
@@ -83,7 +83,7 @@
 			o.hold(l)
 			return
 		}
-		if o.book.Forgo(o.clock.Now(), order) {
+		if o.book.SkipStart(o.clock.Now(), order) {
 			continue
 		}
 		o.sendOne(ctx, now, l, order)
@@ -164,7 +164,7 @@
 			if start {
 				o.startAnswered(now, answered.Sub(sent), err)
 			}
-			o.book.Answered(order, now, clock, err)
+			o.book.OrderAnswered(order, now, clock, err)
 			if o.own.Proven() {
 				o.pump(ctx, now, l)
 				o.pumpHeld(ctx, now)
--- a/shard/owner.go
+++ b/shard/owner.go
@@ -248,7 +248,7 @@
 			return ctx.Err()
 		}
 		moved = o.see(moved)
-		if o.book.Deposed() {
+		if o.book.Fenced() {
 			return member.ErrLost
 		}
 		wake = o.clock.After(o.turn(ctx))
