--- a/schedule/advice.go
+++ b/schedule/advice.go
@@ -156,5 +156,5 @@
 	for id, text := range tickets {
 		a.good[id] = ticket{text: text, until: asked.Add(valid)}
 	}
-	b.changed(e)
+	b.invalidateReady(e)
 }
--- a/schedule/batch_test.go
+++ b/schedule/batch_test.go
@@ -45,7 +45,7 @@
 			}
 			b.Stored(batch, start)
 			for _, w := range b.Workers() {
-				if w.NextPoll().Acknowledged != acked[w] && !batch.Whole {
+				if w.NextPoll().Acknowledged != acked[w] && !batch.Complete {
 					t.Fatalf("ends are acknowledged although jobs are left to be stored")
 				}
 			}
@@ -133,7 +133,7 @@
 	ends = append(ends, pointport.TaskEnd{Number: 6, Kind: pointport.EndDone, TaskRun: pointport.TaskRun{Task: "job3.0.0.1", Run: 1}})
 	b.Report(first.Worker, start, start, pointport.Report{Clock: 1, Ended: ends})
 	batch := b.TakeBatch(3)
-	if len(batch.Records) != 1 || batch.Records[0].ID != "job3" || batch.Whole {
+	if len(batch.Records) != 1 || batch.Records[0].ID != "job3" || batch.Complete {
 		t.Errorf("batch %+v, want the job that has ended and no other", batch.Records)
 	}
 }
--- a/schedule/book.go
+++ b/schedule/book.go
@@ -43,24 +43,24 @@
 	// anew.
 	ready []waiting
 	stale bool
-	// standing is how pressing the job was at the last plan.
-	standing standing
+	// rank is how pressing the job was at the last plan.
+	rank rank
 	// chains are the chains of work of the job's steps as reckoned at chainsAt.
 	chains   []time.Duration
 	chainsAt time.Time
 	// stalled counts the runs of a task that were stopped because they stood still
 	// or crawled.
 	stalled map[workload.TaskRef]int
-	// wary holds until when tasks that have failed stay away from where they did.
-	wary map[workload.TaskRef]time.Time
+	// avoidUntil holds until when tasks that have failed stay away from where they did.
+	avoidUntil map[workload.TaskRef]time.Time
 	// crashed holds what this owner has seen of the crashes under tasks; of tasks under
 	// which instances had crashed before it took over, at least an empty entry.
 	crashed map[workload.TaskRef]*crashes
 	// abandoned counts the runs of a task that were given up while their instance was
 	// silent, and of which it is not known yet what became.
 	abandoned map[workload.TaskRef]int
-	// took is how long the tasks took that are done.
-	took map[stepKey]stepDurations
+	// durations is how long the tasks durations that are done.
+	durations map[stepKey]stepDurations
 	// advice is what the advisor has said of the job's steps.
 	advice map[stepKey]*advice
 	// starved is since when the job has found no room, preempted when it last
@@ -103,7 +103,7 @@
 	foreign map[pointport.Addressee]time.Time
 	// crashedHealth holds the health of instances that have crashed and are not back.
 	crashedHealth map[pointport.InstanceID]health
-	over          map[string]finished
+	endedJobs     map[string]finished
 
 	// accounts holds what is known of customers, allowed how much of their caps may be used
 	// here.
@@ -111,16 +111,16 @@
 	allowed  map[string]pointport.Shape
 	weights  map[string]float64
 
-	learned  *estimates
-	arrivals arrivals
-	far      rackDemand
+	estimates *estimates
+	arrivals  arrivals
+	far       rackDemand
 	// dirty holds the jobs that have changed since they were last taken to be stored,
 	// and whether something waits for that.
 	dirty map[*entry]bool
-	// hungry holds the jobs that may have tasks whose turn has come, recurring
+	// waitingJobs holds the jobs that may have tasks whose turn has come, recurring
 	// those of which further occurrences are due.
-	hungry, recurring map[*entry]struct{}
-	decided           []*Run // to be stored, then sent
+	waitingJobs, recurring map[*entry]struct{}
+	decided                []*Run // to be stored, then sent
 	// limited says that the last batch was short of room.
 	limited bool
 	// unsentMost is how many tasks may be placed of which the start is not stored yet.
@@ -161,11 +161,11 @@
 		foreign:        make(map[pointport.Addressee]time.Time),
 		crashedHealth:  make(map[pointport.InstanceID]health),
 		workers:        make(map[pointport.IncarnationID]*Worker),
-		over:           make(map[string]finished),
+		endedJobs:      make(map[string]finished),
 		accounts:       make(map[string]*account),
-		learned:        newEstimates(),
+		estimates:      newEstimates(),
 		dirty:          make(map[*entry]bool),
-		hungry:         make(map[*entry]struct{}), recurring: make(map[*entry]struct{}),
+		waitingJobs:    make(map[*entry]struct{}), recurring: make(map[*entry]struct{}),
 		gangs:   make(map[*gang]struct{}),
 		pollNow: make(map[*Worker]struct{}), unsentMost: math.MaxInt,
 	}
@@ -180,23 +180,23 @@
 	if _, ok := b.jobs[j.ID()]; ok {
 		return false
 	}
-	if _, ok := b.over[j.ID()]; ok {
+	if _, ok := b.endedJobs[j.ID()]; ok {
 		return false
 	}
 	e := &entry{job: j, account: b.accountOf(j.Customer()), runs: make(map[workload.TaskRef]*Run), begun: j.Begun()}
 	b.jobs[j.ID()] = e
 	if !j.Begun() && j.Spec().Recur.Times == 0 && !e.account.atCap() {
-		b.arrivals.add(now, j, b.learned)
+		b.arrivals.add(now, j, b.estimates)
 	}
 	if j.Spec().Recur.Times > 0 {
 		b.recurring[e] = struct{}{}
 	}
-	b.changed(e)
+	b.invalidateReady(e)
 	b.inherit(now, e)
 	if j.Stopping() {
 		b.stopAll(now, e, "its job is over")
 	}
-	b.settleJob(now, e)
+	b.endJobIfDone(now, e)
 	return true
 }
 
@@ -288,16 +288,16 @@
 		return true
 	}
 	e.job.Cancel()
-	b.touch(e, true)
+	b.markDirty(e, true)
 	b.stopAll(now, e, "its customer cancelled it")
-	b.settleJob(now, e)
+	b.endJobIfDone(now, e)
 	return true
 }
 
 // Status returns what is known of a job: what is stored, and not what is only
 // decided.
 func (b *Book) Status(id string) (workload.Status, bool) {
-	if f, ok := b.over[id]; ok {
+	if f, ok := b.endedJobs[id]; ok {
 		return f.status, true
 	}
 	e, ok := b.jobs[id]
@@ -310,10 +310,10 @@
 	return workload.Running, true
 }
 
-// Owner returns the name of the customer whose a job is, empty if it is nobody's; false if
+// CustomerOf returns the name of the customer whose a job is, empty if it is nobody's; false if
 // the job is not in the book.
-func (b *Book) Owner(id string) (string, bool) {
-	if f, ok := b.over[id]; ok {
+func (b *Book) CustomerOf(id string) (string, bool) {
+	if f, ok := b.endedJobs[id]; ok {
 		return f.customer, true
 	}
 	if e, ok := b.jobs[id]; ok {
@@ -333,21 +333,21 @@
 	return n
 }
 
-// changed notes that other tasks of a job may be ready than before.
-func (b *Book) changed(e *entry) {
+// invalidateReady notes that other tasks of a job may be ready than before.
+func (b *Book) invalidateReady(e *entry) {
 	e.stale = true
-	b.hungry[e] = struct{}{}
+	b.waitingJobs[e] = struct{}{}
 }
 
-// touch marks a job as changed and to be stored.
-func (b *Book) touch(e *entry, urgent bool) {
-	b.changed(e)
+// markDirty marks a job as changed and to be stored.
+func (b *Book) markDirty(e *entry, urgent bool) {
+	b.invalidateReady(e)
 	b.dirty[e] = b.dirty[e] || urgent
 	b.urgent = b.urgent || urgent
 }
 
-// settleJob notes that a job is over, if it is.
-func (b *Book) settleJob(now time.Time, e *entry) {
+// endJobIfDone notes that a job is over, if it is.
+func (b *Book) endJobIfDone(now time.Time, e *entry) {
 	if e.ended != "" {
 		return
 	}
@@ -357,7 +357,7 @@
 		return
 	}
 	e.ended = s
-	b.touch(e, true)
+	b.markDirty(e, true)
 }
 
 // stopAll orders every run of a job to stop.
@@ -390,10 +390,10 @@
 			slog.String("incarnation", string(r.worker.inc.ID())), slog.String("reason", reason),
 			slog.Int("unanswered", r.unanswered), slog.Duration("sinceHeard", r.worker.lease.sinceLastAnswer(now)))
 	}
-	b.forget(now, r)
+	b.removeRun(now, r)
 	if t := r.task(); !detached && t != nil && t.Phase == workload.Placed && t.Run == r.number {
 		r.entry.job.Requeue(r.ref)
-		b.touch(r.entry, false)
+		b.markDirty(r.entry, false)
 	}
 	if r.uncertainty != nil {
 		b.recordEarlierLoss(now, r)
@@ -404,7 +404,7 @@
 	if r.step().Gang {
 		b.stopRestOfGang(now, r, "another of its gang has ended")
 	}
-	b.settleJob(now, r.entry)
+	b.endJobIfDone(now, r.entry)
 }
 
 // detach takes a run from its job. It stays on its worker, and takes its room
@@ -418,8 +418,8 @@
 // detached reports whether a run's job has no use for it any more.
 func (r *Run) detached() bool { return r.entry.runs[r.ref] != r }
 
-// forget removes a run from its job and its worker.
-func (b *Book) forget(now time.Time, r *Run) {
+// removeRun removes a run from its job and its worker.
+func (b *Book) removeRun(now time.Time, r *Run) {
 	if r.startInFlight() {
 		b.rememberStart(now, r.worker, r.TaskRun())
 	}
--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -250,7 +250,7 @@
 		how = workload.CrashAtStart // it may be the instance's own doing
 	}
 	seen.note(now, r.worker.inc.Instance())
-	b.touch(e, true)
+	b.markDirty(e, true)
 	verdict := e.job.Crash(r.ref, how)
 	b.tellLost(now, r, partingCrashed, beside)
 	if verdict == workload.CrashRetried {
@@ -261,7 +261,7 @@
 	if verdict == workload.CrashFailed {
 		b.stopAll(now, e, "instances have crashed under another task of its job")
 	}
-	b.settleJob(now, e)
+	b.endJobIfDone(now, e)
 }
 
 // tellLost logs that a run has died with its instance, beside so many others.
--- a/schedule/expiry_test.go
+++ b/schedule/expiry_test.go
@@ -211,11 +211,11 @@
 	for _, id := range []string{"a", "b", "c", "d"} {
 		b.Add(start, job(id, policy, step(4, 100, nil)))
 	}
-	b.LimitUnsent(8)
+	b.LimitUnstoredStarts(8)
 	if n := len(placed(orders(b, start))); n == 0 {
 		t.Fatal("nothing is placed")
 	}
-	b.LimitUnsent(0)
+	b.LimitUnstoredStarts(0)
 	b.Add(start, job("e", policy, step(1, 100, nil)))
 	if got := orders(b, start); len(got) != 0 {
 		t.Errorf("%d orders while nothing may wait", len(got))
--- a/schedule/explain.go
+++ b/schedule/explain.go
@@ -47,7 +47,7 @@
 
 // Explain says how a job stands and why; false if the book does not know it.
 func (b *Book) Explain(now time.Time, id string) (Explanation, bool) {
-	if f, ok := b.over[id]; ok {
+	if f, ok := b.endedJobs[id]; ok {
 		return Explanation{Job: id, Customer: f.customer, Status: f.status}, true
 	}
 	e, ok := b.jobs[id]
@@ -127,7 +127,7 @@
 		}
 	}
 	need := t.step.Reservation()
-	if a := t.entry.account; !a.affords(t.step.Need) {
+	if a := t.entry.account; !a.withinCap(t.step.Need) {
 		return fmt.Sprintf("%d tasks wait for the cap of %s: its tasks take %d thousandths of a core and %d MiB here, and may take %d and %d",
 			tasks, a.name, a.used.CPUMilli, a.used.MemoryMiB, a.allowed.CPUMilli, a.allowed.MemoryMiB)
 	}
@@ -179,7 +179,7 @@
 		}
 	}
 	event.JobWaits.Log(b.logger, slog.String("job", e.job.ID()), slog.Int("step", missed.ref.Step), slog.Duration("waited", waited),
-		slog.Bool("late", e.standing.class == classLate), slog.String("reason", b.explainWait(now, missed, tasks)))
+		slog.Bool("late", e.rank.class == classLate), slog.String("reason", b.explainWait(now, missed, tasks)))
 }
 
 // explainBarred says why instances of the pool cannot be used.
--- a/schedule/gang.go
+++ b/schedule/gang.go
@@ -50,7 +50,7 @@
 // gangDone takes in that a gang has ended well: one member's end stands for all.
 func (b *Book) gangDone(now time.Time, r *Run) {
 	for _, mate := range b.mates(r) {
-		b.forget(now, mate)
+		b.removeRun(now, mate)
 	}
 	for i := range r.entry.job.Spec().Steps[r.ref.Step].Count {
 		ref := r.ref
@@ -59,8 +59,8 @@
 			r.entry.job.Finish(ref)
 		}
 	}
-	b.touch(r.entry, true)
-	b.settleJob(now, r.entry)
+	b.markDirty(r.entry, true)
+	b.endJobIfDone(now, r.entry)
 }
 
 // expireGangs gives up gangs that do not gather, before their members wait for
--- a/schedule/plan.go
+++ b/schedule/plan.go
@@ -22,7 +22,7 @@
 	b.relocate(now)
 	b.expireGangs(now)
 	b.forgetHeldBack()
-	if len(b.hungry) == 0 {
+	if len(b.waitingJobs) == 0 {
 		return
 	}
 	workers := b.usable(now)
@@ -65,7 +65,7 @@
 func (b *Book) begin(now time.Time) {
 	for e := range b.recurring {
 		if e.ended == "" && e.job.BeginDue(now.Add(b.settings.Early)) {
-			b.touch(e, false)
+			b.markDirty(e, false)
 		}
 	}
 }
@@ -101,7 +101,7 @@
 	for n := 0; n < len(e.ready); {
 		group := gangOf(e.ready[n:])
 		n += len(group)
-		if !e.account.affords(group[0].step.Need.Times(len(group))) {
+		if !e.account.withinCap(group[0].step.Need.Times(len(group))) {
 			p.book.holdBack(p.now, group)
 			continue
 		}
@@ -154,7 +154,7 @@
 		p.book.placeAs(p.now, t, w, t.entry.job.Task(t.ref).Run+1, len(p.workers))
 		return true
 	}
-	if t.step.MaxPerInstance == 0 && t.step.Label == "" && len(t.entry.wary) == 0 && len(t.entry.crashed) == 0 && t.step.DataRack == "" && !t.entry.job.Policy().Advised {
+	if t.step.MaxPerInstance == 0 && t.step.Label == "" && len(t.entry.avoidUntil) == 0 && len(t.entry.crashed) == 0 && t.step.DataRack == "" && !t.entry.job.Policy().Advised {
 		p.full = slices.DeleteFunc(p.full, func(f pointport.Shape) bool { return f.Fits(room) })
 		p.full = append(p.full, room)
 	}
@@ -244,9 +244,9 @@
 	if !rackHas {
 		return false
 	}
-	duration := b.learned.duration(t.entry.job.Queue(), t.step)
+	duration := b.estimates.duration(t.entry.job.Queue(), t.step)
 	more := time.Duration(float64(duration) * (b.settings.FarFactor - 1))
-	latest := t.entry.standing.latest
+	latest := t.entry.rank.latest
 	return now.Before(latest) && now.Add(more).After(latest)
 }
 
@@ -331,10 +331,10 @@
 		b.far.add(now, rack, t.step.Reservation())
 	}
 	b.decided = append(b.decided, r)
-	b.touch(t.entry, true)
+	b.markDirty(t.entry, true)
 	event.TaskPlaced.Log(b.logger, slog.String("task", r.name), slog.Int("run", number),
 		slog.String("incarnation", string(w.inc.ID())), slog.Int64("freeCPUMilli", w.free.CPUMilli), slog.Int("candidates", candidates),
-		slog.String("class", t.entry.standing.class.String()), slog.Duration("expected", b.learned.duration(t.entry.job.Queue(), t.step)))
+		slog.String("class", t.entry.rank.class.String()), slog.Duration("expected", b.estimates.duration(t.entry.job.Queue(), t.step)))
 }
 
 // A waiting task is one whose turn has come.
--- a/schedule/quarantine.go
+++ b/schedule/quarantine.go
@@ -109,14 +109,14 @@
 	lives := now.Sub(r.liveAt)
 	if t := r.task(); lives >= quarantineFor && t != nil && t.Crashes > 0 && t.Settled != r.number {
 		t.Settled = r.number // for the next owner, who cannot know
-		b.touch(r.entry, false)
+		b.markDirty(r.entry, false)
 	}
 	if lives >= r.apartFor {
 		r.worker.clearSuspicion(r)
 	}
 	if r.step().Service && lives >= exoneratedAfter && r.progress >= atWork && r.entry.suspected(r.ref) {
 		r.entry.job.ResetCrashes(r.ref)
-		b.touch(r.entry, false)
+		b.markDirty(r.entry, false)
 	}
 }
 
--- a/schedule/relocate.go
+++ b/schedule/relocate.go
@@ -98,7 +98,7 @@
 // which there is none.
 func (h *homes) takeWaiting() []waiting {
 	var homeless []waiting
-	for e := range h.book.hungry {
+	for e := range h.book.waitingJobs {
 		h.book.refresh(e)
 		for _, t := range e.ready {
 			if t.step.Service && !h.take(t) {
--- a/schedule/silence.go
+++ b/schedule/silence.go
@@ -56,8 +56,8 @@
 				b.stop(now, r, "its task was given to another instance")
 			}
 			r.entry.job.Requeue(r.ref)
-			b.touch(r.entry, true)
-			b.settleJob(now, r.entry)
+			b.markDirty(r.entry, true)
+			b.endJobIfDone(now, r.entry)
 		}
 	}
 }
@@ -171,9 +171,9 @@
 	}
 	b.forgetOrders(now)
 	b.listen(now, heard)
-	for id, f := range b.over {
+	for id, f := range b.endedJobs {
 		if now.Sub(f.at) > b.settings.KeepEnded {
-			delete(b.over, id)
+			delete(b.endedJobs, id)
 		}
 	}
 }
--- a/shard/owner.go
+++ b/shard/owner.go
@@ -317,7 +317,7 @@
 	o.planned = now
 	o.evacuate()
 	if o.own.Proven() {
-		o.book.LimitUnsent(o.unsentMost())
+		o.book.LimitUnstoredStarts(o.unsentMost())
 		o.applyCaps(ctx)
 		o.book.Plan(now)
 		o.reckonExcess(now)
