--- a/schedule/batch.go
+++ b/schedule/batch.go
@@ -169,7 +169,7 @@
 			slog.Duration("objective", b.objective(e)))
 	}
 	for _, r := range batch.starts {
-		if r.worker.runs[r.name] != r || r.state != runDecided {
+		if r.worker.runs[r.name] != r || r.state != runUnstored {
 			continue
 		}
 		r.state = runSent
--- a/schedule/book.go
+++ b/schedule/book.go
@@ -41,7 +41,7 @@
 	runs    map[workload.TaskRef]*Run
 	// ready lists the tasks whose turn has come; stale says that it must be made
 	// anew.
-	ready []waiting
+	ready []waitingTask
 	stale bool
 	// rank is how pressing the job was at the last plan.
 	rank rank
@@ -240,7 +240,7 @@
 	}
 	r.suspected, r.quarantined, r.apartFor = e.suspected(ref), e.quarantines(ref), e.quarantineTime(ref)
 	e.runs[ref] = r
-	w.take(r)
+	w.addRun(r)
 	e.account.started(r.step().Need)
 	if e.job.Policy().Priority > 0 {
 		b.lowRuns++
@@ -256,7 +256,7 @@
 			since:           now,
 			inc:             pointport.NewIncarnation(id, "", ""),
 			runs:            make(map[string]*Run),
-			steps:           make(map[stepOf]int),
+			steps:           make(map[stepRef]int),
 			lease:           executionLease{inherited: b.taken.Add(b.predecessorBound(id)), misdirectedUntil: b.foreign[id.Addressee()]},
 			startsToRuleOut: b.startsToRuleOut(id),
 			zones:           b.zones,
@@ -369,7 +369,7 @@
 
 // stop orders a run to stop, or drops it if it was never sent.
 func (b *Book) stop(now time.Time, r *Run, reason string) {
-	if r.state == runDecided || r.state == runSent && !r.startSent {
+	if r.state == runUnstored || r.state == runSent && !r.startSent {
 		b.drop(now, r, reason)
 		return
 	}
@@ -385,7 +385,7 @@
 // drop removes a run that has ended, or never started, and puts its task back.
 func (b *Book) drop(now time.Time, r *Run, reason string) {
 	detached := r.detached()
-	if r.state != runDecided {
+	if r.state != runUnstored {
 		event.TaskReturned.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
 			slog.String("incarnation", string(r.worker.inc.ID())), slog.String("reason", reason),
 			slog.Int("unanswered", r.unanswered), slog.Duration("sinceHeard", r.worker.lease.sinceLastAnswer(now)))
@@ -432,7 +432,7 @@
 	if r.abandoned {
 		r.entry.abandoned[r.ref]--
 	}
-	r.worker.drop(r)
+	r.worker.removeRun(r)
 	if r.entry.runs[r.ref] == r {
 		delete(r.entry.runs, r.ref)
 	}
--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -39,7 +39,7 @@
 	switch {
 	case w.inc.Draining(), w.answeredUnlisted:
 		return partingLeft
-	case len(w.runs) == 0 && (w.closed(now) || w.orderedAway):
+	case len(w.runs) == 0 && (w.closed(now) || w.movedOrMaintained):
 		return partingOrdered
 	}
 	return partingCrashed
@@ -72,7 +72,7 @@
 	if w == nil || w.ended {
 		return
 	}
-	w.orderedAway = true
+	w.movedOrMaintained = true
 	if end.Sure && len(w.runs) == 0 {
 		b.endKnown(w, now, "its machine was moved")
 	}
@@ -144,7 +144,7 @@
 	b.dropAll(w, now, "its incarnation is over")
 	if cause == partingCrashed {
 		b.noteCrashOf(w, now)
-		b.countCrashes(now, w.unproven, w.unproven, nil)
+		b.countCrashes(now, w.expiredRuns, w.expiredRuns, nil)
 		b.countCrashes(now, died, there, w)
 		return
 	}
@@ -230,7 +230,7 @@
 // allOfGang reports whether runs are all of one run's gang, or that run alone.
 func allOfGang(runs []*Run, r *Run) bool {
 	for _, o := range runs {
-		if o != r && (!r.step().Gang || o.stepOf() != r.stepOf()) {
+		if o != r && (!r.step().Gang || o.stepRef() != r.stepRef()) {
 			return false
 		}
 	}
--- a/schedule/customer.go
+++ b/schedule/customer.go
@@ -95,7 +95,7 @@
 func (a *account) atCap() bool { return a != nil && a.heldBack != (pointport.Shape{}) }
 
 // holdBack notes that tasks that are placed together wait for the cap.
-func (b *Book) holdBack(now time.Time, group []waiting) {
+func (b *Book) holdBack(now time.Time, group []waitingTask) {
 	a := group[0].entry.account
 	a.heldBack = a.heldBack.Plus(group[0].step.Need.Times(len(group)))
 	if now.Sub(a.toldCap) < tellWaitEvery {
@@ -115,9 +115,9 @@
 
 // capFilter returns what tells which of the waiting tasks their customers' caps let start, all
 // others being started before them.
-func (b *Book) capFilter() func(t waiting) bool {
+func (b *Book) capFilter() func(t waitingTask) bool {
 	started := make(map[*account]pointport.Shape)
-	return func(t waiting) bool {
+	return func(t waitingTask) bool {
 		a := t.entry.account
 		if a == nil || !a.capped {
 			return true
--- a/schedule/explain.go
+++ b/schedule/explain.go
@@ -95,13 +95,13 @@
 	case !e.job.Ready(o, n):
 		x.Waits = fmt.Sprintf("%d tasks wait for earlier steps", pending)
 	default:
-		x.Waits = b.explainWait(now, waiting{e, workload.TaskRef{Occurrence: o.Index, Step: n}, &e.job.Spec().Steps[n]}, pending)
+		x.Waits = b.explainWait(now, waitingTask{e, workload.TaskRef{Occurrence: o.Index, Step: n}, &e.job.Spec().Steps[n]}, pending)
 	}
 	return x
 }
 
 // explainWait says what tasks wait for whose turn has come.
-func (b *Book) explainWait(now time.Time, t waiting, tasks int) string {
+func (b *Book) explainWait(now time.Time, t waitingTask, tasks int) string {
 	workers := b.usable(now)
 	labelled, permitted, apart, roomy, open := 0, 0, 0, 0, 0
 	var most pointport.Shape
@@ -122,7 +122,7 @@
 			continue
 		}
 		roomy++
-		if !b.crowded(t, w) {
+		if !b.atStepLimit(t, w) {
 			open++
 		}
 	}
@@ -162,7 +162,7 @@
 
 // tellWait logs why a job finds no room, if it has not for a while. missed is the
 // first of its tasks that found none.
-func (b *Book) tellWait(now time.Time, missed waiting) {
+func (b *Book) tellWait(now time.Time, missed waitingTask) {
 	e := missed.entry
 	if e.starved.IsZero() {
 		e.starved = now
--- a/schedule/gang.go
+++ b/schedule/gang.go
@@ -91,7 +91,7 @@
 }
 
 // placeGang places all tasks of a gang, or none.
-func (p *placement) placeGang(tasks []waiting) bool {
+func (p *placement) placeGang(tasks []waitingTask) bool {
 	step := tasks[0].step
 	for _, workers := range p.gangSets(step) {
 		chosen := p.fitGang(tasks, workers)
@@ -137,7 +137,7 @@
 
 // fitGang returns a worker for each task of a gang, or nil if they do not all
 // fit.
-func (p *placement) fitGang(tasks []waiting, workers []*Worker) []*Worker {
+func (p *placement) fitGang(tasks []waitingTask, workers []*Worker) []*Worker {
 	step := tasks[0].step
 	room := step.Reservation()
 	taken := make(map[*Worker]int)
@@ -164,7 +164,7 @@
 }
 
 // holds reports whether a worker can hold a task beside some more of its gang.
-func (p *placement) holds(w *Worker, t waiting, room pointport.Shape, more int) bool {
+func (p *placement) holds(w *Worker, t waitingTask, room pointport.Shape, more int) bool {
 	free := w.free
 	for range more {
 		free = free.Minus(room)
@@ -178,7 +178,7 @@
 // reserveGang keeps as many workers free of other tasks as a gang needs, because
 // smaller tasks would always take the room that falls free. One gang at a time
 // is waited for.
-func (p *placement) reserveGang(tasks []waiting) {
+func (p *placement) reserveGang(tasks []waitingTask) {
 	if p.gangWaits {
 		return
 	}
--- a/schedule/later_incarnation.go
+++ b/schedule/later_incarnation.go
@@ -98,11 +98,11 @@
 			r.uncertainty = &uncertainty{cause, crashCase(died, r, former), len(died) - 1}
 		}
 		suspected, quarantined := r.suspected, r.quarantined
-		former.drop(r) // which has it count as any other
+		former.removeRun(r) // which has it count as any other
 		r.worker, r.listed, r.suspected, r.quarantined = later, false, suspected, quarantined
-		later.take(r)
+		later.addRun(r)
 		delete(later.startsToRuleOut, r.TaskRun())
-		if r.state == runSettling {
+		if r.state == runAwaitingReport {
 			r.state = runSent // what ruled it out may have been the life that is over
 			r.stopAgainAt = now
 		}
--- a/schedule/order.go
+++ b/schedule/order.go
@@ -216,7 +216,7 @@
 // settle waits for a report that shows what became of a run that will not start
 // any more.
 func (b *Book) settle(r *Run, now time.Time) {
-	r.state, r.settleAfter = runSettling, now
+	r.state, r.settleAfter = runAwaitingReport, now
 	b.pollNow[r.worker] = struct{}{}
 }
 
--- a/schedule/queue.go
+++ b/schedule/queue.go
@@ -113,7 +113,7 @@
 			for i := range step {
 				if step[i].Phase == workload.Pending {
 					ref := workload.TaskRef{Occurrence: o.Index, Step: n, Index: i}
-					e.ready = append(e.ready, waiting{e, ref, &e.job.Spec().Steps[n]})
+					e.ready = append(e.ready, waitingTask{e, ref, &e.job.Spec().Steps[n]})
 				}
 			}
 		}
--- a/schedule/report.go
+++ b/schedule/report.go
@@ -23,7 +23,7 @@
 	w.reported = now
 	w.silent = false // an answer to an order would not tell what the instance runs
 	w.answeredUnlisted = w.answeredUnlisted || !w.listed
-	w.unproven = nil // it lives
+	w.expiredRuns = nil // it lives
 	b.ends(w, now, report.Ended)
 	b.running(w, now, report)
 	b.missing(w, sent, now, report)
@@ -65,7 +65,7 @@
 
 // live notes that an instance runs r, by an answer in which its clock shows a time.
 func (b *Book) live(r *Run, now time.Time, clock pointport.InstanceClock) {
-	if r.state == runSettling || r.state == runLive {
+	if r.state == runAwaitingReport || r.state == runLive {
 		return
 	}
 	r.inherited = r.state == runInherited
@@ -116,7 +116,7 @@
 			// The instance has seen our fence by now, so an order of the earlier
 			// owner cannot start it any more.
 			gone = true
-		case r.state == runSettling:
+		case r.state == runAwaitingReport:
 			gone = sent.After(r.settleAfter)
 		case r.uncertainty != nil:
 			gone = b.notListedByLater(now, sent, r)
--- a/schedule/silence.go
+++ b/schedule/silence.go
@@ -45,7 +45,7 @@
 // each other, so that they need not wait until the worker expires.
 func (b *Book) abandon(now time.Time, w *Worker) {
 	for _, r := range w.runs {
-		if r.step().Copies && !r.step().Gang && r.state != runDecided && r.entry.runs[r.ref] == r && r.entry.mayAbandon(r.ref) {
+		if r.step().Copies && !r.step().Gang && r.state != runUnstored && r.entry.runs[r.ref] == r && r.entry.mayAbandon(r.ref) {
 			event.TaskReturned.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
 				slog.String("incarnation", string(w.inc.ID())), slog.String("reason", "its instance is silent, and a copy may run"))
 			b.detach(r)
@@ -65,7 +65,7 @@
 // hasGivenUp reports whether a worker has a run of a task that was given up for a copy
 // elsewhere, and of which it is not known yet what became. The instance would refuse
 // another one, and a worker has one run of a task at a time.
-func (w *Worker) hasGivenUp(t waiting) bool {
+func (w *Worker) hasGivenUp(t waitingTask) bool {
 	return t.entry.abandoned[t.ref] > 0 && w.runs[workload.TaskName(t.entry.job.ID(), t.ref)] != nil
 }
 
@@ -115,7 +115,7 @@
 		slog.Bool("gone", gone), slog.Duration("sinceHeard", w.lease.sinceLastAnswer(now)))
 	for _, r := range over {
 		w.mustRuleOut(r)
-		w.unproven = append(w.unproven, r)
+		w.expiredRuns = append(w.expiredRuns, r)
 	}
 	for _, r := range over {
 		b.drop(now, r, "its instance was silent until its time was over")
@@ -148,9 +148,9 @@
 // started may have caused its silence.
 func (b *Book) countUnproven(now time.Time, w *Worker) {
 	if !w.ended && w.parting(now) == partingCrashed {
-		b.countCrashes(now, justStarted(w.unproven), justStarted(w.unproven), nil)
+		b.countCrashes(now, justStarted(w.expiredRuns), justStarted(w.expiredRuns), nil)
 	}
-	w.unproven = nil
+	w.expiredRuns = nil
 }
 
 // sweep lets the runs go of workers that have been silent for so long that
--- a/schedule/survey.go
+++ b/schedule/survey.go
@@ -174,7 +174,7 @@
 	workers := b.usable(now)
 	for e := range b.waitingJobs {
 		for _, t := range e.ready {
-			if e.account.withinCap(t.step.Need) && (t.step.MaxPerInstance > 0 || len(e.avoidUntil) > 0 || len(e.crashed) > 0) && b.bestOf(now, t, workers) == nil {
+			if e.account.withinCap(t.step.Need) && (t.step.MaxPerInstance > 0 || len(e.avoidUntil) > 0 || len(e.crashed) > 0) && b.bestWorker(now, t, workers) == nil {
 				crowded[group{t.entry, t.ref.Occurrence, t.ref.Step}]++
 			}
 		}
--- a/schedule/worker.go
+++ b/schedule/worker.go
@@ -25,7 +25,7 @@
 	free  pointport.Shape // what is left of the capacity
 	// serving counts the runs that are serving tasks, steps those of each step.
 	serving int
-	steps   map[stepOf]int
+	steps   map[stepRef]int
 
 	// lease says when everything there has surely ended, if no further answer comes.
 	lease executionLease
@@ -69,13 +69,13 @@
 	evacuating  bool
 	// coldUntil is until when it is slow from its start.
 	coldUntil time.Time
-	// orderedAway says that an order about its machine was carried out.
-	orderedAway bool
+	// movedOrMaintained says that an order about its machine was carried out.
+	movedOrMaintained bool
 	// suspected and quarantined count such runs.
 	suspected, quarantined int
-	// unproven holds the runs that were given up because the instance was silent until
+	// expiredRuns holds the runs that were given up because the instance was silent until
 	// their time was over. If it has crashed, it did so under them.
-	unproven []*Run
+	expiredRuns []*Run
 	// strays is how many runs the instance has that no task is placed as. Their
 	// room is not known, so nothing is placed until they are gone.
 	strays int
@@ -259,10 +259,10 @@
 	return ""
 }
 
-// take adds a run and takes its room.
-func (w *Worker) take(r *Run) {
+// addRun adds a run and takes its room.
+func (w *Worker) addRun(r *Run) {
 	w.runs[r.name] = r
-	w.steps[r.stepOf()]++
+	w.steps[r.stepRef()]++
 	if r.step().Service {
 		w.serving++
 	}
@@ -275,14 +275,14 @@
 	w.free = w.free.Minus(r.step().Reservation())
 }
 
-// drop removes a run and gives its room back.
-func (w *Worker) drop(r *Run) {
+// removeRun removes a run and gives its room back.
+func (w *Worker) removeRun(r *Run) {
 	if w.runs[r.name] != r {
 		return
 	}
 	delete(w.runs, r.name)
-	if w.steps[r.stepOf()]--; w.steps[r.stepOf()] == 0 {
-		delete(w.steps, r.stepOf())
+	if w.steps[r.stepRef()]--; w.steps[r.stepRef()] == 0 {
+		delete(w.steps, r.stepRef())
 	}
 	if r.step().Service {
 		w.serving--
