--- a/shard/owner.go
+++ b/shard/owner.go
@@ -131,7 +131,7 @@
 	err   error
 
 	// What follows belongs to the loop.
-	book   *schedule.Book
+	book   *schedule.Scheduler
 	loaded pointport.Revision // as of which the pool's open jobs were read
 	// unreadable holds the jobs whose stored progress cannot be read.
 	unreadable map[string]bool
