--- a/capacity/list.go
+++ b/capacity/list.go
@@ -12,99 +12,99 @@
 // reality and may go back in time.
 
 const (
-	// formerMost is how many former lives of a machine are remembered. An owner that still
+	// maxPastAddressees is how many former lives of a machine are remembered. An owner that still
 	// counts on one has known it for a lease of four seconds at most since it ended, and a
 	// move takes 1.5 s.
-	formerMost = 8
-	// backMost is for how long a list may show a machine as it was before an earlier list did, as
+	maxPastAddressees = 8
+	// maxListRegression is for how long a list may show a machine as it was before an earlier list did, as
 	// when it is read from a copy that is further behind.
-	backMost = 15 * time.Second
-	// backLife is for how long after a life was first shown a list that shows the machine without
+	maxListRegression = 15 * time.Second
+	// newAddresseeGrace is for how long after a life was first shown a list that shows the machine without
 	// one may be from before it. The platform lets what it lists lag by three seconds. Instances
 	// that crash so soon are found out by their time there instead.
-	backLife = 3500 * time.Millisecond
+	newAddresseeGrace = 3500 * time.Millisecond
 )
 
 // SetMachines takes in the platform's list, which was asked for at asked.
 func (p *Planner) SetMachines(asked time.Time, list []pointport.Machine) {
-	p.listed = asked
+	p.listedAt = asked
 	seen := make(map[pointport.InstanceID]bool, len(list))
 	for _, l := range list {
 		seen[l.ID] = true
 		m := p.machines[l.ID]
 		if m == nil {
-			m = &machine{id: l.ID, pool: l.Pool, since: asked, changed: asked}
+			m = &machine{id: l.ID, pool: l.Pool, inPoolSince: asked, listedSince: asked}
 			p.machines[l.ID] = m
 		}
-		if p.isBefore(asked, m, l) {
+		if p.isStale(asked, m, l) {
 			continue
 		}
 		if m.pool != l.Pool {
-			m.pool, m.since, m.changed, m.idle = l.Pool, asked, asked, time.Time{}
+			m.pool, m.inPoolSince, m.listedSince, m.idleSince = l.Pool, asked, asked, time.Time{}
 			m.load = schedule.InstanceLoad{}
 		}
-		m.setLife(asked, l.Addressee)
+		m.setAddressee(asked, l.Addressee)
 		m.state, m.zone, m.labels, m.capacity = l.State, l.Zone, l.Labels, l.Capacity
 		p.settleOrder(m, asked)
 	}
 	for id, m := range p.machines {
-		if !seen[id] && (m.order == nil || asked.Sub(m.ordered) > unshownMost) {
+		if !seen[id] && (m.order == nil || asked.Sub(m.ordered) > unconfirmedTimeout) {
 			delete(p.machines, id)
 		}
 	}
 }
 
-// isBefore reports whether a list shows a machine as it was before an earlier list did: in a pool
+// isStale reports whether a list shows a machine as it was before an earlier list did: in a pool
 // to which nobody has ordered it, with a life in whose place another one has come, on its way
 // to the pool in which it is up, or without the life that it has just got.
-func (p *Planner) isBefore(asked time.Time, m *machine, l pointport.Machine) bool {
+func (p *Planner) isStale(asked time.Time, m *machine, l pointport.Machine) bool {
 	switch {
-	case asked.Sub(m.changed) >= backMost:
+	case asked.Sub(m.listedSince) >= maxListRegression:
 		return false
 	case l.Pool != m.pool:
-		return !p.orderedTo(m, l.Pool)
-	case m.life == "" || l.Addressee == m.life:
+		return !p.mayHaveMovedTo(m, l.Pool)
+	case m.addressee == "" || l.Addressee == m.addressee:
 		return false
 	}
 	if l.Addressee == "" {
-		return l.State == pointport.MachineMoving || asked.Sub(m.changed) < backLife
+		return l.State == pointport.MachineMoving || asked.Sub(m.listedSince) < newAddresseeGrace
 	}
-	return slices.Contains(m.former, l.Addressee)
+	return slices.Contains(m.pastAddressees, l.Addressee)
 }
 
-// orderedTo reports whether the last order about a machine, of this planner or an earlier one,
+// mayHaveMovedTo reports whether the last order about a machine, of this planner or an earlier one,
 // may have moved it to a pool.
-func (p *Planner) orderedTo(m *machine, pool string) bool {
+func (p *Planner) mayHaveMovedTo(m *machine, pool string) bool {
 	if m.order != nil && m.order.Pool == pool {
 		return true
 	}
 	f, ok := p.former[m.id]
-	return ok && (f.Pool == pool || !f.known())
+	return ok && (f.Pool == pool || !f.hasTarget())
 }
 
-// outdated reports whether a pool's owner tells of a life of a machine that the list has not
+// listBehindOwner reports whether a pool's owner tells of a life of a machine that the list has not
 // shown yet, so that the list is from before it, and does not tell what an order would end.
-func (p *Planner) outdated(m *machine) bool {
+func (p *Planner) listBehindOwner(m *machine) bool {
 	for pool, loads := range p.loads {
 		life := loads[m.id].Incarnation.Addressee()
-		if p.surveyed[pool] && life != "" && life != m.life && !slices.Contains(m.former, life) {
+		if p.surveyed[pool] && life != "" && life != m.addressee && !slices.Contains(m.pastAddressees, life) {
 			return true
 		}
 	}
 	return false
 }
 
-// setLife takes in the life that the list shows, empty for none.
-func (m *machine) setLife(asked time.Time, life pointport.Addressee) {
-	if life == m.life {
+// setAddressee takes in the life that the list shows, empty for none.
+func (m *machine) setAddressee(asked time.Time, life pointport.Addressee) {
+	if life == m.addressee {
 		return
 	}
-	m.changed = asked
-	if m.life != "" {
-		m.former = append(m.former, m.life)
-		m.former = m.former[max(0, len(m.former)-formerMost):]
+	m.listedSince = asked
+	if m.addressee != "" {
+		m.pastAddressees = append(m.pastAddressees, m.addressee)
+		m.pastAddressees = m.pastAddressees[max(0, len(m.pastAddressees)-maxPastAddressees):]
 	}
-	m.life = life
+	m.addressee = life
 }
 
 // An EndedIncarnation is an incarnation that the list of machines shows to be over, and what
@@ -139,12 +139,12 @@
 			continue
 		}
 		to := l.Incarnation.Addressee()
-		if !slices.Contains(m.former, to) || m.life == to {
+		if !slices.Contains(m.pastAddressees, to) || m.addressee == to {
 			continue
 		}
-		longGone := m.state != pointport.MachineUp && (!l.Incarnation.Shares() || l.Known > backMost)
-		if m.life != "" || longGone {
-			out = append(out, EndedIncarnation{ID: l.Incarnation, Instance: l.Instance, Addressee: m.life, State: m.state, ListedAt: p.listed, KnownFor: l.Known})
+		longGone := m.state != pointport.MachineUp && (!l.Incarnation.Shares() || l.Known > maxListRegression)
+		if m.addressee != "" || longGone {
+			out = append(out, EndedIncarnation{ID: l.Incarnation, Instance: l.Instance, Addressee: m.addressee, State: m.state, ListedAt: p.listedAt, KnownFor: l.Known})
 		}
 	}
 	return out
--- a/capacity/order.go
+++ b/capacity/order.go
@@ -12,12 +12,12 @@
 // This file defines orders about machines, and when one is under way.
 
 const (
-	// orderAgain is after how long an order without an answer is given again.
-	orderAgain = time.Second
-	// unshownMost is for how long after its answer, or after it was last given without one, an
+	// orderRetryInterval is after how long an order without an answer is given again.
+	orderRetryInterval = time.Second
+	// unconfirmedTimeout is for how long after its answer, or after it was last given without one, an
 	// order that the list does not show to be done counts as under way: the list is a few
 	// seconds behind, and an order whose effect something else has undone is never shown.
-	unshownMost = 15 * time.Second
+	unconfirmedTimeout = 15 * time.Second
 )
 
 // An Order is to be given to the platform: a move if Pool is set, else
@@ -35,14 +35,14 @@
 	From string
 }
 
-// shownBy reports whether the list shows that the order is done, or the pool's owner tells of
+// confirmedBy reports whether the list shows that the order is done, or the pool's owner tells of
 // another life, which may have the addressee of the one before. Maintenance of a machine that is
 // off changes nothing that could be seen.
-func (o *Order) shownBy(m *machine) bool {
+func (o *Order) confirmedBy(m *machine) bool {
 	if o.Pool != "" {
 		return m.pool == o.Pool
 	}
-	return o.Replaces == "" || m.life != o.Replaces ||
+	return o.Replaces == "" || m.addressee != o.Replaces ||
 		o.Ends != "" && m.load.Incarnation != "" && m.load.Incarnation != o.Ends
 }
 
@@ -54,53 +54,53 @@
 }
 
 // PendingOrderTimeout is for how long an order of an earlier planner may count as under way.
-const PendingOrderTimeout = unshownMost
+const PendingOrderTimeout = unconfirmedTimeout
 
-// underWay reports whether the order may be one of which the list does not show yet that it is
+// mayBePending reports whether the order may be one of which the list does not show yet that it is
 // done. What was ordered is not known of orders that were recorded without it.
-func (f *FormerOrder) underWay(now time.Time, m *machine) bool {
-	return now.Sub(f.At) < unshownMost && !(f.known() && f.shownBy(m))
+func (f *FormerOrder) mayBePending(now time.Time, m *machine) bool {
+	return now.Sub(f.At) < unconfirmedTimeout && !(f.hasTarget() && f.confirmedBy(m))
 }
 
-// known reports whether it is known what was ordered.
-func (f *FormerOrder) known() bool { return f.Pool != "" || f.Wave != 0 }
+// hasTarget reports whether it is hasTarget what was ordered.
+func (f *FormerOrder) hasTarget() bool { return f.Pool != "" || f.Wave != 0 }
 
 // SetFormer takes in what earlier planners ordered last.
 func (p *Planner) SetFormer(orders map[pointport.InstanceID]FormerOrder) { p.former = orders }
 
-// free reports whether a machine may be ordered about.
-func (p *Planner) free(now time.Time, m *machine) bool {
-	if f, ok := p.former[m.id]; ok && (now.Sub(f.At) < p.settings.HolderTime || f.underWay(now, m)) {
+// orderable reports whether a machine may be ordered about.
+func (p *Planner) orderable(now time.Time, m *machine) bool {
+	if f, ok := p.former[m.id]; ok && (now.Sub(f.At) < p.settings.HolderTime || f.mayBePending(now, m)) {
 		return false
 	}
-	return m.state == pointport.MachineUp && m.order == nil && !p.outdated(m)
+	return m.state == pointport.MachineUp && m.order == nil && !p.listBehindOwner(m)
 }
 
-// order gives an order about a machine, which stays closed meanwhile.
-func (p *Planner) order(now time.Time, d *Decision, m *machine, o Order) {
+// issueOrder gives an issueOrder about a machine, which stays closed meanwhile.
+func (p *Planner) issueOrder(now time.Time, d *Decision, m *machine, o Order) {
 	d.Closures[m.pool] = append(d.Closures[m.pool], schedule.Closure{Instance: m.id})
-	o.Replaces, o.Ends, o.From = m.life, m.load.Incarnation, m.pool
-	m.order, m.ordered, m.answered, m.unheard = &o, now, false, false
-	m.emptying, m.claimed = time.Time{}, ""
+	o.Replaces, o.Ends, o.From = m.addressee, m.load.Incarnation, m.pool
+	m.order, m.ordered, m.answered, m.resent = &o, now, false, false
+	m.emptyingSince, m.claimedBy = time.Time{}, ""
 	d.Orders = append(d.Orders, o)
 }
 
-// shut has an instance closed.
-func (p *Planner) shut(d *Decision, m *machine, c schedule.Closure) {
+// closeInstance has an instance closed.
+func (p *Planner) closeInstance(d *Decision, m *machine, c schedule.Closure) {
 	m.closing = true
 	d.Closures[m.pool] = append(d.Closures[m.pool], c)
 }
 
-// repeat gives orders again that got no answer. Until one comes, the machine
+// retryOrders gives orders again that got no answer. Until one comes, the machine
 // stays closed: the order may be carried out at any time.
-func (p *Planner) repeat(now time.Time, d *Decision) {
+func (p *Planner) retryOrders(now time.Time, d *Decision) {
 	for _, m := range p.machines {
 		if m.order == nil || m.answered {
 			continue
 		}
 		d.Closures[m.pool] = append(d.Closures[m.pool], schedule.Closure{Instance: m.id})
-		if now.Sub(m.ordered) > orderAgain && m.cleared(p.spare) {
-			m.ordered, m.unheard = now, true
+		if now.Sub(m.ordered) > orderRetryInterval && m.safeToOrder(p.spare) {
+			m.ordered, m.resent = now, true
 			d.Orders = append(d.Orders, *m.order)
 		}
 	}
@@ -120,9 +120,9 @@
 		if w := p.waves[o.Wave]; w != nil {
 			w.ordered[o.Machine] = now
 		}
-		m.idle, m.load = time.Time{}, schedule.InstanceLoad{}
-		p.noteEnded(now, o)
-	case settled && !(m.unheard && busy(err)):
+		m.idleSince, m.load = time.Time{}, schedule.InstanceLoad{}
+		p.recordEnded(now, o)
+	case settled && !(m.resent && isBusyRefusal(err)):
 		m.order = nil
 	}
 }
@@ -133,8 +133,8 @@
 	at time.Time
 }
 
-// noteEnded notes which incarnation an order has ended.
-func (p *Planner) noteEnded(now time.Time, o Order) {
+// recordEnded notes which incarnation an order has ended.
+func (p *Planner) recordEnded(now time.Time, o Order) {
 	if o.Ends != "" {
 		p.ended[o.Ends] = endedOrder{o, now}
 	}
@@ -146,7 +146,7 @@
 	var out []schedule.OrderedEnd
 	for id, o := range p.ended {
 		switch {
-		case now.Sub(o.at) > unshownMost:
+		case now.Sub(o.at) > unconfirmedTimeout:
 			delete(p.ended, id)
 		case o.From == pool && p.loads[pool][o.Machine].Incarnation == id:
 			out = append(out, schedule.OrderedEnd{Incarnation: id, Sure: o.Pool != ""})
@@ -156,8 +156,8 @@
 	return out
 }
 
-// busy reports whether an order was refused because its machine was not up, or leaving.
-func busy(err error) bool {
+// isBusyRefusal reports whether an order was refused because its machine was not up, or leaving.
+func isBusyRefusal(err error) bool {
 	var refused *pointport.MachineRefusedError
 	return errors.As(err, &refused) && refused.Reason == pointport.RefuseBusy
 }
@@ -165,7 +165,7 @@
 // WithdrawUnsent takes in that an order was not given after all. What was given of it before may still
 // be carried out.
 func (p *Planner) WithdrawUnsent(o Order) {
-	if m := p.machines[o.Machine]; m != nil && m.order != nil && *m.order == o && !m.unheard {
+	if m := p.machines[o.Machine]; m != nil && m.order != nil && *m.order == o && !m.resent {
 		m.order = nil
 	}
 }
@@ -179,20 +179,20 @@
 	}
 	since := asked.Sub(m.ordered)
 	switch {
-	case since > unshownMost:
+	case since > unconfirmedTimeout:
 		m.order = nil
 	case !m.answered:
 		// Only a move is surely shown: a life may have ended by itself.
-		if m.order.Pool != "" && m.order.shownBy(m) {
+		if m.order.Pool != "" && m.order.confirmedBy(m) {
 			m.order = nil
 		}
-	case since > p.took(m.order) && m.order.shownBy(m):
+	case since > p.outageTime(m.order) && m.order.confirmedBy(m):
 		m.order = nil
 	}
 }
 
-// took returns for how long an order takes a machine away.
-func (p *Planner) took(o *Order) time.Duration {
+// outageTime returns for how long an order takes a machine away.
+func (p *Planner) outageTime(o *Order) time.Duration {
 	if o.Wave != 0 {
 		return p.settings.UpkeepTime
 	}
--- a/capacity/planner.go
+++ b/capacity/planner.go
@@ -56,11 +56,11 @@
 	surveyed map[string]bool
 	// loads holds what the owners of pools tell of instances, by pool.
 	loads  map[string]map[pointport.InstanceID]schedule.InstanceLoad
-	listed time.Time // when the newest list was asked for
+	listedAt time.Time // when the newest list was asked for
 	former map[pointport.InstanceID]FormerOrder
-	began  time.Time // when the first survey came
-	// unserved is since when serving tasks of a pool have found no room.
-	unserved map[string]time.Time
+	firstSurveyAt  time.Time // when the first survey came
+	// unservedSince is since when serving tasks of a pool have found no room.
+	unservedSince map[string]time.Time
 	// ended holds the incarnations that orders have ended lately.
 	ended map[pointport.IncarnationID]endedOrder
 }
@@ -70,7 +70,7 @@
 	return &Planner{
 		settings: s, machines: make(map[pointport.InstanceID]*machine),
 		waves: make(map[int64]*waveState), surveys: make(map[string]schedule.Survey), surveyed: make(map[string]bool),
-		unserved: make(map[string]time.Time), loads: make(map[string]map[pointport.InstanceID]schedule.InstanceLoad),
+		unservedSince: make(map[string]time.Time), loads: make(map[string]map[pointport.InstanceID]schedule.InstanceLoad),
 		ended: make(map[pointport.IncarnationID]endedOrder),
 	}
 }
@@ -92,14 +92,14 @@
 
 // SetSurvey takes in how a pool stands.
 func (p *Planner) SetSurvey(now time.Time, pool string, s schedule.Survey) {
-	if p.began.IsZero() {
-		p.began = now
+	if p.firstSurveyAt.IsZero() {
+		p.firstSurveyAt = now
 	}
 	p.surveys[pool], p.surveyed[pool] = s, true
 	if s.Unserved == 0 {
-		delete(p.unserved, pool)
-	} else if _, ok := p.unserved[pool]; !ok {
-		p.unserved[pool] = now
+		delete(p.unservedSince, pool)
+	} else if _, ok := p.unservedSince[pool]; !ok {
+		p.unservedSince[pool] = now
 	}
 	loads := make(map[pointport.InstanceID]schedule.InstanceLoad, len(s.Instances))
 	for _, l := range s.Instances {
@@ -116,9 +116,9 @@
 		m.load = loads[id]
 		switch {
 		case m.load.Runs > 0 || m.load.Incarnation == "":
-			m.idle = time.Time{}
-		case m.idle.IsZero():
-			m.idle = now
+			m.idleSince = time.Time{}
+		case m.idleSince.IsZero():
+			m.idleSince = now
 		}
 	}
 }
@@ -176,7 +176,7 @@
 			wp.Ordered = append(wp.Ordered, m)
 		}
 		sort.Slice(wp.Ordered, func(i, k int) bool { return wp.Ordered[i] < wp.Ordered[k] })
-		wp.Completed = len(p.machines) > 0 && len(w.left(p.machines)) == 0 && p.away(now, w) == 0
+		wp.Completed = len(p.machines) > 0 && len(w.remaining(p.machines)) == 0 && p.unavailable(now, w) == 0
 		out = append(out, wp)
 	}
 	sort.Slice(out, func(i, k int) bool { return out[i].Wave < out[k].Wave })
@@ -197,7 +197,7 @@
 // Decide returns what to do at now.
 func (p *Planner) Decide(now time.Time) Decision {
 	d := Decision{Closures: make(map[string][]schedule.Closure)}
-	p.repeat(now, &d)
+	p.retryOrders(now, &d)
 	was := make(map[pointport.InstanceID]bool)
 	for id, m := range p.machines {
 		was[id] = m.closing
@@ -210,11 +210,11 @@
 	sort.Slice(ids, func(i, k int) bool { return ids[i] < ids[k] })
 	for _, id := range ids {
 		p.planWave(now, p.waves[id], &d)
-		for _, m := range p.waves[id].left(p.machines) {
+		for _, m := range p.waves[id].remaining(p.machines) {
 			d.PendingMaintenance = append(d.PendingMaintenance, m.id)
 		}
 	}
-	p.planSizes(now, &d)
+	p.planMoves(now, &d)
 	for id, m := range p.machines {
 		if m.closing && !was[id] {
 			d.NewClosures = true
--- a/capacity/size.go
+++ b/capacity/size.go
@@ -28,90 +28,90 @@
 	// instance take three.
 	urgentAfter = 1500 * time.Millisecond
 	claimAfter  = 2500 * time.Millisecond
-	// leastInstances is how many instances a pool with a queue keeps.
-	leastInstances = 1
+	// minInstances is how many instances a pool with a queue keeps.
+	minInstances = 1
 )
 
-// pressed reports whether tasks wait for room in a pool.
-func (p *Planner) pressed(pool string) bool { return p.surveys[pool].Waiting.CPUMilli > 0 }
+// hasBacklog reports whether tasks wait for room in a pool.
+func (p *Planner) hasBacklog(pool string) bool { return p.surveys[pool].Waiting.CPUMilli > 0 }
 
-// A size is how many instances a pool has and should have.
-type size struct {
+// A poolState is how many instances a pool has and should have.
+type poolState struct {
 	pool string
 	have int // in use or on their way
 	want int
-	// least is how many hold what the pool's tasks take, with hardly any headroom.
-	least int
-	// timely is how many it should have for what runs there and for what waits and can
-	// still end in time; timelyLeast with hardly any headroom.
-	timely, timelyLeast int
-	// pressed says that tasks wait for room in the pool, eager that some of them can
+	// tightWant is how many hold what the pool's tasks take, with hardly any headroom.
+	tightWant int
+	// timelyWant is how many it should have for what runs there and for what waits and can
+	// still end in time; tightTimelyWant with hardly any headroom.
+	timelyWant, tightTimelyWant int
+	// hasBacklog says that tasks wait for room in the pool, hasTimelyBacklog that some of them can
 	// still end in time.
-	pressed, eager bool
+	hasBacklog, hasTimelyBacklog bool
 	// urgent says that serving tasks find no room, or that the pool has no
 	// instance to give them any.
 	urgent bool
 	// idle are the instances that may go: those that were closed for it first,
 	// then the longest idle.
 	idle []*machine
-	// emptied are those of evacuated availability zones that may go.
-	emptied []*machine
+	// idleEvacuated are those of evacuated availability zones that may go.
+	idleEvacuated []*machine
 }
 
-// floor returns how many instances a pool keeps when another one takes some.
-func (s *size) floor(to *size) int {
-	if to.pressed && !s.pressed {
-		return max(min(s.want, s.least), leastInstances)
+// minKept returns how many instances a pool keeps when another one takes some.
+func (s *poolState) minKept(to *poolState) int {
+	if to.hasBacklog && !s.hasBacklog {
+		return max(min(s.want, s.tightWant), minInstances)
 	}
-	if to.eager && !s.eager { // all that waits there is late
-		return max(min(s.want, s.timelyLeast), leastInstances)
+	if to.hasTimelyBacklog && !s.hasTimelyBacklog { // all that waits there is late
+		return max(min(s.want, s.tightTimelyWant), minInstances)
 	}
-	return max(s.want, leastInstances)
+	return max(s.want, minInstances)
 }
 
-// before reports whether a pool is supplied before another: serving tasks come
+// suppliedBefore reports whether a pool is supplied suppliedBefore another: serving tasks come
 // first, then the pool that misses most for what can be in time, then the one that misses
 // most.
-func (s *size) before(o *size) bool {
+func (s *poolState) suppliedBefore(o *poolState) bool {
 	if s.urgent != o.urgent {
 		return s.urgent
 	}
-	if missing, other := s.timely-s.have, o.timely-o.have; missing != other && max(missing, other) > 0 {
+	if missing, other := s.timelyWant-s.have, o.timelyWant-o.have; missing != other && max(missing, other) > 0 {
 		return missing > other
 	}
 	return s.want-s.have > o.want-o.have
 }
 
-// room returns the capacity of all machines together.
-func (p *Planner) room() pointport.Shape {
+// totalCapacity returns the capacity of all machines together.
+func (p *Planner) totalCapacity() pointport.Shape {
 	var sum pointport.Shape
 	for _, m := range p.machines {
-		sum = sum.Plus(m.room())
+		sum = sum.Plus(m.effectiveCapacity())
 	}
 	return sum
 }
 
-// sizes works out how many instances the pools have and should have.
-func (p *Planner) sizes(now time.Time) []size {
-	var out []size
+// poolStates works out how many instances the pools have and should have.
+func (p *Planner) poolStates(now time.Time) []poolState {
+	var out []poolState
 	for pool := range p.surveys {
 		if p.surveyed[pool] && pool != p.spare {
-			out = append(out, p.sizeOf(now, pool))
+			out = append(out, p.poolStateOf(now, pool))
 		}
 	}
 	sort.Slice(out, func(i, k int) bool { return out[i].pool < out[k].pool })
 	return out
 }
 
-func (p *Planner) sizeOf(now time.Time, pool string) size {
-	s := size{pool: pool}
-	room := p.room()
+func (p *Planner) poolStateOf(now time.Time, pool string) poolState {
+	s := poolState{pool: pool}
+	room := p.totalCapacity()
 	inUse := 0
 	anywhere := false // whether the pool has any machine, in whatever state
 	for _, m := range p.machines {
 		if p.evacuated(m) {
-			if m.pool == pool && p.restsIn(now, m) {
-				s.emptied = append(s.emptied, m)
+			if m.pool == pool && p.idleAndOrderable(now, m) {
+				s.idleEvacuated = append(s.idleEvacuated, m)
 			}
 			continue
 		}
@@ -128,7 +128,7 @@
 			if m.load.Serving > 0 {
 				inUse++
 			}
-			if p.restsIn(now, m) {
+			if p.idleAndOrderable(now, m) {
 				s.idle = append(s.idle, m)
 			}
 		}
@@ -141,39 +141,39 @@
 		need = need.Minus(wanted)
 	}
 	s.want = max(inUse, instancesFor(need, room, n, headroom))
-	s.least = max(inUse, instancesFor(need, room, n, tightHeadroom))
+	s.tightWant = max(inUse, instancesFor(need, room, n, tightHeadroom))
 	intime := need.Minus(p.surveys[pool].Late)
-	s.timely = max(inUse, instancesFor(intime, room, n, headroom))
-	s.timelyLeast = max(inUse, instancesFor(intime, room, n, tightHeadroom))
-	s.pressed = p.pressed(pool)
-	s.eager = p.surveys[pool].Waiting.Minus(p.surveys[pool].WaitingLate).CPUMilli > 0
+	s.timelyWant = max(inUse, instancesFor(intime, room, n, headroom))
+	s.tightTimelyWant = max(inUse, instancesFor(intime, room, n, tightHeadroom))
+	s.hasBacklog = p.hasBacklog(pool)
+	s.hasTimelyBacklog = p.surveys[pool].Waiting.Minus(p.surveys[pool].WaitingLate).CPUMilli > 0
 	if !anywhere {
-		s.want = max(s.want, leastInstances)
+		s.want = max(s.want, minInstances)
 	}
 	v := p.surveys[pool]
 	if more := max(v.Spread, v.Unserved+v.Unmoved); more > 0 {
 		s.want = max(s.want, s.have+more)
-		s.timely = s.want
+		s.timelyWant = s.want
 	}
-	s.timely = min(s.timely, s.want)
-	since, unserved := p.unserved[pool]
+	s.timelyWant = min(s.timelyWant, s.want)
+	since, unserved := p.unservedSince[pool]
 	s.urgent = unserved && now.Sub(since) >= urgentAfter || s.have == 0 && s.want > 0
 	sort.Slice(s.idle, func(i, k int) bool {
 		a, b := s.idle[i], s.idle[k]
 		if a.load.Closed != b.load.Closed {
 			return a.load.Closed // it was chosen before
 		}
-		if !a.idle.Equal(b.idle) {
-			return a.idle.Before(b.idle)
+		if !a.idleSince.Equal(b.idleSince) {
+			return a.idleSince.Before(b.idleSince)
 		}
 		return a.id < b.id
 	})
 	return s
 }
 
-// restsIn reports whether a machine is idle in its pool and may be ordered about.
-func (p *Planner) restsIn(now time.Time, m *machine) bool {
-	return p.free(now, m) && !m.idle.IsZero() && now.Sub(m.since) > settleTime
+// idleAndOrderable reports whether a machine is idle in its pool and may be ordered about.
+func (p *Planner) idleAndOrderable(now time.Time, m *machine) bool {
+	return p.orderable(now, m) && !m.idleSince.IsZero() && now.Sub(m.inPoolSince) > settleTime
 }
 
 // instancesFor returns how many instances have room for a need and some headroom, a
--- a/capacity/supply.go
+++ b/capacity/supply.go
@@ -14,39 +14,39 @@
 // they do not need.
 
 const (
-	// idleTime is how long an instance is empty before it goes to the spare pool.
+	// retireAfter is how long an instance is empty before it goes to the spare pool.
 	// Going there and coming back cost as much as five seconds of an idle instance,
 	// but the next peak is mostly another pool's: with 1 s in place of 3 s instances
 	// in pools cost 0.158 of a day's worth for 0.169, moves 0.023 for 0.020 (40 days of
 	// 49 instances in turn). With 0.4 s peaks begin late.
-	idleTime = time.Second
-	// lendTime is how long an instance is empty before another pool may take it
+	retireAfter = time.Second
+	// lendAfter is how long an instance is empty before another pool may take it
 	// although there are spare ones.
-	lendTime = 300 * time.Millisecond
-	// retireAhead is how much time's orders' worth of instances are closed at once to be given
+	lendAfter = 300 * time.Millisecond
+	// retireWindow is how much time's orders' worth of instances are closed at once to be given
 	// back: one is closed in one round, seen closed in the next, and ordered then.
-	retireAhead = 500 * time.Millisecond
-	// strangeTime is for how long the instances of a pool stay although nothing is
+	retireWindow = 500 * time.Millisecond
+	// unknownLoadGrace is for how long the instances of a pool stay although nothing is
 	// known of its load: at a site's first start the load comes some seconds later,
 	// and an instance that was retired before would be missed by the first peak.
-	strangeTime = 15 * time.Second
+	unknownLoadGrace = 15 * time.Second
 )
 
-// planSizes moves instances between pools.
-func (p *Planner) planSizes(now time.Time, d *Decision) {
-	sizes := p.sizes(now)
+// planMoves moves instances between pools.
+func (p *Planner) planMoves(now time.Time, d *Decision) {
+	sizes := p.poolStates(now)
 	for _, s := range sizes {
 		v := p.surveys[s.pool]
 		d.Sizes = append(d.Sizes, PoolSize{Pool: s.pool, Have: s.have, Want: s.want, Idle: len(s.idle), Need: v.Need, Waiting: v.Waiting})
 	}
 	spare := p.spares(now)
-	sort.SliceStable(sizes, func(i, k int) bool { return sizes[i].before(&sizes[k]) })
+	sort.SliceStable(sizes, func(i, k int) bool { return sizes[i].suppliedBefore(&sizes[k]) })
 	for i := range sizes {
 		p.supplyLabels(now, d, &sizes[i], sizes, &spare)
 	}
-	p.supplyAll(now, d, sizes, &spare, func(s *size) int { return s.timely })
-	p.supplyAll(now, d, sizes, &spare, func(s *size) int { return s.want })
-	p.unclaim()
+	p.supplyAll(now, d, sizes, &spare, func(s *poolState) int { return s.timelyWant })
+	p.supplyAll(now, d, sizes, &spare, func(s *poolState) int { return s.want })
+	p.expireClaims()
 	p.retireAll(now, d, sizes)
 }
 
@@ -56,7 +56,7 @@
 // customers can still be served in time. On days of 165 instances in turn it is worth 0.030
 // (standard error 0.009; 6 days), on days of 49 0.013 (0.011; 16 days), and nothing where the
 // fleet holds what all want.
-func (p *Planner) supplyAll(now time.Time, d *Decision, sizes []size, spare *[]*machine, goal func(*size) int) {
+func (p *Planner) supplyAll(now time.Time, d *Decision, sizes []poolState, spare *[]*machine, goal func(*poolState) int) {
 	for i := range sizes {
 		to := &sizes[i]
 		for to.have < goal(to) {
@@ -70,11 +70,11 @@
 
 // supplyLabels brings in instances with the labels that a pool's tasks want and
 // do not find.
-func (p *Planner) supplyLabels(now time.Time, d *Decision, to *size, sizes []size, spare *[]*machine) {
+func (p *Planner) supplyLabels(now time.Time, d *Decision, to *poolState, sizes []poolState, spare *[]*machine) {
 	wants := p.surveys[to.pool].Labels
 	labels := slices.Sorted(maps.Keys(wants))
 	for _, label := range labels {
-		missing := instancesFor(wants[label], p.room(), max(1, len(p.machines)), headroom) - p.coming(now, to.pool, label)
+		missing := instancesFor(wants[label], p.totalCapacity(), max(1, len(p.machines)), headroom) - p.incoming(now, to.pool, label)
 		for range missing {
 			if !p.supply(now, d, to, sizes, spare, label) {
 				break
@@ -83,12 +83,12 @@
 	}
 }
 
-// coming returns how many instances with a label are on their way to a pool, or
+// incoming returns how many instances with a label are on their way to a pool, or
 // have just come or are idle there.
-func (p *Planner) coming(now time.Time, pool, label string) int {
+func (p *Planner) incoming(now time.Time, pool, label string) int {
 	n := 0
 	for _, m := range p.machines {
-		if !m.has(label) || p.evacuated(m) {
+		if !m.hasLabel(label) || p.evacuated(m) {
 			continue
 		}
 		switch {
@@ -96,7 +96,7 @@
 			if m.order.Pool == pool {
 				n++
 			}
-		case m.pool == pool && (now.Sub(m.since) < settleTime || !m.idle.IsZero()):
+		case m.pool == pool && (now.Sub(m.inPoolSince) < settleTime || !m.idleSince.IsZero()):
 			n++
 		}
 	}
@@ -105,14 +105,14 @@
 
 // supply finds one more instance with a label for a pool: one that another pool
 // has had no use for, a spare one, or one that another pool can do without.
-func (p *Planner) supply(now time.Time, d *Decision, to *size, sizes []size, spare *[]*machine, label string) bool {
-	if p.lend(now, d, to, sizes, lendTime, label) {
+func (p *Planner) supply(now time.Time, d *Decision, to *poolState, sizes []poolState, spare *[]*machine, label string) bool {
+	if p.lend(now, d, to, sizes, lendAfter, label) {
 		return true
 	}
 	for n, m := range *spare {
-		if m.has(label) {
+		if m.hasLabel(label) {
 			*spare = slices.Delete(slices.Clone(*spare), n, n+1)
-			p.order(now, d, m, Order{Machine: m.id, Pool: to.pool, Reason: "needed"})
+			p.issueOrder(now, d, m, Order{Machine: m.id, Pool: to.pool, Reason: "needed"})
 			to.have++
 			return true
 		}
@@ -122,16 +122,16 @@
 
 // lend takes an instance with a label, which has been idle for some time, from
 // the pool that has the most too many. It is closed first, and moved once it is.
-func (p *Planner) lend(now time.Time, d *Decision, to *size, sizes []size, idleFor time.Duration, label string) bool {
-	var from *size
+func (p *Planner) lend(now time.Time, d *Decision, to *poolState, sizes []poolState, idleFor time.Duration, label string) bool {
+	var from *poolState
 	var lent *machine
 	for i := range sizes {
 		s := &sizes[i]
-		if s.pool == to.pool || s.have <= s.floor(to) || from != nil && s.have-s.want <= from.have-from.want {
+		if s.pool == to.pool || s.have <= s.minKept(to) || from != nil && s.have-s.want <= from.have-from.want {
 			continue
 		}
 		for _, m := range s.idle {
-			if m.has(label) && now.Sub(m.idle) >= idleFor {
+			if m.hasLabel(label) && now.Sub(m.idleSince) >= idleFor {
 				from, lent = s, m
 				break
 			}
@@ -147,11 +147,11 @@
 	return true
 }
 
-// unclaim forgets the claims that were not made again.
-func (p *Planner) unclaim() {
+// expireClaims forgets the claims that were not made again.
+func (p *Planner) expireClaims() {
 	for _, m := range p.machines {
 		if !m.closing {
-			m.claimed = ""
+			m.claimedBy = ""
 		}
 	}
 }
@@ -159,16 +159,16 @@
 // claim empties busy instances of other pools for one that misses some and found
 // none that is free: those that their pools need no more, and one of any pool if
 // serving tasks have found no room for some time.
-func (p *Planner) claim(now time.Time, d *Decision, to *size, sizes []size, goal int) {
+func (p *Planner) claim(now time.Time, d *Decision, to *poolState, sizes []poolState, goal int) {
 	for to.have < goal {
-		m, from := p.surplus(now, to, sizes)
-		if m == nil && to.starving(now, p.unserved) {
-			m, from = p.busiest(now, to, sizes)
+		m, from := p.drainFromSurplus(now, to, sizes)
+		if m == nil && to.mayClaimBusy(now, p.unservedSince) {
+			m, from = p.drainFromLargest(now, to, sizes)
 		}
 		if m == nil {
 			return
 		}
-		m.claimed = to.pool
+		m.claimedBy = to.pool
 		to.have++
 		from.have--
 		p.release(now, d, m, to.pool, "needed there more")
@@ -178,69 +178,69 @@
 	}
 }
 
-// starving reports whether serving tasks of the pool have found no room for so
+// mayClaimBusy reports whether serving tasks of the pool have found no room for so
 // long that a busy instance is emptied for them.
-func (s *size) starving(now time.Time, unserved map[string]time.Time) bool {
+func (s *poolState) mayClaimBusy(now time.Time, unserved map[string]time.Time) bool {
 	since, ok := unserved[s.pool]
 	return ok && now.Sub(since) >= claimAfter
 }
 
-// surplus returns the instance that is emptied soonest of a pool that has more
+// drainFromSurplus returns the instance that is emptied soonest of a pool that has more
 // than it needs, or nil.
-func (p *Planner) surplus(now time.Time, to *size, sizes []size) (*machine, *size) {
+func (p *Planner) drainFromSurplus(now time.Time, to *poolState, sizes []poolState) (*machine, *poolState) {
 	var best *machine
-	var from *size
+	var from *poolState
 	for i := range sizes {
 		s := &sizes[i]
-		if s.pool == to.pool || s.have <= s.floor(to) {
+		if s.pool == to.pool || s.have <= s.minKept(to) {
 			continue
 		}
-		if m := p.emptiest(now, s.pool, to.pool); m != nil && (best == nil || m.sooner(best, to.pool)) {
+		if m := p.quickestToDrain(now, s.pool, to.pool); m != nil && (best == nil || m.drainsBefore(best, to.pool)) {
 			best, from = m, s
 		}
 	}
 	return best, from
 }
 
-// busiest returns the instance that is emptied soonest of the pool that has most,
+// drainFromLargest returns the instance that is emptied soonest of the pool that has most,
 // or nil.
-func (p *Planner) busiest(now time.Time, to *size, sizes []size) (*machine, *size) {
-	var from *size
+func (p *Planner) drainFromLargest(now time.Time, to *poolState, sizes []poolState) (*machine, *poolState) {
+	var from *poolState
 	for i := range sizes {
 		s := &sizes[i]
-		if s.pool != to.pool && s.have > leastInstances && (from == nil || s.have > from.have) {
+		if s.pool != to.pool && s.have > minInstances && (from == nil || s.have > from.have) {
 			from = s
 		}
 	}
 	if from == nil {
 		return nil, nil
 	}
-	return p.emptiest(now, from.pool, to.pool), from
+	return p.quickestToDrain(now, from.pool, to.pool), from
 }
 
-// emptiest returns the busy instance of a pool that is emptied soonest for another
+// quickestToDrain returns the busy instance of a pool that is emptied soonest for another
 // pool, or nil. Instances with serving tasks are left alone.
-func (p *Planner) emptiest(now time.Time, pool, forPool string) *machine {
+func (p *Planner) quickestToDrain(now time.Time, pool, forPool string) *machine {
 	var best *machine
 	for _, m := range p.machines {
-		known := m.load.Incarnation.Addressee() == m.life && m.load.Serving == 0
-		if m.pool != pool || m.closing || !known || p.evacuated(m) || !p.free(now, m) || m.claimed != "" && m.claimed != forPool {
+		known := m.load.Incarnation.Addressee() == m.addressee && m.load.Serving == 0
+		if m.pool != pool || m.closing || !known || p.evacuated(m) || !p.orderable(now, m) || m.claimedBy != "" && m.claimedBy != forPool {
 			continue
 		}
-		if m.load.Runs == 0 && m.claimed == "" {
+		if m.load.Runs == 0 && m.claimedBy == "" {
 			continue // it is idle, and is lent if its pool can spare it
 		}
-		if best == nil || m.sooner(best, forPool) {
+		if best == nil || m.drainsBefore(best, forPool) {
 			best = m
 		}
 	}
 	return best
 }
 
-// sooner reports whether an instance is rather emptied for a pool than another:
+// drainsBefore reports whether an instance is rather emptied for a pool than another:
 // one that was chosen for it before, else the one with fewer tasks.
-func (m *machine) sooner(o *machine, forPool string) bool {
-	if chosen := m.claimed == forPool; chosen != (o.claimed == forPool) {
+func (m *machine) drainsBefore(o *machine, forPool string) bool {
+	if chosen := m.claimedBy == forPool; chosen != (o.claimedBy == forPool) {
 		return chosen
 	}
 	if m.load.Runs != o.load.Runs {
@@ -251,26 +251,26 @@
 
 func (p *Planner) release(now time.Time, d *Decision, m *machine, pool, reason string) {
 	if m.load.Closed && m.load.Empty() {
-		p.order(now, d, m, Order{Machine: m.id, Pool: pool, Reason: reason})
+		p.issueOrder(now, d, m, Order{Machine: m.id, Pool: pool, Reason: reason})
 		return
 	}
-	p.shut(d, m, schedule.Closure{Instance: m.id})
+	p.closeInstance(d, m, schedule.Closure{Instance: m.id})
 }
 
 // retireAll sends instances that have been idle for long to the spare pool, no more than are
 // soon ordered away, and from the pool that has most too many first. The rest
 // stays open: a pool whose instances were all closed to be given back, or were given back
 // before those of others, had none left for a peak that came meanwhile.
-func (p *Planner) retireAll(now time.Time, d *Decision, sizes []size) {
+func (p *Planner) retireAll(now time.Time, d *Decision, sizes []poolState) {
 	if p.spare == "" {
 		return
 	}
-	left := p.retireMost()
+	left := p.maxRetiring()
 	for i := range sizes {
-		left -= p.retireEmptied(now, d, &sizes[i], left)
+		left -= p.retireEvacuated(now, d, &sizes[i], left)
 	}
 	for ; left > 0; left-- {
-		var from *size
+		var from *poolState
 		for i := range sizes {
 			if s := &sizes[i]; p.retirable(now, s) && (from == nil || s.surplus() > from.surplus()) {
 				from = s
@@ -286,32 +286,32 @@
 	}
 }
 
-// retireMost returns how many instances may be on their way to the spare pool without an order.
-func (p *Planner) retireMost() int {
+// maxRetiring returns how many instances may be on their way to the spare pool without an order.
+func (p *Planner) maxRetiring() int {
 	if p.settings.OrdersPerSecond == 0 {
 		return math.MaxInt
 	}
-	return max(1, int(p.settings.OrdersPerSecond*retireAhead.Seconds()))
+	return max(1, int(p.settings.OrdersPerSecond*retireWindow.Seconds()))
 }
 
 // retirable reports whether a pool has an instance to give back.
-func (p *Planner) retirable(now time.Time, s *size) bool {
-	if !p.surveys[s.pool].Arrived && now.Sub(p.began) < strangeTime {
+func (p *Planner) retirable(now time.Time, s *poolState) bool {
+	if !p.surveys[s.pool].Arrived && now.Sub(p.firstSurveyAt) < unknownLoadGrace {
 		return false
 	}
-	return s.have > max(s.want, leastInstances) && len(s.idle) > 0 && now.Sub(s.idle[0].idle) >= idleTime
+	return s.have > max(s.want, minInstances) && len(s.idle) > 0 && now.Sub(s.idle[0].idleSince) >= retireAfter
 }
 
 // surplus returns how many instances more than it should a pool has.
-func (s *size) surplus() int { return s.have - s.want }
+func (s *poolState) surplus() int { return s.have - s.want }
 
-// retireEmptied sends idle instances of evacuated availability zones to the spare pool, some
+// retireEvacuated sends idle instances of evacuated availability zones to the spare pool, some
 // at most, and returns how many.
-func (p *Planner) retireEmptied(now time.Time, d *Decision, s *size, most int) int {
-	sort.Slice(s.emptied, func(i, k int) bool { return s.emptied[i].id < s.emptied[k].id })
+func (p *Planner) retireEvacuated(now time.Time, d *Decision, s *poolState, most int) int {
+	sort.Slice(s.idleEvacuated, func(i, k int) bool { return s.idleEvacuated[i].id < s.idleEvacuated[k].id })
 	n := 0
-	for _, m := range s.emptied {
-		if n < most && now.Sub(m.idle) >= idleTime {
+	for _, m := range s.idleEvacuated {
+		if n < most && now.Sub(m.idleSince) >= retireAfter {
 			p.release(now, d, m, p.spare, "its availability zone is evacuated")
 			n++
 		}
@@ -323,7 +323,7 @@
 func (p *Planner) spares(now time.Time) []*machine {
 	var out []*machine
 	for _, m := range p.machines {
-		if p.spare != "" && m.pool == p.spare && !p.evacuated(m) && p.free(now, m) {
+		if p.spare != "" && m.pool == p.spare && !p.evacuated(m) && p.orderable(now, m) {
 			out = append(out, m)
 		}
 	}
--- a/capacity/wave.go
+++ b/capacity/wave.go
@@ -28,21 +28,21 @@
 }
 
 const (
-	// upkeepSlack is by how much a machine may take longer to come back than the
+	// maintenanceSlack is by how much a machine may take longer to come back than the
 	// platform says, before it counts as back for the bound of its wave.
-	upkeepSlack = 700 * time.Millisecond
-	// emptyTime is how long it takes, as a rule, to empty an instance.
-	emptyTime = 2500 * time.Millisecond
-	// pressShare is the part of a wave's time after which its machines are
+	maintenanceSlack = 700 * time.Millisecond
+	// drainEstimate is how long it takes, as a rule, to empty an instance.
+	drainEstimate = 2500 * time.Millisecond
+	// ignoreLoadShare is the part of a wave's time after which its machines are
 	// emptied whatever the load.
-	pressShare = 0.55
+	ignoreLoadShare = 0.55
 	// forceShare is the part after which tasks that are not serving no longer
 	// hold a machine up.
 	forceShare = 0.8
 )
 
-// left returns the machines that are still to be maintained.
-func (w *waveState) left(exists map[pointport.InstanceID]*machine) []*machine {
+// remaining returns the machines that are still to be maintained.
+func (w *waveState) remaining(exists map[pointport.InstanceID]*machine) []*machine {
 	var out []*machine
 	for _, id := range w.wave.Machines {
 		if _, ok := w.ordered[id]; ok {
@@ -55,12 +55,12 @@
 	return out
 }
 
-// away returns how many machines are away for a wave, or may be.
-func (p *Planner) away(now time.Time, w *waveState) int {
+// unavailable returns how many machines are unavailable for a wave, or may be.
+func (p *Planner) unavailable(now time.Time, w *waveState) int {
 	away := make(map[pointport.InstanceID]bool)
 	for id, at := range w.ordered {
 		m := p.machines[id]
-		if now.Sub(at) <= p.settings.UpkeepTime+upkeepSlack || m != nil && m.state == pointport.MachineMaintenance {
+		if now.Sub(at) <= p.settings.UpkeepTime+maintenanceSlack || m != nil && m.state == pointport.MachineMaintenance {
 			away[id] = true
 		}
 	}
@@ -70,7 +70,7 @@
 		}
 	}
 	for id, f := range p.former {
-		if f.Wave == w.wave.ID && now.Sub(f.At) <= p.settings.UpkeepTime+upkeepSlack {
+		if f.Wave == w.wave.ID && now.Sub(f.At) <= p.settings.UpkeepTime+maintenanceSlack {
 			away[id] = true // ordered by an earlier planner, who knows with what outcome
 		}
 	}
@@ -79,59 +79,59 @@
 
 // planWave decides about one wave.
 func (p *Planner) planWave(now time.Time, w *waveState, d *Decision) {
-	left := w.left(p.machines)
+	left := w.remaining(p.machines)
 	if len(left) == 0 {
 		return
 	}
-	slots := w.wave.Bound - p.away(now, w)
+	slots := w.wave.Bound - p.unavailable(now, w)
 	spent := float64(now.Sub(w.begun)) / float64(w.wave.Duration)
 	rounds := (len(left) + w.wave.Bound - 1) / max(1, w.wave.Bound)
-	needed := time.Duration(rounds) * (p.settings.UpkeepTime + upkeepSlack + emptyTime)
-	press := spent > pressShare || now.Add(needed).After(w.begun.Add(w.wave.Duration))
+	needed := time.Duration(rounds) * (p.settings.UpkeepTime + maintenanceSlack + drainEstimate)
+	press := spent > ignoreLoadShare || now.Add(needed).After(w.begun.Add(w.wave.Duration))
 	force := spent > forceShare
-	sort.SliceStable(left, func(i, k int) bool { return left[i].before(left[k]) })
+	sort.SliceStable(left, func(i, k int) bool { return left[i].maintainedBefore(left[k]) })
 	for _, m := range left {
 		if slots <= 0 {
 			return
 		}
-		if !p.free(now, m) || m.load.Leaving {
+		if !p.orderable(now, m) || m.load.Leaving {
 			continue
 		}
 		if p.maintainable(m, force) {
-			p.order(now, d, m, Order{Machine: m.id, Wave: w.wave.ID})
+			p.issueOrder(now, d, m, Order{Machine: m.id, Wave: w.wave.ID})
 			slots--
 			continue
 		}
-		if m.emptying.IsZero() && !press && (p.pressed(m.pool) || m.load.Serving == 0 && m.load.Runs > 0) {
+		if m.emptyingSince.IsZero() && !press && (p.hasBacklog(m.pool) || m.load.Serving == 0 && m.load.Runs > 0) {
 			continue // the pool is busy, or the instance will be empty by itself
 		}
-		if m.emptying.IsZero() {
-			m.emptying = now
+		if m.emptyingSince.IsZero() {
+			m.emptyingSince = now
 		}
-		p.shut(d, m, schedule.Closure{Instance: m.id, Evacuate: true})
+		p.closeInstance(d, m, schedule.Closure{Instance: m.id, Evacuate: true})
 		slots--
 	}
 }
 
 // maintainable reports whether a machine can be maintained now.
 func (p *Planner) maintainable(m *machine, force bool) bool {
-	if m.cleared(p.spare) {
+	if m.safeToOrder(p.spare) {
 		return true
 	}
-	return force && m.load.Incarnation.Addressee() == m.life && m.load.Closed && m.load.Serving == 0 && !m.load.Unstored
+	return force && m.load.Incarnation.Addressee() == m.addressee && m.load.Closed && m.load.Serving == 0 && !m.load.Unstored
 }
 
-// before reports whether a machine is maintained before another: one that is
+// maintainedBefore reports whether a machine is maintained maintainedBefore another: one that is
 // being emptied already, else the one that takes less to empty.
-func (m *machine) before(o *machine) bool {
-	if m.emptying.IsZero() != o.emptying.IsZero() {
-		return !m.emptying.IsZero()
+func (m *machine) maintainedBefore(o *machine) bool {
+	if m.emptyingSince.IsZero() != o.emptyingSince.IsZero() {
+		return !m.emptyingSince.IsZero()
 	}
-	return m.bother() < o.bother()
+	return m.maintenanceCost() < o.maintenanceCost()
 }
 
-// bother says how much it takes to maintain a machine now.
-func (m *machine) bother() int {
+// maintenanceCost says how much it takes to maintain a machine now.
+func (m *machine) maintenanceCost() int {
 	const perServing = 100
 	return m.load.Runs + perServing*m.load.Serving
 }
--- a/evaluate/policy.go
+++ b/evaluate/policy.go
@@ -11,21 +11,21 @@
 
 // Barrier is a baseline: a batch starts only when the last has wholly returned.
 func Barrier(in assign.Input) assign.Change {
-	return hold(in, func(under int) bool { return under == 0 })
+	return filterStarts(in, func(under int) bool { return under == 0 })
 }
 
 // OneAtATime is a baseline: one instance is out at a time.
 func OneAtATime(in assign.Input) assign.Change {
 	started := 0
-	return hold(in, func(under int) bool {
+	return filterStarts(in, func(under int) bool {
 		started++
 		return under == 0 && started == 1
 	})
 }
 
-// hold decides as the policy in use does, but drops starts of wave steps that
+// filterStarts decides as the policy in use does, but drops starts of wave steps that
 // may does not allow, given how many instances of the pool waves have out.
-func hold(in assign.Input, may func(under int) bool) assign.Change {
+func filterStarts(in assign.Input, may func(under int) bool) assign.Change {
 	under := make(map[string]int)
 	for _, m := range in.State.Members() {
 		if m.Wave != "" {
--- a/evaluate/rollout.go
+++ b/evaluate/rollout.go
@@ -33,16 +33,16 @@
 // step is the time between decisions.
 const step = time.Second
 
-// longest bounds a roll-out that does not end.
-const longest = 30 * 24 * time.Hour
+// maxDuration bounds a roll-out that does not end.
+const maxDuration = 30 * 24 * time.Hour
 
-// quiet is how long a drained instance is watched before it reboots.
-const quiet = time.Second
+// drainQuiet is how long a drained instance is watched before it reboots.
+const drainQuiet = time.Second
 
 // Run measures the roll-out under a policy.
 func (r *RollOut) Run(policy Policy) (Outcome, error) {
 	text := fmt.Sprintf("kind: Template\nname: pool\npool: {size: %d, spare: \"%d\"}\nmaintenance: {budget: \"%d\", speed: \"100%%\", drainQuiet: %s, drainBound: 4h, returnBound: 4h, stopAfter: 1000}\n",
-		r.Size, r.Spare, r.Budget, quiet)
+		r.Size, r.Spare, r.Budget, drainQuiet)
 	objects, err := config.Parse("roll-out", []byte(text))
 	if err != nil {
 		return Outcome{}, err
@@ -50,16 +50,16 @@
 	w := NewSimulation(policy, r.Seed, r.Size+r.Spare, r.Drain, r.Reboot, []*config.Template{objects[0].Template()})
 	w.SetWaves([]assign.WaveOrder{{Wave: &config.Wave{Name: "wave", Template: "pool", State: config.WaveRun}, Version: 1}})
 	start := w.Now()
-	for w.Now().Sub(start) < longest {
-		if r.MeanTimeBetweenFailures > 0 && w.chance.Float64() < float64(step)/float64(r.MeanTimeBetweenFailures) {
-			w.Fail(w.chance.IntN(len(w.machines)), r.FailureDuration)
+	for w.Now().Sub(start) < maxDuration {
+		if r.MeanTimeBetweenFailures > 0 && w.rng.Float64() < float64(step)/float64(r.MeanTimeBetweenFailures) {
+			w.Fail(w.rng.IntN(len(w.machines)), r.FailureDuration)
 		}
 		w.Step(step)
 		if wave, ok := w.State().Wave("wave"); ok && !wave.Ended.IsZero() {
 			return Outcome{w.Now().Sub(start), r.bound(w), w.Stats()}, nil
 		}
 	}
-	return Outcome{}, fmt.Errorf("the roll-out %s did not end in %v", r.Name, longest)
+	return Outcome{}, fmt.Errorf("the roll-out %s did not end in %v", r.Name, maxDuration)
 }
 
 // bound returns the shortest roll-out that the budget allows: all the time that
--- a/evaluate/world.go
+++ b/evaluate/world.go
@@ -31,15 +31,15 @@
 // A machine is an instance as it really is.
 type machine struct {
 	info  pointport.Instance
-	idle  time.Time // when a draining instance falls idle
-	back  time.Time // when an instance that is down comes back
-	quiet time.Time // since when the planner has seen it idle
+	drainedAt  time.Time // when a draining instance falls idle
+	backAt  time.Time // when an instance that is down comes back
+	quietSince time.Time // since when the planner has seen it idle
 }
 
 // A Simulation is one zone under a policy.
 type Simulation struct {
 	policy    Policy
-	chance    *rand.Rand
+	rng    *rand.Rand
 	now       time.Time
 	state     *assign.State
 	templates []*config.Template
@@ -48,7 +48,7 @@
 	byID      map[pointport.InstanceID]*machine
 
 	drainMean, rebootMean time.Duration
-	tally                 Stats
+	stats                 Stats
 }
 
 // A Stats is what a world has counted.
@@ -67,7 +67,7 @@
 // NewSimulation returns a world of n instances that has come to rest.
 func NewSimulation(policy Policy, seed uint64, n int, drainMean, rebootMean time.Duration, templates []*config.Template) *Simulation {
 	w := &Simulation{
-		policy: policy, chance: rand.New(rand.NewPCG(seed, seed)), now: time.Unix(1_800_000_000, 0),
+		policy: policy, rng: rand.New(rand.NewPCG(seed, seed)), now: time.Unix(1_800_000_000, 0),
 		state: assign.NewState(), templates: templates, byID: make(map[pointport.InstanceID]*machine),
 		drainMean: drainMean, rebootMean: rebootMean,
 	}
@@ -80,16 +80,16 @@
 		w.machines = append(w.machines, m)
 		w.byID[m.info.ID] = m
 	}
-	for changes := -1; changes != w.tally.Changes; {
-		changes = w.tally.Changes
+	for changes := -1; changes != w.stats.Changes; {
+		changes = w.stats.Changes
 		w.Step(time.Second)
 	}
-	w.tally = Stats{MinBudgetLeft: w.leastLeft()}
+	w.stats = Stats{MinBudgetLeft: w.minBudgetLeft()}
 	return w
 }
 
 // Stats returns what the world has counted.
-func (w *Simulation) Stats() Stats { return w.tally }
+func (w *Simulation) Stats() Stats { return w.stats }
 
 // State returns the assignment.
 func (w *Simulation) State() *assign.State { return w.state }
@@ -109,46 +109,46 @@
 	if m.info.State == pointport.InstanceDown {
 		return
 	}
-	w.tally.Failures++
+	w.stats.Failures++
 	w.down(m, d)
 }
 
 func (w *Simulation) down(m *machine, d time.Duration) {
-	m.info.State, m.back, m.quiet = pointport.InstanceDown, w.now.Add(d), time.Time{}
+	m.info.State, m.backAt, m.quietSince = pointport.InstanceDown, w.now.Add(d), time.Time{}
 }
 
 // Step lets d pass, and then lets the policy decide once.
 func (w *Simulation) Step(d time.Duration) {
 	w.now = w.now.Add(d)
-	w.live()
-	w.count(d)
-	w.tally.Decisions++
+	w.advance()
+	w.accumulate(d)
+	w.stats.Decisions++
 	c := w.policy(w.input())
 	if c.Empty() {
-		w.tell()
+		w.applyState()
 		return
 	}
-	w.tally.Changes++
-	w.check(c)
+	w.stats.Changes++
+	w.countChange(c)
 	c.Version = w.state.Version() + 1
 	next, err := w.state.Apply(c)
 	if err != nil {
 		panic("evaluate: " + err.Error())
 	}
 	w.state = next
-	w.tell()
+	w.applyState()
 }
 
-// live lets each instance come as far as the time says.
-func (w *Simulation) live() {
+// advance lets each instance come as far as the time says.
+func (w *Simulation) advance() {
 	for _, m := range w.machines {
 		m.info.Reported = w.now
-		if m.info.State == pointport.InstanceDown && !w.now.Before(m.back) {
+		if m.info.State == pointport.InstanceDown && !w.now.Before(m.backAt) {
 			m.info.State = pointport.InstanceLive
 			m.info.Boots++
 		}
-		if m.info.State == pointport.InstanceLeaving && !w.now.Before(m.idle) && m.quiet.IsZero() {
-			m.quiet = w.now
+		if m.info.State == pointport.InstanceLeaving && !w.now.Before(m.drainedAt) && m.quietSince.IsZero() {
+			m.quietSince = w.now
 		}
 	}
 }
@@ -160,8 +160,8 @@
 	}
 	for _, m := range w.machines {
 		in.Listed = append(in.Listed, m.info)
-		if !m.quiet.IsZero() {
-			in.Quiet[m.info.ID] = w.now.Sub(m.quiet)
+		if !m.quietSince.IsZero() {
+			in.Quiet[m.info.ID] = w.now.Sub(m.quietSince)
 		}
 	}
 	return in
@@ -170,8 +170,8 @@
 // share is the budget of the only zone.
 func share(t *config.Template) int { return t.Maintenance.Budget.Down(t.Pool.Size) }
 
-// tell does what the committed state calls for.
-func (w *Simulation) tell() {
+// applyState does what the committed state calls for.
+func (w *Simulation) applyState() {
 	for _, member := range w.state.Members() {
 		m := w.byID[member.ID]
 		if m.info.Boots != member.Boots {
@@ -179,22 +179,22 @@
 		}
 		switch {
 		case member.Phase == assign.Draining && m.info.State == pointport.InstanceLive:
-			m.info.State, m.idle = pointport.InstanceLeaving, w.now.Add(w.around(w.drainMean))
+			m.info.State, m.drainedAt = pointport.InstanceLeaving, w.now.Add(w.jitter(w.drainMean))
 		case member.Phase == assign.Rebooting && m.info.State != pointport.InstanceDown:
-			w.down(m, w.around(w.rebootMean))
+			w.down(m, w.jitter(w.rebootMean))
 		case (member.Phase == assign.Serving || member.Phase == assign.Spare) && m.info.State == pointport.InstanceLeaving:
-			m.info.State, m.quiet = pointport.InstanceLive, time.Time{}
+			m.info.State, m.quietSince = pointport.InstanceLive, time.Time{}
 		}
 	}
 }
 
-// around returns a time by chance, from half the mean to one and a half.
-func (w *Simulation) around(mean time.Duration) time.Duration {
-	return time.Duration(float64(mean) * (0.5 + w.chance.Float64()))
+// jitter returns a time by chance, from half the mean to one and a half.
+func (w *Simulation) jitter(mean time.Duration) time.Duration {
+	return time.Duration(float64(mean) * (0.5 + w.rng.Float64()))
 }
 
-// working returns how many of a pool's members really serve.
-func (w *Simulation) working(s *assign.State, pool string) int {
+// serving returns how many of a pool's members really serve.
+func (w *Simulation) serving(s *assign.State, pool string) int {
 	n := 0
 	for _, member := range s.Members() {
 		if member.Pool == pool && member.Phase == assign.Serving && w.byID[member.ID].info.State == pointport.InstanceLive {
@@ -204,32 +204,32 @@
 	return n
 }
 
-// leastLeft returns the least budget that any pool has left.
-func (w *Simulation) leastLeft() int {
+// minBudgetLeft returns the least budget that any pool has left.
+func (w *Simulation) minBudgetLeft() int {
 	least := 1 << 30
 	for _, t := range w.templates {
-		least = min(least, share(t)-max(0, t.Pool.Size-w.working(w.state, t.Name)))
+		least = min(least, share(t)-max(0, t.Pool.Size-w.serving(w.state, t.Name)))
 	}
 	return least
 }
 
-func (w *Simulation) count(d time.Duration) {
-	w.tally.MinBudgetLeft = min(w.tally.MinBudgetLeft, w.leastLeft())
+func (w *Simulation) accumulate(d time.Duration) {
+	w.stats.MinBudgetLeft = min(w.stats.MinBudgetLeft, w.minBudgetLeft())
 	spare := len(w.machines)
 	for _, t := range w.templates {
 		spare -= t.Pool.Size
 	}
-	w.tally.SpareHours += float64(spare) * d.Hours()
+	w.stats.SpareHours += float64(spare) * d.Hours()
 	for _, member := range w.state.Members() {
 		if member.Wave != "" {
-			w.tally.Work += d
+			w.stats.Work += d
 		}
 	}
 }
 
-// check counts what a change does, and whether the budget allows it: a pool
+// countChange counts what a change does, and whether the budget allows it: a pool
 // from which the change takes an instance must keep its size less its budget.
-func (w *Simulation) check(c assign.Change) {
+func (w *Simulation) countChange(c assign.Change) {
 	started := make(map[string]bool)
 	next, err := w.state.Apply(assign.Change{Version: w.state.Version() + 1, Steps: c.Steps})
 	if err != nil {
@@ -241,16 +241,16 @@
 			continue
 		}
 		if s.After.Pool != before.Pool && s.After.Pool != "" {
-			w.tally.Moves++
+			w.stats.Moves++
 		}
 		if before.Phase == assign.Serving && s.After.Phase == assign.Draining {
 			started[before.Pool] = true
-			w.tally.Drains++
+			w.stats.Drains++
 		}
 	}
 	for _, t := range w.templates {
-		if started[t.Name] && w.working(next, t.Name) < t.Pool.Size-share(t) {
-			w.tally.BudgetViolations++
+		if started[t.Name] && w.serving(next, t.Name) < t.Pool.Size-share(t) {
+			w.stats.BudgetViolations++
 		}
 	}
 }
--- a/planner/ledger.go
+++ b/planner/ledger.go
@@ -61,15 +61,15 @@
 	return n
 }
 
-// wants returns what the zone should hold of each pool's floating budget.
-func (p *Planner) wants(state *assign.State) map[string]int {
+// wantedFloats returns what the zone should hold of each pool's floating budget.
+func (p *Planner) wantedFloats(state *assign.State) map[string]int {
 	return assign.WantFloats(p.input(p.clock.Now(), state, p.listed))
 }
 
 // settleFloats takes and gives back floating budget, and returns the state
 // afterwards.
 func (p *Planner) settleFloats(ctx context.Context, state *assign.State) (*assign.State, error) {
-	wants := p.wants(state)
+	wants := p.wantedFloats(state)
 	if !p.floatsDiffer(state, wants) {
 		return state, nil
 	}
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -63,14 +63,14 @@
 	logger   *slog.Logger
 	author   string
 	pause    func() time.Duration
-	listedTo func([]pointport.Instance)
+	onList func([]pointport.Instance)
 
 	store  pointport.Store
 	ledger ledger // as last read or written
-	seen   tracker
+	tracker   tracker
 	listed []pointport.Instance // as last read
 	held   bool
-	cut    bool
+	failing    bool
 }
 
 // An Option changes a Planner.
@@ -84,7 +84,7 @@
 
 // WithListObserver sets who else is told of each reading of the platform's list.
 func WithListObserver(told func([]pointport.Instance)) Option {
-	return func(p *Planner) { p.listedTo = told }
+	return func(p *Planner) { p.onList = told }
 }
 
 // WithAuthor sets the name under which the planner writes.
@@ -96,8 +96,8 @@
 		store: store,
 		zone:  zone, zones: zones, clock: clock, fleet: fleet, configs: configs, log: log,
 		election: election, logger: slog.New(slog.DiscardHandler), author: "planner", pause: func() time.Duration { return DefaultInterval },
-		listedTo: func([]pointport.Instance) {},
-		seen:     newTracker(),
+		onList: func([]pointport.Instance) {},
+		tracker:     newTracker(),
 	}
 	for _, o := range options {
 		o(p)
@@ -141,7 +141,7 @@
 		p.held = held
 		if held {
 			event.PlannerElected.Log(p.logger, slog.String("zone", string(p.zone)))
-			p.seen, p.listed, p.ledger = newTracker(), nil, nil
+			p.tracker, p.listed, p.ledger = newTracker(), nil, nil
 		} else {
 			event.PlannerLost.Log(p.logger, slog.String("zone", string(p.zone)))
 		}
@@ -150,10 +150,10 @@
 		return
 	}
 	err := round(ctx)
-	if err != nil && !p.cut && ctx.Err() == nil {
+	if err != nil && !p.failing && ctx.Err() == nil {
 		event.PlanFailed.Log(p.logger, slog.Any("error", err))
 	}
-	p.cut = err != nil
+	p.failing = err != nil
 }
 
 // Round reads, decides, commits and tells the platform, once. The log is not
@@ -169,8 +169,8 @@
 		return err
 	}
 	p.listed = listed
-	p.listedTo(listed)
-	p.seen.look(p.clock.Now(), p.log.State(), listed)
+	p.onList(listed)
+	p.tracker.observe(p.clock.Now(), p.log.State(), listed)
 	return p.decide(ctx, p.log.State())
 }
 
@@ -195,14 +195,14 @@
 			return err
 		}
 	}
-	return p.tell(ctx, state, p.listed)
+	return p.sendCommands(ctx, state, p.listed)
 }
 
 func (p *Planner) input(now time.Time, state *assign.State, listed []pointport.Instance) assign.Input {
 	cfg := p.configs.State()
 	in := assign.Input{
 		Now: now, Zone: p.zone, Zones: p.zones, State: state, Templates: cfg.Effective(now), Evacuations: cfg.Evacuations(),
-		Listed: listed, Quiet: p.seen.quietFor(), Absent: p.seen.absent,
+		Listed: listed, Quiet: p.tracker.quietFor(), Absent: p.tracker.absent,
 		Share: func(t *config.Template) int { return p.share(state, t) },
 	}
 	for _, o := range cfg.List(config.KindWave) {
@@ -221,11 +221,11 @@
 	if err := p.log.Commit(ctx, change); err != nil {
 		return nil, err
 	}
-	p.report(change)
+	p.logChange(change)
 	return state.Apply(change)
 }
 
-func (p *Planner) report(change assign.Change) {
+func (p *Planner) logChange(change assign.Change) {
 	for _, s := range change.Steps {
 		to := "forgotten"
 		if s.After != nil {
@@ -241,9 +241,9 @@
 	}
 }
 
-// tell asks the platform for what the committed state calls for. A planner that
+// sendCommands asks the platform for what the committed state calls for. A planner that
 // has just taken over tells again what its predecessor may not have.
-func (p *Planner) tell(ctx context.Context, state *assign.State, listed []pointport.Instance) error {
+func (p *Planner) sendCommands(ctx context.Context, state *assign.State, listed []pointport.Instance) error {
 	var errs []error
 	for _, i := range listed {
 		m, ok := state.Member(i.ID)
--- a/planner/tracker.go
+++ b/planner/tracker.go
@@ -26,13 +26,13 @@
 	return tracker{quiet: map[pointport.InstanceID]quiet{}, absent: map[pointport.InstanceID]time.Time{}}
 }
 
-// look takes in one reading of the platform's list.
-func (t tracker) look(now time.Time, state *assign.State, listed []pointport.Instance) {
+// observe takes in one reading of the platform's list.
+func (t tracker) observe(now time.Time, state *assign.State, listed []pointport.Instance) {
 	present := make(map[pointport.InstanceID]bool, len(listed))
 	for _, i := range listed {
 		present[i.ID] = true
 		delete(t.absent, i.ID)
-		t.lookQuiet(now, i)
+		t.observeQuiet(now, i)
 	}
 	for _, m := range state.Members() {
 		if present[m.ID] {
@@ -45,10 +45,10 @@
 	}
 }
 
-// lookQuiet takes in one instance's report. The list lags, so a report counts
+// observeQuiet takes in one instance's report. The list lags, so a report counts
 // only once it shows the instance as leaving: by then it came after the drain
 // was told. A report that has not moved says nothing new.
-func (t tracker) lookQuiet(now time.Time, i pointport.Instance) {
+func (t tracker) observeQuiet(now time.Time, i pointport.Instance) {
 	if i.InFlight > 0 || i.State != pointport.InstanceLeaving {
 		delete(t.quiet, i.ID)
 		return
--- a/steward/journal.go
+++ b/steward/journal.go
@@ -18,9 +18,9 @@
 // journalKey is the key of the journal in the store.
 const journalKey = "journal" + OwnershipName
 
-// keepRests is for how many times the least time between two holders an order is
+// journalKeepFactor is for how many times the least time between two holders an order is
 // kept in the journal.
-const keepRests = 2
+const journalKeepFactor = 2
 
 // clockSkew is by how much the times of day of two members may differ.
 const clockSkew = 500 * time.Millisecond
@@ -55,7 +55,7 @@
 type journal struct {
 	kv     pointport.KV
 	writer *member.Writer
-	rest   time.Duration // that must lie between two holders' orders
+	holderInterval   time.Duration // that must lie between two holders' orders
 	doc    journalDocument
 	// former holds the orders of earlier stewards.
 	former map[pointport.InstanceID]capacity.FormerOrder
@@ -64,7 +64,7 @@
 
 func newJournal(kv pointport.KV, writer *member.Writer, own member.Ownership, rest time.Duration) *journal {
 	return &journal{
-		kv: kv, writer: writer, rest: rest, former: make(map[pointport.InstanceID]capacity.FormerOrder),
+		kv: kv, writer: writer, holderInterval: rest, former: make(map[pointport.InstanceID]capacity.FormerOrder),
 		doc: journalDocument{Fence: own.Fence, Ordered: make(map[pointport.InstanceID]journalEntry)},
 	}
 }
@@ -95,7 +95,7 @@
 // add writes that machines are about to be ordered.
 func (j *journal) add(ctx context.Context, now time.Time, orders []capacity.Order) error {
 	for id, o := range j.doc.Ordered {
-		if now.Sub(time.UnixMilli(o.At)) > max(keepRests*j.rest, capacity.PendingOrderTimeout+clockSkew) {
+		if now.Sub(time.UnixMilli(o.At)) > max(journalKeepFactor*j.holderInterval, capacity.PendingOrderTimeout+clockSkew) {
 			delete(j.doc.Ordered, id)
 		}
 	}
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -39,31 +39,31 @@
 	// OwnershipName is the name under which the steward's ownership is kept. It is no
 	// pool's name, because those have no slash.
 	OwnershipName = "/steward"
-	// roundEvery is how often the steward looks, freshEvery how soon after it has
+	// roundInterval is how often the steward looks, freshEvery how soon after it has
 	// closed an instance.
-	roundEvery = 100 * time.Millisecond
-	freshEvery = 20 * time.Millisecond
-	// listBusy and listIdle are how often the list of machines is read while
+	roundInterval = 100 * time.Millisecond
+	newClosureInterval = 20 * time.Millisecond
+	// busyListInterval and listIdle are how often the list of machines is read while
 	// orders are under way and while none are.
-	listBusy = 450 * time.Millisecond
-	listIdle = 2 * time.Second
+	busyListInterval = 450 * time.Millisecond
+	idleListInterval = 2 * time.Second
 	// surveyTimeout bounds a question to the owner of a pool.
 	surveyTimeout = 400 * time.Millisecond
 	// writeTimeout bounds a change that the steward makes; while the store is away
 	// it must go on keeping instances closed.
 	writeTimeout = 800 * time.Millisecond
-	// turnSlack is kept beyond the time that must lie between two holders.
-	turnSlack = 300 * time.Millisecond
+	// holderMargin is kept beyond the time that must lie between two holders.
+	holderMargin = 300 * time.Millisecond
 	// inboxSize is how many answers may wait for the loop.
 	inboxSize = 128
-	// paceShare is the share of the orders about machines which the platform takes in a second
+	// sustainedShare is the share of the orders about machines which the platform takes in a second
 	// that a steward gives on end, burstShare the share that it gives at once: in no second
 	// more than are taken. Without them, the orders to a fleet of 2,976 instances, given again
 	// each second, were 1,000 to 1,700 a second, of which the platform took 64.
-	paceShare  = 0.75
+	sustainedShare  = 0.75
 	burstShare = 0.25
-	// defaultOrders is how many orders a second the platform takes where it does not say.
-	defaultOrders = 64
+	// defaultOrdersPerSecond is how many orders a second the platform takes where it does not say.
+	defaultOrdersPerSecond = 64
 )
 
 // Pools reaches the owners of pools.
@@ -129,12 +129,12 @@
 	listing  bool
 	writer   *member.Writer
 	journal  *journal
-	pace     *rate.Limiter // of orders
+	limiter     *rate.Limiter // of orders
 	stored   map[int64]string
 	restored map[int64]bool
 	sizes    map[string]capacity.PoolSize // as last logged
-	// toldOver holds, by pool, the incarnations of which it was last logged that they are over.
-	toldOver map[string]map[pointport.IncarnationID]bool
+	// loggedEnded holds, by pool, the incarnations of which it was last logged that they are over.
+	loggedEnded map[string]map[pointport.IncarnationID]bool
 }
 
 var _ member.Tenant = (*Steward)(nil)
@@ -143,19 +143,19 @@
 // steward.
 func Start(ctx context.Context, s Services, settings Settings, own member.Ownership, logger *slog.Logger) *Steward {
 	ctx, cancel := context.WithCancel(ctx)
-	taken := cmp.Or(settings.OrdersPerSecond, defaultOrders)
-	settings.Planner.HolderTime = settings.HolderTime + turnSlack
-	settings.Planner.OrdersPerSecond = paceShare * taken
+	taken := cmp.Or(settings.OrdersPerSecond, defaultOrdersPerSecond)
+	settings.Planner.HolderTime = settings.HolderTime + holderMargin
+	settings.Planner.OrdersPerSecond = sustainedShare * taken
 	st := &Steward{
 		services: s, settings: settings, own: own, cancel: cancel, done: make(chan struct{}),
 		logger:  logger.With(slog.Int64("fence", int64(own.Fence))),
 		planner: capacity.NewPlanner(settings.Planner), inbox: make(chan func(time.Time), inboxSize),
 		stored: make(map[int64]string), restored: make(map[int64]bool),
-		pace:  rate.NewLimiter(rate.Limit(paceShare*taken), max(1, int(burstShare*taken))),
-		sizes: make(map[string]capacity.PoolSize), toldOver: make(map[string]map[pointport.IncarnationID]bool),
+		limiter:  rate.NewLimiter(rate.Limit(sustainedShare*taken), max(1, int(burstShare*taken))),
+		sizes: make(map[string]capacity.PoolSize), loggedEnded: make(map[string]map[pointport.IncarnationID]bool),
 	}
 	st.writer = member.NewWriter(s.KV, s.Clock, own, st.logger)
-	st.journal = newJournal(s.KV, st.writer, own, settings.HolderTime+turnSlack)
+	st.journal = newJournal(s.KV, st.writer, own, settings.HolderTime+holderMargin)
 	go func() {
 		defer close(st.done)
 		st.run(ctx)
@@ -194,8 +194,8 @@
 	}
 }
 
-// do hands a message to the loop.
-func (s *Steward) do(f func(now time.Time)) {
+// enqueue hands a message to the loop.
+func (s *Steward) enqueue(f func(now time.Time)) {
 	select {
 	case s.inbox <- f:
 	case <-s.done:
@@ -210,24 +210,24 @@
 	s.survey(ctx, layout.WorkPools)
 	s.list(ctx)
 	now := s.services.Clock.Now()
-	s.takeWaves(ctx, now)
+	s.loadWaves(ctx, now)
 	if s.listed.IsZero() || !s.own.Proven() {
-		return roundEvery
+		return roundInterval
 	}
 	if err := s.open(ctx); err != nil {
 		event.PlanFailed.Log(s.logger, slog.String("part", "journal"), slog.Any("error", err))
-		return roundEvery
+		return roundInterval
 	}
 	s.planner.SetFormer(s.journal.former)
 	d := s.planner.Decide(now)
 	s.closures, s.soon = d.Closures, d.PendingMaintenance
 	s.logSizes(d.Sizes)
-	s.orders(ctx, d.Orders)
+	s.sendOrders(ctx, d.Orders)
 	s.report(ctx, now)
 	if d.NewClosures {
-		return freshEvery
+		return newClosureInterval
 	}
-	return roundEvery
+	return roundInterval
 }
 
 // open reads what the steward must know before its first order.
@@ -276,7 +276,7 @@
 	surveys := make([]schedule.Survey, len(pools))
 	errs := make([]error, len(pools))
 	for n, pool := range pools {
-		req := schedule.SurveyRequest{Closures: s.closures[pool], Soon: s.soon, Over: s.over(pool), Ordered: s.planner.OrderedEnds(s.services.Clock.Now(), pool)}
+		req := schedule.SurveyRequest{Closures: s.closures[pool], Soon: s.soon, Over: s.endedIncarnations(pool), Ordered: s.planner.OrderedEnds(s.services.Clock.Now(), pool)}
 		wg.Go(func() { surveys[n], errs[n] = s.services.Pools.Survey(ctx, pool, req) })
 	}
 	wg.Wait()
@@ -290,31 +290,31 @@
 	}
 }
 
-// over returns the incarnations of a pool that the list of machines shows to be over. Each
+// endedIncarnations returns the incarnations of a pool that the list of machines shows to be endedIncarnations. Each
 // is logged once.
-func (s *Steward) over(pool string) []pointport.IncarnationID {
+func (s *Steward) endedIncarnations(pool string) []pointport.IncarnationID {
 	now := s.services.Clock.Now()
 	told := make(map[pointport.IncarnationID]bool)
 	var out []pointport.IncarnationID
 	for _, o := range s.planner.EndedIncarnations(pool) {
 		out = append(out, o.ID)
 		told[o.ID] = true
-		if s.toldOver[pool][o.ID] {
+		if s.loggedEnded[pool][o.ID] {
 			continue
 		}
 		event.IncarnationOver.Log(s.logger, slog.String("pool", pool), slog.String("incarnation", string(o.ID)), slog.String("instance", string(o.Instance)),
 			slog.String("life", string(o.Addressee)), slog.String("state", string(o.State)), slog.Duration("listAge", now.Sub(o.ListedAt)), slog.Duration("known", o.KnownFor))
 	}
-	s.toldOver[pool] = told
+	s.loggedEnded[pool] = told
 	return out
 }
 
 // list reads the list of machines, if that is due.
 func (s *Steward) list(ctx context.Context) {
 	now := s.services.Clock.Now()
-	every := listIdle
+	every := idleListInterval
 	if s.planner.Busy() {
-		every = listBusy
+		every = busyListInterval
 	}
 	if s.listing || now.Sub(s.listed) < every {
 		return
@@ -322,7 +322,7 @@
 	s.listing = true
 	go func() {
 		list, err := s.services.Machines.List(ctx)
-		s.do(func(time.Time) {
+		s.enqueue(func(time.Time) {
 			s.listing = false
 			if err != nil {
 				event.MachinesCut.Log(s.logger, slog.Any("error", err))
@@ -334,10 +334,10 @@
 	}()
 }
 
-// orders writes orders to the journal and gives them. Those that cannot be
+// sendOrders writes sendOrders to the journal and gives them. Those that cannot be
 // written are not given, nor are those that the platform would refuse because they are too
 // many: they come up again in a later round.
-func (s *Steward) orders(ctx context.Context, orders []capacity.Order) {
+func (s *Steward) sendOrders(ctx context.Context, orders []capacity.Order) {
 	orders = s.admit(orders)
 	if len(orders) == 0 {
 		return
@@ -354,7 +354,7 @@
 		return
 	}
 	for _, o := range orders {
-		s.order(ctx, o)
+		s.sendOrder(ctx, o)
 	}
 }
 
@@ -363,7 +363,7 @@
 	now := s.services.Clock.Now()
 	var out []capacity.Order
 	for _, o := range orders {
-		if s.pace.AllowN(now, 1) {
+		if s.limiter.AllowN(now, 1) {
 			out = append(out, o)
 			continue
 		}
@@ -375,8 +375,8 @@
 	return out
 }
 
-// order gives an order and hands its answer to the planner.
-func (s *Steward) order(ctx context.Context, o capacity.Order) {
+// sendOrder gives an sendOrder and hands its answer to the planner.
+func (s *Steward) sendOrder(ctx context.Context, o capacity.Order) {
 	by := pointport.Holder{Name: s.settings.Name, Fence: s.own.Fence}
 	from := s.services.Clock.Now()
 	go func() {
@@ -386,7 +386,7 @@
 		} else {
 			err = s.services.Machines.Maintain(ctx, by, o.Machine, o.Wave)
 		}
-		s.do(func(now time.Time) {
+		s.enqueue(func(now time.Time) {
 			event.MachineOrdered.Log(s.logger, slog.String("instance", string(o.Machine)), slog.String("pool", o.Pool),
 				slog.Int64("wave", o.Wave), slog.String("reason", o.Reason), slog.Duration("took", now.Sub(from)), slog.Any("error", err))
 			var refused *pointport.MachineRefusedError
@@ -404,8 +404,8 @@
 
 func waveKey(put pointport.Put) string { return "wave/" + put.Key }
 
-// takeWaves takes in the waves, and what an earlier steward has stored of each.
-func (s *Steward) takeWaves(ctx context.Context, now time.Time) {
+// loadWaves takes in the waves, and what an earlier steward has stored of each.
+func (s *Steward) loadWaves(ctx context.Context, now time.Time) {
 	waves := s.services.Waves.Waves()
 	s.planner.SetWaves(now, waves)
 	for _, w := range waves {
