--- a/capacity/doc.go
+++ b/capacity/doc.go
@@ -1,18 +1,17 @@
 // Package capacity decides how many instances each pool has and when each
 // instance is maintained. It does no input or output.
 //
-// The model: a Planner is given the platform's list of machines, a survey of
-// each pool and the waves of maintenance that are asked for. It returns which
-// instances should take nothing new, which to move to another pool and which to
-// maintain. Peaks of load come and go within seconds and in one pool at a time,
-// so instances that are empty go where they are needed, or to the spare pool,
-// where they cost nothing.
+// A Planner is given the platform's list of machines, a survey of each pool and
+// the requested waves of maintenance. It returns which instances to close to new
+// tasks, which to move to another pool and which to maintain. Load peaks last
+// seconds and affect one pool at a time, so empty instances move to the pool that
+// needs them, or to the spare pool, where they cost nothing.
 //
 // Invariants:
 //
-//   - Only an instance on which nothing runs is moved, and only one that its
-//     pool's owner has closed, or one in the spare pool.
-//   - No more machines of a wave are maintained at once than the wave allows; an
-//     order that got no answer counts until it is settled.
-//   - One order about a machine is under way at a time.
+//   - Only an instance on which nothing runs is moved, and only if its pool's
+//     owner has closed it or it is in the spare pool.
+//   - No more machines of a wave are maintained at once than the wave allows. An
+//     order without an answer counts until its outcome is known.
+//   - At most one order per machine is pending.
 package capacity
--- a/capacity/evacuation_test.go
+++ b/capacity/evacuation_test.go
@@ -10,13 +10,13 @@
 	"github.com/pointport/pointport/evacuation"
 )
 
-// This file tests what becomes of pools when an availability zone is evacuated.
+// This file tests pools while an availability zone is evacuated.
 
-var northEmpty = evacuation.Known([]evacuation.Request{{Zone: "north"}})
+var northEvacuated = evacuation.Known([]evacuation.Request{{Zone: "north"}})
 
-// zoned puts the machines of a fleet into two availability zones by turns of its pools, so that
-// each pool has as many in north as in south.
-func zoned(f *fleet, pools int) {
+// splitZones assigns the machines of a fleet to two availability zones so that each pool has as
+// many in north as in south.
+func splitZones(f *fleet, pools int) {
 	for n, m := range f.machines {
 		m.Zone = "south"
 		if n/pools%2 == 0 {
@@ -25,7 +25,7 @@
 	}
 }
 
-// inZone counts the machines of a pool in an availability zone.
+// inZone returns how many machines of a pool are in an availability zone.
 func inZone(f *fleet, pool, zone string) int {
 	n := 0
 	for _, m := range f.machines {
@@ -37,20 +37,21 @@
 }
 
 // A pool that loses half of its instances to an evacuation gets as many from the other
-// availability zone in the next round, although what it has left is not full, and none from
-// the evacuated one. Idle ones there are no longer paid for. Once the zone is open it counts.
+// availability zone in the next round, although its remaining instances are not full, and none
+// from the evacuated zone. Idle instances there go to the spare pool. Once the zone is open, its
+// instances are used again.
 func TestPoolIsSuppliedFromOtherZones(t *testing.T) {
 	f := newFleet(8, "a", "b", spareName)
-	zoned(f, 3)
+	splitZones(f, 3)
 	p := capacity.NewPlanner(settings)
-	f.need["a"] = 5000 // with headroom 7 instances
+	f.need["a"] = 5000 // 7 instances with headroom
 	for range 40 {
 		f.step(p, 100*time.Millisecond, nil)
 	}
 	if f.count("a") < 7 {
-		t.Fatalf("the pool has %d instances to begin with", f.count("a"))
+		t.Fatalf("the pool has %d instances at the start", f.count("a"))
 	}
-	p.SetEvacuations(northEmpty)
+	p.SetEvacuations(northEvacuated)
 	had := inZone(f, "a", "south")
 	f.step(p, 100*time.Millisecond, nil)
 	if got := inZone(f, "a", "south"); got < 7 {
@@ -60,7 +61,7 @@
 		d := f.step(p, 100*time.Millisecond, nil)
 		for _, o := range d.Orders {
 			if f.machine(o.Machine).Zone == "north" && o.Pool != spareName {
-				t.Fatalf("%+v brings an instance of the evacuated availability zone", o)
+				t.Fatalf("%+v moves an instance of the evacuated availability zone to a pool", o)
 			}
 		}
 	}
@@ -77,25 +78,25 @@
 	}
 }
 
-// Instances of an evacuated availability zone on which tasks run are left where they are: they
-// are neither taken for another pool nor counted as its own.
+// Instances of an evacuated availability zone on which tasks run stay in their pool: they
+// are not taken for another pool, which could not use them.
 func TestBusyInstancesOfAnEvacuatedZoneStay(t *testing.T) {
 	f := newFleet(4, "a", "b", spareName)
-	zoned(f, 3)
+	splitZones(f, 3)
 	for _, m := range f.machines {
 		if m.Pool == "a" {
 			f.runs[m.ID] = 1
 		}
 	}
 	p := capacity.NewPlanner(settings)
-	p.SetEvacuations(northEmpty)
-	f.need["b"] = 12000 // more than there is
+	p.SetEvacuations(northEvacuated)
+	f.need["b"] = 12000 // more than the fleet has
 	f.waiting["b"] = 12000
 	for range 60 {
 		d := f.step(p, 100*time.Millisecond, nil)
 		for _, o := range d.Orders {
 			if m := f.machine(o.Machine); m.Zone == "north" && f.runs[m.ID] > 0 {
-				t.Fatalf("%+v ends what runs there", o)
+				t.Fatalf("%+v interrupts what runs there", o)
 			}
 		}
 		for pool, closures := range d.Closures {
@@ -108,12 +109,12 @@
 	}
 }
 
-// Maintenance of a wave goes on in an evacuated availability zone: it starts no task there.
-func TestWaveGoesOnInAnEvacuatedZone(t *testing.T) {
+// A wave continues in an evacuated availability zone, because maintenance starts no task there.
+func TestWaveContinuesInEvacuatedZone(t *testing.T) {
 	f := newFleet(2, "a", "b", spareName)
-	zoned(f, 3)
+	splitZones(f, 3)
 	p := capacity.NewPlanner(settings)
-	p.SetEvacuations(northEmpty)
+	p.SetEvacuations(northEvacuated)
 	wave := capacity.Wave{ID: 1, Bound: 2, Duration: 20 * time.Second}
 	for _, m := range f.machines {
 		wave.Machines = append(wave.Machines, m.ID)
@@ -127,11 +128,11 @@
 	}
 }
 
-// An idle instance with a label in the evacuated availability zone does not stand for one that
-// a pool's tasks wait for.
+// An idle instance with a label in the evacuated availability zone does not count as supply
+// for tasks that wait for the label.
 func TestLabelIsSuppliedFromOtherZones(t *testing.T) {
 	f := newFleet(3, "a", "b", spareName)
-	zoned(f, 3)
+	splitZones(f, 3)
 	for _, pool := range []string{"a", spareName} {
 		for _, m := range f.machines {
 			if m.Pool == pool && (m.Zone == "north") == (pool == "a") {
@@ -141,7 +142,7 @@
 		}
 	}
 	p := capacity.NewPlanner(settings)
-	p.SetEvacuations(northEmpty)
+	p.SetEvacuations(northEvacuated)
 	f.step(p, time.Second, nil)
 	s := f.survey("a")
 	s.Labels = map[string]pointport.Shape{"gpu": {CPUMilli: 500}}
--- a/capacity/late_list_test.go
+++ b/capacity/late_list_test.go
@@ -9,9 +9,9 @@
 	"github.com/pointport/pointport/schedule"
 )
 
-// A list that lags now less and now more goes back: it shows a life, and then how its
-// instance was before that. The life is not over.
-func TestListThatGoesBackBeforeALifeDoesNotEndIt(t *testing.T) {
+// A list with a varying lag goes back in time: it shows an incarnation, and then an earlier state
+// of its instance. The incarnation has not ended.
+func TestListThatGoesBackEndsNoNewIncarnation(t *testing.T) {
 	for _, before := range []pointport.Machine{
 		{State: pointport.MachineMoving},
 		{State: pointport.MachineDown},
@@ -28,16 +28,16 @@
 		p.SetSurvey(now, "a", schedule.Survey{Instances: []schedule.InstanceLoad{
 			{Instance: "m-00", Incarnation: "i-present", Runs: 3, Silent: true, Known: time.Second},
 		}})
-		if over := p.EndedIncarnations("a"); len(over) > 0 {
-			t.Errorf("before its present life the instance was %s %s: %+v", before.State, before.Addressee, over)
+		if ended := p.EndedIncarnations("a"); len(ended) > 0 {
+			t.Errorf("the older list shows the instance %s %s: ended incarnations %+v", before.State, before.Addressee, ended)
 		}
 	}
 }
 
-// An earlier planner has moved a machine out of the spare pool, and its new pool's owner says
-// what runs there. A list from before the move shows it off: by that it is not ordered
-// elsewhere, which would end what runs there.
-func TestMachineOfWhichAnOwnerTellsIsNotOff(t *testing.T) {
+// Guards against moving a machine with running tasks. An earlier planner has moved it out of the
+// spare pool, and its new pool's owner reports what runs there. A list from before the move still
+// shows it switched off in the spare pool, where it would be free to be ordered elsewhere.
+func TestMachineReportedByOwnerIsNotMoved(t *testing.T) {
 	f := newFleet(2, "a", "b", spareName)
 	p := capacity.NewPlanner(settings)
 	f.need["b"] = 20000 // more than the fleet has
@@ -52,13 +52,13 @@
 		f.now = f.now.Add(250 * time.Millisecond)
 		p.SetSpare(spareName)
 		p.SetMachines(f.now, f.listed())
-		told := f.survey("a")
-		told.Instances = append(told.Instances, schedule.InstanceLoad{Instance: moved.ID, Incarnation: "i-present", Runs: 2, Serving: 1, Known: time.Second})
-		p.SetSurvey(f.now, "a", told)
+		survey := f.survey("a")
+		survey.Instances = append(survey.Instances, schedule.InstanceLoad{Instance: moved.ID, Incarnation: "i-present", Runs: 2, Serving: 1, Known: time.Second})
+		p.SetSurvey(f.now, "a", survey)
 		p.SetSurvey(f.now, "b", f.survey("b"))
 		for _, o := range p.Decide(f.now).Orders {
 			if o.Machine == moved.ID {
-				t.Fatalf("%+v, although the owner of pool a tells what runs there", o)
+				t.Fatalf("%+v, although the owner of pool a reports what runs there", o)
 			}
 		}
 	}
--- a/capacity/list.go
+++ b/capacity/list.go
@@ -8,24 +8,25 @@
 	"github.com/pointport/pointport/schedule"
 )
 
-// This file defines what the planner makes of the platform's list of machines, which is behind
-// reality and may go back in time.
+// This file merges the platform's list of machines into the planner's state. The list lags behind
+// the real state and may go back in time.
 
 const (
-	// maxPastAddressees is how many former lives of a machine are remembered. An owner that still
-	// counts on one has known it for a lease of four seconds at most since it ended, and a
-	// move takes 1.5 s.
+	// maxPastAddressees is how many earlier addressees of a machine are remembered. An owner counts
+	// on an incarnation for at most a lease of 4 s after its end, and a move takes 1.5 s, so only
+	// a few others can follow in that time.
 	maxPastAddressees = 8
-	// maxListRegression is for how long a list may show a machine as it was before an earlier list did, as
-	// when it is read from a copy that is further behind.
+	// maxListRegression is for how long a list may show an older state of a machine than an earlier
+	// list did, for example because it was read from a replica that lags more.
 	maxListRegression = 15 * time.Second
-	// newAddresseeGrace is for how long after a life was first shown a list that shows the machine without
-	// one may be from before it. The platform lets what it lists lag by three seconds. Instances
-	// that crash so soon are found out by their time there instead.
+	// newAddresseeGrace is for how long after an addressee was first listed a list without one may
+	// be older. The platform's list may lag by 3 s. The end of an instance that crashes sooner
+	// is recognized once this time has passed.
 	newAddresseeGrace = 3500 * time.Millisecond
 )
 
-// SetMachines takes in the platform's list, which was asked for at asked.
+// SetMachines updates the planner with the platform's list, which was requested at asked. It
+// skips entries that are older than what an earlier list has shown.
 func (p *Planner) SetMachines(asked time.Time, list []pointport.Machine) {
 	p.listedAt = asked
 	seen := make(map[pointport.InstanceID]bool, len(list))
@@ -54,9 +55,9 @@
 	}
 }
 
-// isStale reports whether a list shows a machine as it was before an earlier list did: in a pool
-// to which nobody has ordered it, with a life in whose place another one has come, on its way
-// to the pool in which it is up, or without the life that it has just got.
+// isStale reports whether a list entry is older than what an earlier list has shown: the machine
+// is in a pool to which no order has moved it, has an addressee that was replaced, is still moving
+// to the pool in which it is already up, or lacks the addressee that it has just got.
 func (p *Planner) isStale(asked time.Time, m *machine, l pointport.Machine) bool {
 	switch {
 	case asked.Sub(m.listedSince) >= maxListRegression:
@@ -72,8 +73,8 @@
 	return slices.Contains(m.pastAddressees, l.Addressee)
 }
 
-// mayHaveMovedTo reports whether the last order about a machine, of this planner or an earlier one,
-// may have moved it to a pool.
+// mayHaveMovedTo reports whether the last order for a machine, from this planner or an earlier
+// one, may have moved it to a pool.
 func (p *Planner) mayHaveMovedTo(m *machine, pool string) bool {
 	if m.order != nil && m.order.Pool == pool {
 		return true
@@ -82,21 +83,21 @@
 	return ok && (f.Pool == pool || !f.hasTarget())
 }
 
-// listBehindOwner reports whether a pool's owner tells of a life of a machine that the list has not
-// shown yet, so that the list is from before it, and does not tell what an order would end.
+// listBehindOwner reports whether a pool's owner reports an addressee of the machine that the list
+// has not shown yet. The list is then too old to tell what an order would interrupt.
 func (p *Planner) listBehindOwner(m *machine) bool {
 	for pool, loads := range p.loads {
-		life := loads[m.id].Incarnation.Addressee()
-		if p.surveyed[pool] && life != "" && life != m.addressee && !slices.Contains(m.pastAddressees, life) {
+		addressee := loads[m.id].Incarnation.Addressee()
+		if p.surveyed[pool] && addressee != "" && addressee != m.addressee && !slices.Contains(m.pastAddressees, addressee) {
 			return true
 		}
 	}
 	return false
 }
 
-// setAddressee takes in the life that the list shows, empty for none.
-func (m *machine) setAddressee(asked time.Time, life pointport.Addressee) {
-	if life == m.addressee {
+// setAddressee records the addressee that the list shows, empty for none.
+func (m *machine) setAddressee(asked time.Time, addressee pointport.Addressee) {
+	if addressee == m.addressee {
 		return
 	}
 	m.listedSince = asked
@@ -104,32 +105,32 @@
 		m.pastAddressees = append(m.pastAddressees, m.addressee)
 		m.pastAddressees = m.pastAddressees[max(0, len(m.pastAddressees)-maxPastAddressees):]
 	}
-	m.addressee = life
+	m.addressee = addressee
 }
 
-// An EndedIncarnation is an incarnation that the list of machines shows to be over, and what
-// shows it.
+// An EndedIncarnation is an incarnation that has ended according to the list of machines, with the
+// evidence for it.
 type EndedIncarnation struct {
 	ID        pointport.IncarnationID
 	Instance  pointport.InstanceID
-	Addressee pointport.Addressee    // of the instance's life, by the list; empty if it has none
+	Addressee pointport.Addressee    // of the instance's current incarnation, by the list; empty if it has none
 	State     pointport.MachineState // of the instance, by the list
-	ListedAt  time.Time              // when the list was asked for
+	ListedAt  time.Time              // when the list was requested
 	KnownFor  time.Duration          // for how long the owner has known the incarnation
 }
 
-// EndedIncarnations returns the incarnations of a pool's instances that the platform shows to
-// be over although the pool's owner still counts on them.
+// EndedIncarnations returns the incarnations of a pool's instances that have ended according to
+// the platform's list although the pool's owner still counts on them.
 //
-// The list is behind reality, nobody knows how far. So a life is over once the list has shown
-// it and shows it no more, lists that go back being passed over; one that it has never shown
-// may be newer than the list. With a second allowed for its lag, tasks of instances that had
-// just come and answered late had two runs at once: 36 in ten plays of 40 s with a list that
-// was up to 3 s behind.
+// The list lags by an unknown time. An incarnation has therefore ended only if a list has shown
+// its addressee and later ones don't; stale entries are ignored. One that was never listed may be
+// newer than the list. Assuming a lag of at most 1 s instead gave tasks two concurrent runs
+// if their instances were new and slow to answer: 36 tasks in ten runs of 40 s with a list that
+// lagged by up to 3 s.
 //
-// A life that shares its addressee may have followed the one that the list has shown and shows no
-// more. The list shows it to be over by another addressee, or if its owner has known it for longer
-// than the list can be behind.
+// If incarnations can share an addressee, a newer one may use the addressee that is no longer
+// listed. The incarnation has then ended only if the list shows a different addressee, or if the
+// owner has known the incarnation for longer than the list can lag.
 func (p *Planner) EndedIncarnations(pool string) []EndedIncarnation {
 	var out []EndedIncarnation
 	s := p.surveys[pool]
@@ -138,12 +139,12 @@
 		if m == nil || !l.Silent || l.Incarnation == "" {
 			continue
 		}
-		to := l.Incarnation.Addressee()
-		if !slices.Contains(m.pastAddressees, to) || m.addressee == to {
+		addressee := l.Incarnation.Addressee()
+		if !slices.Contains(m.pastAddressees, addressee) || m.addressee == addressee {
 			continue
 		}
-		longGone := m.state != pointport.MachineUp && (!l.Incarnation.Shares() || l.Known > maxListRegression)
-		if m.addressee != "" || longGone {
+		goneForLong := m.state != pointport.MachineUp && (!l.Incarnation.Shares() || l.Known > maxListRegression)
+		if m.addressee != "" || goneForLong {
 			out = append(out, EndedIncarnation{ID: l.Incarnation, Instance: l.Instance, Addressee: m.addressee, State: m.state, ListedAt: p.listedAt, KnownFor: l.Known})
 		}
 	}
--- a/capacity/machine.go
+++ b/capacity/machine.go
@@ -8,9 +8,9 @@
 	"github.com/pointport/pointport/schedule"
 )
 
-// This file defines what the planner knows of a machine.
+// This file defines the planner's state of a machine.
 
-// A machine is what the planner knows of one.
+// A machine is the planner's state of one machine.
 type machine struct {
 	id       pointport.InstanceID
 	pool     string
@@ -18,51 +18,51 @@
 	zone     pointport.ZoneID
 	labels   []string
 	capacity pointport.Shape
-	// addressee is the addressee of the present addressee, as the list shows it; former holds those that
-	// it has shown and shows no more, the last one last, and changed is since when it shows the
-	// present one, in the present pool.
-	addressee     pointport.Addressee
-	pastAddressees   []pointport.Addressee
-	listedSince  time.Time
+	// addressee is the current addressee according to the list, pastAddressees those that it
+	// showed before, the most recent one last. listedSince is since when the list shows the
+	// current addressee in the current pool.
+	addressee      pointport.Addressee
+	pastAddressees []pointport.Addressee
+	listedSince    time.Time
 	inPoolSince    time.Time // when it was first seen in its pool
-	idleSince     time.Time // since when nothing runs there, zero while something does
-	load     schedule.InstanceLoad
-	order    *Order // under way
-	ordered  time.Time
-	answered bool
-	// resent says that the order was given before without an answer, so that it may be
-	// carried out whatever becomes of its repetition.
+	idleSince      time.Time // since when nothing runs there, zero while something does
+	load           schedule.InstanceLoad
+	order          *Order // pending, or nil
+	ordered        time.Time
+	answered       bool
+	// resent is true if the order was sent before without an answer. It may then be carried
+	// out whatever the answer to the last attempt is.
 	resent bool
-	// closing says that the instance is to be closed, emptying since when it has
-	// been chosen to be emptied for a wave.
-	closing  bool
+	// closing is true if the instance is to be closed, emptyingSince is when it was
+	// chosen to be emptied for a wave.
+	closing       bool
 	emptyingSince time.Time
-	// claimedBy names the pool that the instance is being emptied for.
+	// claimedBy is the pool for which the instance is being emptied, or empty.
 	claimedBy string
 }
 
-// effectiveCapacity returns what the machine holds: what its present life says, if its pool's owner has
-// told, or what the platform's list says.
+// effectiveCapacity returns the capacity that the current incarnation has reported to its pool's
+// owner, or else the one in the platform's list.
 func (m *machine) effectiveCapacity() pointport.Shape {
-	if told := m.load.Capacity; told != (pointport.Shape{}) && m.load.Incarnation.Addressee() == m.addressee {
-		return told
+	if reported := m.load.Capacity; reported != (pointport.Shape{}) && m.load.Incarnation.Addressee() == m.addressee {
+		return reported
 	}
 	return m.capacity
 }
 
-// hasLabel reports whether a machine hasLabel a label; an empty one is had by all.
+// hasLabel reports whether a machine has a label; every machine has the empty one.
 func (m *machine) hasLabel(label string) bool {
 	return label == "" || slices.Contains(m.labels, label)
 }
 
-// safeToOrder reports whether an order about a machine would end nothing.
+// safeToOrder reports whether an order for a machine would interrupt no task.
 func (m *machine) safeToOrder(spare string) bool {
 	switch {
 	case m.pool == spare && spare != "", m.addressee == "" && m.load.Incarnation == "":
-		return true // nothing runs where no software is up, and no owner knows of any
+		return true // no software is up there, and no owner knows an incarnation
 	case m.load.Incarnation.Addressee() != m.addressee:
-		// The pool's owner does not know this life, as when the owner is new, so
-		// nobody says what runs there.
+		// The pool's owner does not know this incarnation, for example because the owner is
+		// new, so what runs there is unknown.
 		return false
 	}
 	return m.load.Closed && m.load.Empty()
--- a/capacity/order.go
+++ b/capacity/order.go
@@ -9,35 +9,35 @@
 	"github.com/pointport/pointport/schedule"
 )
 
-// This file defines orders about machines, and when one is under way.
+// This file defines orders for machines and how long they are pending.
 
 const (
-	// orderRetryInterval is after how long an order without an answer is given again.
+	// orderRetryInterval is how long after an order without an answer the order is sent again.
 	orderRetryInterval = time.Second
-	// unconfirmedTimeout is for how long after its answer, or after it was last given without one, an
-	// order that the list does not show to be done counts as under way: the list is a few
-	// seconds behind, and an order whose effect something else has undone is never shown.
+	// unconfirmedTimeout is for how long an order that the list does not confirm counts as
+	// pending after its answer, or after it was last sent without one. The list lags by a few
+	// seconds, and never confirms an order whose effect something else has undone.
 	unconfirmedTimeout = 15 * time.Second
 )
 
-// An Order is to be given to the platform: a move if Pool is set, else
+// An Order is an instruction to the platform: a move if Pool is set, otherwise
 // maintenance for a wave.
 type Order struct {
 	Machine pointport.InstanceID
 	Pool    string
 	Wave    int64
 	Reason  string
-	// Replaces is the addressee of the life that the list showed when the order was given, Ends
-	// the life that the pool's owner told of, empty if it told of none.
+	// Replaces is the addressee that the list showed when the order was issued. Ends is the
+	// incarnation that the pool's owner reported then, empty if it reported none.
 	Replaces pointport.Addressee
 	Ends     pointport.IncarnationID
-	// From is the pool in which the machine was then.
+	// From is the pool of the machine when the order was issued.
 	From string
 }
 
-// confirmedBy reports whether the list shows that the order is done, or the pool's owner tells of
-// another life, which may have the addressee of the one before. Maintenance of a machine that is
-// off changes nothing that could be seen.
+// confirmedBy reports whether the list shows that the order was carried out, or the pool's owner
+// reports another incarnation, which may share the addressee of the one before. Maintenance of a
+// machine that is switched off has no visible effect and counts as confirmed.
 func (o *Order) confirmedBy(m *machine) bool {
 	if o.Pool != "" {
 		return m.pool == o.Pool
@@ -46,29 +46,29 @@
 		o.Ends != "" && m.load.Incarnation != "" && m.load.Incarnation != o.Ends
 }
 
-// A FormerOrder is what an earlier planner ordered last about a machine. It is
-// not known whether the order was carried out.
+// A FormerOrder is the last order of an earlier planner for a machine. Whether it was
+// carried out is unknown.
 type FormerOrder struct {
 	Order
 	At time.Time
 }
 
-// PendingOrderTimeout is for how long an order of an earlier planner may count as under way.
+// PendingOrderTimeout is for how long an order of an earlier planner may count as pending.
 const PendingOrderTimeout = unconfirmedTimeout
 
-// mayBePending reports whether the order may be one of which the list does not show yet that it is
-// done. What was ordered is not known of orders that were recorded without it.
+// mayBePending reports whether the order may be unfinished or not yet shown by the list. Orders
+// that were recorded without a target count as unconfirmed until they time out.
 func (f *FormerOrder) mayBePending(now time.Time, m *machine) bool {
 	return now.Sub(f.At) < unconfirmedTimeout && !(f.hasTarget() && f.confirmedBy(m))
 }
 
-// hasTarget reports whether it is hasTarget what was ordered.
+// hasTarget reports whether the record contains the order's pool or wave.
 func (f *FormerOrder) hasTarget() bool { return f.Pool != "" || f.Wave != 0 }
 
-// SetFormer takes in what earlier planners ordered last.
+// SetFormer sets the last orders of earlier planners.
 func (p *Planner) SetFormer(orders map[pointport.InstanceID]FormerOrder) { p.former = orders }
 
-// orderable reports whether a machine may be ordered about.
+// orderable reports whether an order for a machine may be issued now.
 func (p *Planner) orderable(now time.Time, m *machine) bool {
 	if f, ok := p.former[m.id]; ok && (now.Sub(f.At) < p.settings.HolderTime || f.mayBePending(now, m)) {
 		return false
@@ -76,7 +76,7 @@
 	return m.state == pointport.MachineUp && m.order == nil && !p.listBehindOwner(m)
 }
 
-// issueOrder gives an issueOrder about a machine, which stays closed meanwhile.
+// issueOrder adds an order for a machine to the decision and closes the machine meanwhile.
 func (p *Planner) issueOrder(now time.Time, d *Decision, m *machine, o Order) {
 	d.Closures[m.pool] = append(d.Closures[m.pool], schedule.Closure{Instance: m.id})
 	o.Replaces, o.Ends, o.From = m.addressee, m.load.Incarnation, m.pool
@@ -85,14 +85,14 @@
 	d.Orders = append(d.Orders, o)
 }
 
-// closeInstance has an instance closed.
+// closeInstance adds the closure of an instance to the decision.
 func (p *Planner) closeInstance(d *Decision, m *machine, c schedule.Closure) {
 	m.closing = true
 	d.Closures[m.pool] = append(d.Closures[m.pool], c)
 }
 
-// retryOrders gives orders again that got no answer. Until one comes, the machine
-// stays closed: the order may be carried out at any time.
+// retryOrders sends orders without an answer again. Their machines stay closed until an answer
+// comes, because the order may be carried out at any time.
 func (p *Planner) retryOrders(now time.Time, d *Decision) {
 	for _, m := range p.machines {
 		if m.order == nil || m.answered {
@@ -106,9 +106,9 @@
 	}
 }
 
-// HandleAnswer takes in the answer to an order; err is nil if it was carried out, and settled says
-// that it was refused. That a machine is busy says nothing of a former sending that got no
-// answer: one that is moving refuses to be moved.
+// HandleAnswer processes the answer to an order: err is nil if it was carried out, and settled is
+// true if it was refused. A refusal because the machine is busy does not settle an earlier attempt
+// without an answer: that attempt may be why the machine is moving and refuses to be moved.
 func (p *Planner) HandleAnswer(now time.Time, o Order, err error, settled bool) {
 	m := p.machines[o.Machine]
 	if m == nil || m.order == nil || *m.order != o {
@@ -127,13 +127,13 @@
 	}
 }
 
-// An endedOrder is an order that was carried out and when it was answered.
+// An endedOrder is an order that was carried out, and when its answer came.
 type endedOrder struct {
 	Order
 	at time.Time
 }
 
-// recordEnded notes which incarnation an order has ended.
+// recordEnded records which incarnation an order has ended.
 func (p *Planner) recordEnded(now time.Time, o Order) {
 	if o.Ends != "" {
 		p.ended[o.Ends] = endedOrder{o, now}
@@ -141,7 +141,7 @@
 }
 
 // OrderedEnds returns the incarnations of a pool that orders have ended and that the pool's
-// owner still tells of.
+// owner still reports, sorted.
 func (p *Planner) OrderedEnds(now time.Time, pool string) []schedule.OrderedEnd {
 	var out []schedule.OrderedEnd
 	for id, o := range p.ended {
@@ -162,17 +162,17 @@
 	return errors.As(err, &refused) && refused.Reason == pointport.RefuseBusy
 }
 
-// WithdrawUnsent takes in that an order was not given after all. What was given of it before may still
-// be carried out.
+// WithdrawUnsent drops an order that was not sent after all. If an earlier attempt was sent, the
+// order stays pending, because that attempt may still be carried out.
 func (p *Planner) WithdrawUnsent(o Order) {
 	if m := p.machines[o.Machine]; m != nil && m.order != nil && *m.order == o && !m.resent {
 		m.order = nil
 	}
 }
 
-// settleOrder ends an order that the list shows to be done. That it was answered long before the
-// list was asked for is not enough: a list that is behind shows the machine as it was before,
-// spare or with a life that is over, and the next order would end what runs there by then.
+// settleOrder ends an order that the list shows to be done. An answer long before the list was
+// requested is not enough: a list that lags shows the machine as it was before, spare or with an
+// incarnation that has ended, and the next order would interrupt what runs there by now.
 func (p *Planner) settleOrder(m *machine, asked time.Time) {
 	if m.order == nil || m.state != pointport.MachineUp {
 		return
@@ -182,7 +182,7 @@
 	case since > unconfirmedTimeout:
 		m.order = nil
 	case !m.answered:
-		// Only a move is surely shown: a life may have ended by itself.
+		// Only a move is confirmed with certainty: an incarnation may have ended by itself.
 		if m.order.Pool != "" && m.order.confirmedBy(m) {
 			m.order = nil
 		}
@@ -191,7 +191,7 @@
 	}
 }
 
-// outageTime returns for how long an order takes a machine away.
+// outageTime returns for how long an order makes a machine unavailable.
 func (p *Planner) outageTime(o *Order) time.Duration {
 	if o.Wave != 0 {
 		return p.settings.UpkeepTime
--- a/capacity/planner.go
+++ b/capacity/planner.go
@@ -9,33 +9,32 @@
 	"github.com/pointport/pointport/schedule"
 )
 
-// This file defines the planner, what it is told of pools and waves, and its decisions.
+// This file defines the planner, its inputs about pools and waves, and its decisions.
 
-// Settings are what a planner must know of the platform.
+// Settings are the platform's properties that a planner depends on.
 type Settings struct {
-	MoveTime   time.Duration // how long a move takes an instance away
-	UpkeepTime time.Duration // how long maintenance takes it away
-	// HolderTime must lie between the orders of two holders of a machine.
+	MoveTime   time.Duration // for how long a move makes an instance unavailable
+	UpkeepTime time.Duration // for how long maintenance makes an instance unavailable
+	// HolderTime is the least time between the orders of two holders of a machine.
 	HolderTime time.Duration
-	// OrdersPerSecond is how many orders about machines are given in a second, zero for no
-	// bound.
+	// OrdersPerSecond is the rate limit for orders for machines, zero for none.
 	OrdersPerSecond float64
 }
 
-// A Decision is what to do now.
+// A Decision lists the closures and orders that are due, and the sizes of the pools.
 type Decision struct {
-	// Closures lists, for each pool, the instances to close.
+	// Closures lists the instances to close by pool.
 	Closures map[string][]schedule.Closure
-	// PendingMaintenance lists the instances that are to be maintained before long.
+	// PendingMaintenance lists the instances that waves have yet to maintain.
 	PendingMaintenance []pointport.InstanceID
 	// NewClosures reports whether an instance is to be closed that was not before.
 	NewClosures bool
 	Orders      []Order
-	// Sizes says how many instances the pools have and should have.
+	// Sizes lists the actual and the wanted sizes of the pools.
 	Sizes []PoolSize
 }
 
-// A PoolSize is how many instances a pool has and should have, and why.
+// A PoolSize is the actual and the wanted number of a pool's instances, and the load behind it.
 type PoolSize struct {
 	Pool    string
 	Have    int // in use or on their way
@@ -45,7 +44,7 @@
 	Waiting pointport.Shape
 }
 
-// A Planner decides. It is not safe for concurrent use.
+// A Planner decides about closures, moves and maintenance. It is not safe for concurrent use.
 type Planner struct {
 	settings Settings
 	spare    string
@@ -54,18 +53,18 @@
 	waves    map[int64]*waveState
 	surveys  map[string]schedule.Survey
 	surveyed map[string]bool
-	// loads holds what the owners of pools tell of instances, by pool.
-	loads  map[string]map[pointport.InstanceID]schedule.InstanceLoad
-	listedAt time.Time // when the newest list was asked for
-	former map[pointport.InstanceID]FormerOrder
-	firstSurveyAt  time.Time // when the first survey came
-	// unservedSince is since when serving tasks of a pool have found no room.
+	// loads holds what pool owners report about their instances, by pool.
+	loads         map[string]map[pointport.InstanceID]schedule.InstanceLoad
+	listedAt      time.Time // when the newest list was requested
+	former        map[pointport.InstanceID]FormerOrder
+	firstSurveyAt time.Time // when the first survey came
+	// unservedSince is since when serving tasks of a pool have found no free capacity.
 	unservedSince map[string]time.Time
-	// ended holds the incarnations that orders have ended lately.
+	// ended holds the incarnations that orders have ended recently.
 	ended map[pointport.IncarnationID]endedOrder
 }
 
-// NewPlanner returns a planner that knows nothing yet.
+// NewPlanner returns a planner without any machines, pools or waves.
 func NewPlanner(s Settings) *Planner {
 	return &Planner{
 		settings: s, machines: make(map[pointport.InstanceID]*machine),
@@ -75,22 +74,22 @@
 	}
 }
 
-// SetSpare names the spare pool, empty if there is none.
+// SetSpare sets the name of the spare pool, empty if there is none.
 func (p *Planner) SetSpare(pool string) { p.spare = pool }
 
-// SetEvacuations takes in which availability zones are evacuated. Their instances count for
-// no pool, so that others come in their place at once, before what is left is full; those
-// that are idle go to the spare pool like others that are not needed. While it is not known
-// which they are, all count.
+// SetEvacuations sets which availability zones are evacuated. Their instances count for no pool,
+// so that replacements come at once, before the remaining instances are full. Idle instances in
+// these zones go to the spare pool like others that are not needed. While the evacuated zones are
+// unknown, all instances count.
 func (p *Planner) SetEvacuations(z evacuation.Zones) { p.zones = z }
 
-// evacuated reports whether nothing may be started on a machine because of its availability
-// zone.
+// evacuated reports whether no task may be started on a machine because its availability zone is
+// evacuated.
 func (p *Planner) evacuated(m *machine) bool {
 	return p.zones.Standing(m.zone) == evacuation.Evacuated
 }
 
-// SetSurvey takes in how a pool stands.
+// SetSurvey sets the newest survey of a pool, received at now.
 func (p *Planner) SetSurvey(now time.Time, pool string, s schedule.Survey) {
 	if p.firstSurveyAt.IsZero() {
 		p.firstSurveyAt = now
@@ -104,7 +103,7 @@
 	loads := make(map[pointport.InstanceID]schedule.InstanceLoad, len(s.Instances))
 	for _, l := range s.Instances {
 		if old, ok := loads[l.Instance]; ok && old.Runs > l.Runs {
-			continue // an earlier life of the instance still has runs
+			continue // an earlier incarnation of the instance still has runs
 		}
 		loads[l.Instance] = l
 	}
@@ -123,8 +122,8 @@
 	}
 }
 
-// ForgetSurvey takes in that nobody says how a pool stands. Its instances may be open and have
-// tasks before long, since closures hold only while they are asked for.
+// ForgetSurvey marks a pool's survey as outdated because its owner did not answer. Its instances
+// may be open and get tasks soon, since closures expire unless they are renewed.
 func (p *Planner) ForgetSurvey(pool string) {
 	p.surveyed[pool] = false
 	for _, m := range p.machines {
@@ -134,7 +133,7 @@
 	}
 }
 
-// SetWaves takes in the waves that are asked for.
+// SetWaves adds or updates the requested waves. A wave that is new begins at now.
 func (p *Planner) SetWaves(now time.Time, waves []Wave) {
 	for _, w := range waves {
 		s := p.waves[w.ID]
@@ -146,7 +145,7 @@
 	}
 }
 
-// RestoreWave takes in what an earlier planner has recorded of a wave.
+// RestoreWave restores the state that an earlier planner has stored of a wave.
 func (p *Planner) RestoreWave(wave int64, begun time.Time, ordered []pointport.InstanceID) {
 	s := p.waves[wave]
 	if s == nil {
@@ -158,16 +157,16 @@
 	}
 }
 
-// A WaveProgress says how far a wave has come.
+// A WaveProgress is the progress of a wave.
 type WaveProgress struct {
 	Wave    int64
 	Begun   time.Time
 	Ordered []pointport.InstanceID
-	// Completed says that every machine that still exists was maintained.
+	// Completed is true if every machine of the wave that still exists was maintained.
 	Completed bool
 }
 
-// Progress returns how far each wave has come, by number.
+// Progress returns the progress of each wave, sorted by ID.
 func (p *Planner) Progress(now time.Time) []WaveProgress {
 	var out []WaveProgress
 	for id, w := range p.waves {
@@ -183,8 +182,8 @@
 	return out
 }
 
-// Busy reports whether orders are under way or waves open, so that the list of
-// machines should be read often.
+// Busy reports whether an order is pending or a machine is moving or in maintenance. The list of
+// machines should be read often then.
 func (p *Planner) Busy() bool {
 	for _, m := range p.machines {
 		if m.order != nil || m.state == pointport.MachineMoving || m.state == pointport.MachineMaintenance {
@@ -194,13 +193,13 @@
 	return false
 }
 
-// Decide returns what to do at now.
+// Decide returns the closures and orders that are due at now.
 func (p *Planner) Decide(now time.Time) Decision {
 	d := Decision{Closures: make(map[string][]schedule.Closure)}
 	p.retryOrders(now, &d)
-	was := make(map[pointport.InstanceID]bool)
+	wasClosing := make(map[pointport.InstanceID]bool)
 	for id, m := range p.machines {
-		was[id] = m.closing
+		wasClosing[id] = m.closing
 		m.closing = false
 	}
 	ids := make([]int64, 0, len(p.waves))
@@ -216,7 +215,7 @@
 	}
 	p.planMoves(now, &d)
 	for id, m := range p.machines {
-		if m.closing && !was[id] {
+		if m.closing && !wasClosing[id] {
 			d.NewClosures = true
 		}
 	}
--- a/capacity/planner_test.go
+++ b/capacity/planner_test.go
@@ -22,26 +22,26 @@
 
 var settings = capacity.Settings{MoveTime: moveTime, UpkeepTime: upkeepTime, HolderTime: 3 * time.Second}
 
-// A fleet is machines that do as they are told, at once or after a while.
+// A fleet simulates machines that carry out orders, the list of them and the surveys of pools.
 type fleet struct {
-	now      time.Time
-	machines []*pointport.Machine
-	back     map[pointport.InstanceID]time.Time
-	runs     map[pointport.InstanceID]int
-	serving  map[pointport.InstanceID]int
-	closed   map[pointport.InstanceID]bool
-	need     map[string]int64 // thousandths of a core
-	waiting  map[string]int64 // of the need, what waits
-	late     map[string]int64 // of the need, what can hardly end in time
-	lateWait map[string]int64 // of what waits, the same
-	unserved map[string]int   // instances that serving tasks miss
-	lives    int
+	now          time.Time
+	machines     []*pointport.Machine
+	backAt       map[pointport.InstanceID]time.Time
+	runs         map[pointport.InstanceID]int
+	serving      map[pointport.InstanceID]int
+	closed       map[pointport.InstanceID]bool
+	need         map[string]int64 // thousandths of a core
+	waiting      map[string]int64 // of the need, what waits
+	late         map[string]int64 // of the need, what can hardly end in time
+	lateWait     map[string]int64 // of what waits, what can hardly end in time
+	unserved     map[string]int   // instances that serving tasks lack
+	incarnations int
 	// maintained counts the machines that were maintained, by wave.
 	maintained map[int64]int
-	// lag is how far the list that the planner gets is behind, older by how much every second
-	// one is further behind, past what it was.
-	lag, older time.Duration
-	past       []listing
+	// lag is how far the planner's list lags, extraLag how much more every second list lags.
+	// history holds the earlier lists.
+	lag, extraLag time.Duration
+	history       []listing
 }
 
 // A listing is a list of machines as it was at a time.
@@ -56,12 +56,12 @@
 	for _, m := range f.machines {
 		now.list = append(now.list, *m)
 	}
-	f.past = append(f.past, now)
-	shown, lag := f.past[0], f.lag
-	if len(f.past)%2 == 0 {
-		lag += f.older
+	f.history = append(f.history, now)
+	shown, lag := f.history[0], f.lag
+	if len(f.history)%2 == 0 {
+		lag += f.extraLag
 	}
-	for _, l := range f.past {
+	for _, l := range f.history {
 		if f.now.Sub(l.at) >= lag {
 			shown = l
 		}
@@ -71,7 +71,7 @@
 
 func newFleet(perPool int, pools ...string) *fleet {
 	f := &fleet{
-		now: time.Unix(1000, 0), back: make(map[pointport.InstanceID]time.Time), runs: make(map[pointport.InstanceID]int),
+		now: time.Unix(1000, 0), backAt: make(map[pointport.InstanceID]time.Time), runs: make(map[pointport.InstanceID]int),
 		serving: make(map[pointport.InstanceID]int), closed: make(map[pointport.InstanceID]bool), need: make(map[string]int64), waiting: make(map[string]int64),
 		late: make(map[string]int64), lateWait: make(map[string]int64), unserved: make(map[string]int), maintained: make(map[int64]int),
 	}
@@ -89,8 +89,8 @@
 func (f *fleet) boot(m *pointport.Machine) {
 	m.State, m.Addressee = pointport.MachineUp, ""
 	if m.Pool != spareName {
-		f.lives++
-		m.Addressee = pointport.Addressee(fmt.Sprintf("i-%d", f.lives))
+		f.incarnations++
+		m.Addressee = pointport.Addressee(fmt.Sprintf("i-%d", f.incarnations))
 	}
 }
 
@@ -127,12 +127,13 @@
 	return s
 }
 
-// step lets time pass and the planner decide, and carries its orders out.
+// step advances the time by d, lets the planner decide and carries out the orders for which answer
+// returns true, or all if it is nil.
 func (f *fleet) step(p *capacity.Planner, d time.Duration, answer func(capacity.Order) bool) capacity.Decision {
 	f.now = f.now.Add(d)
 	for _, m := range f.machines {
-		if at, ok := f.back[m.ID]; ok && !f.now.Before(at) {
-			delete(f.back, m.ID)
+		if at, ok := f.backAt[m.ID]; ok && !f.now.Before(at) {
+			delete(f.backAt, m.ID)
 			f.boot(m)
 		}
 	}
@@ -160,16 +161,16 @@
 func (f *fleet) carryOut(o capacity.Order) {
 	m := f.machine(o.Machine)
 	if o.Pool == m.Pool {
-		return // it is done already, so nothing is
+		return // it is done already
 	}
 	if o.Wave != 0 {
 		f.maintained[o.Wave]++
 	}
 	m.State, m.Addressee = pointport.MachineMaintenance, ""
-	f.back[m.ID] = f.now.Add(upkeepTime)
+	f.backAt[m.ID] = f.now.Add(upkeepTime)
 	if o.Pool != "" {
 		m.Pool, m.State = o.Pool, pointport.MachineMoving
-		f.back[m.ID] = f.now.Add(moveTime)
+		f.backAt[m.ID] = f.now.Add(moveTime)
 	}
 }
 
@@ -192,8 +193,8 @@
 	}
 }
 
-// Instances that are not needed are off within two seconds: one that stands idle costs
-// as much as one that works.
+// Instances that are not needed are switched off within two seconds, because an idle instance
+// costs as much as a busy one.
 func TestIdleInstancesAreRetiredSoon(t *testing.T) {
 	f := newFleet(4, "a", "b", spareName)
 	p := capacity.NewPlanner(settings)
@@ -223,8 +224,8 @@
 	}
 }
 
-// A pool whose serving tasks find no room is supplied before one that misses far
-// more, and with no more than it misses while that is on its way.
+// A pool whose serving tasks find no free capacity is supplied before one that lacks far
+// more, but gets no more than it lacks while instances are on their way.
 func TestServingTasksAreSuppliedFirst(t *testing.T) {
 	f := newFleet(4, "a", "b", spareName)
 	p := capacity.NewPlanner(settings)
@@ -253,9 +254,9 @@
 	}
 }
 
-// If no instance is free for serving tasks that find no room, a busy one of
-// another pool is emptied for them (tippijako-prod quiet-1 --seed 4007: a pool at
-// its peak had taken all, and a service was away for ten seconds).
+// If no instance is free for serving tasks without capacity, a busy one of another pool is
+// emptied for them. Otherwise a service is unavailable for ten seconds while another pool
+// has all instances at its peak.
 func TestBusyInstanceIsClaimedForServingTasks(t *testing.T) {
 	f := newFleet(4, "a", "b")
 	p := capacity.NewPlanner(settings)
@@ -278,8 +279,8 @@
 	}
 }
 
-// While a pool misses instances, busy ones that another needs no more take nothing
-// new and move once they are empty; the pool keeps what it needs.
+// While a pool lacks instances, busy surplus instances of another pool are closed and
+// moved once they are empty. The other pool keeps what it needs.
 func TestSurplusInstancesAreEmptiedForAPeak(t *testing.T) {
 	f := newFleet(6, "a", "b")
 	p := capacity.NewPlanner(settings)
@@ -304,13 +305,13 @@
 		f.step(p, 250*time.Millisecond, nil)
 	}
 	if len(f.closed) > 0 {
-		t.Errorf("%v stay closed although no pool misses any", f.closed)
+		t.Errorf("%v stay closed although no pool lacks any", f.closed)
 	}
 }
 
-// A pool in which nothing waits gives instances up, half empty ones too, down to
-// what its tasks take, to one in which tasks wait; not to one that only grows.
-func TestPoolWithoutWaitGivesToOneThatWaits(t *testing.T) {
+// A pool without a backlog gives up instances, half empty ones too, down to what its
+// tasks need, to a pool with a backlog; not to one that only grows.
+func TestPoolWithoutBacklogGivesToOneWithBacklog(t *testing.T) {
 	for _, waits := range []bool{true, false} {
 		f := newFleet(6, "a", "b")
 		p := capacity.NewPlanner(settings)
@@ -328,10 +329,10 @@
 	}
 }
 
-// While all pools together want more than there is, one whose whole backlog is late gives
-// instances up to one with customers who can still be served in time; not the other way
-// round, and not to one that is late as well.
-func TestLateBacklogGivesWay(t *testing.T) {
+// While the pools together want more than there is, a pool whose whole backlog is late gives
+// instances up to one whose customers can still be served in time. It doesn't take any from such
+// a pool, and doesn't give any to one that is late as well.
+func TestLateBacklogYieldsInstances(t *testing.T) {
 	for _, tc := range []struct {
 		name           string
 		lateOfB        int64
@@ -371,7 +372,7 @@
 	}
 }
 
-func TestInstancesWithALabelAreBroughtIn(t *testing.T) {
+func TestInstancesWithLabelAreSupplied(t *testing.T) {
 	f := newFleet(3, "a", "b", spareName)
 	for _, m := range f.machines {
 		if m.Pool == spareName {
@@ -392,7 +393,7 @@
 	}
 }
 
-// An order without an answer is given again only while it would end nothing, and
+// An order without an answer is sent again only while it would interrupt nothing, and
 // its machine stays closed.
 func TestUnansweredOrderIsRepeatedWhileClear(t *testing.T) {
 	f := newFleet(4, "a", "b", spareName)
@@ -429,7 +430,8 @@
 	}
 }
 
-// What an earlier planner has just ordered is left alone, and counts as away.
+// Machines for which an earlier planner has just issued orders get no new orders, and count as
+// unavailable for the bound of their wave.
 func TestFormerOrdersCount(t *testing.T) {
 	f := newFleet(4, "a", "b", spareName)
 	p := capacity.NewPlanner(settings)
@@ -448,15 +450,15 @@
 		if d := f.step(p, 250*time.Millisecond, nil); len(d.Orders) > 0 && f.now.Sub(time.Unix(1000, 0)) < upkeepTime {
 			for _, o := range d.Orders {
 				if o.Wave != 0 {
-					t.Fatalf("%+v is ordered beside two that may be away", o)
+					t.Fatalf("%+v is ordered while two machines may be unavailable", o)
 				}
 			}
 		}
 	}
 }
 
-// Under any load and with any answers lost, a wave never takes more machines away
-// than it may, takes none on which tasks run that serve, and comes to its end.
+// Under any load and with any answers lost, a wave never makes more machines unavailable
+// than its bound, takes none with serving tasks, and completes.
 func TestWaveKeepsItsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(4, "a", "b", spareName)
@@ -485,10 +487,10 @@
 				return true
 			}
 			if away >= bound {
-				t.Fatalf("%s goes away beside %d of %d", o.Machine, away, bound)
+				t.Fatalf("%s is ordered while %d machines are unavailable, the bound is %d", o.Machine, away, bound)
 			}
 			if f.serving[o.Machine] > 0 && f.machine(o.Machine).Pool != spareName {
-				t.Fatalf("%s goes away with serving tasks on it", o.Machine)
+				t.Fatalf("%s is ordered with serving tasks on it", o.Machine)
 			}
 			if rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
 				return false
@@ -500,7 +502,7 @@
 			f.need["a"] = rapid.Int64Range(0, 9000).Draw(t, "need")
 			f.step(p, 250*time.Millisecond, answer)
 			for id := range f.closed {
-				// Whoever is closed is emptied within a while.
+				// A closed instance is emptied within a while.
 				if rapid.Bool().Draw(t, "emptied") {
 					f.runs[id], f.serving[id] = 0, 0
 				}
@@ -515,10 +517,10 @@
 	})
 }
 
-// A life is over once the list has shown it and shows it no more, however far the list is
-// behind; one that it has not shown yet may be newer than the list. The lists come four seconds
-// apart: one without a life that comes sooner may be from before that life.
-func TestLifeIsOverOnlyIfTheListHasShownIt(t *testing.T) {
+// An incarnation has ended if the list has shown it and no longer does, however far the list
+// lags; one that was never listed may be newer than the list. The lists are four seconds apart,
+// because a list without an addressee that comes sooner may be older than the incarnation.
+func TestIncarnationHasEndedOnlyIfListed(t *testing.T) {
 	const settled = "after"
 	lists := map[string][]pointport.Machine{
 		"before":  {{ID: "m", Pool: "p", State: pointport.MachineUp, Addressee: "i-1"}},
@@ -530,7 +532,7 @@
 	for _, c := range []struct {
 		shown  []string
 		silent pointport.IncarnationID
-		over   bool
+		ended  bool
 	}{
 		{[]string{"before", "between", settled, "down"}, second, true},
 		{[]string{"before"}, second, false},
@@ -554,16 +556,16 @@
 		p.SetSurvey(now.Add(time.Minute), "p", schedule.Survey{Instances: []schedule.InstanceLoad{
 			{Instance: "m", Incarnation: c.silent, Silent: true, Runs: 4, Known: time.Minute},
 		}})
-		if over := len(p.EndedIncarnations("p")) > 0; over != c.over {
-			t.Errorf("shown %v: %s counts as over: %v, want %v", c.shown, c.silent, over, c.over)
+		if ended := len(p.EndedIncarnations("p")) > 0; ended != c.ended {
+			t.Errorf("lists %v: %s counts as ended: %v, want %v", c.shown, c.silent, ended, c.ended)
 		}
 	}
 }
 
-// The life that the list has shown and shows no more may have been followed by another one with its
-// addressee, which is newer than the list.
-func TestLifeThatSharesItsAddresseeMayBeNewerThanTheList(t *testing.T) {
-	for known, over := range map[time.Duration]bool{time.Second: false, 14 * time.Second: false, 20 * time.Second: true} {
+// The incarnation that the list no longer shows may have been followed by one with the same
+// addressee that is newer than the list.
+func TestSharedAddresseeMayBeNewerThanList(t *testing.T) {
+	for known, ended := range map[time.Duration]bool{time.Second: false, 14 * time.Second: false, 20 * time.Second: true} {
 		p := capacity.NewPlanner(capacity.Settings{})
 		now := time.Now()
 		p.SetMachines(now, []pointport.Machine{{ID: "m", Pool: "p", State: pointport.MachineUp, Addressee: "i"}})
@@ -571,20 +573,20 @@
 		p.SetSurvey(now.Add(time.Minute), "p", schedule.Survey{Instances: []schedule.InstanceLoad{
 			{Instance: "m", Incarnation: pointport.NewIncarnationID("i", time.UnixMilli(5)), Silent: true, Runs: 4, Known: known},
 		}})
-		if got := len(p.EndedIncarnations("p")) > 0; got != over {
-			t.Errorf("known for %v, the life counts as over: %v, want %v", known, got, over)
+		if got := len(p.EndedIncarnations("p")) > 0; got != ended {
+			t.Errorf("known for %v, the incarnation counts as ended: %v, want %v", known, got, ended)
 		}
 	}
 }
 
-// A machine that comes back from its maintenance under the addressee that it had is told by its
-// pool's owner to have done so, and may be ordered about again.
-func TestMaintainedMachineThatComesBackUnderItsAddresseeIsUsed(t *testing.T) {
+// Guards against a machine that gets no orders for good after maintenance because it has kept its
+// addressee. Its pool's owner reports that a new incarnation runs there.
+func TestMaintainedMachineWithSameAddresseeIsUsed(t *testing.T) {
 	for name, c := range map[string]struct {
-		born int64 // of the life that the owner tells of
-		free bool
+		born      int64 // when the incarnation that the owner reports was born
+		orderable bool
 	}{
-		"another life": {2, true}, "the life before": {1, false},
+		"new incarnation": {2, true}, "same incarnation": {1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := capacity.NewPlanner(settings)
@@ -592,7 +594,7 @@
 			list := []pointport.Machine{
 				{ID: "m", Pool: "a", State: pointport.MachineUp, Addressee: "i", Capacity: pointport.Shape{CPUMilli: 1000, MemoryMiB: 1000}},
 			}
-			look := func(after time.Duration, born int64) capacity.Decision {
+			observe := func(after time.Duration, born int64) capacity.Decision {
 				now = now.Add(after)
 				p.SetMachines(now, list)
 				p.SetSurvey(now, "a", schedule.Survey{Instances: []schedule.InstanceLoad{
@@ -601,50 +603,50 @@
 				p.SetMachines(now, list)
 				return p.Decide(now)
 			}
-			ordered := func(wave, born int64) *capacity.Order {
+			orderFor := func(wave, born int64) *capacity.Order {
 				p.SetWaves(now, []capacity.Wave{{ID: wave, Machines: []pointport.InstanceID{"m"}, Bound: 1, Duration: 20 * time.Second}})
 				for range 20 {
-					if d := look(250*time.Millisecond, born); len(d.Orders) > 0 {
+					if d := observe(250*time.Millisecond, born); len(d.Orders) > 0 {
 						return &d.Orders[0]
 					}
 				}
 				return nil
 			}
-			first := ordered(1, 1)
+			first := orderFor(1, 1)
 			if first == nil {
 				t.Fatal("no maintenance is ordered")
 			}
 			p.HandleAnswer(now, *first, nil, true)
-			look(3*time.Second, c.born)
-			if second := ordered(2, c.born); (second != nil) != c.free {
-				t.Errorf("order %+v, want one: %v", second, c.free)
+			observe(3*time.Second, c.born)
+			if second := orderFor(2, c.born); (second != nil) != c.orderable {
+				t.Errorf("order %+v, want one: %v", second, c.orderable)
 			}
 		})
 	}
 }
 
-// The list goes back in time, as when it is read from a copy that is further behind. It shows
-// nothing to be over then.
-func TestListThatGoesBackEndsNoLife(t *testing.T) {
-	up := func(life pointport.Addressee) []pointport.Machine {
-		return []pointport.Machine{{ID: "m", Pool: "p", State: pointport.MachineUp, Addressee: life}}
+// A list that goes back in time, for example because it is read from a replica that lags more,
+// ends no incarnation.
+func TestListThatGoesBackEndsNoIncarnation(t *testing.T) {
+	up := func(addressee pointport.Addressee) []pointport.Machine {
+		return []pointport.Machine{{ID: "m", Pool: "p", State: pointport.MachineUp, Addressee: addressee}}
 	}
 	p := capacity.NewPlanner(capacity.Settings{})
 	now := time.Unix(1000, 0)
-	for n, life := range []pointport.Addressee{"i-1", "i-2", "i-1", "i-2", "i-1"} {
-		p.SetMachines(now.Add(time.Duration(n)*time.Second), up(life))
+	for n, addressee := range []pointport.Addressee{"i-1", "i-2", "i-1", "i-2", "i-1"} {
+		p.SetMachines(now.Add(time.Duration(n)*time.Second), up(addressee))
 		for _, silent := range []pointport.IncarnationID{"i-1", "i-2"} {
 			p.SetSurvey(now, "p", schedule.Survey{Instances: []schedule.InstanceLoad{{Instance: "m", Incarnation: silent, Silent: true, Runs: 1, Known: time.Minute}}})
-			if over, want := len(p.EndedIncarnations("p")) > 0, n > 0 && silent == "i-1"; over != want {
-				t.Errorf("list %d, which shows %s: %s counts as over: %v, want %v", n, life, silent, over, want)
+			if ended, want := len(p.EndedIncarnations("p")) > 0, n > 0 && silent == "i-1"; ended != want {
+				t.Errorf("list %d, which shows %s: %s counts as ended: %v, want %v", n, addressee, silent, ended, want)
 			}
 		}
 	}
 }
 
-// A list that goes back to the time of a move shows the machine on its way to the pool in which
-// an earlier list has shown it at work.
-func TestListThatGoesBackToAMoveEndsNoLife(t *testing.T) {
+// A list that goes back to the time of a move shows the machine moving to the pool in which
+// an earlier list has shown it up. That ends no incarnation.
+func TestListThatGoesBackToMoveEndsNoIncarnation(t *testing.T) {
 	p := capacity.NewPlanner(capacity.Settings{})
 	now := time.Unix(1000, 0)
 	up := pointport.Machine{ID: "m", Pool: "p", State: pointport.MachineUp, Addressee: "i-2"}
@@ -655,51 +657,50 @@
 		p.SetFormer(map[pointport.InstanceID]capacity.FormerOrder{"m": {Order: capacity.Order{Pool: row.Pool}}})
 		p.SetMachines(now.Add(time.Duration(n)*time.Second), []pointport.Machine{row})
 		p.SetSurvey(now, "p", schedule.Survey{Instances: []schedule.InstanceLoad{{Instance: "m", Incarnation: "i-2", Silent: true, Runs: 1, Known: time.Minute}}})
-		if over, want := len(p.EndedIncarnations("p")) > 0, row.Pool == "q" && n > 0; over != want {
-			t.Errorf("list %d, %+v: the life that has come counts as over: %v, want %v", n, row, over, want)
+		if ended, want := len(p.EndedIncarnations("p")) > 0, row.Pool == "q" && n > 0; ended != want {
+			t.Errorf("list %d, %+v: the new incarnation counts as ended: %v, want %v", n, row, ended, want)
 		}
 	}
 }
 
-// What users saw: tasks died with an instance that was moved although they ran there. The order
-// of events: a spare instance was moved to a pool, which the list showed, and given tasks; a list
-// that was older showed it as a spare one again; it was ordered to another pool. The cause: an
-// older list was taken for news.
+// Guards against moving an instance with running tasks. A spare instance was moved to a pool, was
+// listed there and got tasks. Then an older list that showed it as spare was accepted as new, and
+// the instance was ordered to another pool.
 func TestListThatGoesBackEndsNoTasks(t *testing.T) {
-	for _, older := range []time.Duration{2 * time.Second, 4 * time.Second, 8 * time.Second} {
-		t.Run(older.String(), func(t *testing.T) {
+	for _, extraLag := range []time.Duration{2 * time.Second, 4 * time.Second, 8 * time.Second} {
+		t.Run(extraLag.String(), func(t *testing.T) {
 			f := newFleet(4, "a", "b", spareName)
-			f.older = older
+			f.extraLag = extraLag
 			p := capacity.NewPlanner(settings)
-			f.rise(80, func() {
+			f.loadPeaks(80, func() {
 				f.step(p, 250*time.Millisecond, func(o capacity.Order) bool {
-					f.checkSpares(t, o)
+					f.checkInterruptsNothing(t, o)
 					return true
 				})
 			})
 			if got := f.count("b"); got < 7 {
-				t.Errorf("pool b has %d instances at last for a need of 6.5", got)
+				t.Errorf("pool b has %d instances at the end for a need of 6.5", got)
 			}
 		})
 	}
 }
 
-// Life identities that come again are no reason to take a machine as it was for good.
-func TestLifeThatComesAgainIsTaken(t *testing.T) {
+// An addressee that is used again does not make every later list count as outdated.
+func TestReusedAddresseeIsAccepted(t *testing.T) {
 	p := capacity.NewPlanner(capacity.Settings{})
 	now := time.Unix(1000, 0)
-	for n, life := range []pointport.Addressee{"i-1", "i-2", "i-1", "i-1", "i-1", "i-1", "i-1", "i-1", "i-1"} {
-		p.SetMachines(now.Add(time.Duration(n)*4*time.Second), []pointport.Machine{{ID: "m", Pool: "p", State: pointport.MachineUp, Addressee: life}})
+	for n, addressee := range []pointport.Addressee{"i-1", "i-2", "i-1", "i-1", "i-1", "i-1", "i-1", "i-1", "i-1"} {
+		p.SetMachines(now.Add(time.Duration(n)*4*time.Second), []pointport.Machine{{ID: "m", Pool: "p", State: pointport.MachineUp, Addressee: addressee}})
 	}
 	p.SetSurvey(now, "p", schedule.Survey{Instances: []schedule.InstanceLoad{{Instance: "m", Incarnation: "i-2", Silent: true, Runs: 1, Known: time.Minute}}})
-	if over := p.EndedIncarnations("p"); len(over) != 1 {
-		t.Errorf("%+v are over, want the life that has not been shown for 28 s", over)
+	if ended := p.EndedIncarnations("p"); len(ended) != 1 {
+		t.Errorf("%+v have ended, want only the incarnation that was last listed 28 s ago", ended)
 	}
 }
 
-// The list is seconds behind, and shows a machine that was moved, or maintained, as it was
-// before: an instance that came long ago and runs tasks would be taken for a spare machine, or
-// for one whose software is not up, and be ordered away under them.
+// Guards against moving or maintaining an instance with running tasks. The list lags by some
+// seconds and shows a machine as it was before its move or maintenance, so an instance that is up
+// again and runs tasks looks like a spare machine or one without software.
 func TestListThatLagsEndsNoTasks(t *testing.T) {
 	for _, lag := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 3 * time.Second, 5 * time.Second} {
 		t.Run(lag.String(), func(t *testing.T) {
@@ -720,7 +721,7 @@
 					f.need["a"], f.need["b"] = 500, 6500
 				}
 				f.step(p, 250*time.Millisecond, check)
-				f.fill()
+				f.assignTasks()
 			}
 			if got := f.maintained[1]; got < 4 {
 				t.Errorf("%d machines of the wave are maintained, want 4", got)
@@ -729,9 +730,9 @@
 	}
 }
 
-// fill has every instance that is up and not closed run a task in the pool that needs much,
-// and nothing in the others.
-func (f *fleet) fill() {
+// assignTasks runs a task on every instance that is up and not closed in a pool with a large need,
+// and nothing on the others.
+func (f *fleet) assignTasks() {
 	for _, m := range f.machines {
 		busy := m.Addressee != "" && !f.closed[m.ID] && f.need[m.Pool] > 1000
 		f.runs[m.ID] = 0
--- a/capacity/size.go
+++ b/capacity/size.go
@@ -8,53 +8,53 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines how many instances a pool should have.
+// This file determines how many instances a pool should have.
 
 const (
-	// headroom is how much more room a pool gets than its tasks take, because
-	// rooms do not divide evenly among instances.
+	// headroom is the factor on the capacity that a pool's tasks need, because tasks do not fill
+	// instances completely.
 	headroom = 1.35
-	// tightHeadroom is how much more it keeps while nothing waits in it and tasks
-	// wait in another pool. Instances that are half empty at the end of a peak
-	// would hold up the next pool's: giving them raises the share of work that ends
-	// in time in the two worst seconds of a day by 0.017, its worth by 0.007 (standard
-	// error 0.007; 40 days of 49 instances in turn). With 1.0 a pool misses them.
+	// tightHeadroom is the factor on what a pool keeps while none of its tasks wait and tasks
+	// wait in another pool. Instances that are half empty at the end of a peak would delay
+	// the next pool's peak. Giving them away raises the share of work that ends in time in the two
+	// worst seconds of a day by 0.017, and the day's value by 0.007 (standard error 0.007; 40 days
+	// of 49 instances, run alternately). With 1.0 a pool runs short of them.
 	tightHeadroom = 1.1
-	// settleTime is how long a machine is left alone after it came to a pool.
+	// settleTime is for how long a machine is not moved on after it came to a pool.
 	settleTime = 400 * time.Millisecond
-	// urgentAfter is for how long serving tasks of a pool find no room before it is
-	// supplied first, and claimAfter before a busy instance is emptied for them.
-	// Their customers notice after some six seconds, and emptying and moving an
-	// instance take three.
+	// urgentAfter is for how long serving tasks of a pool find no free capacity before the pool
+	// is supplied first, and claimAfter before a busy instance is emptied for them.
+	// Their customers notice after about 6 s, and emptying and moving an instance
+	// take 3 s.
 	urgentAfter = 1500 * time.Millisecond
 	claimAfter  = 2500 * time.Millisecond
 	// minInstances is how many instances a pool with a queue keeps.
 	minInstances = 1
 )
 
-// hasBacklog reports whether tasks wait for room in a pool.
+// hasBacklog reports whether tasks wait for free capacity in a pool.
 func (p *Planner) hasBacklog(pool string) bool { return p.surveys[pool].Waiting.CPUMilli > 0 }
 
-// A poolState is how many instances a pool has and should have.
+// A poolState is the actual and the wanted number of a pool's instances.
 type poolState struct {
 	pool string
 	have int // in use or on their way
 	want int
-	// tightWant is how many hold what the pool's tasks take, with hardly any headroom.
+	// tightWant is how many provide what the pool's tasks need, with tightHeadroom.
 	tightWant int
-	// timelyWant is how many it should have for what runs there and for what waits and can
-	// still end in time; tightTimelyWant with hardly any headroom.
+	// timelyWant is how many it should have for what runs there and for waiting tasks that
+	// can still end in time; tightTimelyWant is the same with tightHeadroom.
 	timelyWant, tightTimelyWant int
-	// hasBacklog says that tasks wait for room in the pool, hasTimelyBacklog that some of them can
-	// still end in time.
+	// hasBacklog is true if tasks wait for free capacity in the pool, hasTimelyBacklog if
+	// some of them can still end in time.
 	hasBacklog, hasTimelyBacklog bool
-	// urgent says that serving tasks find no room, or that the pool has no
-	// instance to give them any.
+	// urgent is true if serving tasks have found no free capacity for urgentAfter, or if the
+	// pool wants instances and has none.
 	urgent bool
-	// idle are the instances that may go: those that were closed for it first,
-	// then the longest idle.
+	// idle are the instances that may leave the pool: those that were closed for it first,
+	// then by idle time, the longest first.
 	idle []*machine
-	// idleEvacuated are those of evacuated availability zones that may go.
+	// idleEvacuated are the instances in evacuated availability zones that may leave the pool.
 	idleEvacuated []*machine
 }
 
@@ -63,15 +63,15 @@
 	if to.hasBacklog && !s.hasBacklog {
 		return max(min(s.want, s.tightWant), minInstances)
 	}
-	if to.hasTimelyBacklog && !s.hasTimelyBacklog { // all that waits there is late
+	if to.hasTimelyBacklog && !s.hasTimelyBacklog { // all tasks that wait there are late
 		return max(min(s.want, s.tightTimelyWant), minInstances)
 	}
 	return max(s.want, minInstances)
 }
 
-// suppliedBefore reports whether a pool is supplied suppliedBefore another: serving tasks come
-// first, then the pool that misses most for what can be in time, then the one that misses
-// most.
+// suppliedBefore reports whether a pool is supplied before another: first the pool with urgent
+// serving tasks, then the one that lacks most instances for tasks that can end in time, then the
+// one that lacks most instances.
 func (s *poolState) suppliedBefore(o *poolState) bool {
 	if s.urgent != o.urgent {
 		return s.urgent
@@ -91,7 +91,7 @@
 	return sum
 }
 
-// poolStates works out how many instances the pools have and should have.
+// poolStates returns the states of all surveyed pools but the spare one, sorted by name.
 func (p *Planner) poolStates(now time.Time) []poolState {
 	var out []poolState
 	for pool := range p.surveys {
@@ -103,11 +103,12 @@
 	return out
 }
 
+// poolStateOf returns the state of a pool.
 func (p *Planner) poolStateOf(now time.Time, pool string) poolState {
 	s := poolState{pool: pool}
-	room := p.totalCapacity()
+	capacity := p.totalCapacity()
 	inUse := 0
-	anywhere := false // whether the pool has any machine, in whatever state
+	hasMachine := false // whether the pool has any machine, in whatever state
 	for _, m := range p.machines {
 		if p.evacuated(m) {
 			if m.pool == pool && p.idleAndOrderable(now, m) {
@@ -115,7 +116,7 @@
 			}
 			continue
 		}
-		anywhere = anywhere || m.pool == pool && m.order == nil
+		hasMachine = hasMachine || m.pool == pool && m.order == nil
 		switch {
 		case m.order != nil && m.order.Pool != "":
 			if m.order.Pool == pool {
@@ -134,20 +135,20 @@
 		}
 	}
 	n := max(1, len(p.machines))
-	// Room that is wanted on instances with a label is supplied by label; others
-	// would only stand idle for it.
+	// Capacity that is needed on instances with a label is supplied by label; other
+	// instances would only be idle.
 	need := p.surveys[pool].Need
 	for _, wanted := range p.surveys[pool].Labels {
 		need = need.Minus(wanted)
 	}
-	s.want = max(inUse, instancesFor(need, room, n, headroom))
-	s.tightWant = max(inUse, instancesFor(need, room, n, tightHeadroom))
-	intime := need.Minus(p.surveys[pool].Late)
-	s.timelyWant = max(inUse, instancesFor(intime, room, n, headroom))
-	s.tightTimelyWant = max(inUse, instancesFor(intime, room, n, tightHeadroom))
+	s.want = max(inUse, instancesFor(need, capacity, n, headroom))
+	s.tightWant = max(inUse, instancesFor(need, capacity, n, tightHeadroom))
+	timelyNeed := need.Minus(p.surveys[pool].Late)
+	s.timelyWant = max(inUse, instancesFor(timelyNeed, capacity, n, headroom))
+	s.tightTimelyWant = max(inUse, instancesFor(timelyNeed, capacity, n, tightHeadroom))
 	s.hasBacklog = p.hasBacklog(pool)
 	s.hasTimelyBacklog = p.surveys[pool].Waiting.Minus(p.surveys[pool].WaitingLate).CPUMilli > 0
-	if !anywhere {
+	if !hasMachine {
 		s.want = max(s.want, minInstances)
 	}
 	v := p.surveys[pool]
@@ -171,19 +172,19 @@
 	return s
 }
 
-// idleAndOrderable reports whether a machine is idle in its pool and may be ordered about.
+// idleAndOrderable reports whether a machine is idle in its pool and may be moved.
 func (p *Planner) idleAndOrderable(now time.Time, m *machine) bool {
 	return p.orderable(now, m) && !m.idleSince.IsZero() && now.Sub(m.inPoolSince) > settleTime
 }
 
-// instancesFor returns how many instances have room for a need and some headroom, a
-// factor on it, where n of them have room together.
-func instancesFor(need, room pointport.Shape, n int, headroom float64) int {
-	share := func(need, room int64) float64 {
-		if room == 0 {
+// instancesFor returns how many instances provide the needed capacity times a headroom factor,
+// where n instances together have the given capacity.
+func instancesFor(need, capacity pointport.Shape, n int, headroom float64) int {
+	share := func(need, capacity int64) float64 {
+		if capacity == 0 {
 			return 0
 		}
-		return float64(need) * headroom * float64(n) / float64(room)
+		return float64(need) * headroom * float64(n) / float64(capacity)
 	}
-	return int(math.Ceil(max(share(need.CPUMilli, room.CPUMilli), share(need.MemoryMiB, room.MemoryMiB))))
+	return int(math.Ceil(max(share(need.CPUMilli, capacity.CPUMilli), share(need.MemoryMiB, capacity.MemoryMiB))))
 }
--- a/capacity/unasked_test.go
+++ b/capacity/stale_survey_test.go
@@ -10,13 +10,12 @@
 	"github.com/pointport/pointport/schedule"
 )
 
-// This file tests what becomes of what an owner has said once it can be asked no more.
+// This file tests surveys that are outdated because the pool's owner does not answer.
 
-// What users saw: tasks died with an instance that was maintained although they ran there. The
-// order of events: an instance was empty and closed, and waited for its turn in a wave; its
-// pool's owner could not be asked any more, so nothing kept it closed and it was given tasks; its
-// turn came. The cause: what an owner had said seconds ago counted as if it held.
-func TestNothingIsOrderedOnAnOldSurvey(t *testing.T) {
+// Guards against maintaining an instance with running tasks. An empty, closed instance waited for
+// its turn in a wave. Its pool's owner stopped answering, so the closure expired and the instance
+// got tasks. When its turn came, the owner's old survey still counted.
+func TestNoOrderOnOutdatedSurvey(t *testing.T) {
 	p := capacity.NewPlanner(settings)
 	now := time.Unix(1000, 0)
 	list := make([]pointport.Machine, 2)
@@ -24,9 +23,9 @@
 	all := make([]pointport.InstanceID, 2)
 	for n := range list {
 		all[n] = pointport.InstanceID(fmt.Sprintf("m-%d", n))
-		life := pointport.IncarnationID(fmt.Sprintf("i-%d", n))
-		list[n] = pointport.Machine{ID: all[n], Pool: "a", State: pointport.MachineUp, Addressee: life.Addressee(), Capacity: pointport.Shape{CPUMilli: 1000, MemoryMiB: 1000}}
-		loads[n] = schedule.InstanceLoad{Instance: all[n], Incarnation: life, Closed: true, Known: time.Hour}
+		incarnation := pointport.IncarnationID(fmt.Sprintf("i-%d", n))
+		list[n] = pointport.Machine{ID: all[n], Pool: "a", State: pointport.MachineUp, Addressee: incarnation.Addressee(), Capacity: pointport.Shape{CPUMilli: 1000, MemoryMiB: 1000}}
+		loads[n] = schedule.InstanceLoad{Instance: all[n], Incarnation: incarnation, Closed: true, Known: time.Hour}
 	}
 	p.SetMachines(now, list)
 	p.SetWaves(now, []capacity.Wave{{ID: 1, Machines: all, Bound: 1, Duration: 20 * time.Second}})
@@ -42,11 +41,11 @@
 			list[n].Addressee = "i-new"
 		}
 	}
-	now = now.Add(10 * time.Second) // it is back, and nobody could ask the owner meanwhile
+	now = now.Add(10 * time.Second) // it is back, and the owner has not answered in the meantime
 	p.SetMachines(now, list)
 	p.ForgetSurvey("a")
 	if d := p.Decide(now); len(d.Orders) != 0 {
-		t.Errorf("%+v is ordered on what the owner said 10 s ago", d.Orders)
+		t.Errorf("%+v is ordered on a survey from 10 s ago", d.Orders)
 	}
 	p.SetSurvey(now, "a", schedule.Survey{Instances: loads})
 	if d := p.Decide(now); len(d.Orders) != 1 {
--- a/capacity/supply.go
+++ b/capacity/supply.go
@@ -10,73 +10,74 @@
 	"github.com/pointport/pointport/schedule"
 )
 
-// This file defines how pools get the instances that they miss, and give up those that
+// This file determines how pools get the instances that they lack and release those that
 // they do not need.
 
 const (
 	// retireAfter is how long an instance is empty before it goes to the spare pool.
-	// Going there and coming back cost as much as five seconds of an idle instance,
-	// but the next peak is mostly another pool's: with 1 s in place of 3 s instances
-	// in pools cost 0.158 of a day's worth for 0.169, moves 0.023 for 0.020 (40 days of
-	// 49 instances in turn). With 0.4 s peaks begin late.
+	// Going there and coming back costs as much as five seconds of an idle instance, but
+	// the next peak is mostly in another pool. With 1 s in place of 3 s, instances in pools cost
+	// 0.158 of a day's value instead of 0.169, and moves 0.023 instead of 0.020 (40 days of
+	// 49 instances, run alternately). With 0.4 s, the start of a peak is served late.
 	retireAfter = time.Second
 	// lendAfter is how long an instance is empty before another pool may take it
 	// although there are spare ones.
 	lendAfter = 300 * time.Millisecond
-	// retireWindow is how much time's orders' worth of instances are closed at once to be given
-	// back: one is closed in one round, seen closed in the next, and ordered then.
+	// retireWindow bounds how many instances are closed at once to be retired: as many as can
+	// be ordered in this time. An instance is closed in one round, reported as closed in the
+	// next, and ordered then.
 	retireWindow = 500 * time.Millisecond
-	// unknownLoadGrace is for how long the instances of a pool stay although nothing is
-	// known of its load: at a site's first start the load comes some seconds later,
-	// and an instance that was retired before would be missed by the first peak.
+	// unknownLoadGrace is for how long the instances of a pool stay while its load is
+	// unknown. At a site's first start the load comes some seconds later, and the first
+	// peak would lack an instance that was retired before.
 	unknownLoadGrace = 15 * time.Second
 )
 
-// planMoves moves instances between pools.
+// planMoves decides which instances move between pools.
 func (p *Planner) planMoves(now time.Time, d *Decision) {
-	sizes := p.poolStates(now)
-	for _, s := range sizes {
+	pools := p.poolStates(now)
+	for _, s := range pools {
 		v := p.surveys[s.pool]
 		d.Sizes = append(d.Sizes, PoolSize{Pool: s.pool, Have: s.have, Want: s.want, Idle: len(s.idle), Need: v.Need, Waiting: v.Waiting})
 	}
 	spare := p.spares(now)
-	sort.SliceStable(sizes, func(i, k int) bool { return sizes[i].suppliedBefore(&sizes[k]) })
-	for i := range sizes {
-		p.supplyLabels(now, d, &sizes[i], sizes, &spare)
+	sort.SliceStable(pools, func(i, k int) bool { return pools[i].suppliedBefore(&pools[k]) })
+	for i := range pools {
+		p.supplyLabels(now, d, &pools[i], pools, &spare)
 	}
-	p.supplyAll(now, d, sizes, &spare, func(s *poolState) int { return s.timelyWant })
-	p.supplyAll(now, d, sizes, &spare, func(s *poolState) int { return s.want })
+	p.supplyAll(now, d, pools, &spare, func(s *poolState) int { return s.timelyWant })
+	p.supplyAll(now, d, pools, &spare, func(s *poolState) int { return s.want })
 	p.expireClaims()
-	p.retireAll(now, d, sizes)
+	p.retireAll(now, d, pools)
 }
 
-// supplyAll brings the pools what they miss of a goal. What runs, and what waits and can
-// still end in time, comes first in all of them: while all pools together want more than
-// there is, one with a backlog that is late already would keep the instances from one whose
-// customers can still be served in time. On days of 165 instances in turn it is worth 0.030
-// (standard error 0.009; 6 days), on days of 49 0.013 (0.011; 16 days), and nothing where the
-// fleet holds what all want.
-func (p *Planner) supplyAll(now time.Time, d *Decision, sizes []poolState, spare *[]*machine, goal func(*poolState) int) {
-	for i := range sizes {
-		to := &sizes[i]
+// supplyAll supplies the pools up to a goal. It is called for running tasks and waiting tasks
+// that can still end in time before it is called for all tasks: if the pools together want more
+// than there is, a pool whose backlog is late already would otherwise keep the instances from
+// a pool whose customers can still be served in time. This order raises a day's value by 0.030
+// with 165 instances (standard error 0.009; 6 days, run alternately) and by 0.013 with 49
+// (0.011; 16 days), and makes no difference if there are enough instances for all.
+func (p *Planner) supplyAll(now time.Time, d *Decision, pools []poolState, spare *[]*machine, goal func(*poolState) int) {
+	for i := range pools {
+		to := &pools[i]
 		for to.have < goal(to) {
-			if !p.supply(now, d, to, sizes, spare, "") {
+			if !p.supply(now, d, to, pools, spare, "") {
 				break
 			}
 		}
-		p.claim(now, d, to, sizes, goal(to))
+		p.claim(now, d, to, pools, goal(to))
 	}
 }
 
-// supplyLabels brings in instances with the labels that a pool's tasks want and
+// supplyLabels supplies instances with the labels that a pool's tasks require and
 // do not find.
-func (p *Planner) supplyLabels(now time.Time, d *Decision, to *poolState, sizes []poolState, spare *[]*machine) {
+func (p *Planner) supplyLabels(now time.Time, d *Decision, to *poolState, pools []poolState, spare *[]*machine) {
 	wants := p.surveys[to.pool].Labels
 	labels := slices.Sorted(maps.Keys(wants))
 	for _, label := range labels {
 		missing := instancesFor(wants[label], p.totalCapacity(), max(1, len(p.machines)), headroom) - p.incoming(now, to.pool, label)
 		for range missing {
-			if !p.supply(now, d, to, sizes, spare, label) {
+			if !p.supply(now, d, to, pools, spare, label) {
 				break
 			}
 		}
@@ -103,10 +104,10 @@
 	return n
 }
 
-// supply finds one more instance with a label for a pool: one that another pool
-// has had no use for, a spare one, or one that another pool can do without.
-func (p *Planner) supply(now time.Time, d *Decision, to *poolState, sizes []poolState, spare *[]*machine, label string) bool {
-	if p.lend(now, d, to, sizes, lendAfter, label) {
+// supply finds one more instance with a label for a pool: one that has been idle in another
+// pool for lendAfter, a spare one, or any idle one that another pool can spare.
+func (p *Planner) supply(now time.Time, d *Decision, to *poolState, pools []poolState, spare *[]*machine, label string) bool {
+	if p.lend(now, d, to, pools, lendAfter, label) {
 		return true
 	}
 	for n, m := range *spare {
@@ -117,16 +118,16 @@
 			return true
 		}
 	}
-	return p.lend(now, d, to, sizes, 0, label)
+	return p.lend(now, d, to, pools, 0, label)
 }
 
-// lend takes an instance with a label, which has been idle for some time, from
-// the pool that has the most too many. It is closed first, and moved once it is.
-func (p *Planner) lend(now time.Time, d *Decision, to *poolState, sizes []poolState, idleFor time.Duration, label string) bool {
+// lend takes an instance with a label, which has been idle for idleFor, from the pool with the
+// largest surplus. The instance is closed first, and moved once its pool's owner confirms that.
+func (p *Planner) lend(now time.Time, d *Decision, to *poolState, pools []poolState, idleFor time.Duration, label string) bool {
 	var from *poolState
 	var lent *machine
-	for i := range sizes {
-		s := &sizes[i]
+	for i := range pools {
+		s := &pools[i]
 		if s.pool == to.pool || s.have <= s.minKept(to) || from != nil && s.have-s.want <= from.have-from.want {
 			continue
 		}
@@ -143,11 +144,11 @@
 	from.idle = slices.DeleteFunc(slices.Clone(from.idle), func(m *machine) bool { return m == lent })
 	from.have--
 	to.have++
-	p.release(now, d, lent, to.pool, "needed there more")
+	p.release(now, d, lent, to.pool, "needed more in another pool")
 	return true
 }
 
-// expireClaims forgets the claims that were not made again.
+// expireClaims drops the claims that were not renewed in this round.
 func (p *Planner) expireClaims() {
 	for _, m := range p.machines {
 		if !m.closing {
@@ -156,14 +157,14 @@
 	}
 }
 
-// claim empties busy instances of other pools for one that misses some and found
-// none that is free: those that their pools need no more, and one of any pool if
-// serving tasks have found no room for some time.
-func (p *Planner) claim(now time.Time, d *Decision, to *poolState, sizes []poolState, goal int) {
+// claim empties busy instances of other pools for a pool that lacks some and found no idle
+// ones: surplus instances, and one of any pool if serving tasks have found no free capacity
+// for claimAfter.
+func (p *Planner) claim(now time.Time, d *Decision, to *poolState, pools []poolState, goal int) {
 	for to.have < goal {
-		m, from := p.drainFromSurplus(now, to, sizes)
+		m, from := p.drainFromSurplus(now, to, pools)
 		if m == nil && to.mayClaimBusy(now, p.unservedSince) {
-			m, from = p.drainFromLargest(now, to, sizes)
+			m, from = p.drainFromLargest(now, to, pools)
 		}
 		if m == nil {
 			return
@@ -171,27 +172,27 @@
 		m.claimedBy = to.pool
 		to.have++
 		from.have--
-		p.release(now, d, m, to.pool, "needed there more")
+		p.release(now, d, m, to.pool, "needed more in another pool")
 		if from.have < from.want {
-			return // one at a time is taken from a pool that needs it
+			return // only one at a time is taken from a pool that needs it
 		}
 	}
 }
 
-// mayClaimBusy reports whether serving tasks of the pool have found no room for so
+// mayClaimBusy reports whether serving tasks of the pool have found no free capacity for so
 // long that a busy instance is emptied for them.
 func (s *poolState) mayClaimBusy(now time.Time, unserved map[string]time.Time) bool {
 	since, ok := unserved[s.pool]
 	return ok && now.Sub(since) >= claimAfter
 }
 
-// drainFromSurplus returns the instance that is emptied soonest of a pool that has more
-// than it needs, or nil.
-func (p *Planner) drainFromSurplus(now time.Time, to *poolState, sizes []poolState) (*machine, *poolState) {
+// drainFromSurplus returns the instance that can be emptied soonest among the pools with more
+// instances than they keep, and its pool, or nil.
+func (p *Planner) drainFromSurplus(now time.Time, to *poolState, pools []poolState) (*machine, *poolState) {
 	var best *machine
 	var from *poolState
-	for i := range sizes {
-		s := &sizes[i]
+	for i := range pools {
+		s := &pools[i]
 		if s.pool == to.pool || s.have <= s.minKept(to) {
 			continue
 		}
@@ -202,12 +203,12 @@
 	return best, from
 }
 
-// drainFromLargest returns the instance that is emptied soonest of the pool that has most,
-// or nil.
-func (p *Planner) drainFromLargest(now time.Time, to *poolState, sizes []poolState) (*machine, *poolState) {
+// drainFromLargest returns the instance that can be emptied soonest in the pool with most
+// instances, and that pool, or nil.
+func (p *Planner) drainFromLargest(now time.Time, to *poolState, pools []poolState) (*machine, *poolState) {
 	var from *poolState
-	for i := range sizes {
-		s := &sizes[i]
+	for i := range pools {
+		s := &pools[i]
 		if s.pool != to.pool && s.have > minInstances && (from == nil || s.have > from.have) {
 			from = s
 		}
@@ -218,8 +219,8 @@
 	return p.quickestToDrain(now, from.pool, to.pool), from
 }
 
-// quickestToDrain returns the busy instance of a pool that is emptied soonest for another
-// pool, or nil. Instances with serving tasks are left alone.
+// quickestToDrain returns the busy instance of a pool that can be emptied soonest for another
+// pool, or nil. Instances with serving tasks are not taken.
 func (p *Planner) quickestToDrain(now time.Time, pool, forPool string) *machine {
 	var best *machine
 	for _, m := range p.machines {
@@ -237,8 +238,8 @@
 	return best
 }
 
-// drainsBefore reports whether an instance is rather emptied for a pool than another:
-// one that was chosen for it before, else the one with fewer tasks.
+// drainsBefore reports whether an instance is emptied for a pool in preference to another one:
+// it was chosen for that pool before, or it has fewer tasks.
 func (m *machine) drainsBefore(o *machine, forPool string) bool {
 	if chosen := m.claimedBy == forPool; chosen != (o.claimedBy == forPool) {
 		return chosen
@@ -249,6 +250,7 @@
 	return m.id < o.id
 }
 
+// release orders the move of an instance if it is closed and empty, and closes it otherwise.
 func (p *Planner) release(now time.Time, d *Decision, m *machine, pool, reason string) {
 	if m.load.Closed && m.load.Empty() {
 		p.issueOrder(now, d, m, Order{Machine: m.id, Pool: pool, Reason: reason})
@@ -257,22 +259,22 @@
 	p.closeInstance(d, m, schedule.Closure{Instance: m.id})
 }
 
-// retireAll sends instances that have been idle for long to the spare pool, no more than are
-// soon ordered away, and from the pool that has most too many first. The rest
-// stays open: a pool whose instances were all closed to be given back, or were given back
-// before those of others, had none left for a peak that came meanwhile.
-func (p *Planner) retireAll(now time.Time, d *Decision, sizes []poolState) {
+// retireAll sends instances that have been idle for retireAfter to the spare pool, from the pool
+// with the largest surplus first, and closes no more than can be ordered soon. The others stay
+// open for a peak that comes meanwhile. Closing all idle instances of a pool at once, or emptying
+// one pool before the others, left that pool without instances for its peak.
+func (p *Planner) retireAll(now time.Time, d *Decision, pools []poolState) {
 	if p.spare == "" {
 		return
 	}
 	left := p.maxRetiring()
-	for i := range sizes {
-		left -= p.retireEvacuated(now, d, &sizes[i], left)
+	for i := range pools {
+		left -= p.retireEvacuated(now, d, &pools[i], left)
 	}
 	for ; left > 0; left-- {
 		var from *poolState
-		for i := range sizes {
-			if s := &sizes[i]; p.retirable(now, s) && (from == nil || s.surplus() > from.surplus()) {
+		for i := range pools {
+			if s := &pools[i]; p.retirable(now, s) && (from == nil || s.surplus() > from.surplus()) {
 				from = s
 			}
 		}
@@ -286,7 +288,7 @@
 	}
 }
 
-// maxRetiring returns how many instances may be on their way to the spare pool without an order.
+// maxRetiring returns how many instances may be closed to be retired without an order yet.
 func (p *Planner) maxRetiring() int {
 	if p.settings.OrdersPerSecond == 0 {
 		return math.MaxInt
@@ -294,7 +296,7 @@
 	return max(1, int(p.settings.OrdersPerSecond*retireWindow.Seconds()))
 }
 
-// retirable reports whether a pool has an instance to give back.
+// retirable reports whether a pool has an instance to retire.
 func (p *Planner) retirable(now time.Time, s *poolState) bool {
 	if !p.surveys[s.pool].Arrived && now.Sub(p.firstSurveyAt) < unknownLoadGrace {
 		return false
@@ -302,16 +304,16 @@
 	return s.have > max(s.want, minInstances) && len(s.idle) > 0 && now.Sub(s.idle[0].idleSince) >= retireAfter
 }
 
-// surplus returns how many instances more than it should a pool has.
+// surplus returns how many more instances a pool has than it wants.
 func (s *poolState) surplus() int { return s.have - s.want }
 
-// retireEvacuated sends idle instances of evacuated availability zones to the spare pool, some
-// at most, and returns how many.
-func (p *Planner) retireEvacuated(now time.Time, d *Decision, s *poolState, most int) int {
+// retireEvacuated sends up to limit idle instances of evacuated availability zones to the spare
+// pool and returns how many.
+func (p *Planner) retireEvacuated(now time.Time, d *Decision, s *poolState, limit int) int {
 	sort.Slice(s.idleEvacuated, func(i, k int) bool { return s.idleEvacuated[i].id < s.idleEvacuated[k].id })
 	n := 0
 	for _, m := range s.idleEvacuated {
-		if n < most && now.Sub(m.idleSince) >= retireAfter {
+		if n < limit && now.Sub(m.idleSince) >= retireAfter {
 			p.release(now, d, m, p.spare, "its availability zone is evacuated")
 			n++
 		}
@@ -319,7 +321,7 @@
 	return n
 }
 
-// spares returns the spare machines that may be moved.
+// spares returns the spare machines that may be moved, sorted by ID.
 func (p *Planner) spares(now time.Time) []*machine {
 	var out []*machine
 	for _, m := range p.machines {
--- a/capacity/wave.go
+++ b/capacity/wave.go
@@ -8,54 +8,54 @@
 	"github.com/pointport/pointport/schedule"
 )
 
-// This file defines waves of maintenance and which of their machines are next.
+// This file defines waves of maintenance and the order in which their machines are maintained.
 
-// A Wave asks that each of some machines be maintained once, in time.
+// A Wave requests that each of its machines be maintained once within Duration.
 type Wave struct {
 	ID       int64
 	Machines []pointport.InstanceID
-	// Bound is how many may be away for the wave at once.
+	// Bound is how many machines may be unavailable for the wave at once.
 	Bound    int
 	Duration time.Duration
 }
 
-// A waveState is how far a wave has come.
+// A waveState is the progress of a wave.
 type waveState struct {
 	wave  Wave
-	begun time.Time // when this planner first saw it
+	begun time.Time // when this planner first saw it, or as restored
 	// ordered holds the machines whose maintenance has begun, and when.
 	ordered map[pointport.InstanceID]time.Time
 }
 
 const (
-	// maintenanceSlack is by how much a machine may take longer to come back than the
-	// platform says, before it counts as back for the bound of its wave.
+	// maintenanceSlack is how much longer than the platform's maintenance time a machine counts as
+	// unavailable for the bound of its wave.
 	maintenanceSlack = 700 * time.Millisecond
-	// drainEstimate is how long it takes, as a rule, to empty an instance.
+	// drainEstimate is the usual time to empty an instance.
 	drainEstimate = 2500 * time.Millisecond
-	// ignoreLoadShare is the part of a wave's time after which its machines are
+	// ignoreLoadShare is the share of a wave's time after which its machines are
 	// emptied whatever the load.
 	ignoreLoadShare = 0.55
-	// forceShare is the part after which tasks that are not serving no longer
-	// hold a machine up.
+	// forceShare is the share of a wave's time after which tasks that are not serving no
+	// longer delay maintenance.
 	forceShare = 0.8
 )
 
-// remaining returns the machines that are still to be maintained.
-func (w *waveState) remaining(exists map[pointport.InstanceID]*machine) []*machine {
+// remaining returns the existing machines that are still to be maintained.
+func (w *waveState) remaining(machines map[pointport.InstanceID]*machine) []*machine {
 	var out []*machine
 	for _, id := range w.wave.Machines {
 		if _, ok := w.ordered[id]; ok {
 			continue
 		}
-		if m := exists[id]; m != nil {
+		if m := machines[id]; m != nil {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// unavailable returns how many machines are unavailable for a wave, or may be.
+// unavailable returns how many machines are, or may be, unavailable because of a wave.
 func (p *Planner) unavailable(now time.Time, w *waveState) int {
 	away := make(map[pointport.InstanceID]bool)
 	for id, at := range w.ordered {
@@ -66,31 +66,31 @@
 	}
 	for id, m := range p.machines {
 		if m.order != nil && m.order.Wave == w.wave.ID {
-			away[id] = true // ordered, without an answer yet or not back
+			away[id] = true // ordered and without an answer, or not back yet
 		}
 	}
 	for id, f := range p.former {
 		if f.Wave == w.wave.ID && now.Sub(f.At) <= p.settings.UpkeepTime+maintenanceSlack {
-			away[id] = true // ordered by an earlier planner, who knows with what outcome
+			away[id] = true // ordered by an earlier planner with an unknown outcome
 		}
 	}
 	return len(away)
 }
 
-// planWave decides about one wave.
+// planWave decides which machines of a wave to empty and which to maintain.
 func (p *Planner) planWave(now time.Time, w *waveState, d *Decision) {
-	left := w.remaining(p.machines)
-	if len(left) == 0 {
+	remaining := w.remaining(p.machines)
+	if len(remaining) == 0 {
 		return
 	}
 	slots := w.wave.Bound - p.unavailable(now, w)
 	spent := float64(now.Sub(w.begun)) / float64(w.wave.Duration)
-	rounds := (len(left) + w.wave.Bound - 1) / max(1, w.wave.Bound)
+	rounds := (len(remaining) + w.wave.Bound - 1) / max(1, w.wave.Bound)
 	needed := time.Duration(rounds) * (p.settings.UpkeepTime + maintenanceSlack + drainEstimate)
-	press := spent > ignoreLoadShare || now.Add(needed).After(w.begun.Add(w.wave.Duration))
+	ignoreLoad := spent > ignoreLoadShare || now.Add(needed).After(w.begun.Add(w.wave.Duration))
 	force := spent > forceShare
-	sort.SliceStable(left, func(i, k int) bool { return left[i].maintainedBefore(left[k]) })
-	for _, m := range left {
+	sort.SliceStable(remaining, func(i, k int) bool { return remaining[i].maintainedBefore(remaining[k]) })
+	for _, m := range remaining {
 		if slots <= 0 {
 			return
 		}
@@ -102,7 +102,7 @@
 			slots--
 			continue
 		}
-		if m.emptyingSince.IsZero() && !press && (p.hasBacklog(m.pool) || m.load.Serving == 0 && m.load.Runs > 0) {
+		if m.emptyingSince.IsZero() && !ignoreLoad && (p.hasBacklog(m.pool) || m.load.Serving == 0 && m.load.Runs > 0) {
 			continue // the pool is busy, or the instance will be empty by itself
 		}
 		if m.emptyingSince.IsZero() {
@@ -121,8 +121,8 @@
 	return force && m.load.Incarnation.Addressee() == m.addressee && m.load.Closed && m.load.Serving == 0 && !m.load.Unstored
 }
 
-// maintainedBefore reports whether a machine is maintained maintainedBefore another: one that is
-// being emptied already, else the one that takes less to empty.
+// maintainedBefore reports whether a machine is maintained before another: first those that are
+// being emptied already, then by maintenanceCost.
 func (m *machine) maintainedBefore(o *machine) bool {
 	if m.emptyingSince.IsZero() != o.emptyingSince.IsZero() {
 		return !m.emptyingSince.IsZero()
@@ -130,8 +130,9 @@
 	return m.maintenanceCost() < o.maintenanceCost()
 }
 
-// maintenanceCost says how much it takes to maintain a machine now.
+// maintenanceCost ranks machines by the tasks that maintenance would affect now. A serving task
+// counts as much as 100 others.
 func (m *machine) maintenanceCost() int {
-	const perServing = 100
-	return m.load.Runs + perServing*m.load.Serving
+	const servingCost = 100
+	return m.load.Runs + servingCost*m.load.Serving
 }
--- a/evaluate/evaluate_test.go
+++ b/evaluate/evaluate_test.go
@@ -27,9 +27,9 @@
 }
 
 // TestBudgetHolds runs waves, moves, bursts and failures in any interleaving.
-// No step may be started that the budget does not allow; each instance has one
-// pool and changes it only when it is not serving; and without events the
-// moves stop and the waves end or say what they wait for.
+// No step may start that the budget does not allow. Each instance has one pool and
+// changes it only while it is not serving. Without further events the
+// moves stop, and each wave ends or explains what it waits for.
 func TestBudgetHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sizes := func() []*config.Template {
@@ -38,35 +38,35 @@
 				template(t, "b", rapid.IntRange(0, 8).Draw(t, "size b"), rapid.IntRange(0, 2).Draw(t, "spare b"), rapid.IntRange(0, 3).Draw(t, "budget b")),
 			}
 		}
-		w := evaluate.NewSimulation(watch(t), 1, rapid.IntRange(1, 16).Draw(t, "instances"), 20*time.Second, time.Minute, sizes())
+		sim := evaluate.NewSimulation(checkPoolChanges(t), 1, rapid.IntRange(1, 16).Draw(t, "instances"), 20*time.Second, time.Minute, sizes())
 		version := 1
 		for range rapid.IntRange(0, 40).Draw(t, "events") {
 			version++
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
-				w.SetTemplates(sizes())
+				sim.SetTemplates(sizes())
 			case 1:
 				states := []config.WaveState{config.WaveRun, config.WavePause, config.WaveCancel}
-				w.SetWaves([]assign.WaveOrder{
+				sim.SetWaves([]assign.WaveOrder{
 					order("one", "a", rapid.SampledFrom(states).Draw(t, "one"), version),
 					order("two", "b", rapid.SampledFrom(states).Draw(t, "two"), version),
 				})
 			case 2, 3:
-				w.Fail(rapid.IntRange(0, 15).Draw(t, "instance"), time.Duration(rapid.IntRange(1, 600).Draw(t, "seconds"))*time.Second)
+				sim.Fail(rapid.IntRange(0, 15).Draw(t, "instance"), time.Duration(rapid.IntRange(1, 600).Draw(t, "seconds"))*time.Second)
 			}
 			for range rapid.IntRange(1, 60).Draw(t, "steps") {
-				w.Step(time.Second)
+				sim.Step(time.Second)
 			}
 		}
-		if n := w.Stats().BudgetViolations; n > 0 {
-			t.Fatalf("%d steps broke a budget", n)
+		if n := sim.Stats().BudgetViolations; n > 0 {
+			t.Fatalf("%d changes violated a budget", n)
 		}
-		checkRest(t, w)
+		checkSettles(t, sim)
 	})
 }
 
-// watch returns the policy in use, and checks what it does to pools.
-func watch(t *rapid.T) evaluate.Policy {
+// checkPoolChanges returns the policy in use, and checks that no serving instance changes its pool.
+func checkPoolChanges(t *rapid.T) evaluate.Policy {
 	return func(in assign.Input) assign.Change {
 		c := assign.Decide(in)
 		for _, s := range c.Steps {
@@ -82,21 +82,21 @@
 	}
 }
 
-// checkRest lets events stop.
-func checkRest(t *rapid.T, w *evaluate.Simulation) {
+// checkSettles checks that the simulation settles once no more events happen.
+func checkSettles(t *rapid.T, sim *evaluate.Simulation) {
 	for range 200 {
-		w.Step(time.Minute)
+		sim.Step(time.Minute)
 	}
-	before := w.Stats()
+	before := sim.Stats()
 	for range 60 {
-		w.Step(time.Minute)
+		sim.Step(time.Minute)
 	}
-	if after := w.Stats(); after.Changes != before.Changes {
+	if after := sim.Stats(); after.Changes != before.Changes {
 		t.Fatalf("%d changes long after the last event", after.Changes-before.Changes)
 	}
-	for _, wave := range w.State().Waves() {
-		if e := assign.ExplainWave(w.State(), wave); wave.Ended.IsZero() && e.Stands == "" {
-			t.Fatalf("wave %s neither ended nor says what it waits for", wave.Name)
+	for _, wave := range sim.State().Waves() {
+		if e := assign.ExplainWave(sim.State(), wave); wave.Ended.IsZero() && e.Stands == "" {
+			t.Fatalf("wave %s neither ended nor explains what it waits for", wave.Name)
 		}
 	}
 }
@@ -117,7 +117,7 @@
 		took[name] = float64(o.Duration) / float64(o.LowerBound)
 	}
 	if took["window"] > 1.25 {
-		t.Errorf("the roll-out takes %.2f times its bound", took["window"])
+		t.Errorf("the roll-out takes %.2f times its lower bound", took["window"])
 	}
 	if took["window"] >= took["barrier"] || took["window"] >= took["one at a time"] {
 		t.Errorf("a baseline is as fast: %v", took)
--- a/evaluate/policy.go
+++ b/evaluate/policy.go
@@ -4,12 +4,12 @@
 	"github.com/pointport/pointport/assign"
 )
 
-// This file defines the policies that the decisions are measured against.
+// This file defines the policy in use and the baselines that it is compared with.
 
 // Window is the policy in use: the next instance starts when one returns.
 func Window(in assign.Input) assign.Change { return assign.Decide(in) }
 
-// Barrier is a baseline: a batch starts only when the last has wholly returned.
+// Barrier is a baseline: a batch starts only when the previous one has returned completely.
 func Barrier(in assign.Input) assign.Change {
 	return filterStarts(in, func(under int) bool { return under == 0 })
 }
@@ -23,8 +23,8 @@
 	})
 }
 
-// filterStarts decides as the policy in use does, but drops starts of wave steps that
-// may does not allow, given how many instances of the pool waves have out.
+// filterStarts decides as the policy in use does, but drops those starts of wave steps for
+// which may returns false, given how many instances of the pool are out in waves.
 func filterStarts(in assign.Input, may func(under int) bool) assign.Change {
 	under := make(map[string]int)
 	for _, m := range in.State.Members() {
--- a/planner/ledger.go
+++ b/planner/ledger.go
@@ -11,23 +11,24 @@
 )
 
 // This file defines the ledger of the floating budgets. Each zone may always
-// spend an even share of a pool's budget, rounded down; the rest floats, so that
-// a budget smaller than the number of zones lets them take turns.
+// spend an even share of a pool's budget, rounded down. The rest is the floating budget,
+// which zones take from the ledger and give back, so that they can take turns if
+// the budget is smaller than the number of zones.
 //
-// Invariants: what the ledger gives to all zones of a pool is no more than the
-// pool's floating budget, since every change of it is a compare-and-swap; a
-// zone's log never holds more for the zone than the ledger does. Taking raises
-// the ledger first and the log second, giving back lowers the log first. A
-// planner that was paused decides by the log and commits on the version that it
-// read, so it cannot spend what was given back meanwhile.
+// Invariants: the ledger never gives the zones of a pool more than the pool's
+// floating budget, because every change is a compare-and-swap. A zone's log never
+// holds more for the zone than the ledger does: taking raises the ledger first and the
+// log second, giving back lowers the log first. A planner that was paused decides by the
+// log and commits on the version that it read, so it cannot spend what was given back
+// in the meantime.
 
-// ledgerKey is the key of the ledger.
+// ledgerKey is the store key of the ledger.
 const ledgerKey = "budget"
 
-// A ledger is the stored form: units by pool and zone.
+// A ledger is the stored form: units of floating budget by pool and zone.
 type ledger map[string]map[pointport.ZoneID]int
 
-// held returns what all zones hold of a pool's floating budget.
+// held returns how much of a pool's floating budget all zones hold together.
 func (l ledger) held(pool string) int {
 	n := 0
 	for _, units := range l[pool] {
@@ -44,14 +45,14 @@
 	l := make(ledger)
 	if e.Exists() {
 		if err := json.Unmarshal(e.Value(), &l); err != nil {
-			return nil, 0, fmt.Errorf("%s: %w", ledgerKey, err)
+			return nil, 0, fmt.Errorf("decode %s: %w", ledgerKey, err)
 		}
 	}
 	return l, e.Revision(), nil
 }
 
-// share returns what the zone may spend of a pool's budget now. What floats
-// counts only while the ledger, as last read, gives out no more than there is:
+// share returns what the zone may spend of a pool's budget now. Its floating budget
+// counts only while the ledger, as last read or written, gives out no more than there is:
 // an operator may have lowered the budget.
 func (p *Planner) share(state *assign.State, t *config.Template) int {
 	n := assign.ZoneShare(t, p.zones)
@@ -83,8 +84,8 @@
 	return p.raiseLog(ctx, state, wants)
 }
 
-// floatsDiffer reports whether the log or the ledger, as last read, holds
-// anything else than the zone wants.
+// floatsDiffer reports whether the log or the ledger, as last read or written, differs
+// from what the zone wants.
 func (p *Planner) floatsDiffer(state *assign.State, wants map[string]int) bool {
 	for pool, units := range p.ledger {
 		if units[p.zone] != wants[pool] {
@@ -125,8 +126,8 @@
 	return p.commit(ctx, state, change)
 }
 
-// changeLedger gives back what the log no longer holds and takes what is free
-// of what is wanted. A race or a failure leaves it for the next round.
+// changeLedger gives back what the log no longer holds and takes as much of what is wanted as
+// is free. After a conflict or a failure the next round tries again.
 func (p *Planner) changeLedger(ctx context.Context, state *assign.State, wants map[string]int) error {
 	l, rev, err := p.readLedger(ctx)
 	if err != nil {
@@ -158,7 +159,7 @@
 		return err
 	}
 	if _, err = p.store.CompareAndSwap(ctx, ledgerKey, rev, data); err != nil {
-		// Nothing may be counted on that was not seen to be written.
+		// The write may or may not have happened, so the cached ledger is not valid.
 		p.ledger = nil
 		return err
 	}
--- a/planner/ledger_test.go
+++ b/planner/ledger_test.go
@@ -19,21 +19,21 @@
 
 var threeZones = []pointport.ZoneID{"zone-a", "zone-b", "zone-c"}
 
-// A region is a few zones with one store.
+// A region is three zones with one store.
 type region struct {
 	clock  *clock.Fake
 	store  *memory.Store
-	cfg    *fixed
+	cfg    *fakeConfig
 	fleets map[pointport.ZoneID]*fakeFleet
 }
 
 func newRegion(t *testing.T, perZone, budget int) *region {
 	c := clock.NewFake(time.Unix(1_800_000_000, 0))
-	r := &region{clock: c, store: memory.New(c), cfg: &fixed{config.NewState()}, fleets: make(map[pointport.ZoneID]*fakeFleet)}
+	r := &region{clock: c, store: memory.New(c), cfg: &fakeConfig{config.NewState()}, fleets: make(map[pointport.ZoneID]*fakeFleet)}
 	r.setBudget(t, perZone, budget)
 	for _, zone := range threeZones {
 		f := newFakeFleet(c, perZone)
-		for _, i := range f.is {
+		for _, i := range f.instances {
 			i.Zone = zone
 		}
 		r.fleets[zone] = f
@@ -55,13 +55,13 @@
 }
 
 func (r *region) planner(zone pointport.ZoneID) *planner.Planner {
-	return planner.New(r.clock, zone, threeZones, r.fleets[zone], r.store, r.cfg, r.log(zone), always{})
+	return planner.New(r.clock, zone, threeZones, r.fleets[zone], r.store, r.cfg, r.log(zone), alwaysElected{})
 }
 
 func (r *region) out() int {
 	n := 0
 	for _, f := range r.fleets {
-		for _, i := range f.is {
+		for _, i := range f.instances {
 			if i.State != pointport.InstanceLive {
 				n++
 			}
@@ -85,7 +85,7 @@
 }
 
 // TestBudgetBelowZones runs a wave with a budget smaller than the number of
-// zones, and one that does not divide by it. The zones must take turns.
+// zones, and one that is not a multiple of it. The zones must take turns.
 func TestBudgetBelowZones(t *testing.T) {
 	for _, budget := range []int{1, 2, 4} {
 		r := newRegion(t, 3, budget)
@@ -93,31 +93,31 @@
 		for _, zone := range threeZones {
 			planners[zone] = r.planner(zone)
 		}
-		most := 0
+		maxOut := 0
 		for range 2000 {
 			for _, zone := range threeZones {
 				if err := planners[zone].Round(t.Context()); err != nil {
 					t.Fatal(err)
 				}
 			}
-			most = max(most, r.out())
+			maxOut = max(maxOut, r.out())
 			r.clock.Advance(time.Second)
 		}
 		if !r.ended(t) {
 			t.Errorf("with budget %d the wave has not ended", budget)
 		}
-		if most > budget {
-			t.Errorf("with budget %d there were %d instances out", budget, most)
+		if maxOut > budget {
+			t.Errorf("with budget %d there were %d instances out", budget, maxOut)
 		}
-		if most < budget {
-			t.Errorf("with budget %d at most %d instances were out: some of it is never used", budget, most)
+		if maxOut < budget {
+			t.Errorf("with budget %d at most %d instances were out: some of it is never used", budget, maxOut)
 		}
 	}
 }
 
-// TestFloatingBudgetHolds lets planners of three zones come, go, lose answers
-// and pause in any interleaving. The zones together never have more out than
-// the budget.
+// TestFloatingBudgetHolds lets planners of three zones restart, pause and lose
+// answers in any interleaving. The zones together never have more instances out
+// than the budget.
 func TestFloatingBudgetHolds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		budget := rapid.IntRange(1, 4).Draw(rt, "budget")
@@ -138,7 +138,7 @@
 			pause := rapid.IntRange(0, 4).Draw(rt, "pause") == 0
 			r.store.SetInjector(func(op, _ string) memory.Fault {
 				if op == "cas" && pause {
-					// The other planner takes a round while this one sleeps.
+					// The other planner does a round while this one is paused.
 					pause = false
 					_ = planners[zone][1-n].Round(t.Context())
 				}
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -1,11 +1,11 @@
 // Package planner carries out the decisions about an availability zone's
 // instances: it reads the platform's list, asks package assign what to do,
-// commits that to the zone's log and then tells the platform.
+// commits that to the zone's log and then sends the commands to the platform.
 //
-// Invariants: nothing is told to the platform before the step that asks for it
-// is committed; a commit follows on the very version that the decision read, so
-// of two planners one does nothing; what is told may be told again, because the
-// platform fences it by the instance's boot count.
+// Invariants: no command is sent to the platform before the step that requires it
+// is committed. A commit requires that the log is at the version that the decision
+// used, so if two planners decide at once, only one succeeds. Commands may be sent
+// again, because the platform fences them by the instance's boot count.
 package planner
 
 import (
@@ -25,7 +25,7 @@
 
 // This file defines the planner and its round.
 
-// DefaultInterval is how often the planner looks.
+// DefaultInterval is the default time between two rounds.
 const DefaultInterval = time.Second
 
 // An AssignLog is the log of a zone's assignment.
@@ -34,18 +34,18 @@
 // LogName returns the name of a zone's log.
 func LogName(zone pointport.ZoneID) string { return "assign." + string(zone) }
 
-// A Fleet is what the planner needs of the platform.
+// A Fleet lists, drains, restores and reboots the platform's instances.
 type Fleet interface {
 	pointport.Fleet
 	pointport.Rebooter
 }
 
-// An Election says whether this process plans.
+// An Election reports whether this process holds the planner's lease.
 type Election interface {
 	Held() bool
 }
 
-// A ConfigSource gives the configuration in force.
+// A ConfigSource returns the current configuration and signals its changes.
 type ConfigSource interface {
 	State() *config.State
 	Changed() <-chan struct{}
@@ -63,41 +63,41 @@
 	logger   *slog.Logger
 	author   string
 	pause    func() time.Duration
-	onList func([]pointport.Instance)
+	onList   func([]pointport.Instance)
 
-	store  pointport.Store
-	ledger ledger // as last read or written
-	tracker   tracker
-	listed []pointport.Instance // as last read
-	held   bool
-	failing    bool
+	store   pointport.Store
+	ledger  ledger // as last read or written
+	tracker tracker
+	listed  []pointport.Instance // as last read
+	held    bool
+	failing bool
 }
 
-// An Option changes a Planner.
+// An Option configures a Planner.
 type Option func(*Planner)
 
-// WithLogger sets where events go.
+// WithLogger sets the logger for events.
 func WithLogger(l *slog.Logger) Option { return func(p *Planner) { p.logger = l } }
 
-// WithInterval sets how long the planner waits between two looks.
+// WithInterval sets the function that returns the time between two rounds.
 func WithInterval(pause func() time.Duration) Option { return func(p *Planner) { p.pause = pause } }
 
-// WithListObserver sets who else is told of each reading of the platform's list.
-func WithListObserver(told func([]pointport.Instance)) Option {
-	return func(p *Planner) { p.onList = told }
+// WithListObserver sets a function that is called with each list read from the platform.
+func WithListObserver(observer func([]pointport.Instance)) Option {
+	return func(p *Planner) { p.onList = observer }
 }
 
-// WithAuthor sets the name under which the planner writes.
+// WithAuthor sets the author name in the planner's changes.
 func WithAuthor(a string) Option { return func(p *Planner) { p.author = a } }
 
-// New returns a planner of zone, one of zones, that acts only by Round.
+// New returns a planner of zone, one of zones, that acts only when Round is called.
 func New(clock pointport.Clock, zone pointport.ZoneID, zones []pointport.ZoneID, fleet Fleet, store pointport.Store, configs ConfigSource, log *AssignLog, election Election, options ...Option) *Planner {
 	p := &Planner{
 		store: store,
 		zone:  zone, zones: zones, clock: clock, fleet: fleet, configs: configs, log: log,
 		election: election, logger: slog.New(slog.DiscardHandler), author: "planner", pause: func() time.Duration { return DefaultInterval },
-		onList: func([]pointport.Instance) {},
-		tracker:     newTracker(),
+		onList:  func([]pointport.Instance) {},
+		tracker: newTracker(),
 	}
 	for _, o := range options {
 		o(p)
@@ -105,7 +105,7 @@
 	return p
 }
 
-// Start returns a planner that works until ctx ends.
+// Start returns a planner that runs until ctx ends.
 func Start(ctx context.Context, clock pointport.Clock, zone pointport.ZoneID, zones []pointport.ZoneID, fleet Fleet, store pointport.Store, configs ConfigSource, log *AssignLog, election Election, options ...Option) *Planner {
 	p := New(clock, zone, zones, fleet, store, configs, log, election, options...)
 	go func() {
@@ -114,9 +114,9 @@
 	return p
 }
 
-// run looks again and again. What an operator asks for does not wait for the
-// list to be read again: it is decided on by the list as it was last read, which
-// lags in any case.
+// run does rounds until ctx ends. A change of the configuration is planned at once,
+// with the list as last read: the list lags in any case, so reading it again
+// would only delay an operator's request.
 func (p *Planner) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		p.tick(ctx, p.Round)
@@ -134,7 +134,7 @@
 	}
 }
 
-// tick does a round if this process plans, and logs what changed about that.
+// tick does a round if this process is elected, and logs changes of the election.
 func (p *Planner) tick(ctx context.Context, round func(context.Context) error) {
 	held := p.election.Held()
 	if held != p.held {
@@ -156,8 +156,8 @@
 	p.failing = err != nil
 }
 
-// Round reads, decides, commits and tells the platform, once. The log is not
-// read again each time: it is followed, and a commit on an old version fails.
+// Round reads the list, decides, commits and sends commands, once. It refreshes the log only
+// the first time: later the log is followed, and a commit on an old version fails.
 func (p *Planner) Round(ctx context.Context) error {
 	if p.log.Heard().IsZero() {
 		if err := p.log.Refresh(ctx); err != nil {
@@ -174,7 +174,7 @@
 	return p.decide(ctx, p.log.State())
 }
 
-// replan decides by the list as it was last read.
+// replan decides by the list as last read.
 func (p *Planner) replan(ctx context.Context) error {
 	if p.listed == nil {
 		return nil
@@ -182,8 +182,8 @@
 	return p.decide(ctx, p.log.State())
 }
 
-// decide decides on state, commits and tells the platform. What it may spend of
-// the floating budgets is settled first.
+// decide decides on state, commits and sends commands. The zone's share of the floating
+// budgets is settled first.
 func (p *Planner) decide(ctx context.Context, state *assign.State) error {
 	state, err := p.settleFloats(ctx, state)
 	if err != nil {
@@ -212,7 +212,7 @@
 	return in
 }
 
-// commit writes a change that was decided on state.
+// commit writes a change that was decided on state, and returns the state with it applied.
 func (p *Planner) commit(ctx context.Context, state *assign.State, change assign.Change) (*assign.State, error) {
 	change.ID = uuid.NewString()
 	change.Version = state.Version() + 1
@@ -241,8 +241,8 @@
 	}
 }
 
-// sendCommands asks the platform for what the committed state calls for. A planner that
-// has just taken over tells again what its predecessor may not have.
+// sendCommands sends the platform the commands that the committed state requires. A planner that
+// has just been elected repeats them, because its predecessor may not have sent them.
 func (p *Planner) sendCommands(ctx context.Context, state *assign.State, listed []pointport.Instance) error {
 	var errs []error
 	for _, i := range listed {
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -16,31 +16,31 @@
 	"github.com/pointport/pointport/planner"
 )
 
-// A fakeFleet is the platform's list and its instances.
+// A fakeFleet simulates the platform's list and its instances.
 type fakeFleet struct {
-	clock   *clock.Fake
-	order   []pointport.InstanceID
-	is      map[pointport.InstanceID]*pointport.Instance
-	back    map[pointport.InstanceID]time.Time
-	busy    map[pointport.InstanceID]bool // never falls idle
-	dead    map[pointport.InstanceID]bool // does not come back from a reboot
-	calls   int
-	told    int // calls that change an instance
-	failAt  int // the call that fails and all after it; zero for none
-	reboots map[pointport.InstanceID]int
+	clock     *clock.Fake
+	order     []pointport.InstanceID
+	instances map[pointport.InstanceID]*pointport.Instance
+	back      map[pointport.InstanceID]time.Time
+	busy      map[pointport.InstanceID]bool // never becomes idle
+	dead      map[pointport.InstanceID]bool // does not come back from a reboot
+	calls     int
+	commands  int // calls that change an instance
+	failAt    int // the first call that fails, as do all after it; zero for none
+	reboots   map[pointport.InstanceID]int
 }
 
-var errFleet = errors.New("the platform does not answer")
+var errFleet = errors.New("the platform is unavailable")
 
 func newFakeFleet(c *clock.Fake, n int) *fakeFleet {
 	f := &fakeFleet{
-		clock: c, is: make(map[pointport.InstanceID]*pointport.Instance), back: make(map[pointport.InstanceID]time.Time),
+		clock: c, instances: make(map[pointport.InstanceID]*pointport.Instance), back: make(map[pointport.InstanceID]time.Time),
 		busy: make(map[pointport.InstanceID]bool), dead: make(map[pointport.InstanceID]bool), reboots: make(map[pointport.InstanceID]int),
 	}
 	for i := range n {
 		id := pointport.InstanceID(fmt.Sprint("i", i))
 		f.order = append(f.order, id)
-		f.is[id] = &pointport.Instance{ID: id, Address: fmt.Sprint("10.0.0.1:", i), Zone: "zone-a", Rack: fmt.Sprint("r", i/2), Boots: 1, State: pointport.InstanceLive}
+		f.instances[id] = &pointport.Instance{ID: id, Address: fmt.Sprint("10.0.0.1:", i), Zone: "zone-a", Rack: fmt.Sprint("r", i/2), Boots: 1, State: pointport.InstanceLive}
 	}
 	return f
 }
@@ -59,7 +59,7 @@
 	}
 	var out []pointport.Instance
 	for _, id := range f.order {
-		i := f.is[id]
+		i := f.instances[id]
 		if back, down := f.back[id]; down && !f.clock.Now().Before(back) && !f.dead[id] {
 			delete(f.back, id)
 			i.State = pointport.InstanceLive
@@ -75,41 +75,41 @@
 	return out, nil
 }
 
-func (f *fakeFleet) turn(id pointport.InstanceID, boots int64, act func(*pointport.Instance)) error {
-	f.told++
+func (f *fakeFleet) command(id pointport.InstanceID, boots int64, act func(*pointport.Instance)) error {
+	f.commands++
 	if err := f.call(); err != nil {
 		return err
 	}
-	if i := f.is[id]; i.Boots == boots && i.State != pointport.InstanceDown {
+	if i := f.instances[id]; i.Boots == boots && i.State != pointport.InstanceDown {
 		act(i)
 	}
 	return nil
 }
 
 func (f *fakeFleet) Drain(_ context.Context, id pointport.InstanceID, boots int64) error {
-	return f.turn(id, boots, func(i *pointport.Instance) { i.State = pointport.InstanceLeaving })
+	return f.command(id, boots, func(i *pointport.Instance) { i.State = pointport.InstanceLeaving })
 }
 
 func (f *fakeFleet) Restore(_ context.Context, id pointport.InstanceID, boots int64) error {
-	return f.turn(id, boots, func(i *pointport.Instance) { i.State = pointport.InstanceLive })
+	return f.command(id, boots, func(i *pointport.Instance) { i.State = pointport.InstanceLive })
 }
 
 func (f *fakeFleet) Reboot(_ context.Context, id pointport.InstanceID, boots int64) error {
-	return f.turn(id, boots, func(i *pointport.Instance) {
+	return f.command(id, boots, func(i *pointport.Instance) {
 		i.State = pointport.InstanceDown
 		f.reboots[id]++
 		f.back[id] = f.clock.Now().Add(10 * time.Second)
 	})
 }
 
-// fixed is a configuration that does not change.
-type fixed struct{ state *config.State }
+// fakeConfig is a configuration without change notifications.
+type fakeConfig struct{ state *config.State }
 
-func (f *fixed) State() *config.State       { return f.state }
-func (*fixed) Changed() <-chan struct{}     { return nil }
-func (f *fixed) add(t *testing.T, s string) { f.state = with(t, f.state, s) }
+func (f *fakeConfig) State() *config.State       { return f.state }
+func (*fakeConfig) Changed() <-chan struct{}     { return nil }
+func (f *fakeConfig) add(t *testing.T, s string) { f.state = applyConfig(t, f.state, s) }
 
-func with(t *testing.T, s *config.State, text string) *config.State {
+func applyConfig(t *testing.T, s *config.State, text string) *config.State {
 	t.Helper()
 	objects, err := config.Parse("test", []byte(text))
 	if err != nil {
@@ -122,25 +122,25 @@
 	return next
 }
 
-// always holds the lease, as a paused holder thinks that it does.
-type always struct{}
+// alwaysElected holds the lease, as a paused holder believes it does.
+type alwaysElected struct{}
 
-func (always) Held() bool { return true }
+func (alwaysElected) Held() bool { return true }
 
-// A scene is a zone with its platform and store.
-type scene struct {
-	clock *clock.Fake
-	fleet *fakeFleet
-	store *memory.Store
-	cfg   *fixed
-	names int
+// A fixture is a zone with its platform and store.
+type fixture struct {
+	clock   *clock.Fake
+	fleet   *fakeFleet
+	store   *memory.Store
+	cfg     *fakeConfig
+	created int
 }
 
 const budget = 2
 
-func newScene(t *testing.T, instances int) *scene {
+func newFixture(t *testing.T, instances int) *fixture {
 	c := clock.NewFake(time.Unix(1_800_000_000, 0))
-	s := &scene{clock: c, fleet: newFakeFleet(c, instances), store: memory.New(c), cfg: &fixed{config.NewState()}}
+	s := &fixture{clock: c, fleet: newFakeFleet(c, instances), store: memory.New(c), cfg: &fakeConfig{config.NewState()}}
 	s.cfg.add(t, fmt.Sprintf("kind: Template\nname: pool\npool: {size: %d}\nmaintenance: {budget: \"%d\", speed: \"100%%\", drainQuiet: 2s, drainBound: 1m, returnBound: 1m}\n", instances, budget))
 	p := s.planner()
 	if err := p.Round(t.Context()); err != nil {
@@ -151,20 +151,20 @@
 	return s
 }
 
-func (s *scene) log() *planner.AssignLog {
+func (s *fixture) log() *planner.AssignLog {
 	return changelog.New[*assign.State, assign.Change](s.store, s.clock, planner.LogName("zone-a"), assign.NewState())
 }
 
 // planner returns a new planner of the zone, as after a restart.
-func (s *scene) planner() *planner.Planner {
-	s.names++
-	return planner.New(s.clock, "zone-a", []pointport.ZoneID{"zone-a"}, s.fleet, s.store, s.cfg, s.log(), always{}, planner.WithAuthor(fmt.Sprint("planner-", s.names)))
+func (s *fixture) planner() *planner.Planner {
+	s.created++
+	return planner.New(s.clock, "zone-a", []pointport.ZoneID{"zone-a"}, s.fleet, s.store, s.cfg, s.log(), alwaysElected{}, planner.WithAuthor(fmt.Sprint("planner-", s.created)))
 }
 
-// out returns how many instances do not serve, in truth.
-func (s *scene) out() int {
+// out returns how many instances actually don't serve.
+func (s *fixture) out() int {
 	n := 0
-	for _, i := range s.fleet.is {
+	for _, i := range s.fleet.instances {
 		if i.State != pointport.InstanceLive {
 			n++
 		}
@@ -172,11 +172,11 @@
 	return n
 }
 
-// run lets planners take turns until the wave has ended.
-func (s *scene) run(t *testing.T, planners ...*planner.Planner) assign.Wave {
+// run alternates rounds of the planners until the wave has ended or stopped.
+func (s *fixture) run(t *testing.T, planners ...*planner.Planner) assign.Wave {
 	t.Helper()
 	for n := range 2000 {
-		// A failed round is tried again; that is what the test is about.
+		// A failed round is tried again; the tests check the result.
 		_ = planners[n%len(planners)].Round(t.Context())
 		if s.out() > budget {
 			t.Fatalf("%d instances are out, the budget is %d", s.out(), budget)
@@ -195,7 +195,7 @@
 }
 
 // checkOnce checks that every instance was rebooted once.
-func (s *scene) checkOnce(t *testing.T) {
+func (s *fixture) checkOnce(t *testing.T) {
 	t.Helper()
 	for _, id := range s.fleet.order {
 		if n := s.fleet.reboots[id]; n != 1 {
@@ -204,20 +204,20 @@
 	}
 }
 
-func TestWaveOverAll(t *testing.T) {
-	s := newScene(t, 6)
+func TestWaveCompletes(t *testing.T) {
+	s := newFixture(t, 6)
 	if w := s.run(t, s.planner()); w.Done != 6 || w.FailedCount != 0 {
 		t.Errorf("the wave ended as %+v", w)
 	}
 	s.checkOnce(t)
 }
 
-// TestPlannerDiesAnywhere lets the planner die before each of its calls to the
-// platform or the store, with or without effect, and another go on.
-func TestPlannerDiesAnywhere(t *testing.T) {
+// TestPlannerCrashesAtAnyCall stops the planner at each of its calls to the store,
+// with or without effect, and lets another planner continue.
+func TestPlannerCrashesAtAnyCall(t *testing.T) {
 	for _, fault := range []memory.Fault{memory.FaultBefore, memory.FaultLostAnswer} {
 		for at := 1; at < 60; at++ {
-			s := newScene(t, 4)
+			s := newFixture(t, 4)
 			calls := 0
 			s.store.SetInjector(func(op, _ string) memory.Fault {
 				calls++
@@ -237,18 +237,18 @@
 			s.store.SetInjector(func(string, string) memory.Fault { return memory.FaultNone })
 			w := s.run(t, s.planner())
 			if w.Done != 4 {
-				t.Fatalf("died at call %d: the wave ended as %+v", at, w)
+				t.Fatalf("crashed at call %d: the wave ended as %+v", at, w)
 			}
 			s.checkOnce(t)
 		}
 	}
 }
 
-// TestPlatformFailsAnywhere lets the calls to the instances fail from each call
-// on, and come back.
-func TestPlatformFailsAnywhere(t *testing.T) {
+// TestPlatformFailsAtAnyCall makes the calls to the platform fail from each call
+// on, and then succeed again.
+func TestPlatformFailsAtAnyCall(t *testing.T) {
 	for at := 1; at < 40; at++ {
-		s := newScene(t, 4)
+		s := newFixture(t, 4)
 		s.fleet.calls, s.fleet.failAt = 0, at
 		p := s.planner()
 		for range 30 {
@@ -263,9 +263,9 @@
 	}
 }
 
-// TestTwoPlanners lets two planners work at once.
+// TestTwoPlanners runs two planners at once.
 func TestTwoPlanners(t *testing.T) {
-	s := newScene(t, 6)
+	s := newFixture(t, 6)
 	if w := s.run(t, s.planner(), s.planner()); w.Done != 6 {
 		t.Errorf("the wave ended as %+v", w)
 	}
@@ -273,9 +273,9 @@
 }
 
 // TestPausedPlanner pauses a planner between its decision and its write, while
-// another takes a round. The paused one must do nothing.
+// another does a round. The write of the paused one must fail.
 func TestPausedPlanner(t *testing.T) {
-	s := newScene(t, 6)
+	s := newFixture(t, 6)
 	other := s.planner()
 	paused := true
 	s.store.SetInjector(func(op, _ string) memory.Fault {
@@ -297,10 +297,10 @@
 	}
 }
 
-// TestStoreDownInMidWave takes the store away. Nothing new may be told to the
-// platform until it is back.
-func TestStoreDownInMidWave(t *testing.T) {
-	s := newScene(t, 6)
+// TestStoreOutageDuringWave makes the store unavailable. No new command may go to
+// the platform until it is back.
+func TestStoreOutageDuringWave(t *testing.T) {
+	s := newFixture(t, 6)
 	p := s.planner()
 	for range 3 {
 		if err := p.Round(t.Context()); err != nil {
@@ -309,15 +309,15 @@
 		s.clock.Advance(time.Second)
 	}
 	s.store.SetInjector(func(string, string) memory.Fault { return memory.FaultBefore })
-	told := s.fleet.told
+	commands := s.fleet.commands
 	for range 3600 {
 		if err := p.Round(t.Context()); err == nil {
-			t.Fatal("a round went well without the store")
+			t.Fatal("a round succeeded without the store")
 		}
 		s.clock.Advance(time.Second)
 	}
-	if s.fleet.told != told {
-		t.Errorf("%d calls changed an instance without the store", s.fleet.told-told)
+	if s.fleet.commands != commands {
+		t.Errorf("%d calls changed an instance without the store", s.fleet.commands-commands)
 	}
 	s.store.SetInjector(func(string, string) memory.Fault { return memory.FaultNone })
 	if w := s.run(t, p); w.Done != 6 {
@@ -326,22 +326,23 @@
 	s.checkOnce(t)
 }
 
-// TestDrainThatNeverEmpties passes an instance by that keeps running something.
-func TestDrainThatNeverEmpties(t *testing.T) {
-	s := newScene(t, 4)
+// TestDrainThatNeverEnds checks that a wave passes by an instance that never becomes idle.
+func TestDrainThatNeverEnds(t *testing.T) {
+	s := newFixture(t, 4)
 	s.fleet.busy["i1"] = true
 	w := s.run(t, s.planner())
 	if w.Done != 3 || w.PassedCount != 1 || s.fleet.reboots["i1"] != 0 {
 		t.Errorf("the wave ended as %+v, i1 was rebooted %d times", w, s.fleet.reboots["i1"])
 	}
-	if i := s.fleet.is["i1"]; i.State != pointport.InstanceLive {
+	if i := s.fleet.instances["i1"]; i.State != pointport.InstanceLive {
 		t.Errorf("the instance that was passed by is %s", i.State)
 	}
 }
 
-// TestWaveStopsItself lets a third of the instances not come back.
-func TestWaveStopsItself(t *testing.T) {
-	s := newScene(t, 12)
+// TestWaveSpendsBudgetOnFailures reboots two instances that don't come back. They use
+// up the budget of two, so the wave reboots no others.
+func TestWaveSpendsBudgetOnFailures(t *testing.T) {
+	s := newFixture(t, 12)
 	s.fleet.dead["i0"], s.fleet.dead["i1"] = true, true
 	p := s.planner()
 	for range 600 {
@@ -350,7 +351,7 @@
 		}
 		s.clock.Advance(time.Second)
 	}
-	// Two failures spend the whole budget, so nothing more is taken.
+	// Two failures use up the whole budget, so no other instance is taken out.
 	if n := s.out(); n != budget {
 		t.Errorf("%d instances are out", n)
 	}
@@ -361,10 +362,10 @@
 	}
 }
 
-// TestListedAsGone lets the list miss instances that serve, for a moment. That
-// must move nothing.
-func TestListedAsGone(t *testing.T) {
-	s := newScene(t, 4)
+// TestListMissesInstances lets the list lack serving instances for 20 s. That must not
+// change the assignment.
+func TestListMissesInstances(t *testing.T) {
+	s := newFixture(t, 4)
 	p := s.planner()
 	s.run(t, p)
 	log := s.log()
@@ -392,9 +393,9 @@
 	}
 }
 
-// TestStoppedWaveGoesOn lets a wave stop itself, and an operator resume it.
-func TestStoppedWaveGoesOn(t *testing.T) {
-	s := newScene(t, 12)
+// TestStoppedWaveResumes lets a wave stop after two failures, and an operator resume it.
+func TestStoppedWaveResumes(t *testing.T) {
+	s := newFixture(t, 12)
 	s.cfg.add(t, "kind: Template\nname: pool\npool: {size: 12}\nmaintenance: {budget: \"4\", speed: \"100%\", drainQuiet: 2s, drainBound: 1m, returnBound: 1m, stopAfter: 2}\n")
 	s.fleet.dead["i0"], s.fleet.dead["i1"] = true, true
 	p := s.planner()
@@ -414,24 +415,24 @@
 	}
 	stopped := wave(300)
 	if stopped.Stopped == "" || stopped.FailedCount != 2 {
-		t.Fatalf("the wave stands as %+v, want it stopped after 2 failures", stopped)
+		t.Fatalf("the wave is %+v, want it stopped after 2 failures", stopped)
 	}
 	if later := wave(300); later.Done != stopped.Done {
-		t.Errorf("a stopped wave went on from %d to %d", stopped.Done, later.Done)
+		t.Errorf("a stopped wave continued from %d to %d", stopped.Done, later.Done)
 	}
 	delete(s.fleet.dead, "i0")
 	delete(s.fleet.dead, "i1")
 	s.cfg.add(t, "kind: Wave\nname: wave\ntemplate: pool\n") // as resume does
 	if w := wave(600); w.Ended.IsZero() || w.Done < 10 {
-		t.Errorf("after resume the wave stands as %+v", w)
+		t.Errorf("after resume the wave is %+v", w)
 	}
 }
 
-// TestRackLostWhileNeighbourDrains loses a whole rack while instances of the
-// next one drain. What was begun goes on, and nothing new is begun until enough
-// of the pool works again.
+// TestRackLostWhileNeighbourDrains loses two instances, as if a rack failed, while two
+// others drain. Drains that have begun continue, and none begins until enough of the pool
+// works again.
 func TestRackLostWhileNeighbourDrains(t *testing.T) {
-	s := newScene(t, 12)
+	s := newFixture(t, 12)
 	p := s.planner()
 	round := func(seconds int) {
 		for range seconds {
@@ -443,7 +444,7 @@
 	}
 	round(1)
 	begun := make(map[pointport.InstanceID]bool)
-	for id, i := range s.fleet.is {
+	for id, i := range s.fleet.instances {
 		if i.State == pointport.InstanceLeaving {
 			begun[id] = true
 		}
@@ -455,7 +456,7 @@
 	for _, id := range s.fleet.order {
 		if !begun[id] && len(lost) < 2 {
 			lost = append(lost, id)
-			s.fleet.is[id].State = pointport.InstanceDown
+			s.fleet.instances[id].State = pointport.InstanceDown
 			s.fleet.dead[id] = true
 		}
 	}
@@ -470,8 +471,8 @@
 		}
 	}
 	for _, id := range lost {
-		s.fleet.is[id].State = pointport.InstanceLive
-		s.fleet.is[id].Boots++
+		s.fleet.instances[id].State = pointport.InstanceLive
+		s.fleet.instances[id].Boots++
 		delete(s.fleet.dead, id)
 	}
 	if w := s.run(t, p); w.Done != 12 {
--- a/planner/tracker.go
+++ b/planner/tracker.go
@@ -7,16 +7,16 @@
 	"github.com/pointport/pointport/assign"
 )
 
-// This file defines what a planner remembers between its rounds. None of it
-// must last: a new planner sees it again, and only waits a little longer.
+// This file defines what a planner remembers between its rounds. It is not stored:
+// a new planner observes it again and only waits a little longer.
 
-// A quiet is a stretch of reports that say that an instance runs nothing.
+// A quiet is a period in which all reports show an instance without requests in flight.
 type quiet struct {
 	from, last time.Time // by the planner's own clock
 	reported   time.Time // the last report, by the platform's
 }
 
-// A tracker remembers since when instances are quiet or absent.
+// A tracker records since when instances are quiet or absent.
 type tracker struct {
 	quiet  map[pointport.InstanceID]quiet
 	absent map[pointport.InstanceID]time.Time
@@ -26,7 +26,7 @@
 	return tracker{quiet: map[pointport.InstanceID]quiet{}, absent: map[pointport.InstanceID]time.Time{}}
 }
 
-// observe takes in one reading of the platform's list.
+// observe records one list read from the platform.
 func (t tracker) observe(now time.Time, state *assign.State, listed []pointport.Instance) {
 	present := make(map[pointport.InstanceID]bool, len(listed))
 	for _, i := range listed {
@@ -45,9 +45,9 @@
 	}
 }
 
-// observeQuiet takes in one instance's report. The list lags, so a report counts
-// only once it shows the instance as leaving: by then it came after the drain
-// was told. A report that has not moved says nothing new.
+// observeQuiet records one instance's report. The list lags, so a report counts
+// only once it shows the instance as leaving: it is then newer than the drain command.
+// A report with an unchanged timestamp adds nothing.
 func (t tracker) observeQuiet(now time.Time, i pointport.Instance) {
 	if i.InFlight > 0 || i.State != pointport.InstanceLeaving {
 		delete(t.quiet, i.ID)
@@ -64,7 +64,7 @@
 	}
 }
 
-// quietFor returns how long each instance has been seen to run nothing.
+// quietFor returns for how long each instance has been quiet.
 func (t tracker) quietFor() map[pointport.InstanceID]time.Duration {
 	out := make(map[pointport.InstanceID]time.Duration, len(t.quiet))
 	for id, q := range t.quiet {
--- a/steward/journal.go
+++ b/steward/journal.go
@@ -11,27 +11,27 @@
 	"github.com/pointport/pointport/member"
 )
 
-// This file defines the journal of orders about machines. Two holders must not
-// take turns at a machine within some time, and the list of machines may not show yet
-// what was ordered, so a new steward must know what its predecessor ordered last.
+// This file defines the journal of orders for machines. A minimum time must pass between the
+// orders of two holders of a machine, and the list of machines may lag behind the orders,
+// so a new steward must know what its predecessor ordered last.
 
 // journalKey is the key of the journal in the store.
 const journalKey = "journal" + OwnershipName
 
-// journalKeepFactor is for how many times the least time between two holders an order is
+// journalKeepFactor times the minimum time between two holders is how long an order is
 // kept in the journal.
 const journalKeepFactor = 2
 
-// clockSkew is by how much the times of day of two members may differ.
+// clockSkew is the maximum difference between the clocks of two members.
 const clockSkew = 500 * time.Millisecond
 
 // A journalDocument is the stored form. Its fields are exported because a codec
 // reads and writes them.
 type journalDocument struct {
-	// Fence is the steward's that wrote it.
+	// Fence is the fencing token of the steward that wrote the document.
 	Fence pointport.Fence `json:"fence"`
-	// Ordered holds the last order about each machine; machines that were not
-	// ordered about lately are left out.
+	// Ordered holds the last order for each machine; machines without a recent order
+	// are left out.
 	Ordered map[pointport.InstanceID]journalEntry `json:"ordered"`
 }
 
@@ -43,7 +43,7 @@
 	Ends     pointport.IncarnationID `json:"ends,omitempty"`
 }
 
-// former returns what the entry says to a new steward. The writer's clock may be behind.
+// former converts the entry for a new steward. The writer's clock may be behind by clockSkew.
 func (e journalEntry) former() capacity.FormerOrder {
 	return capacity.FormerOrder{
 		Order: capacity.Order{Pool: e.Pool, Wave: e.Wave, Replaces: e.Replaces, Ends: e.Ends},
@@ -51,12 +51,12 @@
 	}
 }
 
-// A journal keeps when machines were ordered. It is not safe for concurrent use.
+// A journal records when machines were ordered. It is not safe for concurrent use.
 type journal struct {
-	kv     pointport.KV
-	writer *member.Writer
-	holderInterval   time.Duration // that must lie between two holders' orders
-	doc    journalDocument
+	kv             pointport.KV
+	writer         *member.Writer
+	holderInterval time.Duration // least time between two holders' orders
+	doc            journalDocument
 	// former holds the orders of earlier stewards.
 	former map[pointport.InstanceID]capacity.FormerOrder
 	opened bool
@@ -69,7 +69,8 @@
 	}
 }
 
-// open reads what earlier stewards ordered, once.
+// open reads the orders of earlier stewards, once. It returns an error if the journal cannot be
+// read or decoded; the next call tries again.
 func (j *journal) open(ctx context.Context) error {
 	if j.opened {
 		return nil
@@ -81,7 +82,7 @@
 	if e.Exists() {
 		var doc journalDocument
 		if err := json.Unmarshal(e.Value(), &doc); err != nil {
-			return fmt.Errorf("%s: %w", journalKey, err)
+			return fmt.Errorf("decode %s: %w", journalKey, err)
 		}
 		for id, o := range doc.Ordered {
 			j.former[id] = o.former()
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// add writes that machines are about to be ordered.
+// add writes orders that are about to be sent, and drops those that are too old to matter.
 func (j *journal) add(ctx context.Context, now time.Time, orders []capacity.Order) error {
 	for id, o := range j.doc.Ordered {
 		if now.Sub(time.UnixMilli(o.At)) > max(journalKeepFactor*j.holderInterval, capacity.PendingOrderTimeout+clockSkew) {
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -1,17 +1,16 @@
-// Package steward carries out what package capacity decides: it asks the owners
-// of pools how their pools stand, reads the platform's list of machines, and
-// orders moves and maintenance.
+// Package steward carries out what package capacity decides: it surveys the owners
+// of pools, reads the platform's list of machines, and orders moves and maintenance.
 //
-// The model: one member at a time is the steward. It owns a key like that of a
-// pool, and its fence goes with every order. It surveys all pools a few times a
-// second; an instance is moved or maintained only after its pool's owner has
-// closed it and says that nothing runs there.
+// One member at a time is the steward. It owns a key like that of a pool, and its
+// fencing token goes with every order. It surveys all pools a few times a second. An
+// instance is moved or maintained only after its pool's owner has closed it and
+// reported that nothing runs there.
 //
 // Invariants:
 //
-//   - Every order is in the journal before it is given, so a new steward leaves
-//     exactly those machines alone for a while that its predecessor ordered last.
-//   - No order is given while this member cannot prove its lease.
+//   - Every order is in the journal before it is sent, so a new steward can leave
+//     exactly the machines alone for a while that its predecessor ordered last.
+//   - No order is sent while this member cannot prove its lease.
 package steward
 
 import (
@@ -36,56 +35,56 @@
 // This file defines the steward and its rounds.
 
 const (
-	// OwnershipName is the name under which the steward's ownership is kept. It is no
-	// pool's name, because those have no slash.
+	// OwnershipName is the name under which the steward's ownership is stored. It cannot be
+	// a pool's name, because those contain no slash.
 	OwnershipName = "/steward"
-	// roundInterval is how often the steward looks, freshEvery how soon after it has
-	// closed an instance.
-	roundInterval = 100 * time.Millisecond
+	// roundInterval is the time between two rounds, newClosureInterval the time after a round
+	// that has closed an instance.
+	roundInterval      = 100 * time.Millisecond
 	newClosureInterval = 20 * time.Millisecond
-	// busyListInterval and listIdle are how often the list of machines is read while
-	// orders are under way and while none are.
+	// busyListInterval and idleListInterval are how often the list of machines is read while
+	// the planner is busy and while it is not.
 	busyListInterval = 450 * time.Millisecond
 	idleListInterval = 2 * time.Second
-	// surveyTimeout bounds a question to the owner of a pool.
+	// surveyTimeout bounds the surveys of a round.
 	surveyTimeout = 400 * time.Millisecond
-	// writeTimeout bounds a change that the steward makes; while the store is away
-	// it must go on keeping instances closed.
+	// writeTimeout bounds a write to the store. While the store is unavailable, the steward
+	// must continue to renew closures.
 	writeTimeout = 800 * time.Millisecond
-	// holderMargin is kept beyond the time that must lie between two holders.
+	// holderMargin is added to the least time between two holders.
 	holderMargin = 300 * time.Millisecond
-	// inboxSize is how many answers may wait for the loop.
+	// inboxSize is how many messages the loop's inbox buffers.
 	inboxSize = 128
-	// sustainedShare is the share of the orders about machines which the platform takes in a second
-	// that a steward gives on end, burstShare the share that it gives at once: in no second
-	// more than are taken. Without them, the orders to a fleet of 2,976 instances, given again
-	// each second, were 1,000 to 1,700 a second, of which the platform took 64.
-	sustainedShare  = 0.75
-	burstShare = 0.25
-	// defaultOrdersPerSecond is how many orders a second the platform takes where it does not say.
+	// sustainedShare is the share of the platform's rate limit for orders that a steward uses
+	// continuously, burstShare the share that it may use at once. Together they stay within the
+	// limit in any second. Without a limit here, the orders to a fleet of 2,976 instances, sent
+	// again each second, were 1,000 to 1,700 a second, of which the platform accepted 64.
+	sustainedShare = 0.75
+	burstShare     = 0.25
+	// defaultOrdersPerSecond is the assumed rate limit where the platform does not report one.
 	defaultOrdersPerSecond = 64
 )
 
-// Pools reaches the owners of pools.
+// Pools sends surveys to the owners of pools.
 type Pools interface {
 	Survey(ctx context.Context, pool string, req schedule.SurveyRequest) (schedule.Survey, error)
 }
 
-// A Layout says which pools there are.
+// A Layout lists the pools.
 type Layout struct {
 	WorkPools []string // the pools that run tasks
 	SparePool string   // the pool whose instances are switched off, or empty
 }
 
-// Waves follows the waves that operators ask for and reports on them.
+// Waves returns the waves that operators request, and encodes their status.
 type Waves interface {
-	// Waves returns the waves that are asked for.
+	// Waves returns the requested waves.
 	Waves() []capacity.Wave
-	// Status returns the key and the value that report on a wave.
+	// Status returns the key and the value that report a wave's status.
 	Status(wave int64, completed bool) pointport.Put
 }
 
-// Services are what a steward stands on.
+// Services are the dependencies of a steward.
 type Services struct {
 	KV       pointport.KV
 	Machines pointport.Machines
@@ -98,18 +97,18 @@
 	Evacuations func() evacuation.Zones
 }
 
-// Settings are a steward's name and times.
+// Settings are a steward's name, times and limits.
 type Settings struct {
 	Name string
-	// HolderTime must lie between the orders of two holders.
+	// HolderTime is the least time between the orders of two holders.
 	HolderTime time.Duration
-	// OrdersPerSecond is how many orders about machines the platform takes in a second from all
-	// members, zero if it does not say.
+	// OrdersPerSecond is how many orders for machines the platform accepts per second from all
+	// members together, zero if it does not report a limit.
 	OrdersPerSecond float64
 	Planner         capacity.Settings
 }
 
-// A Steward is the one member that orders machines about. Its methods are safe
+// A Steward is the one member that sends orders for machines. Its methods are safe
 // for concurrent use.
 type Steward struct {
 	services Services
@@ -120,7 +119,7 @@
 	done     chan struct{}
 	err      error
 
-	// What follows belongs to the loop.
+	// The fields below are used only by the goroutine of run.
 	planner  *capacity.Planner
 	inbox    chan func(now time.Time)
 	closures map[string][]schedule.Closure
@@ -129,30 +128,30 @@
 	listing  bool
 	writer   *member.Writer
 	journal  *journal
-	limiter     *rate.Limiter // of orders
+	limiter  *rate.Limiter // of orders
 	stored   map[int64]string
 	restored map[int64]bool
 	sizes    map[string]capacity.PoolSize // as last logged
-	// loggedEnded holds, by pool, the incarnations of which it was last logged that they are over.
+	// loggedEnded holds, by pool, the incarnations that were logged as ended in the last round.
 	loggedEnded map[string]map[pointport.IncarnationID]bool
 }
 
 var _ member.Tenant = (*Steward)(nil)
 
-// Start returns a steward that works until ctx ends or another member is the
-// steward.
+// Start returns a steward that runs until ctx ends, Stop is called or another member has
+// become the steward.
 func Start(ctx context.Context, s Services, settings Settings, own member.Ownership, logger *slog.Logger) *Steward {
 	ctx, cancel := context.WithCancel(ctx)
-	taken := cmp.Or(settings.OrdersPerSecond, defaultOrdersPerSecond)
+	limit := cmp.Or(settings.OrdersPerSecond, defaultOrdersPerSecond)
 	settings.Planner.HolderTime = settings.HolderTime + holderMargin
-	settings.Planner.OrdersPerSecond = sustainedShare * taken
+	settings.Planner.OrdersPerSecond = sustainedShare * limit
 	st := &Steward{
 		services: s, settings: settings, own: own, cancel: cancel, done: make(chan struct{}),
 		logger:  logger.With(slog.Int64("fence", int64(own.Fence))),
 		planner: capacity.NewPlanner(settings.Planner), inbox: make(chan func(time.Time), inboxSize),
 		stored: make(map[int64]string), restored: make(map[int64]bool),
-		limiter:  rate.NewLimiter(rate.Limit(sustainedShare*taken), max(1, int(burstShare*taken))),
-		sizes: make(map[string]capacity.PoolSize), loggedEnded: make(map[string]map[pointport.IncarnationID]bool),
+		limiter: rate.NewLimiter(rate.Limit(sustainedShare*limit), max(1, int(burstShare*limit))),
+		sizes:   make(map[string]capacity.PoolSize), loggedEnded: make(map[string]map[pointport.IncarnationID]bool),
 	}
 	st.writer = member.NewWriter(s.KV, s.Clock, own, st.logger)
 	st.journal = newJournal(s.KV, st.writer, own, settings.HolderTime+holderMargin)
@@ -164,7 +163,7 @@
 	return st
 }
 
-// Ownership returns what the steward owns.
+// Ownership returns the ownership under which the steward acts.
 func (s *Steward) Ownership() member.Ownership { return s.own }
 
 // Stop ends the steward.
@@ -173,7 +172,7 @@
 // Done returns a channel that is closed when the steward has ended.
 func (s *Steward) Done() <-chan struct{} { return s.done }
 
-// Err returns why the steward has ended.
+// Err waits until the steward has ended and returns why.
 func (s *Steward) Err() error {
 	<-s.done
 	return s.err
@@ -194,7 +193,7 @@
 	}
 }
 
-// enqueue hands a message to the loop.
+// enqueue sends a function to the goroutine of run, or drops it if the steward has ended.
 func (s *Steward) enqueue(f func(now time.Time)) {
 	select {
 	case s.inbox <- f:
@@ -202,7 +201,7 @@
 	}
 }
 
-// round surveys, decides and orders, and returns when to do so again.
+// round surveys the pools, decides and sends orders. It returns the time until the next round.
 func (s *Steward) round(ctx context.Context) time.Duration {
 	layout := s.services.Layout()
 	s.planner.SetSpare(layout.SparePool)
@@ -230,7 +229,7 @@
 	return roundInterval
 }
 
-// open reads what the steward must know before its first order.
+// open reads the state that the steward must know before its first order.
 func (s *Steward) open(ctx context.Context) error {
 	if err := s.writer.Open(ctx); err != nil {
 		return err
@@ -256,7 +255,7 @@
 	return false
 }
 
-// logSizes notes the pools whose size has changed, or should.
+// logSizes logs the pools whose actual or wanted size has changed.
 func (s *Steward) logSizes(sizes []capacity.PoolSize) {
 	for _, z := range sizes {
 		if last, ok := s.sizes[z.Pool]; ok && last.Have == z.Have && last.Want == z.Want {
@@ -268,7 +267,7 @@
 	}
 }
 
-// survey asks the owners of all pools how these stand.
+// survey requests surveys from the owners of all pools.
 func (s *Steward) survey(ctx context.Context, pools []string) {
 	ctx, cancel := context.WithTimeout(ctx, surveyTimeout)
 	defer cancel()
@@ -290,26 +289,26 @@
 	}
 }
 
-// endedIncarnations returns the incarnations of a pool that the list of machines shows to be endedIncarnations. Each
-// is logged once.
+// endedIncarnations returns the incarnations of a pool that have ended according to the list of
+// machines. Each is logged once.
 func (s *Steward) endedIncarnations(pool string) []pointport.IncarnationID {
 	now := s.services.Clock.Now()
-	told := make(map[pointport.IncarnationID]bool)
+	logged := make(map[pointport.IncarnationID]bool)
 	var out []pointport.IncarnationID
 	for _, o := range s.planner.EndedIncarnations(pool) {
 		out = append(out, o.ID)
-		told[o.ID] = true
+		logged[o.ID] = true
 		if s.loggedEnded[pool][o.ID] {
 			continue
 		}
 		event.IncarnationOver.Log(s.logger, slog.String("pool", pool), slog.String("incarnation", string(o.ID)), slog.String("instance", string(o.Instance)),
 			slog.String("life", string(o.Addressee)), slog.String("state", string(o.State)), slog.Duration("listAge", now.Sub(o.ListedAt)), slog.Duration("known", o.KnownFor))
 	}
-	s.loggedEnded[pool] = told
+	s.loggedEnded[pool] = logged
 	return out
 }
 
-// list reads the list of machines, if that is due.
+// list reads the list of machines in the background, if that is due.
 func (s *Steward) list(ctx context.Context) {
 	now := s.services.Clock.Now()
 	every := idleListInterval
@@ -334,9 +333,9 @@
 	}()
 }
 
-// sendOrders writes sendOrders to the journal and gives them. Those that cannot be
-// written are not given, nor are those that the platform would refuse because they are too
-// many: they come up again in a later round.
+// sendOrders writes orders to the journal and sends them. Orders that cannot be written are not
+// sent, and neither are those beyond the rate limit, which the platform would refuse. The planner
+// issues them again in a later round.
 func (s *Steward) sendOrders(ctx context.Context, orders []capacity.Order) {
 	orders = s.admit(orders)
 	if len(orders) == 0 {
@@ -346,8 +345,8 @@
 		return s.journal.add(ctx, s.services.Clock.Now(), orders)
 	})
 	if !journaled || !s.own.Proven() {
-		// Either it is not known whether they are in the journal, or the write took
-		// too long to count on what was surveyed and on the key.
+		// Either it is unknown whether the orders are in the journal, or the write took so long
+		// that the surveys and the proof of ownership may be outdated.
 		for _, o := range orders {
 			s.planner.WithdrawUnsent(o)
 		}
@@ -358,7 +357,7 @@
 	}
 }
 
-// admit returns the orders that may be given now.
+// admit returns the orders that the rate limit allows now, and withdraws the others.
 func (s *Steward) admit(orders []capacity.Order) []capacity.Order {
 	now := s.services.Clock.Now()
 	var out []capacity.Order
@@ -375,20 +374,20 @@
 	return out
 }
 
-// sendOrder gives an sendOrder and hands its answer to the planner.
+// sendOrder sends an order in the background and passes its answer to the planner.
 func (s *Steward) sendOrder(ctx context.Context, o capacity.Order) {
-	by := pointport.Holder{Name: s.settings.Name, Fence: s.own.Fence}
-	from := s.services.Clock.Now()
+	holder := pointport.Holder{Name: s.settings.Name, Fence: s.own.Fence}
+	sentAt := s.services.Clock.Now()
 	go func() {
 		var err error
 		if o.Pool != "" {
-			err = s.services.Machines.Move(ctx, by, o.Machine, o.Pool)
+			err = s.services.Machines.Move(ctx, holder, o.Machine, o.Pool)
 		} else {
-			err = s.services.Machines.Maintain(ctx, by, o.Machine, o.Wave)
+			err = s.services.Machines.Maintain(ctx, holder, o.Machine, o.Wave)
 		}
 		s.enqueue(func(now time.Time) {
 			event.MachineOrdered.Log(s.logger, slog.String("instance", string(o.Machine)), slog.String("pool", o.Pool),
-				slog.Int64("wave", o.Wave), slog.String("reason", o.Reason), slog.Duration("took", now.Sub(from)), slog.Any("error", err))
+				slog.Int64("wave", o.Wave), slog.String("reason", o.Reason), slog.Duration("took", now.Sub(sentAt)), slog.Any("error", err))
 			var refused *pointport.MachineRefusedError
 			s.planner.HandleAnswer(now, o, err, errors.As(err, &refused))
 		})
@@ -404,7 +403,8 @@
 
 func waveKey(put pointport.Put) string { return "wave/" + put.Key }
 
-// loadWaves takes in the waves, and what an earlier steward has stored of each.
+// loadWaves passes the requested waves to the planner, and restores what an earlier steward has
+// stored of each.
 func (s *Steward) loadWaves(ctx context.Context, now time.Time) {
 	waves := s.services.Waves.Waves()
 	s.planner.SetWaves(now, waves)
@@ -430,8 +430,7 @@
 	}
 }
 
-// report stores how far waves have come, for their operators and for the next
-// steward.
+// report stores the progress of waves, for their operators and for the next steward.
 func (s *Steward) report(ctx context.Context, now time.Time) {
 	for _, p := range s.planner.Progress(now) {
 		value, err := json.Marshal(waveRecord{Begun: p.Begun.UTC(), Ordered: p.Ordered, Completed: p.Completed})
