--- a/capacity/late_list_test.go
+++ b/capacity/late_list_test.go
@@ -52,9 +52,9 @@
 		f.now = f.now.Add(250 * time.Millisecond)
 		p.SetSpare(spareName)
 		p.SetMachines(f.now, f.listed())
-		survey := f.survey("a")
-		survey.Instances = append(survey.Instances, schedule.InstanceLoad{Instance: moved.ID, Incarnation: "i-present", Runs: 2, Serving: 1, Known: time.Second})
-		p.SetSurvey(f.now, "a", survey)
+		reported := f.survey("a")
+		reported.Instances = append(reported.Instances, schedule.InstanceLoad{Instance: moved.ID, Incarnation: "i-present", Runs: 2, Serving: 1, Known: time.Second})
+		p.SetSurvey(f.now, "a", reported)
 		p.SetSurvey(f.now, "b", f.survey("b"))
 		for _, o := range p.Decide(f.now).Orders {
 			if o.Machine == moved.ID {
--- a/capacity/list.go
+++ b/capacity/list.go
@@ -139,8 +139,8 @@
 		if m == nil || !l.Silent || l.Incarnation == "" {
 			continue
 		}
-		addressee := l.Incarnation.Addressee()
-		if !slices.Contains(m.pastAddressees, addressee) || m.addressee == addressee {
+		known := l.Incarnation.Addressee()
+		if !slices.Contains(m.pastAddressees, known) || m.addressee == known {
 			continue
 		}
 		goneForLong := m.state != pointport.MachineUp && (!l.Incarnation.Shares() || l.Known > maxListRegression)
--- a/capacity/wave.go
+++ b/capacity/wave.go
@@ -57,24 +57,24 @@
 
 // unavailable returns how many machines are, or may be, unavailable because of a wave.
 func (p *Planner) unavailable(now time.Time, w *waveState) int {
-	away := make(map[pointport.InstanceID]bool)
+	unavailable := make(map[pointport.InstanceID]bool)
 	for id, at := range w.ordered {
 		m := p.machines[id]
 		if now.Sub(at) <= p.settings.UpkeepTime+maintenanceSlack || m != nil && m.state == pointport.MachineMaintenance {
-			away[id] = true
+			unavailable[id] = true
 		}
 	}
 	for id, m := range p.machines {
 		if m.order != nil && m.order.Wave == w.wave.ID {
-			away[id] = true // ordered and without an answer, or not back yet
+			unavailable[id] = true // ordered and without an answer, or not back yet
 		}
 	}
 	for id, f := range p.former {
 		if f.Wave == w.wave.ID && now.Sub(f.At) <= p.settings.UpkeepTime+maintenanceSlack {
-			away[id] = true // ordered by an earlier planner with an unknown outcome
+			unavailable[id] = true // ordered by an earlier planner with an unknown outcome
 		}
 	}
-	return len(away)
+	return len(unavailable)
 }
 
 // planWave decides which machines of a wave to empty and which to maintain.
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -65,12 +65,12 @@
 	pause    func() time.Duration
 	onList   func([]pointport.Instance)
 
-	store   pointport.Store
-	ledger  ledger // as last read or written
-	tracker tracker
-	listed  []pointport.Instance // as last read
-	held    bool
-	failing bool
+	store    pointport.Store
+	ledger   ledger // as last read or written
+	observed tracker
+	listed   []pointport.Instance // as last read
+	held     bool
+	failing  bool
 }
 
 // An Option configures a Planner.
@@ -96,8 +96,8 @@
 		store: store,
 		zone:  zone, zones: zones, clock: clock, fleet: fleet, configs: configs, log: log,
 		election: election, logger: slog.New(slog.DiscardHandler), author: "planner", pause: func() time.Duration { return DefaultInterval },
-		onList:  func([]pointport.Instance) {},
-		tracker: newTracker(),
+		onList:   func([]pointport.Instance) {},
+		observed: newTracker(),
 	}
 	for _, o := range options {
 		o(p)
@@ -141,7 +141,7 @@
 		p.held = held
 		if held {
 			event.PlannerElected.Log(p.logger, slog.String("zone", string(p.zone)))
-			p.tracker, p.listed, p.ledger = newTracker(), nil, nil
+			p.observed, p.listed, p.ledger = newTracker(), nil, nil
 		} else {
 			event.PlannerLost.Log(p.logger, slog.String("zone", string(p.zone)))
 		}
@@ -170,7 +170,7 @@
 	}
 	p.listed = listed
 	p.onList(listed)
-	p.tracker.observe(p.clock.Now(), p.log.State(), listed)
+	p.observed.observe(p.clock.Now(), p.log.State(), listed)
 	return p.decide(ctx, p.log.State())
 }
 
@@ -202,7 +202,7 @@
 	cfg := p.configs.State()
 	in := assign.Input{
 		Now: now, Zone: p.zone, Zones: p.zones, State: state, Templates: cfg.Effective(now), Evacuations: cfg.Evacuations(),
-		Listed: listed, Quiet: p.tracker.quietFor(), Absent: p.tracker.absent,
+		Listed: listed, Quiet: p.observed.quietFor(), Absent: p.observed.absent,
 		Share: func(t *config.Template) int { return p.share(state, t) },
 	}
 	for _, o := range cfg.List(config.KindWave) {
--- a/steward/journal.go
+++ b/steward/journal.go
@@ -62,9 +62,9 @@
 	opened bool
 }
 
-func newJournal(kv pointport.KV, writer *member.Writer, own member.Ownership, rest time.Duration) *journal {
+func newJournal(kv pointport.KV, writer *member.Writer, own member.Ownership, holderInterval time.Duration) *journal {
 	return &journal{
-		kv: kv, writer: writer, holderInterval: rest, former: make(map[pointport.InstanceID]capacity.FormerOrder),
+		kv: kv, writer: writer, holderInterval: holderInterval, former: make(map[pointport.InstanceID]capacity.FormerOrder),
 		doc: journalDocument{Fence: own.Fence, Ordered: make(map[pointport.InstanceID]journalEntry)},
 	}
 }
