--- a/capacity/planner_test.go
+++ b/capacity/planner_test.go
@@ -86,6 +86,7 @@
 	return f
 }
 
+// boot brings a machine up, with a new incarnation unless it is in the spare pool.
 func (f *fleet) boot(m *pointport.Machine) {
 	m.State, m.Addressee = pointport.MachineUp, ""
 	if m.Pool != spareName {
@@ -158,6 +159,7 @@
 	return decision
 }
 
+// carryOut carries out an order, unless it is a move that is done already.
 func (f *fleet) carryOut(o capacity.Order) {
 	m := f.machine(o.Machine)
 	if o.Pool == m.Pool {
@@ -174,6 +176,8 @@
 	}
 }
 
+// A pool gets spare instances when its need rises and returns them when it falls. With too few its
+// tasks wait, and idle ones cost as much as busy ones.
 func TestPoolGrowsFromSpareAndShrinksBack(t *testing.T) {
 	f := newFleet(4, "a", "b", spareName)
 	p := capacity.NewPlanner(settings)
@@ -207,6 +211,7 @@
 	}
 }
 
+// Guards against interrupting tasks by moving their instances to a pool that lacks instances.
 func TestBusyInstancesAreNotMoved(t *testing.T) {
 	f := newFleet(4, "a", "b", spareName)
 	p := capacity.NewPlanner(settings)
@@ -372,6 +377,8 @@
 	}
 }
 
+// Tasks that require a label get a spare instance that has it. They would wait for good if the
+// planner supplied any other instance.
 func TestInstancesWithLabelAreSupplied(t *testing.T) {
 	f := newFleet(3, "a", "b", spareName)
 	for _, m := range f.machines {
--- a/evaluate/rollout.go
+++ b/evaluate/rollout.go
@@ -13,11 +13,11 @@
 // A RollOut is a wave over one pool of a zone.
 type RollOut struct {
 	Name                    string
-	Size                    int // instances that must serve
-	Spare                   int // instances in addition to them
-	Budget                  int // how many of Size may be out
-	Drain                   time.Duration
-	Reboot                  time.Duration
+	Size                    int           // instances that must serve
+	Spare                   int           // instances in addition to them
+	Budget                  int           // how many of Size may be out
+	Drain                   time.Duration // mean time to drain an instance
+	Reboot                  time.Duration // mean time to reboot an instance
 	MeanTimeBetweenFailures time.Duration // of any instance; zero for none
 	FailureDuration         time.Duration
 	Seed                    uint64
--- a/evaluate/simulation.go
+++ b/evaluate/simulation.go
@@ -115,6 +115,7 @@
 	sim.down(m, d)
 }
 
+// down takes an instance down for d.
 func (sim *Simulation) down(m *machine, d time.Duration) {
 	m.info.State, m.backAt, m.quietSince = pointport.InstanceDown, sim.now.Add(d), time.Time{}
 }
@@ -215,6 +216,7 @@
 	return least
 }
 
+// accumulate adds a step of length d to the statistics.
 func (sim *Simulation) accumulate(d time.Duration) {
 	sim.stats.MinBudgetLeft = min(sim.stats.MinBudgetLeft, sim.minBudgetLeft())
 	spare := len(sim.machines)
--- a/planner/ledger.go
+++ b/planner/ledger.go
@@ -37,6 +37,7 @@
 	return n
 }
 
+// readLedger returns the stored ledger, empty if there is none, and its revision.
 func (p *Planner) readLedger(ctx context.Context) (ledger, pointport.Revision, error) {
 	e, err := p.store.Get(ctx, ledgerKey)
 	if err != nil {
@@ -100,10 +101,12 @@
 	return false
 }
 
+// lowerLog lowers the log where the zone wants less than the log holds.
 func (p *Planner) lowerLog(ctx context.Context, state *assign.State, wants map[string]int) (*assign.State, error) {
 	return p.writeFloats(ctx, state, wants, func(_ string, have, want int) int { return min(have, want) })
 }
 
+// raiseLog raises the log to what the zone wants, as far as the ledger gives it.
 func (p *Planner) raiseLog(ctx context.Context, state *assign.State, wants map[string]int) (*assign.State, error) {
 	return p.writeFloats(ctx, state, wants, func(pool string, have, want int) int {
 		return max(have, min(want, p.ledger[pool][p.zone]))
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -62,7 +62,7 @@
 	election Election
 	logger   *slog.Logger
 	author   string
-	pause    func() time.Duration
+	interval func() time.Duration
 	onList   func([]pointport.Instance)
 
 	store    pointport.Store
@@ -80,7 +80,9 @@
 func WithLogger(l *slog.Logger) Option { return func(p *Planner) { p.logger = l } }
 
 // WithInterval sets the function that returns the time between two rounds.
-func WithInterval(pause func() time.Duration) Option { return func(p *Planner) { p.pause = pause } }
+func WithInterval(interval func() time.Duration) Option {
+	return func(p *Planner) { p.interval = interval }
+}
 
 // WithListObserver sets a function that is called with each list read from the platform.
 func WithListObserver(observer func([]pointport.Instance)) Option {
@@ -95,7 +97,7 @@
 	p := &Planner{
 		store: store,
 		zone:  zone, zones: zones, clock: clock, fleet: fleet, configs: configs, log: log,
-		election: election, logger: slog.New(slog.DiscardHandler), author: "planner", pause: func() time.Duration { return DefaultInterval },
+		election: election, logger: slog.New(slog.DiscardHandler), author: "planner", interval: func() time.Duration { return DefaultInterval },
 		onList:   func([]pointport.Instance) {},
 		observed: newTracker(),
 	}
@@ -120,7 +122,7 @@
 func (p *Planner) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		p.tick(ctx, p.Round)
-		next := p.clock.After(p.pause())
+		next := p.clock.After(p.interval())
 		for waiting := true; waiting && ctx.Err() == nil; {
 			changed := p.configs.Changed()
 			select {
@@ -225,6 +227,7 @@
 	return state.Apply(change)
 }
 
+// logChange logs the steps of a change and the waves that it stops.
 func (p *Planner) logChange(change assign.Change) {
 	for _, s := range change.Steps {
 		to := "forgotten"
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -204,6 +204,7 @@
 	}
 }
 
+// TestWaveCompletes checks that a wave reboots every instance of a pool exactly once.
 func TestWaveCompletes(t *testing.T) {
 	s := newFixture(t, 6)
 	if w := s.run(t, s.planner()); w.Done != 6 || w.FailedCount != 0 {
--- a/planner/tracker.go
+++ b/planner/tracker.go
@@ -10,20 +10,20 @@
 // This file defines what a planner remembers between its rounds. It is not stored:
 // a new planner observes it again and only waits a little longer.
 
-// A quiet is a period in which all reports show an instance without requests in flight.
-type quiet struct {
+// A quietPeriod is a period in which all reports show an instance without requests in flight.
+type quietPeriod struct {
 	from, last time.Time // by the planner's own clock
 	reported   time.Time // the last report, by the platform's
 }
 
 // A tracker records since when instances are quiet or absent.
 type tracker struct {
-	quiet  map[pointport.InstanceID]quiet
+	quiet  map[pointport.InstanceID]quietPeriod
 	absent map[pointport.InstanceID]time.Time
 }
 
 func newTracker() tracker {
-	return tracker{quiet: map[pointport.InstanceID]quiet{}, absent: map[pointport.InstanceID]time.Time{}}
+	return tracker{quiet: map[pointport.InstanceID]quietPeriod{}, absent: map[pointport.InstanceID]time.Time{}}
 }
 
 // observe records one list read from the platform.
@@ -55,7 +55,7 @@
 	}
 	q, known := t.quiet[i.ID]
 	if !known {
-		t.quiet[i.ID] = quiet{now, now, i.Reported}
+		t.quiet[i.ID] = quietPeriod{now, now, i.Reported}
 		return
 	}
 	if i.Reported.After(q.reported) {
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -120,18 +120,19 @@
 	err      error
 
 	// The fields below are used only by the goroutine of run.
-	planner  *capacity.Planner
-	inbox    chan func(now time.Time)
-	closures map[string][]schedule.Closure
-	soon     []pointport.InstanceID
-	listed   time.Time
-	listing  bool
-	writer   *member.Writer
-	journal  *journal
-	limiter  *rate.Limiter // of orders
-	stored   map[int64]string
-	restored map[int64]bool
-	sizes    map[string]capacity.PoolSize // as last logged
+	planner            *capacity.Planner
+	inbox              chan func(now time.Time)
+	closures           map[string][]schedule.Closure
+	pendingMaintenance []pointport.InstanceID
+	listedAt           time.Time
+	listing            bool
+	writer             *member.Writer
+	journal            *journal
+	limiter            *rate.Limiter // of orders
+	// storedWaves holds the last stored waveRecord by wave, restoredWaves the waves that were read.
+	storedWaves   map[int64]string
+	restoredWaves map[int64]bool
+	sizes         map[string]capacity.PoolSize // as last logged
 	// loggedEnded holds, by pool, the incarnations that were logged as ended in the last round.
 	loggedEnded map[string]map[pointport.IncarnationID]bool
 }
@@ -149,7 +150,7 @@
 		services: s, settings: settings, own: own, cancel: cancel, done: make(chan struct{}),
 		logger:  logger.With(slog.Int64("fence", int64(own.Fence))),
 		planner: capacity.NewPlanner(settings.Planner), inbox: make(chan func(time.Time), inboxSize),
-		stored: make(map[int64]string), restored: make(map[int64]bool),
+		storedWaves: make(map[int64]string), restoredWaves: make(map[int64]bool),
 		limiter: rate.NewLimiter(rate.Limit(sustainedShare*limit), max(1, int(burstShare*limit))),
 		sizes:   make(map[string]capacity.PoolSize), loggedEnded: make(map[string]map[pointport.IncarnationID]bool),
 	}
@@ -210,7 +211,7 @@
 	s.list(ctx)
 	now := s.services.Clock.Now()
 	s.loadWaves(ctx, now)
-	if s.listed.IsZero() || !s.own.Proven() {
+	if s.listedAt.IsZero() || !s.own.Proven() {
 		return roundInterval
 	}
 	if err := s.open(ctx); err != nil {
@@ -219,7 +220,7 @@
 	}
 	s.planner.SetFormer(s.journal.former)
 	d := s.planner.Decide(now)
-	s.closures, s.soon = d.Closures, d.PendingMaintenance
+	s.closures, s.pendingMaintenance = d.Closures, d.PendingMaintenance
 	s.logSizes(d.Sizes)
 	s.sendOrders(ctx, d.Orders)
 	s.report(ctx, now)
@@ -275,7 +276,7 @@
 	surveys := make([]schedule.Survey, len(pools))
 	errs := make([]error, len(pools))
 	for n, pool := range pools {
-		req := schedule.SurveyRequest{Closures: s.closures[pool], Soon: s.soon, Over: s.endedIncarnations(pool), Ordered: s.planner.OrderedEnds(s.services.Clock.Now(), pool)}
+		req := schedule.SurveyRequest{Closures: s.closures[pool], Soon: s.pendingMaintenance, Over: s.endedIncarnations(pool), Ordered: s.planner.OrderedEnds(s.services.Clock.Now(), pool)}
 		wg.Go(func() { surveys[n], errs[n] = s.services.Pools.Survey(ctx, pool, req) })
 	}
 	wg.Wait()
@@ -311,11 +312,11 @@
 // list reads the list of machines in the background, if that is due.
 func (s *Steward) list(ctx context.Context) {
 	now := s.services.Clock.Now()
-	every := idleListInterval
+	interval := idleListInterval
 	if s.planner.Busy() {
-		every = busyListInterval
+		interval = busyListInterval
 	}
-	if s.listing || now.Sub(s.listed) < every {
+	if s.listing || now.Sub(s.listedAt) < interval {
 		return
 	}
 	s.listing = true
@@ -327,7 +328,7 @@
 				event.MachinesCut.Log(s.logger, slog.Any("error", err))
 				return
 			}
-			s.listed = now
+			s.listedAt = now
 			s.planner.SetMachines(now, list)
 		})
 	}()
@@ -409,7 +410,7 @@
 	waves := s.services.Waves.Waves()
 	s.planner.SetWaves(now, waves)
 	for _, w := range waves {
-		if s.restored[w.ID] {
+		if s.restoredWaves[w.ID] {
 			continue
 		}
 		e, err := s.services.KV.Get(ctx, waveKey(s.services.Waves.Status(w.ID, false)))
@@ -417,7 +418,7 @@
 			event.PlanFailed.Log(s.logger, slog.Int64("wave", w.ID), slog.Any("error", err))
 			continue
 		}
-		s.restored[w.ID] = true
+		s.restoredWaves[w.ID] = true
 		var r waveRecord
 		if !e.Exists() {
 			continue
@@ -438,7 +439,7 @@
 			event.PlanFailed.Log(s.logger, slog.Int64("wave", p.Wave), slog.Any("error", err))
 			continue
 		}
-		if s.stored[p.Wave] == string(value) {
+		if s.storedWaves[p.Wave] == string(value) {
 			continue
 		}
 		status := s.services.Waves.Status(p.Wave, p.Completed)
@@ -448,7 +449,7 @@
 		if !written {
 			return
 		}
-		s.stored[p.Wave] = string(value)
+		s.storedWaves[p.Wave] = string(value)
 		event.WaveReported.Log(s.logger, slog.Int64("wave", p.Wave), slog.Int("ordered", len(p.Ordered)), slog.Bool("completed", p.Completed))
 	}
 }
