--- a/planner/ledger.go
+++ b/planner/ledger.go
@@ -71,18 +71,18 @@
 // settleFloats takes and gives back floating budget, and returns the state
 // afterwards.
 func (p *Planner) settleFloats(ctx context.Context, state *assign.State) (*assign.State, error) {
-	wants := p.wantedFloats(state)
-	if !p.floatsDiffer(state, wants) {
+	wantedFloats := p.wantedFloats(state)
+	if !p.floatsDiffer(state, wantedFloats) {
 		return state, nil
 	}
-	state, err := p.lowerLog(ctx, state, wants)
+	state, err := p.lowerLog(ctx, state, wantedFloats)
 	if err != nil {
 		return nil, err
 	}
-	if err := p.changeLedger(ctx, state, wants); err != nil {
+	if err := p.changeLedger(ctx, state, wantedFloats); err != nil {
 		return nil, err
 	}
-	return p.raiseLog(ctx, state, wants)
+	return p.raiseLog(ctx, state, wantedFloats)
 }
 
 // floatsDiffer reports whether the log or the ledger, as last read or written, differs
--- a/planner/tracker.go
+++ b/planner/tracker.go
@@ -18,12 +18,12 @@
 
 // A tracker records since when instances are quiet or absent.
 type tracker struct {
-	quiet  map[pointport.InstanceID]quietPeriod
-	absent map[pointport.InstanceID]time.Time
+	quietPeriod map[pointport.InstanceID]quietPeriod
+	absent      map[pointport.InstanceID]time.Time
 }
 
 func newTracker() tracker {
-	return tracker{quiet: map[pointport.InstanceID]quietPeriod{}, absent: map[pointport.InstanceID]time.Time{}}
+	return tracker{quietPeriod: map[pointport.InstanceID]quietPeriod{}, absent: map[pointport.InstanceID]time.Time{}}
 }
 
 // observe records one list read from the platform.
@@ -38,7 +38,7 @@
 		if present[m.ID] {
 			continue
 		}
-		delete(t.quiet, m.ID)
+		delete(t.quietPeriod, m.ID)
 		if _, known := t.absent[m.ID]; !known {
 			t.absent[m.ID] = now
 		}
@@ -50,24 +50,24 @@
 // A report with an unchanged timestamp adds nothing.
 func (t tracker) observeQuiet(now time.Time, i pointport.Instance) {
 	if i.InFlight > 0 || i.State != pointport.InstanceLeaving {
-		delete(t.quiet, i.ID)
+		delete(t.quietPeriod, i.ID)
 		return
 	}
-	q, known := t.quiet[i.ID]
+	q, known := t.quietPeriod[i.ID]
 	if !known {
-		t.quiet[i.ID] = quietPeriod{now, now, i.Reported}
+		t.quietPeriod[i.ID] = quietPeriod{now, now, i.Reported}
 		return
 	}
 	if i.Reported.After(q.reported) {
 		q.last, q.reported = now, i.Reported
-		t.quiet[i.ID] = q
+		t.quietPeriod[i.ID] = q
 	}
 }
 
 // quietFor returns for how long each instance has been quiet.
 func (t tracker) quietFor() map[pointport.InstanceID]time.Duration {
-	out := make(map[pointport.InstanceID]time.Duration, len(t.quiet))
-	for id, q := range t.quiet {
+	out := make(map[pointport.InstanceID]time.Duration, len(t.quietPeriod))
+	for id, q := range t.quietPeriod {
 		out[id] = q.last.Sub(q.from)
 	}
 	return out
