--- a/assign/decide_test.go
+++ b/assign/decide_test.go
@@ -117,7 +117,7 @@
 		t.Fatalf("%d instances serve to begin with, want half of the pools'", before)
 	}
 	other, own := in, in
-	other.Evacuations = evacuation.Known([]evacuation.Request{{Zone: "zone-b"}})
+	other.Evacuations = evacuation.NewZones([]evacuation.Request{{Zone: "zone-b"}})
 	other.State = settle(other)
 	if got := serving(other); got != 250-46 {
 		t.Errorf("%d instances serve while the other zone is evacuated, %d before; want all 204 of the pools", got, before)
@@ -127,7 +127,7 @@
 	if got := serving(other); got != 250-46 {
 		t.Errorf("%d instances serve as soon as the other zone is open, want those that do to be kept", got)
 	}
-	own.Evacuations = evacuation.Known([]evacuation.Request{{Zone: "zone-a"}})
+	own.Evacuations = evacuation.NewZones([]evacuation.Request{{Zone: "zone-a"}})
 	if c := assign.Decide(own); !c.Empty() {
 		t.Errorf("%d steps in the evacuated zone", len(c.Steps))
 	}
--- a/assign/explain.go
+++ b/assign/explain.go
@@ -71,7 +71,7 @@
 	e.Stands = fmt.Sprintf("%d serving of %d needed and %d spare", phases[Serving], size, spare)
 	e.fact("template: size %d over %d zones, spare %s, budget %s, wave speed %s", t.Pool.Size, len(zones), t.Pool.Spare, t.Maintenance.Budget, t.Maintenance.Speed)
 	switch {
-	case evacuated.Standing(zone) == evacuation.Evacuated:
+	case evacuated.State(zone) == evacuation.Evacuated:
 		e.fact("the zone is evacuated: nothing more is sent to its instances")
 		e.next("they are used again once an operator takes that back")
 	case len(open) < len(zones):
--- a/assign/size.go
+++ b/assign/size.go
@@ -76,10 +76,10 @@
 
 // sharing returns the zones over which pools are split for a zone.
 func sharing(zones []pointport.ZoneID, zone pointport.ZoneID, evacuated evacuation.Zones) []pointport.ZoneID {
-	if len(evacuated.Requests()) == 0 || evacuated.Standing(zone) == evacuation.Evacuated {
+	if len(evacuated.Requests()) == 0 || evacuated.State(zone) == evacuation.Evacuated {
 		return zones
 	}
-	return slices.DeleteFunc(slices.Clone(zones), func(z pointport.ZoneID) bool { return evacuated.Standing(z) == evacuation.Evacuated })
+	return slices.DeleteFunc(slices.Clone(zones), func(z pointport.ZoneID) bool { return evacuated.State(z) == evacuation.Evacuated })
 }
 
 // held returns the members that the pool can count on: those that serve, and
--- a/capacity/evacuation_test.go
+++ b/capacity/evacuation_test.go
@@ -12,7 +12,7 @@
 
 // This file tests pools while an availability zone is evacuated.
 
-var northEvacuated = evacuation.Known([]evacuation.Request{{Zone: "north"}})
+var northEvacuated = evacuation.NewZones([]evacuation.Request{{Zone: "north"}})
 
 // splitZones assigns the machines of a fleet to two availability zones so that each pool has as
 // many in north as in south.
--- a/capacity/planner.go
+++ b/capacity/planner.go
@@ -86,7 +86,7 @@
 // evacuated reports whether no task may be started on a machine because its availability zone is
 // evacuated.
 func (p *Planner) evacuated(m *machine) bool {
-	return p.zones.Standing(m.zone) == evacuation.Evacuated
+	return p.zones.State(m.zone) == evacuation.Evacuated
 }
 
 // SetSurvey sets the newest survey of a pool, received at now.
--- a/config/evacuation.go
+++ b/config/evacuation.go
@@ -25,7 +25,7 @@
 	var requests []evacuation.Request
 	for _, o := range s.List(KindEvacuation) {
 		_, version, _ := s.Get(KindEvacuation, o.Name())
-		requests = append(requests, evacuation.Request{Zone: pointport.ZoneID(o.Name()), Made: pointport.Revision(version)})
+		requests = append(requests, evacuation.Request{Zone: pointport.ZoneID(o.Name()), Revision: pointport.Revision(version)})
 	}
-	return evacuation.Known(requests)
+	return evacuation.NewZones(requests)
 }
--- a/daemon/feeder.go
+++ b/daemon/feeder.go
@@ -120,7 +120,7 @@
 	for _, log := range e.assigns {
 		for _, m := range log.State().Members() {
 			t, ok := f.target(m)
-			t.Evacuated = zones.Standing(m.Zone) != evacuation.Open
+			t.Evacuated = zones.State(m.Zone) != evacuation.Open
 			if ok && services[m.Pool] != "" {
 				targets[services[m.Pool]] = append(targets[services[m.Pool]], t)
 			}
--- a/evacuation/zones.go
+++ b/evacuation/zones.go
@@ -13,23 +13,23 @@
 // the request is taken back.
 type Request struct {
 	Zone pointport.ZoneID
-	// Made is the revision of the store at which the operators made it.
-	Made pointport.Revision
+	// Revision is the revision of the store at which the operators made it.
+	Revision pointport.Revision
 }
 
-// A Standing says whether something may be started in an availability zone.
-type Standing uint8
+// A ZoneState says whether something may be started in an availability zone.
+type ZoneState uint8
 
 // The standings of an availability zone.
 const (
-	Unknown   Standing = iota // nothing may be started before more is known
-	Evacuated                 // nothing may be started
+	Unknown   ZoneState = iota // nothing may be started before more is known
+	Evacuated                  // nothing may be started
 	Open
 )
 
 var standings = [...]string{Unknown: "unknown", Evacuated: "evacuated", Open: "open"}
 
-func (s Standing) String() string { return standings[s] }
+func (s ZoneState) String() string { return standings[s] }
 
 // Zones is what a member knows of the availability zones that are to be left empty. The
 // zero Zones knows nothing. It does not change.
@@ -39,17 +39,17 @@
 }
 
 // None is the knowledge that no availability zone is to be left empty.
-var None = Known(nil)
+var None = NewZones(nil)
 
-// Known returns the knowledge that these requests, one a zone, and no others are in force.
-func Known(requests []Request) Zones {
+// NewZones returns the knowledge that these requests, one a zone, and no others are in force.
+func NewZones(requests []Request) Zones {
 	sorted := slices.Clone(requests)
 	slices.SortFunc(sorted, func(a, b Request) int { return cmp.Compare(a.Zone, b.Zone) })
 	return Zones{known: true, requests: sorted}
 }
 
-// Standing says whether something may be started in an availability zone.
-func (z Zones) Standing(zone pointport.ZoneID) Standing {
+// State says whether something may be started in an availability zone.
+func (z Zones) State(zone pointport.ZoneID) ZoneState {
 	if !z.known {
 		return Unknown
 	}
--- a/evacuation/zones_test.go
+++ b/evacuation/zones_test.go
@@ -20,13 +20,13 @@
 			asked[zone] = true
 			requests = append(requests, evacuation.Request{Zone: zone})
 		}
-		z := evacuation.Known(requests)
+		z := evacuation.NewZones(requests)
 		for _, zone := range zones {
 			want := evacuation.Open
 			if asked[zone] {
 				want = evacuation.Evacuated
 			}
-			if got := z.Standing(zone); got != want {
+			if got := z.State(zone); got != want {
 				t.Fatalf("zone %q is %v, want %v", zone, got, want)
 			}
 		}
@@ -39,10 +39,10 @@
 // Who knows nothing must not take any availability zone for open.
 func TestNothingIsKnownToBeginWith(t *testing.T) {
 	var z evacuation.Zones
-	if z.IsKnown() || z.Standing("a") != evacuation.Unknown {
-		t.Errorf("zone a is %v", z.Standing("a"))
+	if z.IsKnown() || z.State("a") != evacuation.Unknown {
+		t.Errorf("zone a is %v", z.State("a"))
 	}
-	if !evacuation.None.IsKnown() || evacuation.None.Standing("a") != evacuation.Open {
-		t.Errorf("without requests, zone a is %v", evacuation.None.Standing("a"))
+	if !evacuation.None.IsKnown() || evacuation.None.State("a") != evacuation.Open {
+		t.Errorf("without requests, zone a is %v", evacuation.None.State("a"))
 	}
 }
--- a/node/evacuation.go
+++ b/node/evacuation.go
@@ -151,7 +151,7 @@
 	for _, r := range e.entries.byKey {
 		requests = append(requests, r)
 	}
-	e.take(evacuation.Known(requests), asked)
+	e.take(evacuation.NewZones(requests), asked)
 	return nil
 }
 
@@ -159,12 +159,12 @@
 func (e *evacuations) take(now evacuation.Zones, asked clocks.Interval) {
 	for _, r := range now.Requests() {
 		if !slices.Contains(e.zones.Requests(), r) {
-			event.ZoneEvacuated.Log(e.logger, slog.String("zone", string(r.Zone)), slog.Int64("revision", int64(r.Made)), slog.Duration("age", asked.Age()))
+			event.ZoneEvacuated.Log(e.logger, slog.String("zone", string(r.Zone)), slog.Int64("revision", int64(r.Revision)), slog.Duration("age", asked.Age()))
 		}
 	}
 	for _, r := range e.zones.Requests() {
-		if now.Standing(r.Zone) == evacuation.Open {
-			event.ZoneOpened.Log(e.logger, slog.String("zone", string(r.Zone)), slog.Int64("revision", int64(r.Made)), slog.Duration("age", asked.Age()))
+		if now.State(r.Zone) == evacuation.Open {
+			event.ZoneOpened.Log(e.logger, slog.String("zone", string(r.Zone)), slog.Int64("revision", int64(r.Revision)), slog.Duration("age", asked.Age()))
 		}
 	}
 	if e.unsure {
--- a/node/evacuations_test.go
+++ b/node/evacuations_test.go
@@ -28,7 +28,7 @@
 			return memory.FaultNone
 		}), memory.WithLatency(time.Millisecond))
 		source := Source[evacuation.Request]{Prefix: "evacuate/", Decode: func(e pointport.Entry) (evacuation.Request, error) {
-			return evacuation.Request{Zone: pointport.ZoneID(e.Key()[len("evacuate/"):]), Made: e.Revision()}, nil
+			return evacuation.Request{Zone: pointport.ZoneID(e.Key()[len("evacuate/"):]), Revision: e.Revision()}, nil
 		}}
 		e := newEvacuations(ctx, kv, clock.System{}, source, DefaultEvacuationTime, slog.New(slog.DiscardHandler))
 		time.Sleep(10 * time.Second)
@@ -51,11 +51,11 @@
 		if got := reads.Load() - before; got != 0 {
 			t.Errorf("%d readings although nobody asks", got)
 		}
-		if got := e.Zones().Standing("north"); got != evacuation.Unknown {
+		if got := e.Zones().State("north"); got != evacuation.Unknown {
 			t.Errorf("after a minute without a reading the zone is %v", got)
 		}
 		time.Sleep(10 * time.Millisecond)
-		if got := e.Zones().Standing("north"); got != evacuation.Evacuated {
+		if got := e.Zones().State("north"); got != evacuation.Evacuated {
 			t.Errorf("the zone is %v once it was asked for again", got)
 		}
 		cancel()
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -147,7 +147,7 @@
 
 // evacuated reports whether nothing may be started in the availability zone.
 func (p *Placer) evacuated() bool {
-	return p.sources.Config().Evacuations().Standing(p.zone) != evacuation.Open
+	return p.sources.Config().Evacuations().State(p.zone) != evacuation.Open
 }
 
 func (p *Placer) commit(ctx context.Context, state *job.State, steps []job.Step) (*job.State, error) {
--- a/schedule/copies_test.go
+++ b/schedule/copies_test.go
@@ -24,28 +24,28 @@
 		t.Fatalf("orders %v, want one start", sent)
 	}
 	first := sent[0]
-	first.Worker.Until(start, 10*time.Second) // as whoever sends it extends the instance
+	first.Worker.ExtendLease(start, 10*time.Second) // as whoever sends it extends the instance
 	silence := &pointport.UnavailableError{Op: "start", Ambiguous: true, Err: errors.New("reset")}
 	now := start
 	started, stopped := 0, 0
 	for range 30 {
 		now = now.Add(100 * time.Millisecond)
-		b.Silent(first.Worker, now, silence)
+		b.PollFailed(first.Worker, now, silence)
 		for _, o := range orders(b, now) {
 			switch {
 			case o.Worker != first.Worker && o.Kind == schedule.OrderStart:
 				started++
-				b.Answered(o, now, 1, nil)
+				b.OrderAnswered(o, now, 1, nil)
 			case o.Worker == first.Worker && o.Kind == schedule.OrderStart && started > 0:
 				t.Fatalf("%v is started on a silent instance after it was given to another", o.TaskRun)
 			case o.Worker == first.Worker && o.Kind == schedule.OrderStop && o.TaskRun == first.TaskRun:
 				stopped++
-				b.Answered(o, now, 0, silence)
+				b.OrderAnswered(o, now, 0, silence)
 			default:
-				b.Answered(o, now, 0, silence)
+				b.OrderAnswered(o, now, 0, silence)
 			}
 		}
-		b.Answered(first, now, 0, silence)
+		b.OrderAnswered(first, now, 0, silence)
 	}
 	if started != 1 || stopped == 0 {
 		t.Errorf("%d starts elsewhere and %d stops of the first one, want one and some", started, stopped)
@@ -78,9 +78,9 @@
 				}
 			}
 			for _, o := range orders(b, now) {
-				b.Sending(o)
+				b.MarkSending(o)
 				if o.Kind == schedule.OrderStart {
-					b.Answered(o, now, 1, nil)
+					b.OrderAnswered(o, now, 1, nil)
 					return o
 				}
 			}
@@ -93,10 +93,10 @@
 		failed(next())
 	}
 	third := next()
-	third.Worker.Until(now, settings.Lease)
+	third.Worker.ExtendLease(now, settings.Lease)
 	silence := &pointport.UnavailableError{Op: "hold", Ambiguous: true}
-	b.Silent(third.Worker, now, silence)
-	b.Silent(third.Worker, now.Add(600*time.Millisecond), silence)
+	b.PollFailed(third.Worker, now, silence)
+	b.PollFailed(third.Worker, now.Add(600*time.Millisecond), silence)
 	now = now.Add(600 * time.Millisecond)
 	copied := next()
 	if copied.TaskRun.Run != policy.MaxAttempts+1 {
@@ -122,7 +122,7 @@
 // successor, which must not count it twice.
 func TestFailedEndThatComesAgainCountsOnce(t *testing.T) {
 	j := job("a", policy, step(1, 100, nil))
-	j.Begin(start)
+	j.BeginDue(start)
 	ref := workload.TaskRef{}
 	j.Place(ref, incarnation(0).ID(), 1)
 	j.Fail(ref, 1)
@@ -161,10 +161,10 @@
 // and the first instance answers again with the run there.
 func TestCopyIsNotPlacedBesideItsGivenUpRun(t *testing.T) {
 	b, first, second, now := waitingCopy(t)
-	if b.Forgo(now, second) {
+	if b.SkipStart(now, second) {
 		t.Fatal("the copy is not sent")
 	}
-	b.Sending(second)
+	b.MarkSending(second)
 	b.EndIncarnation(now, second.Worker.Incarnation().ID())
 	now = now.Add(2 * time.Second) // its quarantine is over
 	b.Report(first.Worker, now, now, pointport.Report{Clock: clockAt(now), Running: []pointport.RunningTask{{TaskRun: first.TaskRun, Progress: 10}}})
@@ -178,7 +178,7 @@
 		t.Fatalf("starts %v once that run has ended, want one", placed(all))
 	}
 	third := all[0]
-	b.Answered(third, now, clockAt(now), nil)
+	b.OrderAnswered(third, now, clockAt(now), nil)
 	b.Report(third.Worker, now, now, pointport.Report{Clock: clockAt(now), Ended: []pointport.TaskEnd{{Number: 2, TaskRun: third.TaskRun, Kind: pointport.EndDone}}})
 	b.Add(now, job("whole", policy, step(1, size.CPUMilli, nil)))
 	if got := placed(orders(b, now)); len(got) != 1 {
--- a/schedule/share_test.go
+++ b/schedule/share_test.go
@@ -12,7 +12,7 @@
 
 // A crowd is a pool of some instances on which customers' tasks take a second each.
 type crowd struct {
-	book  *schedule.Book
+	book  *schedule.Scheduler
 	now   time.Time
 	ends  map[*schedule.Worker][]end
 	owner map[string]string
@@ -48,7 +48,7 @@
 	c.owner[id], c.sent[id] = customer, c.now
 	c.asked[customer]++
 	spec := &workload.Spec{Steps: []workload.Step{{Count: 4, Need: pointport.Shape{CPUMilli: 1000, MemoryMiB: 10}, Estimate: crowdTask}}}
-	c.book.Add(c.now, workload.New(id, "q", policy, spec, c.now, workload.Of(customer)))
+	c.book.Add(c.now, workload.New(id, "q", policy, spec, c.now, workload.WithCustomer(customer)))
 }
 
 // step lets 20 ms pass.
@@ -56,7 +56,7 @@
 	c.now = c.now.Add(20 * time.Millisecond)
 	clock := pointport.InstanceClock(c.now.Sub(start).Milliseconds())
 	for _, o := range orders(c.book, c.now) {
-		c.book.Answered(o, c.now, clock, nil)
+		c.book.OrderAnswered(o, c.now, clock, nil)
 		if o.Kind == schedule.OrderStart {
 			c.ends[o.Worker] = append(c.ends[o.Worker], end{c.now.Add(crowdTask), o.TaskRun})
 		}
--- a/schedule/stall_test.go
+++ b/schedule/stall_test.go
@@ -16,13 +16,13 @@
 }
 
 // startedRun returns a book with a run that an instance has started.
-func startedRun() (*schedule.Book, schedule.Order) {
+func startedRun() (*schedule.Scheduler, schedule.Order) {
 	b := newBook()
 	hear(b, start, incarnation(0), incarnation(1))
 	b.Add(start, job("a", policy, step(1, 100, nil)))
 	o := orders(b, start)[0]
-	b.Sending(o)
-	b.Answered(o, start, clockAt(start), nil)
+	b.MarkSending(o)
+	b.OrderAnswered(o, start, clockAt(start), nil)
 	return b, o
 }
 
@@ -77,8 +77,8 @@
 	b.Add(start, job("a", policy, step(2, 4000, nil)))
 	both := orders(b, start)
 	for _, o := range both {
-		b.Sending(o)
-		b.Answered(o, start, clockAt(start), nil)
+		b.MarkSending(o)
+		b.OrderAnswered(o, start, clockAt(start), nil)
 	}
 	quick, other := both[0], both[1]
 	second := start.Add(time.Second)
--- a/schedule/takeover_test.go
+++ b/schedule/takeover_test.go
@@ -17,10 +17,10 @@
 // takenOver returns the book of a new owner with one job whose only task an
 // earlier owner has placed on incarnation(0), which has not reported yet, and
 // another instance that has.
-func takenOver(t interface{ Fatal(args ...any) }) (*schedule.Book, *schedule.Worker) {
+func takenOver(t interface{ Fatal(args ...any) }) (*schedule.Scheduler, *schedule.Worker) {
 	b := newBook()
 	j := job("a", policy, step(1, 100, nil))
-	j.Begin(start)
+	j.BeginDue(start)
 	j.Place(workload.TaskRef{}, incarnation(0).ID(), 1)
 	b.Add(start, j)
 	b.SetIncarnations(start, []pointport.Incarnation{incarnation(0), incarnation(1)})
@@ -37,9 +37,9 @@
 }
 
 // reportOther has every instance but one say that it runs nothing.
-func reportOther(b *schedule.Book, but *schedule.Worker, now time.Time) {
+func reportOther(b *schedule.Scheduler, but *schedule.Worker, now time.Time) {
 	for _, w := range b.Workers() {
-		if w != but && !w.Heard() {
+		if w != but && !w.HasAnswered() {
 			b.Report(w, now, now, pointport.Report{Clock: 1})
 		}
 	}
@@ -55,9 +55,9 @@
 // the earlier owner has extended what runs.
 func TestAnswerToOrderDoesNotExpireInheritedRun(t *testing.T) {
 	b, old := takenOver(t)
-	b.Silent(old, start.Add(500*time.Millisecond), &pointport.UnavailableError{Op: "hold", Ambiguous: true})
+	b.PollFailed(old, start.Add(500*time.Millisecond), &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 	answered := start.Add(2 * time.Second)
-	b.Answered(strayStop(old), answered, pointport.InstanceClock(time.Hour), nil)
+	b.OrderAnswered(strayStop(old), answered, pointport.InstanceClock(time.Hour), nil)
 	for now := answered; now.Before(start.Add(settings.PredecessorBound)); now = now.Add(50 * time.Millisecond) {
 		reportOther(b, old, now)
 		if got := placed(orders(b, now)); len(got) != 0 {
@@ -67,7 +67,7 @@
 	now := start.Add(settings.PredecessorBound + 100*time.Millisecond)
 	b.SetIncarnations(now, []pointport.Incarnation{incarnation(1)})
 	now = now.Add(registrationsAreBack) // it will not say how the task ended
-	b.See(schedule.Sight{From: start, Until: now})
+	b.SetRegistryCoverage(schedule.RegistryCoverage{Since: start, Until: now})
 	if got := placed(orders(b, now)); got[incarnation(1).ID()] != 1 {
 		t.Errorf("starts %v once the bound has passed, want one on the other instance", got)
 	}
@@ -152,16 +152,16 @@
 			switch event {
 			case 0: // an order is answered, now or late
 				clock := i.clock(now)
-				late = append(late, answer{due, func(now time.Time) { b.Answered(strayStop(old), now, clock, nil) }})
+				late = append(late, answer{due, func(now time.Time) { b.OrderAnswered(strayStop(old), now, clock, nil) }})
 			case 1: // a look is answered, now or late
-				i.extend(now, old.Until(now, settings.Lease))
+				i.extend(now, old.ExtendLease(now, settings.Lease))
 				report := i.report(now)
 				late = append(late, answer{due, func(now time.Time) { b.Report(old, sent, now, report) }})
 			case 2: // a look is carried out and its answer lost
-				i.extend(now, old.Until(now, settings.Lease))
-				b.Silent(old, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
+				i.extend(now, old.ExtendLease(now, settings.Lease))
+				b.PollFailed(old, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 			case 3: // a look gets nowhere
-				b.Silent(old, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
+				b.PollFailed(old, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 			}
 			rest := late[:0]
 			for _, a := range late {
