--- a/schedule/arrivals.go
+++ b/schedule/arrivals.go
@@ -36,7 +36,7 @@
 }
 
 // add records the arrival of a job.
-func (a *arrivals) add(now time.Time, j *workload.Job, learned *estimates) {
+func (a *arrivals) add(now time.Time, j *workload.Job, est *estimates) {
 	spec := j.Spec()
 	a.decay(now)
 	window := arrivalWindow.Seconds()
@@ -46,7 +46,7 @@
 			continue
 		}
 		a.any = true
-		weight := float64(s.Count) * learned.duration(j.Queue(), s).Seconds() / window
+		weight := float64(s.Count) * est.duration(j.Queue(), s).Seconds() / window
 		a.cpu += weight * float64(s.Reservation().CPUMilli)
 		a.memory += weight * float64(s.Reservation().MemoryMiB)
 	}
--- a/schedule/batch.go
+++ b/schedule/batch.go
@@ -130,7 +130,7 @@
 const smallBatchEntries = 64
 
 // LimitUnstoredStarts sets how many placed tasks may wait for their start to be stored.
-func (b *Scheduler) LimitUnstoredStarts(most int) { b.maxUnstoredStarts = most }
+func (b *Scheduler) LimitUnstoredStarts(limit int) { b.maxUnstoredStarts = limit }
 
 // placementsFull reports whether so many tasks, or tasks of so many jobs, wait to be stored that
 // further placements would only reserve capacity without running.
--- a/schedule/customer.go
+++ b/schedule/customer.go
@@ -119,17 +119,17 @@
 // capFilter returns a function that reports whether the cap of a task's customer lets it start in
 // addition to the tasks that the function has accepted before.
 func (b *Scheduler) capFilter() func(t waitingTask) bool {
-	started := make(map[*account]pointport.Shape)
+	accepted := make(map[*account]pointport.Shape)
 	return func(t waitingTask) bool {
 		a := t.entry.account
 		if a == nil || !a.capped {
 			return true
 		}
-		sum := started[a].Plus(t.step.Need)
+		sum := accepted[a].Plus(t.step.Need)
 		if !a.withinCap(sum) {
 			return false
 		}
-		started[a] = sum
+		accepted[a] = sum
 		return true
 	}
 }
--- a/schedule/excess.go
+++ b/schedule/excess.go
@@ -45,22 +45,22 @@
 func (b *Scheduler) Excess(now time.Time) map[string]time.Duration {
 	var out map[string]time.Duration
 	workers := b.usable(now)
-	var waiting []*entry
+	var queue []*entry
 	for e := range b.waitingJobs {
-		waiting = append(waiting, e)
+		queue = append(queue, e)
 	}
-	s := b.sharesOf(workers, waiting)
-	waits := b.backlogs(s.capacity)
+	s := b.sharesOf(workers, queue)
+	backlogs := b.backlogs(s.capacity)
 	for _, a := range b.accounts {
 		a.excess = 0
-		w, ok := waits[a]
+		waiting, ok := backlogs[a]
 		if !ok {
 			a.overloadedSince = time.Time{}
 			continue
 		}
 		part := max(s.dominant(a), b.weightOf(a)/s.weights)
-		wait := time.Duration(float64(w.work) / part)
-		slack := w.slack / time.Duration(w.jobs)
+		wait := time.Duration(float64(waiting.work) / part)
+		slack := waiting.slack / time.Duration(waiting.jobs)
 		switch {
 		case wait < overloadFactor*slack:
 			a.overloadedSince = time.Time{}
@@ -85,11 +85,11 @@
 		if e.account == nil || e.rank.class != classFresh || e.job.Begun() || len(e.ready) == 0 {
 			continue
 		}
-		w := out[e.account]
-		w.work += b.workOf(e, capacity)
-		w.slack += e.rank.latest.Sub(e.job.Submitted())
-		w.jobs++
-		out[e.account] = w
+		sum := out[e.account]
+		sum.work += b.workOf(e, capacity)
+		sum.slack += e.rank.latest.Sub(e.job.Submitted())
+		sum.jobs++
+		out[e.account] = sum
 	}
 	return out
 }
--- a/schedule/explain.go
+++ b/schedule/explain.go
@@ -40,7 +40,7 @@
 	GivenUp int `json:"givenUp,omitempty"`
 	// Running counts the running tasks by incarnation.
 	Running map[pointport.IncarnationID]int `json:"running,omitempty"`
-	// Waits says why the pending tasks wait, empty if there are none.
+	// Waits is the reason why the pending tasks wait, empty if there are none.
 	Waits string `json:"waits,omitempty"`
 }
 
@@ -102,7 +102,7 @@
 // explainWait returns why ready tasks are not placed; t is one of them, and tasks is their number.
 func (b *Scheduler) explainWait(now time.Time, t waitingTask, tasks int) string {
 	workers := b.usable(now)
-	labelled, permitted, apart, roomy, open := 0, 0, 0, 0, 0
+	labelled, permitted, apart, fitting, open := 0, 0, 0, 0, 0
 	var most pointport.Shape
 	for _, w := range workers {
 		if !w.hasLabel(t.step.Label) {
@@ -120,7 +120,7 @@
 		if !w.free.Fits(t.step.Reservation()) {
 			continue
 		}
-		roomy++
+		fitting++
 		if !b.atStepLimit(t, w) {
 			open++
 		}
@@ -139,11 +139,11 @@
 		return fmt.Sprintf("%d tasks wait: after crashes, tasks are kept apart on all of %d instances", tasks, labelled)
 	case permitted == 0:
 		return fmt.Sprintf("%d tasks wait: the advisor has permitted none of %d instances yet", tasks, labelled)
-	case roomy == 0:
+	case fitting == 0:
 		return fmt.Sprintf("%d tasks wait: each needs %d thousandths of a core and %d MiB; %d instances have at most %d and %d free%s",
 			tasks, need.CPUMilli, need.MemoryMiB, permitted, most.CPUMilli, most.MemoryMiB, b.explainUnusable(now))
 	case open == 0:
-		return fmt.Sprintf("%d tasks wait: %d instances with free capacity already hold %d tasks of the step", tasks, roomy, t.step.MaxPerInstance)
+		return fmt.Sprintf("%d tasks wait: %d instances with free capacity already hold %d tasks of the step", tasks, fitting, t.step.MaxPerInstance)
 	case t.step.Gang:
 		return fmt.Sprintf("%d tasks of a gang wait to fit all at once; %d instances have capacity for one", tasks, open)
 	case t.step.DataRack != "" && b.waitsForRack(now, t):
--- a/schedule/plan.go
+++ b/schedule/plan.go
@@ -145,8 +145,8 @@
 
 // placeTask places a task on the most suitable worker. It returns false if no worker can take it.
 func (p *placement) placeTask(t waitingTask) bool {
-	room := t.step.Reservation()
-	if p.knownFull(room) {
+	reservation := t.step.Reservation()
+	if p.knownFull(reservation) {
 		return false
 	}
 	w := p.choose(t)
@@ -155,8 +155,8 @@
 		return true
 	}
 	if t.step.MaxPerInstance == 0 && t.step.Label == "" && len(t.entry.avoidUntil) == 0 && len(t.entry.crashed) == 0 && t.step.DataRack == "" && !t.entry.job.Policy().Advised {
-		p.full = slices.DeleteFunc(p.full, func(f pointport.Shape) bool { return f.Fits(room) })
-		p.full = append(p.full, room)
+		p.full = slices.DeleteFunc(p.full, func(f pointport.Shape) bool { return f.Fits(reservation) })
+		p.full = append(p.full, reservation)
 	}
 	if t.step.Service {
 		p.reserve(t)
@@ -166,9 +166,9 @@
 
 // knownFull reports whether an earlier task with no larger reservation found no worker in this
 // plan.
-func (p *placement) knownFull(room pointport.Shape) bool {
+func (p *placement) knownFull(reservation pointport.Shape) bool {
 	for _, f := range p.full {
-		if room.Fits(f) {
+		if reservation.Fits(f) {
 			return true
 		}
 	}
@@ -218,9 +218,9 @@
 func (b *Scheduler) bestWorker(now time.Time, t waitingTask, workers []*Worker) *Worker {
 	var best *Worker
 	bestScore := 0.0
-	room := t.step.Reservation()
+	reservation := t.step.Reservation()
 	for _, w := range workers {
-		if !w.free.Fits(room) || !b.permits(t, w, now) || b.atStepLimit(t, w) {
+		if !w.free.Fits(reservation) || !b.permits(t, w, now) || b.atStepLimit(t, w) {
 			continue
 		}
 		score := b.score(now, t, w)
@@ -235,20 +235,20 @@
 // another rack now, it would end too late, and its rack has usable workers, where it can still end
 // in time.
 func (b *Scheduler) waitsForRack(now time.Time, t waitingTask) bool {
-	rackHas := false
+	rackUsable := false
 	for _, w := range b.workers {
 		if w.inc.Rack() == t.step.DataRack && w.usable(now) {
-			rackHas = true
+			rackUsable = true
 			break
 		}
 	}
-	if !rackHas {
+	if !rackUsable {
 		return false
 	}
 	duration := b.estimates.duration(t.entry.job.Queue(), t.step)
-	more := time.Duration(float64(duration) * (b.settings.FarFactor - 1))
+	extra := time.Duration(float64(duration) * (b.settings.FarFactor - 1))
 	latest := t.entry.rank.latest
-	return now.Before(latest) && now.Add(more).After(latest)
+	return now.Before(latest) && now.Add(extra).After(latest)
 }
 
 // atStepLimit reports whether a worker already holds the maximum number of tasks of the step.
--- a/schedule/rank.go
+++ b/schedule/rank.go
@@ -76,17 +76,17 @@
 }
 
 // allowance returns how long a job with the given critical path may take under a policy.
-func allowance(p workload.Policy, whole time.Duration) time.Duration {
-	return time.Duration(p.Stretch*float64(whole)) + p.Target
+func allowance(p workload.Policy, criticalPath time.Duration) time.Duration {
+	return time.Duration(p.Stretch*float64(criticalPath)) + p.Target
 }
 
 // objective returns how long a job may take, by the current estimates of its work.
 func (b *Scheduler) objective(e *entry) time.Duration {
-	whole := time.Duration(0)
+	longest := time.Duration(0)
 	for _, c := range b.estimates.criticalPaths(e.job.Queue(), e.job.Spec()) {
-		whole = max(whole, c)
+		longest = max(longest, c)
 	}
-	return allowance(e.job.Policy(), whole)
+	return allowance(e.job.Policy(), longest)
 }
 
 // refresh rebuilds the list of a job's ready tasks if it is outdated.
@@ -151,21 +151,21 @@
 	if now.Sub(e.criticalPathsAt) > criticalPathInterval {
 		e.criticalPaths, e.criticalPathsAt = b.estimates.criticalPaths(job.Queue(), job.Spec()), now
 	}
-	chains := e.criticalPaths
-	whole := time.Duration(0)
-	for _, c := range chains {
-		whole = max(whole, c)
+	paths := e.criticalPaths
+	longest := time.Duration(0)
+	for _, c := range paths {
+		longest = max(longest, c)
 	}
 	left := time.Duration(0)
 	first := e.ready[0].ref
 	for _, t := range e.ready {
-		left = max(left, chains[t.ref.Step])
+		left = max(left, paths[t.ref.Step])
 	}
 	from := job.Submitted()
 	if due := job.Spec().Due(first.Occurrence); !due.IsZero() {
 		from = due
 	}
-	s.latest = from.Add(allowance(job.Policy(), whole) - left)
+	s.latest = from.Add(allowance(job.Policy(), longest) - left)
 	if now.Add(startMargin + time.Duration(estimateMargin*float64(left))).After(s.latest) {
 		s.class = classLate
 	}
--- a/schedule/report.go
+++ b/schedule/report.go
@@ -32,8 +32,8 @@
 }
 
 // processEnds processes the ends that an instance lists.
-func (b *Scheduler) processEnds(w *Worker, now time.Time, all []pointport.TaskEnd) {
-	for _, end := range all {
+func (b *Scheduler) processEnds(w *Worker, now time.Time, ends []pointport.TaskEnd) {
+	for _, end := range ends {
 		b.processEnd(w, now, end)
 	}
 }
@@ -104,12 +104,12 @@
 	if len(report.Ended) >= maxListedEnds {
 		return
 	}
-	there := make(map[string]int, len(report.Running))
+	running := make(map[string]int, len(report.Running))
 	for _, row := range report.Running {
-		there[row.Task] = row.Run
+		running[row.Task] = row.Run
 	}
 	for _, r := range w.runs {
-		if there[r.name] == r.number {
+		if running[r.name] == r.number {
 			continue
 		}
 		gone := false
@@ -217,9 +217,9 @@
 // finishGivenUp marks tasks as done by runs that were given up, and stops their present runs.
 func (b *Scheduler) finishGivenUp(now time.Time, e *entry, refs []workload.TaskRef) {
 	for _, ref := range refs {
-		if other := e.runs[ref]; other != nil {
-			b.stop(now, other, "an earlier run of its task has ended")
-			b.detach(other)
+		if present := e.runs[ref]; present != nil {
+			b.stop(now, present, "an earlier run of its task has ended")
+			b.detach(present)
 		}
 	}
 	stepDone := false
--- a/schedule/scheduler.go
+++ b/schedule/scheduler.go
@@ -216,7 +216,8 @@
 	})
 }
 
-// inheritRuns creates runs for the tasks that an earlier owner has placed.
+// inheritRuns creates runs for the tasks that an earlier owner has placed, and keeps pending tasks
+// that failed before away from the instance on which they failed.
 func (b *Scheduler) inheritRuns(now time.Time, e *entry) {
 	e.inheritCrashes(now)
 	e.job.Occurrences(func(o *workload.Occurrence) {
@@ -335,13 +336,15 @@
 	return n
 }
 
-// invalidateReady marks the list of a job's ready tasks as outdated.
+// invalidateReady marks the list of a job's ready tasks as outdated and the job as possibly
+// waiting.
 func (b *Scheduler) invalidateReady(e *entry) {
 	e.stale = true
 	b.waitingJobs[e] = struct{}{}
 }
 
-// markDirty marks a job as changed and to be stored; urgent says that something waits for that.
+// markDirty marks a job as changed and to be stored; urgent reports whether something waits for
+// that.
 func (b *Scheduler) markDirty(e *entry, urgent bool) {
 	b.invalidateReady(e)
 	b.dirty[e] = b.dirty[e] || urgent
@@ -420,7 +423,8 @@
 // detached reports whether the run no longer belongs to its job.
 func (r *Run) detached() bool { return r.entry.runs[r.ref] != r }
 
-// removeRun removes a run from its job and its worker.
+// removeRun removes a run from its job and its worker. It remembers a start that may still be in
+// flight.
 func (b *Scheduler) removeRun(now time.Time, r *Run) {
 	if r.startInFlight() {
 		b.rememberStart(now, r.worker, r.TaskRun())
@@ -460,7 +464,7 @@
 	}
 	b.resize(w, inc.Capacity())
 	leaving := inc.Draining() && !w.inc.Draining()
-	if inc.Cold() != w.inc.Cold() { // each change of the registration restates the cold time from now
+	if inc.Cold() != w.inc.Cold() { // each change of the registration gives the remaining cold time
 		w.coldUntil = now.Add(inc.Cold())
 	}
 	w.inc = inc
--- a/schedule/share.go
+++ b/schedule/share.go
@@ -11,8 +11,9 @@
 //
 // A customer's share is the share of the pool's processors or memory that its tasks use, whichever
 // is larger. While its share exceeds its part, which is its weight divided by the weights of all
-// customers with work here, its next jobs wait behind jobs of others with equal rank. Jobs that
-// have begun continue, and capacity that nobody else wants is available to everyone.
+// customers with work here, its next jobs wait behind jobs of others with the same priority and
+// class. Jobs that have begun continue, and capacity that nobody else wants is available to
+// everyone.
 
 // shares holds the totals from which the shares and parts of customers are computed.
 type shares struct {
@@ -65,41 +66,42 @@
 	return a != nil && s.weights > 0 && s.dominant(a) > b.weightOf(a)/s.weights
 }
 
-// yieldsToOthers reports whether jobs of the class wait behind others of equal rank while their
-// customer exceeds its part.
+// yieldsToOthers reports whether jobs of the class wait behind others of the same priority and
+// class while their customer exceeds its part.
 func (c class) yieldsToOthers() bool { return c == classFresh || c == classLate }
 
-// sameRank reports whether two jobs have the same priority and class.
-func sameRank(a, b *entry) bool {
+// samePriorityAndClass reports whether two jobs have the same priority and class.
+func samePriorityAndClass(a, b *entry) bool {
 	return a.rank.priority == b.rank.priority && a.rank.class == b.rank.class
 }
 
-// placeInOrder calls place for the jobs of a queue. Within each rank, jobs whose customer exceeds
-// its part at that point come last. It stops when place returns false.
-func (b *Scheduler) visitInOrder(s shares, queue []*entry, place func(*entry) bool) {
-	var behind []*entry
+// visitInOrder calls visit for the jobs of a queue. Among jobs with the same priority and class,
+// those whose customer exceeds its part when their turn comes are visited last. It stops when visit
+// returns false.
+func (b *Scheduler) visitInOrder(s shares, queue []*entry, visit func(*entry) bool) {
+	var deferred []*entry
 	for n, e := range queue {
-		if n > 0 && !sameRank(queue[n-1], e) {
-			if !visitEach(behind, place) {
+		if n > 0 && !samePriorityAndClass(queue[n-1], e) {
+			if !visitEach(deferred, visit) {
 				return
 			}
-			behind = behind[:0]
+			deferred = deferred[:0]
 		}
 		if e.rank.class.yieldsToOthers() && b.exceedsPart(s, e.account) {
-			behind = append(behind, e)
+			deferred = append(deferred, e)
 			continue
 		}
-		if !place(e) {
+		if !visit(e) {
 			return
 		}
 	}
-	visitEach(behind, place)
+	visitEach(deferred, visit)
 }
 
-// placeEach calls place for each job until it returns false, and reports whether it never did.
-func visitEach(jobs []*entry, place func(*entry) bool) bool {
+// visitEach calls visit for each job until it returns false, and reports whether it never did.
+func visitEach(jobs []*entry, visit func(*entry) bool) bool {
 	for _, e := range jobs {
-		if !place(e) {
+		if !visit(e) {
 			return false
 		}
 	}
--- a/schedule/worker.go
+++ b/schedule/worker.go
@@ -149,11 +149,11 @@
 
 // PollDone records at now whether the worker's incarnation has answered a poll in time. It reports
 // whether the next poll should be sent immediately.
-func (w *Worker) PollDone(l Poll, now time.Time, answered bool) bool {
-	if !l.MayWait {
+func (w *Worker) PollDone(p Poll, now time.Time, answered bool) bool {
+	if !p.MayWait {
 		w.ackInFlight = false
 		if answered {
-			w.confirmedAck = max(w.confirmedAck, l.Acknowledged)
+			w.confirmedAck = max(w.confirmedAck, p.Acknowledged)
 		} else {
 			w.lateAckUntil = now.Add(lateAckTimeout)
 		}
