--- a/schedule/explain.go
+++ b/schedule/explain.go
@@ -149,7 +149,7 @@
 	case t.step.DataRack != "" && b.waitsForRack(now, t):
 		return fmt.Sprintf("%d tasks wait for capacity in rack %s, where their data is", tasks, t.step.DataRack)
 	}
-	return fmt.Sprintf("%d tasks wait for the next plan, or for jobs of lower rank; %d instances have capacity", tasks, open)
+	return fmt.Sprintf("%d tasks wait for the next plan, or for jobs that are placed first; %d instances have capacity", tasks, open)
 }
 
 const (
--- a/schedule/order.go
+++ b/schedule/order.go
@@ -161,7 +161,7 @@
 	case w.runs[r.name] != r || r.state != runSent:
 		return true // the run was removed or the start was answered
 	case r.stopping || r.detached():
-		return true // the run was sent before; one that never was is dropped by stop
+		return true // its start was sent before: a run that is stopped or detached unsent is dropped
 	case w.overcommitted() && r.startSent:
 		b.stop(now, r, "its instance has shrunk, and it is not known to run there")
 	case w.overcommitted():
--- a/schedule/plan.go
+++ b/schedule/plan.go
@@ -13,7 +13,8 @@
 
 // This file defines the plan: the assignment of waiting tasks to workers.
 
-// Plan expires runs, sends due orders again, and places waiting tasks as far as they fit at now.
+// Plan decides what to do at now: it expires runs and gangs, sends overdue orders again, begins due
+// occurrences, moves serving tasks, and places waiting tasks as far as they fit.
 func (b *Scheduler) Plan(now time.Time) {
 	b.sweep(now)
 	b.ruleOutStarts(now)
--- a/schedule/run.go
+++ b/schedule/run.go
@@ -55,7 +55,7 @@
 	// startSent reports whether a start order was sent, so that the run may have begun.
 	startSent bool
 	// listed reports whether a report of the worker's incarnation has listed the run. An answer to
-	// a start does not prove as much, because it may come from a later incarnation.
+	// a start does not prove that, because it may come from a later incarnation.
 	listed bool
 	// uncertainty is set while it is not known whether the run died with an earlier incarnation or
 	// is on its worker's.
--- a/schedule/scheduler.go
+++ b/schedule/scheduler.go
@@ -18,7 +18,7 @@
 type Settings struct {
 	// Lease is the duration by which each order extends the lease of everything on a worker.
 	Lease time.Duration
-	// PredecessorBound is how long after this owner took over an order of its predecessor may keep
+	// PredecessorBound is how long after the takeover an order of the previous owner may keep
 	// something running.
 	PredecessorBound time.Duration
 	// KeepEnded is how long the result of an ended job is kept in memory.
@@ -123,7 +123,8 @@
 	// occurrences.
 	waitingJobs, recurring map[*entry]struct{}
 	unstoredStarts         []*Run // placed, but their start is not stored yet
-	// batchLimited reports whether the last batch was small, which limits further placements.
+	// batchLimited reports whether the last batch was limited to few entries, which limits further
+	// placements.
 	batchLimited bool
 	// maxUnstoredStarts is how many placed tasks may wait for their start to be stored.
 	maxUnstoredStarts int
--- a/schedule/worker.go
+++ b/schedule/worker.go
@@ -211,7 +211,8 @@
 //
 // While the instance is silent, or starts on it are to be ruled out, ExtendLease returns the last
 // extension again: the instance may receive orders although its answers are lost, and its runs
-// would never expire.
+// would never expire. It returns zero for a silent instance whose addressee a later incarnation may
+// share.
 func (w *Worker) ExtendLease(now time.Time, lease time.Duration) pointport.InstanceClock {
 	switch {
 	case w.silent && w.inc.ID().Shares():
