--- a/schedule/advice.go
+++ b/schedule/advice.go
@@ -10,31 +10,30 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file defines advice: the policy of some queues lets only some instances
-// run a step, and only the advisor knows which. It gives a ticket for each, which
-// goes with every start.
+// This file defines advice: the policy of some queues allows a step to run only on some instances,
+// which only the advisor knows. It issues a ticket for each of them, which is sent with every start.
 
 const (
-	// adviceBatch is how many instances one question names. Each one named takes
-	// the advisor some time, and the task waits for the answer.
+	// adviceBatch is how many instances one request names. Each one takes the advisor some time, and
+	// the task waits for the answer.
 	adviceBatch = 30
-	// adviceAgain is how long to wait after a question without an answer.
-	adviceAgain = 300 * time.Millisecond
-	// ticketReserve is how much of a ticket's time must be left for a start to
-	// reach its instance.
+	// adviceRetry is how long to wait after a request that got no answer.
+	adviceRetry = 300 * time.Millisecond
+	// ticketReserve is how much of a ticket's validity must remain, for a start to reach its
+	// instance.
 	ticketReserve = 400 * time.Millisecond
 )
 
-// A stepKey names a step of one occurrence of a job.
+// A stepKey identifies a step of one occurrence of a job.
 type stepKey struct{ k, step int }
 
-// advice is what the advisor has said of a step.
+// advice is what the advisor has answered about a step.
 type advice struct {
 	asked map[pointport.IncarnationID]bool
 	good  map[pointport.IncarnationID]ticket
-	// asking says that a question is under way; again is when the next may go.
-	asking bool
-	again  time.Time
+	// asking reports that a request is in flight; retryAt is when the next one may be sent.
+	asking  bool
+	retryAt time.Time
 }
 
 type ticket struct {
@@ -42,18 +41,18 @@
 	until time.Time
 }
 
-// A AdviceRequest asks the advisor which of some incarnations may run a step.
+// An AdviceRequest asks the advisor which of some incarnations may run a step.
 type AdviceRequest struct {
 	Job          string
-	Step         string // the name under which the advisor knows it
+	Step         string // the name by which the advisor knows it
 	Incarnations []pointport.IncarnationID
 	key          stepKey
 }
 
-// permits reports whether a worker may run a task, as far as labels, earlier runs
-// and their ends, crashes and advice go.
+// permits reports whether a worker may run a task as far as labels, earlier runs and their ends,
+// crashes and advice are concerned.
 func (b *Book) permits(t waiting, w *Worker, now time.Time) bool {
-	if !w.hasLabel(t.step.Label) || b.wary(t, w, now) || b.keptApart(t, w, now) || w.hasGivenUp(t) {
+	if !w.hasLabel(t.step.Label) || b.failedRecentlyOn(t, w, now) || b.keptApart(t, w, now) || w.hasGivenUp(t) {
 		return false
 	}
 	if !t.entry.job.Policy().Advised {
@@ -67,8 +66,7 @@
 	return ok && now.Add(ticketReserve).Before(ticket.until)
 }
 
-// ticketFor returns the ticket with which a task may run on a worker, empty if
-// none is needed.
+// ticketFor returns the ticket with which a task may run on a worker, empty if none is needed.
 func (b *Book) ticketFor(t waiting, w *Worker) string {
 	a := t.entry.advice[stepKey{t.ref.Occurrence, t.ref.Step}]
 	if a == nil {
@@ -77,7 +75,7 @@
 	return a.good[w.inc.ID()].text
 }
 
-// seekAdvice asks about further workers for a step that found none it may use.
+// seekAdvice requests advice about further workers for a step that found none it may use.
 func (b *Book) seekAdvice(now time.Time, t waiting) {
 	if !t.entry.job.Policy().Advised {
 		return
@@ -91,7 +89,7 @@
 		}
 		t.entry.advice[key] = a
 	}
-	if a.asking || now.Before(a.again) {
+	if a.asking || now.Before(a.retryAt) {
 		return
 	}
 	ids := b.askable(now, t, a)
@@ -104,8 +102,8 @@
 	})
 }
 
-// askable returns the workers to ask about: those with most room first, and of
-// those asked about before only the good ones whose ticket runs out.
+// askable returns the workers to ask about, those with the most free capacity first. Of those asked
+// about before, it returns only permitted ones whose ticket is about to expire.
 func (b *Book) askable(now time.Time, t waiting, a *advice) []pointport.IncarnationID {
 	var workers []*Worker
 	for _, w := range b.usable(now) {
@@ -124,15 +122,15 @@
 	return ids
 }
 
-// TakeAdviceRequests returns the questions to put to the advisor now.
+// TakeAdviceRequests returns the requests to send to the advisor now.
 func (b *Book) TakeAdviceRequests() []AdviceRequest {
 	questions := b.questions
 	b.questions = nil
 	return questions
 }
 
-// AdviceAnswered takes in the advisor's answer to a question that was put at asked: the
-// tickets of the incarnations that may run the step, or an error.
+// AdviceAnswered handles the advisor's answer to a request that was sent at asked: the tickets,
+// valid from asked for valid, of the incarnations that may run the step, or an error.
 func (b *Book) AdviceAnswered(q AdviceRequest, asked, now time.Time, tickets map[pointport.IncarnationID]string, valid time.Duration, err error) {
 	e := b.jobs[q.Job]
 	if e == nil {
@@ -145,7 +143,7 @@
 	a.asking = false
 	if err != nil {
 		event.AdviceFailed.Log(b.logger, slog.String("step", q.Step), slog.Any("error", err))
-		a.again = now.Add(adviceAgain)
+		a.retryAt = now.Add(adviceRetry)
 		return
 	}
 	event.AdviceTaken.Log(b.logger, slog.String("step", q.Step), slog.Int("asked", len(q.Incarnations)),
--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -11,76 +11,78 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file defines what is believed of an incarnation that is over, and of the tasks
-// that had runs there.
+// This file defines how the end of an incarnation is handled, and what it means for the tasks that
+// had runs there.
 //
-// An instance that crashes lists no ends, so that a run may have crashed it shows only by
-// its having been there. Each crash is counted against every task that had a run on the
-// instance and is stored with the job's progress, in the record that names the next
-// start; so no owner starts a task without the crashes that its predecessors have seen.
+// An instance that crashes reports no task ends, so the only sign that a run may have caused the
+// crash is that it was on that instance. Each crash is counted against every task that had a run
+// there and is stored with the progress of the job, in the same record that names the task's next
+// start. An owner therefore never starts a task without the crashes that earlier owners have
+// counted.
 
-// A parting says why an incarnation is over.
-type parting string
+// An endCause is the reason why an incarnation has ended.
+type endCause string
 
 const (
-	// partingCrashed: nobody had announced or ordered it.
-	partingCrashed parting = "crashed"
-	// partingLeft: it had announced that it leaves, or its registration was gone
-	// while it still answered.
-	partingLeft parting = "left"
-	// partingOrdered: it was empty and closed for a move or for maintenance.
-	partingOrdered parting = "ordered"
+	// causeCrashed: the end was neither announced nor ordered.
+	causeCrashed endCause = "crashed"
+	// causeLeft: the instance had announced that it leaves, or it still answered after its
+	// registration was gone.
+	causeLeft endCause = "left"
+	// causeOrdered: it was empty and closed for a move or for maintenance.
+	causeOrdered endCause = "ordered"
 )
 
-// parting returns why the incarnation is over, judged at the moment at which that is
-// learned. An instance is moved or maintained only while nothing runs there, so one
-// that has runs has not ended by our order.
-func (w *Worker) parting(now time.Time) parting {
+// endCause returns why the incarnation has ended, as known at the time at which its end is learned.
+// An instance is moved or maintained only while nothing runs there, so the end of one that has runs
+// was not ordered.
+func (w *Worker) endCause(now time.Time) endCause {
 	switch {
 	case w.inc.Draining(), w.answeredUnlisted:
-		return partingLeft
+		return causeLeft
 	case len(w.runs) == 0 && (w.closed(now) || w.orderedAway):
-		return partingOrdered
+		return causeOrdered
 	}
-	return partingCrashed
+	return causeCrashed
 }
 
-// EndIncarnation takes in proof that an incarnation is over.
+// EndIncarnation handles proof that an incarnation has ended.
 func (b *Book) EndIncarnation(now time.Time, id pointport.IncarnationID) {
 	if w := b.workers[id]; w != nil && !w.ended {
-		b.endKnown(w, now, "the platform says so")
+		b.endConfirmed(w, now, "the platform says so")
 	}
 }
 
-// endKnown takes in that an incarnation is surely over, unless what was ordered to it may be on
-// a life that nobody has heard of yet.
-func (b *Book) endKnown(w *Worker, now time.Time, why string) {
-	later := b.presentLife(w)
+// endConfirmed handles the certain end of an incarnation. It does nothing while a start that was
+// sent to the incarnation may be on a later one of the same addressee and no later one is known: the
+// runs stay where they are until it is.
+func (b *Book) endConfirmed(w *Worker, now time.Time, why string) {
+	later := b.presentIncarnation(w)
 	if later == nil && w.anyUncertain() {
 		return
 	}
 	b.workerEnded(w, now, why, later)
 }
 
-// orderedAway takes in that an order about the machine of an incarnation was carried out, so
-// that its end is no crash. Its registration goes only after some heartbeats have been missed,
-// and the list of machines is behind as well: until one of them tells, it would be looked at in
-// vain and count as silent, and then as crashed, so that the instance is avoided when it comes
-// back.
-func (b *Book) orderedAway(now time.Time, end OrderedEnd) {
+// noteOrderedEnd records that an order to move or maintain the machine of an incarnation was carried
+// out, so that its end does not count as a crash. Its registration is removed only after several
+// missed heartbeats, and the platform's list of machines lags too. Until one of them shows the end,
+// polls of the incarnation would fail, and it would count as silent and then as crashed, so that the
+// instance would be avoided when it comes back.
+func (b *Book) noteOrderedEnd(now time.Time, end OrderedEnd) {
 	w := b.workers[end.Incarnation]
 	if w == nil || w.ended {
 		return
 	}
 	w.orderedAway = true
 	if end.Sure && len(w.runs) == 0 {
-		b.endKnown(w, now, "its machine was moved")
+		b.endConfirmed(w, now, "its machine was moved")
 	}
 }
 
-// shownOver takes in that whoever reads the list of machines saw an incarnation silent and
-// its life gone. If it has answered since, also that it is not well, its own word counts.
-func (b *Book) shownOver(now time.Time, id pointport.IncarnationID) {
+// endReported handles a report, derived from the platform's list of machines, that an incarnation is
+// silent and no longer listed. An answer since then takes precedence, including a refused poll.
+func (b *Book) endReported(now time.Time, id pointport.IncarnationID) {
 	w := b.workers[id]
 	if w != nil && !w.ended && w.life.clockKnown() && (!w.silent || w.refuses) {
 		event.IncarnationLives.Log(b.logger, slog.String("incarnation", string(id)), slog.Int("runs", len(w.runs)), slog.Duration("sinceHeard", w.life.sinceLastAnswer(now)))
@@ -89,71 +91,71 @@
 	b.EndIncarnation(now, id)
 }
 
-// endEarlierIncarnations takes in that a worker has answered a look that was sent at sent. A machine
-// has one life at a time, so its lives that were there before are over: those that the owner
-// had known, and not heard of, since then. With this their tasks wait for no list of machines
-// nor for their time to pass.
+// endEarlierIncarnations ends the earlier incarnations of a worker's machine after the worker has
+// answered a poll that was sent at sent. A machine has one incarnation at a time, so those that the
+// owner knew before sent, and has had no sign of since, have ended. Their tasks then need not wait
+// for the list of machines or for a lease to expire.
 func (b *Book) endEarlierIncarnations(w *Worker, sent, now time.Time) {
 	id := w.inc.Instance()
-	for _, former := range b.formers(w) {
+	for _, former := range b.earlierCandidates(w) {
 		if former == w || former.ended || b.workers[former.inc.ID()] != former || !former.lastKnown().Before(sent) {
 			continue
 		}
 		switch {
-		case former.sharesWith(w):
-			b.workerEnded(former, now, "a later life of its addressee answers", w)
+		case former.sharesAddressee(w):
+			b.workerEnded(former, now, "a later incarnation of its addressee answers", w)
 		case id != "" && former.inc.Instance() == id:
-			b.workerEnded(former, now, "a later life of its instance answers", nil)
+			b.workerEnded(former, now, "a later incarnation of its instance answers", nil)
 		}
 	}
 }
 
-// formers returns the workers among which those are that a worker has followed: any when it is
-// first heard, and later those that are not registered.
-func (b *Book) formers(w *Worker) []*Worker {
+// earlierCandidates returns the workers that may be earlier incarnations of a worker's machine: all
+// workers at its first answer, and later only those that are not registered.
+func (b *Book) earlierCandidates(w *Worker) []*Worker {
 	if w.life.clockKnown() {
 		return b.unlisted
 	}
 	return slices.Collect(maps.Values(b.workers))
 }
 
-// lastKnown returns when the owner last had a sign of the incarnation: an answer, or that it
-// was there.
+// lastKnown returns when the owner last had a sign of the incarnation: its last answer, or when the
+// owner first learned of it.
 func (w *Worker) lastKnown() time.Time {
-	if w.life.heard.After(w.since) {
-		return w.life.heard
+	if w.life.answeredAt.After(w.since) {
+		return w.life.answeredAt
 	}
 	return w.since
 }
 
-// workerEnded takes in that an incarnation is over; what ran there has died, but for what may be
-// on the later life of its addressee, nil if none is known.
+// workerEnded handles the end of an incarnation. The runs there have died, except those that may be
+// on later, the next incarnation of the same addressee; later is nil if none is known.
 func (b *Book) workerEnded(w *Worker, now time.Time, why string, later *Worker) {
-	cause, there := w.parting(now), w.begunRuns()
+	cause, there := w.endCause(now), w.begunRuns()
 	if later != nil {
 		b.follow(now, w, later, cause)
 	}
 	died := w.begunRuns()
 	for _, r := range died {
-		r.uncertainty = nil // the end of this life counts, and once
+		r.uncertainty = nil // the end of this incarnation is counted, and only once
 	}
 	event.WorkerEnded.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
 		slog.Int("runs", len(w.runs)), slog.String("cause", string(cause)), slog.String("reason", why), slog.Duration("sinceHeard", w.life.sinceLastAnswer(now)))
 	w.ended, w.endedAt = true, now
-	b.noteForeign(w)
+	b.noteMisdirected(w)
 	b.dropAll(w, now, "its incarnation is over")
-	if cause == partingCrashed {
+	if cause == causeCrashed {
 		b.noteCrashOf(w, now)
 		b.countCrashes(now, w.unproven, w.unproven, nil)
 		b.countCrashes(now, died, there, w)
 		return
 	}
 	for _, r := range died {
-		b.tellLost(now, r, cause, len(died)-1)
+		b.logLost(now, r, cause, len(died)-1)
 	}
 }
 
-// noteAnswerAfterEnd takes in that an incarnation answers that counts as over, and says so once.
+// noteAnswerAfterEnd logs, once, that an incarnation that counts as ended has answered.
 func (b *Book) noteAnswerAfterEnd(w *Worker, now time.Time) {
 	if w.answeredOver {
 		return
@@ -162,8 +164,8 @@
 	event.WorkerBack.Log(b.logger, slog.String("incarnation", string(w.inc.ID())), slog.Duration("since", now.Sub(w.endedAt)))
 }
 
-// begunRuns returns the runs that may have begun on the worker: those that were ordered,
-// or found in the store.
+// begunRuns returns the runs that may have begun on the worker: those whose start was sent, and
+// those found in the store.
 func (w *Worker) begunRuns() []*Run {
 	var out []*Run
 	for _, r := range w.runs {
@@ -174,23 +176,24 @@
 	return out
 }
 
-// MarkSending takes in that an order is sent now.
+// MarkSending records that an order is about to be sent.
 func (b *Book) MarkSending(o Order) {
 	if o.Kind == OrderStart {
 		o.Run.ordered = true
 	}
 }
 
-// countCrashes counts the crash of an instance against the tasks of runs that died there, beside
-// others that were there or may have been. At is nil if it is not known what else was.
+// countCrashes counts the crash of an instance against the tasks of died, the runs that died there;
+// there lists all runs that were or may have been on the instance. at is nil if it is not known what
+// else ran there.
 func (b *Book) countCrashes(now time.Time, died, there []*Run, at *Worker) {
 	for _, r := range died {
 		b.countCrash(now, r, crashCase(there, r, at), len(there)-1)
 	}
 }
 
-// crashCase returns what the crash of an instance counts as against the task of one of the runs
-// there. At is nil if it is not known what else was there.
+// crashCase classifies the crash of an instance for the task of r, one of the runs there. at is nil
+// if it is not known what else ran there.
 func crashCase(there []*Run, r *Run, at *Worker) workload.CrashCase {
 	switch {
 	case at != nil && at.strays == 0 && len(at.burns) == 0 && allOfGang(there, r):
@@ -201,14 +204,14 @@
 	return workload.CrashShared
 }
 
-// justStarted reports whether a run was not known to run for long when its instance last
-// answered, to this owner or to one before it.
+// justStarted reports whether the run was not yet known to have run for quarantineFor when its
+// instance last answered, to this owner or an earlier one.
 func (r *Run) justStarted() bool {
 	t := r.task()
-	return r.lived() < quarantineFor && (t == nil || t.Settled != r.number)
+	return r.runTime() < quarantineFor && (t == nil || t.Settled != r.number)
 }
 
-// justStarted returns the runs of which that is so.
+// justStarted returns the runs that have just started.
 func justStarted(runs []*Run) []*Run {
 	var out []*Run
 	for _, r := range runs {
@@ -219,15 +222,16 @@
 	return out
 }
 
-// lived returns for how long a run was known to run while its instance still answered.
-func (r *Run) lived() time.Duration {
+// runTime returns for how long the run was known to run at the last answer of its instance, zero if
+// it never was.
+func (r *Run) runTime() time.Duration {
 	if r.liveAt.IsZero() {
 		return 0
 	}
-	return r.worker.life.heard.Sub(r.liveAt)
+	return r.worker.life.answeredAt.Sub(r.liveAt)
 }
 
-// allOfGang reports whether runs are all of one run's gang, or that run alone.
+// allOfGang reports whether all runs belong to the gang of r, or r is the only one.
 func allOfGang(runs []*Run, r *Run) bool {
 	for _, o := range runs {
 		if o != r && (!r.step().Gang || o.stepOf() != r.stepOf()) {
@@ -237,22 +241,22 @@
 	return true
 }
 
-// countCrash counts the crash of an instance against a task that had a run there, beside
-// so many others.
+// countCrash counts the crash of an instance against the task of a run there; beside is the number
+// of other runs there.
 func (b *Book) countCrash(now time.Time, r *Run, how workload.CrashCase, beside int) {
 	e, t := r.entry, r.task()
 	if t == nil || t.Phase == workload.Done || e.ended != "" || e.job.Stopping() {
-		b.tellLost(now, r, partingCrashed, beside)
+		b.logLost(now, r, causeCrashed, beside)
 		return
 	}
 	seen := e.crashesOf(r.ref)
 	if how == workload.CrashAlone && seen.on[r.worker.inc.Instance()] {
-		how = workload.CrashAtStart // it may be the instance's own doing
+		how = workload.CrashAtStart // the instance itself may be the cause
 	}
 	seen.note(now, r.worker.inc.Instance())
 	b.touch(e, true)
 	verdict := e.job.Crash(r.ref, how)
-	b.tellLost(now, r, partingCrashed, beside)
+	b.logLost(now, r, causeCrashed, beside)
 	if verdict == workload.CrashRetried {
 		return
 	}
@@ -264,8 +268,8 @@
 	b.settleJob(now, e)
 }
 
-// tellLost logs that a run has died with its instance, beside so many others.
-func (b *Book) tellLost(now time.Time, r *Run, cause parting, beside int) {
+// logLost logs that a run has died with its instance; beside is the number of other runs there.
+func (b *Book) logLost(now time.Time, r *Run, cause endCause, beside int) {
 	crashes := 0
 	if t := r.task(); t != nil {
 		crashes = t.Crashes
@@ -275,7 +279,7 @@
 		slog.Duration("sinceSeen", r.sinceSeen(now)), slog.Int("beside", beside), slog.Int("crashes", crashes))
 }
 
-// sinceSeen returns for how long a run was known to run, zero if it never was.
+// sinceSeen returns how long ago the run was first seen to run, zero if it never was.
 func (r *Run) sinceSeen(now time.Time) time.Duration {
 	if r.liveAt.IsZero() {
 		return 0
@@ -283,11 +287,11 @@
 	return now.Sub(r.liveAt)
 }
 
-// crashes is what an owner has seen of the crashes under a task.
+// crashes holds the crashes that this owner has seen under a task.
 type crashes struct {
 	last time.Time
-	// on holds the instances that have crashed. What happens twice on one of them and
-	// nowhere else is likely its own fault.
+	// on holds the instances that crashed under the task. If one instance crashes twice and no other
+	// does, the instance is the likely cause.
 	on map[pointport.InstanceID]bool
 }
 
@@ -312,8 +316,8 @@
 	return e.crashed[ref]
 }
 
-// noteCrashOf counts a crash against the instance as a failed run would be, so that one
-// that crashes under whatever it is given is avoided in its next life.
+// noteCrashOf counts a crash against the instance as if a run had failed there, so that an instance
+// that crashes under any task is avoided in its next incarnation.
 func (b *Book) noteCrashOf(w *Worker, now time.Time) {
 	if w.health.failed(now) {
 		event.SuspectWorker.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
@@ -324,7 +328,8 @@
 	}
 }
 
-// restoreHealth gives the next life of an instance that has crashed the health of its last.
+// restoreHealth gives the next incarnation of an instance that has crashed the health of the
+// previous one.
 func (b *Book) restoreHealth(w *Worker, id pointport.InstanceID) {
 	if h, ok := b.crashedHealth[id]; ok {
 		w.health = h
@@ -332,10 +337,10 @@
 	}
 }
 
-// mayAbandon reports whether a task may be given to another instance although it is not
-// known what became of its present run. Where an instance may have crashed under it
-// before, its next start waits until that is known: else a task that crashes instances
-// would crash one each half second before the first is found to be over.
+// mayAbandon reports whether a task may be given to another instance although the fate of its
+// present run is not known. It may not if an instance may have crashed under it before: a task that
+// crashes instances would otherwise crash another one every half second before the end of the first
+// is known.
 func (e *entry) mayAbandon(ref workload.TaskRef) bool {
 	return e.job.Task(ref).Crashes == 0 && e.abandoned[ref] == 0
 }
--- a/schedule/drain.go
+++ b/schedule/drain.go
@@ -7,14 +7,13 @@
 	"github.com/pointport/pointport/event"
 )
 
-// This file defines what becomes of the runs on an instance that is about to
-// leave.
+// This file defines what happens to the runs on an instance that is about to leave.
 
-// drainReserve is how much sooner than the instance leaves a run must probably
-// be done to be left alone.
+// drainReserve is how long before its instance leaves a run must be expected to be done, for it to
+// be left running.
 const drainReserve = 300 * time.Millisecond
 
-// handleDraining takes in that an instance is about to leave: serving tasks move
+// handleDraining handles the announcement that an instance is about to leave: serving tasks move
 // off, and so do those that would not be done in time.
 func (b *Book) handleDraining(now time.Time, w *Worker) {
 	event.WorkerDraining.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
--- a/schedule/evacuate.go
+++ b/schedule/evacuate.go
@@ -8,25 +8,25 @@
 	"github.com/pointport/pointport/event"
 )
 
-// This file defines what follows for a pool when an availability zone is evacuated.
+// This file defines how the evacuation of an availability zone affects a pool.
 //
-// Nothing is placed in it, and no start that was ordered before is sent, first or again. What
-// runs there runs to its end: the operators ask only that nothing more be sent, and stopping
-// it would lose its work or, for a serving task, take it away from those whom it serves.
+// Nothing is placed in the zone, and no start that was ordered before is sent or resent. What runs
+// there runs to its end: the operators ask only that nothing new be sent, and stopping a run would
+// lose its work or, for a serving task, make it unavailable to its callers.
 
-// SetEvacuations takes in which availability zones are evacuated.
+// SetEvacuations sets which availability zones are evacuated.
 func (b *Book) SetEvacuations(z evacuation.Zones) { *b.zones = z }
 
-// standing says whether tasks may be started in the worker's availability zone.
+// standing returns whether tasks may be started in the worker's availability zone.
 func (w *Worker) standing() evacuation.ZoneState { return w.zones.State(w.inc.Zone()) }
 
 // evacuated reports whether the worker's availability zone is evacuated.
 func (w *Worker) evacuated() bool { return w.standing() == evacuation.Evacuated }
 
-// forgoInZone reports whether a start is not sent because of its instance's availability
-// zone. Its task waits again, at once if the start was never sent; one that was sent without
-// an answer is ruled out by a stop first, so that it is not carried out later. While it is
-// not known what the operators ask, it is left as it is.
+// forgoInZone reports whether a start is not sent because of its instance's availability zone. If the
+// zone is evacuated, the task waits again: at once if the start was never sent, otherwise after a
+// stop has ruled out that the unanswered start is carried out later. While the operators' request is
+// not known, the start is kept and retried later.
 func (b *Book) forgoInZone(now time.Time, r *Run) bool {
 	standing := r.worker.standing()
 	if standing == evacuation.Open {
--- a/schedule/gang.go
+++ b/schedule/gang.go
@@ -10,12 +10,11 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file defines gangs: tasks of a step that work only together. They are
-// placed together under one run number, and whatever ends one ends all.
+// This file defines gangs: the tasks of a step that can only work together. They are placed together
+// under one run number, and the end of one ends all.
 
-// gatherShare is the share of the time that a gang may take to gather after
-// which it is given up. A member that waits out the whole time has held its room
-// for nothing.
+// gatherShare is the share of GangTime after which a gang whose members are not all running is given
+// up. A member that waits out the whole time has held its resources for nothing.
 const gatherShare = 0.6
 
 // A gang is one start of all tasks of a step.
@@ -27,8 +26,8 @@
 	since  time.Time
 }
 
-// mates returns the runs of the other members of a run's gang.
-func (b *Book) mates(r *Run) []*Run {
+// otherMembers returns the runs of the other members of a run's gang, by index.
+func (b *Book) otherMembers(r *Run) []*Run {
 	var out []*Run
 	for ref, other := range r.entry.runs {
 		if other != r && ref.Occurrence == r.ref.Occurrence && ref.Step == r.ref.Step {
@@ -39,17 +38,16 @@
 	return out
 }
 
-// stopRestOfGang stops the other members of a run's gang, because the run has ended
-// or never started.
+// stopRestOfGang stops the other members of a run's gang because the run has ended or never started.
 func (b *Book) stopRestOfGang(now time.Time, r *Run, reason string) {
-	for _, mate := range b.mates(r) {
+	for _, mate := range b.otherMembers(r) {
 		b.stop(now, mate, reason)
 	}
 }
 
-// gangDone takes in that a gang has ended well: one member's end stands for all.
+// gangDone handles the successful end of a gang: the end of one member counts for all.
 func (b *Book) gangDone(now time.Time, r *Run) {
-	for _, mate := range b.mates(r) {
+	for _, mate := range b.otherMembers(r) {
 		b.forget(now, mate)
 	}
 	for i := range r.entry.job.Spec().Steps[r.ref.Step].Count {
@@ -63,8 +61,8 @@
 	b.settleJob(now, r.entry)
 }
 
-// expireGangs gives up gangs that do not gather, before their members wait for
-// nothing.
+// expireGangs gives up gangs whose members do not all start in time, before the members have waited
+// in vain.
 func (b *Book) expireGangs(now time.Time) {
 	for g := range b.gangs {
 		gathered, first := 0, (*Run)(nil)
@@ -84,13 +82,13 @@
 			delete(b.gangs, g)
 			event.GangGivenUp.Log(b.logger, slog.String("job", g.entry.job.ID()), slog.Int("step", g.step),
 				slog.Int("run", g.number), slog.Int("gathered", gathered))
-			b.stop(now, first, "its gang did not gather")
-			b.stopRestOfGang(now, first, "its gang did not gather")
+			b.stop(now, first, "its gang did not gather in time")
+			b.stopRestOfGang(now, first, "its gang did not gather in time")
 		}
 	}
 }
 
-// placeGang places all tasks of a gang, or none.
+// placeGang places all tasks of a gang, or none. It reports whether it placed them.
 func (p *placement) placeGang(tasks []waiting) bool {
 	step := tasks[0].step
 	for _, workers := range p.gangSets(step) {
@@ -113,8 +111,8 @@
 	return false
 }
 
-// gangSets returns the sets of workers on which a gang may be placed, the best
-// first: single racks if the gang is slower across racks, then all.
+// gangSets returns the sets of workers on which a gang may be placed, in order of preference: single
+// racks if the gang is slower across racks, then all workers.
 func (p *placement) gangSets(step *workload.Step) [][]*Worker {
 	if !step.SameRack {
 		return [][]*Worker{p.workers}
@@ -135,8 +133,7 @@
 	return append(sets, p.workers)
 }
 
-// fitGang returns a worker for each task of a gang, or nil if they do not all
-// fit.
+// fitGang returns a worker for each task of a gang, or nil if they do not all fit.
 func (p *placement) fitGang(tasks []waiting, workers []*Worker) []*Worker {
 	step := tasks[0].step
 	room := step.Reservation()
@@ -163,7 +160,8 @@
 	return chosen
 }
 
-// holds reports whether a worker can hold a task beside some more of its gang.
+// holds reports whether a worker has free resources for a task in addition to more others of its
+// gang.
 func (p *placement) holds(w *Worker, t waiting, room pointport.Shape, more int) bool {
 	free := w.free
 	for range more {
@@ -175,9 +173,8 @@
 	return t.step.MaxPerInstance == 0 || p.book.crowd(t, w)+more < t.step.MaxPerInstance
 }
 
-// reserveGang keeps as many workers free of other tasks as a gang needs, because
-// smaller tasks would always take the room that falls free. One gang at a time
-// is waited for.
+// reserveGang excludes as many workers from placement as a gang needs, because smaller tasks would
+// otherwise always take the resources that become free. It does so for one gang at a time.
 func (p *placement) reserveGang(tasks []waiting) {
 	if p.gangWaits {
 		return
--- a/schedule/health.go
+++ b/schedule/health.go
@@ -7,79 +7,78 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file defines how an instance that fails what it starts is stepped
-// around.
+// This file defines how instances are avoided on which runs fail.
 
 const (
-	// failuresToAvoid is after how many failures in a row a worker is avoided.
-	// Tasks fail by themselves now and then, seldom twice in a row.
+	// failuresToAvoid is after how many consecutive failures a worker is avoided. Tasks fail
+	// occasionally through no fault of the instance, but rarely twice in a row.
 	failuresToAvoid = 2
-	// avoidFirst is for how long a worker is avoided at first; each further
-	// failure doubles it.
+	// avoidFirst is for how long a worker is avoided at first; each further failure doubles it.
 	avoidFirst = 2 * time.Second
-	// avoidMost bounds that, so that a healed instance is found out.
+	// avoidMost bounds this time, so that a recovered instance is used again.
 	avoidMost = 16 * time.Second
 )
 
-// health is what the ends of a worker's runs say of it.
+// health summarizes the outcomes of a worker's runs.
 type health struct {
-	failures int // in a row
-	avoid    time.Time
-	avoidFor time.Duration
+	failures   int // consecutive
+	avoidUntil time.Time
+	avoidFor   time.Duration
 }
 
-// succeeded takes in that a run on the worker has ended well. It reports whether
-// the worker was avoided before.
+// succeeded records that a run on the worker has succeeded. It reports whether the worker was under
+// suspicion before.
 func (h *health) succeeded() bool {
 	suspected := h.failures >= failuresToAvoid
 	*h = health{}
 	return suspected
 }
 
-// failed takes in that a run on the worker has failed. It reports whether the
-// worker is avoided from now on.
+// failed records that a run on the worker has failed. It reports whether the worker is avoided from
+// now on.
 func (h *health) failed(now time.Time) bool {
 	h.failures++
 	if h.failures < failuresToAvoid {
 		return false
 	}
 	h.avoidFor = min(max(avoidFirst, 2*h.avoidFor), avoidMost)
-	h.avoid = now.Add(h.avoidFor)
+	h.avoidUntil = now.Add(h.avoidFor)
 	return true
 }
 
-// stalled takes in that a run on the worker stood still or crawled.
+// stalled records that a run on the worker was stuck or slow, so that the worker is avoided for a
+// while.
 func (h *health) stalled(now time.Time) {
-	h.avoid = now.Add(stallAvoid)
+	h.avoidUntil = now.Add(stallAvoid)
 }
 
 // avoided reports whether nothing should be placed on the worker.
-func (h *health) avoided(now time.Time) bool { return now.Before(h.avoid) }
+func (h *health) avoided(now time.Time) bool { return now.Before(h.avoidUntil) }
 
-// retryElsewhere is for how long a task that has failed waits for another
-// instance than the one on which it failed.
+// retryElsewhere is for how long a task that has failed waits for an instance other than the one on
+// which it failed.
 const retryElsewhere = 3 * time.Second
 
-// wary reports whether a task should not go to a worker because it, or another of
-// its gang, has just failed there.
-func (b *Book) wary(t waiting, w *Worker, now time.Time) bool {
+// failedRecentlyOn reports whether a task should not be placed on a worker because it, or another
+// member of its gang, has just failed there.
+func (b *Book) failedRecentlyOn(t waiting, w *Worker, now time.Time) bool {
 	if len(t.entry.wary) == 0 {
 		return false
 	}
 	if !t.step.Gang {
-		return t.entry.waryOf(t.ref, w.inc.ID(), now)
+		return t.entry.avoids(t.ref, w.inc.ID(), now)
 	}
 	for i := range t.step.Count {
 		ref := t.ref
 		ref.Index = i
-		if t.entry.waryOf(ref, w.inc.ID(), now) {
+		if t.entry.avoids(ref, w.inc.ID(), now) {
 			return true
 		}
 	}
 	return false
 }
 
-func (e *entry) waryOf(ref workload.TaskRef, on pointport.IncarnationID, now time.Time) bool {
+func (e *entry) avoids(ref workload.TaskRef, on pointport.IncarnationID, now time.Time) bool {
 	until, ok := e.wary[ref]
 	if !ok {
 		return false
@@ -88,7 +87,8 @@
 	return task != nil && task.Phase == workload.Pending && task.On == on && now.Before(until)
 }
 
-// avoidFailedWorker keeps a task that has failed away from where it did, for a while.
+// avoidFailedWorker keeps a task that has failed off the worker on which it failed, for
+// retryElsewhere.
 func (e *entry) avoidFailedWorker(ref workload.TaskRef, now time.Time) {
 	if e.wary == nil {
 		e.wary = make(map[workload.TaskRef]time.Time)
--- a/schedule/isolation.go
+++ b/schedule/isolation.go
@@ -7,94 +7,97 @@
 	"github.com/pointport/pointport/event"
 )
 
-// This file defines when the owner of a pool doubts itself: so many instances that are
-// registered give no answer that it is likelier the owner that cannot hear.
+// This file defines when the owner of a pool suspects that it is isolated: so many registered
+// instances do not answer that it is more likely the owner that is cut off.
 
 const (
-	// selfDoubtShare is of what share of the registered instances that are asked an owner must
-	// hear nothing to doubt itself. An availability zone that is cut off may have half of a
-	// pool's instances and some more; an owner that is cut off with one of three zones hears
-	// nothing of two thirds.
-	selfDoubtShare = 0.6
-	// selfDoubtAfter is for how long that must be so: where a peer that carries orders is
-	// late, or a burst of ends comes, the answers are there within a second.
-	selfDoubtAfter = time.Second
-	// trustShare is below what share it trusts itself again: one that hears little by little
-	// what its starts let it hear would otherwise stay at the edge of doubt.
-	trustShare = selfDoubtShare / 2
-	// selfDoubtLeast is how many instances must be silent for that: of fewer each may have
-	// failed by itself, and their registrations are on their way out.
-	selfDoubtLeast = 4
+	// isolationShare is the share of the registered instances that must be silent for an owner to
+	// suspect isolation. A zone that is cut off may have slightly more than half of a pool's
+	// instances; an owner that is cut off together with one of three zones gets no answer from two
+	// thirds.
+	isolationShare = 0.6
+	// isolationAfter is for how long that must last: if a peer that relays orders is late, or many
+	// runs end at once, the answers arrive within a second.
+	isolationAfter = time.Second
+	// recoveryShare is the share of silent instances below which the suspicion ends. It is lower
+	// than isolationShare, because an owner that gets more answers as it sends fewer starts would
+	// otherwise keep switching.
+	recoveryShare = isolationShare / 2
+	// isolationMinSilent is the least number of silent instances for a suspicion: fewer may each
+	// have failed independently, and their registrations are about to expire.
+	isolationMinSilent = 4
 )
 
-// A reachability is how well an owner hears the instances that are registered.
+// A reachability records how well an owner reaches the registered instances.
 type reachability struct {
-	silentShare  float64   // of those asked, that are silent
-	littleSince  time.Time // since when the owner hears little, zero while it hears more
-	doubtedSince time.Time // zero while the owner does not doubt itself
+	silentShare     float64   // of the instances polled
+	fewAnswersSince time.Time // since when few instances answer, zero while enough do
+	suspectedSince  time.Time // zero while there is no suspicion
 }
 
-// A tally counts the instances that are registered and asked, and those that are silent.
-type tally struct{ asked, silent int }
+// A tally counts the registered instances that are polled, and the silent ones among them.
+type tally struct{ polled, silent int }
 
 func (t *tally) count(w *Worker) {
 	if !w.listed || w.ended {
 		return
 	}
-	t.asked++
+	t.polled++
 	if w.silent {
 		t.silent++
 	}
 }
 
-// share returns which share is silent.
+// share returns the share that is silent.
 func (t tally) share() float64 {
-	if t.asked == 0 {
+	if t.polled == 0 {
 		return 0
 	}
-	return float64(t.silent) / float64(t.asked)
+	return float64(t.silent) / float64(t.polled)
 }
 
-// listen judges how well the owner hears.
-func (b *Book) listen(now time.Time, t tally) {
+// updateReachability reviews the suspicion after the registered instances have been counted.
+func (b *Book) updateReachability(now time.Time, t tally) {
 	b.hearing.silentShare = t.share()
-	doubts := b.hearsLittle(now, t.silent)
+	doubts := b.shouldSuspect(now, t.silent)
 	if doubts == b.SuspectsIsolation() {
 		return
 	}
-	event.OwnerDoubts.Log(b.logger, slog.Bool("doubts", doubts), slog.Int("silent", t.silent), slog.Int("asked", t.asked), slog.Duration("after", b.IsolationSuspectedFor(now)))
-	b.hearing.doubtedSince = time.Time{}
+	event.OwnerDoubts.Log(b.logger, slog.Bool("doubts", doubts), slog.Int("silent", t.silent), slog.Int("asked", t.polled), slog.Duration("after", b.IsolationSuspectedFor(now)))
+	b.hearing.suspectedSince = time.Time{}
 	if doubts {
-		b.hearing.doubtedSince = now
+		b.hearing.suspectedSince = now
 	}
 }
 
-// hearsLittle reports whether an owner that does not hear so many instances has reason to
-// doubt itself, or to go on doubting.
-func (b *Book) hearsLittle(now time.Time, silent int) bool {
+// shouldSuspect reports whether an owner with this many silent instances has reason to suspect
+// isolation, or to continue to.
+func (b *Book) shouldSuspect(now time.Time, silent int) bool {
 	h := &b.hearing
 	if b.SuspectsIsolation() {
-		return silent >= selfDoubtLeast && h.silentShare >= trustShare
+		return silent >= isolationMinSilent && h.silentShare >= recoveryShare
 	}
-	if silent < selfDoubtLeast || h.silentShare < selfDoubtShare {
-		h.littleSince = time.Time{}
+	if silent < isolationMinSilent || h.silentShare < isolationShare {
+		h.fewAnswersSince = time.Time{}
 		return false
 	}
-	if h.littleSince.IsZero() {
-		h.littleSince = now
+	if h.fewAnswersSince.IsZero() {
+		h.fewAnswersSince = now
 	}
-	return now.Sub(h.littleSince) >= selfDoubtAfter
+	return now.Sub(h.fewAnswersSince) >= isolationAfter
 }
 
-// SuspectsIsolation reports whether the owner hears so little that it should doubt itself. Nothing
-// expires then on its word alone, and few starts are to be under way: they would take from
-// looks what there is of the link and of processor time, and would mostly go unanswered.
-func (b *Book) SuspectsIsolation() bool { return !b.hearing.doubtedSince.IsZero() }
+// SuspectsIsolation reports whether so few instances answer that the owner should assume that it is
+// itself isolated. While it does, no run on a registered instance expires, and few starts should be
+// in flight: they would compete with polls for bandwidth and processor time, and most would get no
+// answer.
+func (b *Book) SuspectsIsolation() bool { return !b.hearing.suspectedSince.IsZero() }
 
-// IsolationSuspectedFor returns for how long the owner has doubted itself, zero while it does not.
+// IsolationSuspectedFor returns for how long the owner has suspected isolation, zero while it does
+// not.
 func (b *Book) IsolationSuspectedFor(now time.Time) time.Duration {
 	if !b.SuspectsIsolation() {
 		return 0
 	}
-	return now.Sub(b.hearing.doubtedSince)
+	return now.Sub(b.hearing.suspectedSince)
 }
--- a/schedule/later_incarnation.go
+++ b/schedule/later_incarnation.go
@@ -9,52 +9,55 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file defines what becomes of a run that may be on a later life than the one that it was
-// ordered to.
+// This file defines how a run is handled that may be on a later incarnation than the one to which
+// its start was sent.
 //
-// A platform that tells lives apart by more than their addressees lets a later life of an instance
-// take orders that were meant for an earlier one, and the answers to starts and stops do not say
-// which life has given them. So a run is known to be on a life once a report of that life has listed
-// it, and not before. Of a run that was ordered and never listed, the end of its worker's life says
-// nothing: the run follows to the later life, and a report of that one settles it. And a start that
-// may still be under way is one to every later life, each of which is told to rule it out before
-// anything is extended or placed there.
-
-// An uncertainty is of a run that was ordered to a life that is over, and may have been taken by
-// the later one.
+// Some platforms direct orders to an addressee that a later incarnation of an instance may share.
+// That incarnation may then carry out orders that were meant for an earlier one, and the answers to
+// starts and stops do not name the incarnation that gave them. So a run is known to be on an
+// incarnation only once a report of that incarnation lists it. If a start was sent and the run was
+// never listed, the end of the incarnation does not show what became of the run: the run is moved to
+// the later incarnation, whose report settles it. A start that may still be in flight may reach any
+// later incarnation, so each of them is told to rule the start out before its lease is extended or
+// anything is placed there.
+
+// An uncertainty belongs to a run whose start was sent to an incarnation that has ended, and that
+// the later incarnation may have accepted.
 type uncertainty struct {
-	cause  parting            // of the end of the former life
-	how    workload.CrashCase // what a crash counts as if the run died with it
-	beside int                // how many other runs it had
+	cause  endCause           // why the earlier incarnation ended
+	how    workload.CrashCase // how a crash counts if the run died in it
+	beside int                // number of other runs that it had
 }
 
-// mayBeLater reports whether a later life of the addressee may have the run, or may yet take a start
-// of it that has got no answer.
-func (r *Run) mayBeLater() bool { return r.mayHaveBegun() && (!r.listed || r.underWay()) }
+// mayBeOnLater reports whether a later incarnation of the addressee may have the run, or may still
+// accept an unanswered start of it.
+func (r *Run) mayBeOnLater() bool { return r.mayHaveBegun() && (!r.listed || r.underWay()) }
 
-// uncertain reports whether that is so, and there may be a later life of its worker's addressee.
-func (r *Run) uncertain() bool { return r.worker.inc.ID().Shares() && r.mayBeLater() }
+// uncertain reports whether a later incarnation may have the run, because the addressee of its
+// worker can be shared.
+func (r *Run) uncertain() bool { return r.worker.inc.ID().Shares() && r.mayBeOnLater() }
 
-// sharesWith reports whether orders meant for one of two workers may have been taken by the other.
-func (w *Worker) sharesWith(other *Worker) bool {
+// sharesAddressee reports whether orders meant for one of two workers may have been carried out by
+// the other.
+func (w *Worker) sharesAddressee(other *Worker) bool {
 	return w != other && w.inc.ID().Addressee() == other.inc.ID().Addressee()
 }
 
-// replaced takes in that another incarnation has answered in place of a worker.
+// replaced handles an answer that came from another incarnation than the worker's.
 func (b *Book) replaced(w *Worker, now time.Time, gone *pointport.GoneError) {
-	b.workerEnded(w, now, "another incarnation answered", b.laterLife(w, now, gone.By))
+	b.workerEnded(w, now, "another incarnation answered", b.laterIncarnation(w, now, gone.By))
 }
 
-// laterLife returns the worker for the life that has answered in place of another one under the
-// same addressee, nil if the one that answered has another addressee. It may not have registered
-// yet; until it has, it is asked at the address at which it has answered.
-func (b *Book) laterLife(w *Worker, now time.Time, id pointport.IncarnationID) *Worker {
+// laterIncarnation returns the worker for id, the incarnation that answered in place of w, or nil if
+// the answer came from another addressee. The incarnation may not be registered yet; until it is, it
+// is polled at the address at which it answered.
+func (b *Book) laterIncarnation(w *Worker, now time.Time, id pointport.IncarnationID) *Worker {
 	if id == "" {
 		return nil
 	}
 	later := b.worker(now, id)
 	if later.ended {
-		return b.presentLife(w)
+		return b.presentIncarnation(w)
 	}
 	if later.inc.Address() == "" {
 		later.inc = pointport.NewIncarnation(id, w.inc.Pool(), w.inc.Address(), pointport.WithInstance(w.inc.Instance()),
@@ -64,91 +67,92 @@
 	return later
 }
 
-// presentLife returns the life of a worker's addressee that was heard last, can be asked and is not
-// over, nil if none is known.
-func (b *Book) presentLife(w *Worker) *Worker {
+// presentIncarnation returns the incarnation of a worker's addressee that was seen last, has an
+// address and has not ended; nil if none is known.
+func (b *Book) presentIncarnation(w *Worker) *Worker {
 	var present *Worker
 	for _, o := range b.workers {
-		if o.sharesWith(w) && !o.ended && o.inc.Address() != "" && (present == nil || o.lastKnown().After(present.lastKnown())) {
+		if o.sharesAddressee(w) && !o.ended && o.inc.Address() != "" && (present == nil || o.lastKnown().After(present.lastKnown())) {
 			present = o
 		}
 	}
 	return present
 }
 
-// listedLife reports whether another life of a worker's addressee is registered.
-func (b *Book) listedLife(w *Worker) bool {
+// anotherRegistered reports whether another incarnation of a worker's addressee is registered.
+func (b *Book) anotherRegistered(w *Worker) bool {
 	for _, o := range b.workers {
-		if o.sharesWith(w) && o.listed && !o.ended {
+		if o.sharesAddressee(w) && o.listed && !o.ended {
 			return true
 		}
 	}
 	return false
 }
 
-// follow moves the runs of a worker that is over and that a later life may have, or may yet take, to
-// that life.
-func (b *Book) follow(now time.Time, former, later *Worker, cause parting) {
+// moveToLater moves the runs of a worker that has ended to later, if later may have them or may
+// still accept their starts.
+func (b *Book) follow(now time.Time, former, later *Worker, cause endCause) {
 	died := former.begunRuns()
 	for _, r := range died {
-		if !r.mayBeLater() || later.runs[r.name] != nil {
+		if !r.mayBeOnLater() || later.runs[r.name] != nil {
 			continue
 		}
 		if r.uncertainty == nil {
 			r.uncertainty = &uncertainty{cause, crashCase(died, r, former), len(died) - 1}
 		}
 		suspected, quarantined := r.suspected, r.quarantined
-		former.drop(r) // which has it count as any other
+		former.drop(r) // counts it like any other run until its suspicion is set again below
 		r.worker, r.listed, r.suspected, r.quarantined = later, false, suspected, quarantined
 		later.take(r)
 		delete(later.burns, r.TaskRun())
 		if r.state == runSettling {
-			r.state = runSent // what ruled it out may have been the life that is over
+			r.state = runSent // the incarnation that ruled it out may be the one that has ended
 			r.stopAgainAt = now
 		}
-		r.againAt = time.Time{} // to be ordered again it would have to be placed there
+		r.againAt = time.Time{} // its start may only be sent again if the run is placed on this worker
 		event.RunFollows.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number), slog.String("incarnation", string(former.inc.ID())),
 			slog.String("later", string(later.inc.ID())), slog.Int("unanswered", r.unanswered), slog.Duration("sinceSeen", r.sinceSeen(now)))
 	}
 	b.looks[later] = struct{}{}
 }
 
-// takenLate is for how long an order may be on its way, and be held back by the life that it
-// reaches, until that takes it. The platform says seconds.
-const takenLate = 10 * time.Second
+// maxOrderDelay bounds how long an order may be in flight, and be delayed by the incarnation that it
+// reaches, until that incarnation carries it out. The platform documents seconds.
+const maxOrderDelay = 10 * time.Second
 
-// foreignUntil returns until when a later life may run what it took, or extend what it runs, by an
-// order that was sent at a time and meant for an earlier life: as long as an instance grants.
-func (b *Book) foreignUntil(ordered time.Time) time.Time {
-	return ordered.Add(takenLate + time.Duration(float64(b.settings.MaxHold)*slowClock) + lapseSlack)
+// misdirectedUntil returns until when a later incarnation may run tasks, or extend what it runs, by
+// an order that was sent at sent and meant for an earlier incarnation. An instance grants at most
+// MaxHold.
+func (b *Book) misdirectedUntil(sent time.Time) time.Time {
+	return sent.Add(maxOrderDelay + time.Duration(float64(b.settings.MaxHold)*slowClock) + lapseSlack)
 }
 
-// executionExpiry returns when everything has surely ended that was ordered to a worker, if no further answer
-// comes: also what a later life may have taken.
+// executionExpiry returns when everything whose start was sent to the worker has certainly ended if
+// no further answer comes, including what a later incarnation may have accepted.
 func (b *Book) executionExpiry(w *Worker) time.Time {
 	if !w.anyUncertain() {
 		return w.life.expiry()
 	}
-	return latest(w.life.expiry(), b.foreignUntil(w.life.ordered))
+	return latest(w.life.expiry(), b.misdirectedUntil(w.life.lastExtension))
 }
 
-// noteForeign notes until when orders to a worker that is over may extend what later lives of its
-// addressee run.
-func (b *Book) noteForeign(w *Worker) {
+// noteMisdirected records until when orders to a worker that has ended may extend what later
+// incarnations of its addressee run.
+func (b *Book) noteMisdirected(w *Worker) {
 	if !w.inc.ID().Shares() {
 		return
 	}
-	to, until := w.inc.ID().Addressee(), b.foreignUntil(w.life.ordered)
+	to, until := w.inc.ID().Addressee(), b.misdirectedUntil(w.life.lastExtension)
 	b.foreign[to] = latest(b.foreign[to], until)
 	for _, o := range b.workers {
-		if o.sharesWith(w) {
+		if o.sharesAddressee(w) {
 			o.life.misdirectedUntil = latest(o.life.misdirectedUntil, until)
 		}
 	}
 }
 
-// confirmListed takes in that the life to which a run has followed has it, or had it: it did not die with
-// the former one.
+// confirmListed records that a report of the worker's incarnation lists the run, as running or
+// ended, so the run did not die with an earlier incarnation.
 func (r *Run) confirmListed() {
 	r.listed = true
 	if r.uncertainty == nil {
@@ -156,34 +160,35 @@
 	}
 	r.uncertainty = nil
 	if r.state == runLive {
-		r.state = runSent // it was taken to run on the life before, by whose clock it was measured
+		r.state = runSent // its start time was read from the clock of the earlier incarnation
 	}
 }
 
-// notListedByLater takes in that the life to which a run has followed does not list it, by an answer to
-// a look that was sent at sent. It reports whether the run is over: a start that got no answer is
-// ruled out first.
+// notListedByLater handles an answer, to a poll sent at sent, in which the incarnation to which a
+// run was moved does not list it. It reports whether the run has ended. A start that may still be in
+// flight is ruled out by a stop first.
 func (b *Book) notListedByLater(now, sent time.Time, r *Run) bool {
 	if r.state == runLive && r.unanswered == 0 {
 		return sent.After(r.liveAt)
 	}
-	b.stop(now, r, "a later life of its instance does not list it, and its start may be under way")
+	b.stop(now, r, "a later incarnation of its instance does not list it, and its start may still be in flight")
 	return false
 }
 
-// recordEarlierLoss counts the crash of the life before against a run that has followed and is not there.
+// recordEarlierLoss counts the end of the earlier incarnation against a run that was moved to a
+// later one and is not there.
 func (b *Book) recordEarlierLoss(now time.Time, r *Run) {
 	u := r.uncertainty
 	r.uncertainty = nil
-	if u.cause != partingCrashed {
-		b.tellLost(now, r, u.cause, u.beside)
+	if u.cause != causeCrashed {
+		b.logLost(now, r, u.cause, u.beside)
 		return
 	}
 	b.countCrash(now, r, u.how, u.beside)
 }
 
-// rememberStart notes that a start may still be under way to a later life of a worker, although
-// nothing wants it any more.
+// rememberStart records that a start may still be in flight to a later incarnation of a worker
+// although the run is no longer wanted.
 func (b *Book) rememberStart(now time.Time, w *Worker, run pointport.TaskRun) {
 	if !w.inc.ID().Shares() {
 		return
@@ -195,7 +200,8 @@
 	b.underWay[to][run] = now
 }
 
-// startsToRuleOut returns the starts that a life which is new to the owner must rule out first.
+// startsToRuleOut returns the starts that an incarnation which is new to the owner must rule out
+// first.
 func (b *Book) startsToRuleOut(id pointport.IncarnationID) map[pointport.TaskRun]bool {
 	all := b.underWay[id.Addressee()]
 	if len(all) == 0 {
@@ -208,7 +214,7 @@
 	return burns
 }
 
-// forgetOrders forgets the orders that can be under way no more.
+// forgetOrders removes the records of orders that can no longer be in flight.
 func (b *Book) forgetOrders(now time.Time) {
 	for to, until := range b.foreign {
 		if now.After(until) {
@@ -217,7 +223,7 @@
 	}
 	for to, all := range b.underWay {
 		for run, at := range all {
-			if now.Sub(at) > burnsKept {
+			if now.Sub(at) > ruleOutRetention {
 				delete(all, run)
 			}
 		}
--- a/schedule/pace.go
+++ b/schedule/pace.go
@@ -7,25 +7,25 @@
 	"github.com/pointport/pointport/event"
 )
 
-// This file defines how tasks that fill are slowed down where they disturb tasks
-// that serve. How much one image disturbs another is not known and changes within
-// seconds, so the pace is found by trying: down fast, up slowly.
+// This file defines how tasks that fill spare capacity are slowed down where they disturb tasks that
+// serve. How much one image disturbs another is not known and changes within seconds, so the pace is
+// found by feedback: it is lowered fast and raised slowly.
 
 const (
-	// fullPace is the pace at which a task does all its work, in percent.
+	// fullPace is the pace, in percent, at which a task does all its work.
 	fullPace = 100
-	// tailHigh and tailLow are the shares of its target above which a serving
-	// task's tail is too near, and below which it leaves room.
+	// tailHigh and tailLow are shares of a serving task's tail latency target: above tailHigh the
+	// pace is lowered, below tailLow it is raised.
 	tailHigh = 0.85
 	tailLow  = 0.6
 	// paceStep is by how much a pace is raised at a time, in percent.
 	paceStep = 10
-	// paceEvery is the least time between two changes on a worker: a change takes
-	// a tenth of a second to work, and the tail is that of the last half second.
+	// paceEvery is the least time between two changes on a worker: a change takes a tenth of a
+	// second to have effect, and the reported tail is that of the last half second.
 	paceEvery = 600 * time.Millisecond
 )
 
-// adjustPace sets the pace of the tasks that fill a worker by the tails of those that
+// adjustPace sets the pace of the filling tasks on a worker by the tail latencies of those that
 // serve there.
 func (b *Book) adjustPace(now time.Time, w *Worker) {
 	if now.Sub(w.paced) < paceEvery {
--- a/schedule/preempt.go
+++ b/schedule/preempt.go
@@ -9,19 +9,19 @@
 	"github.com/pointport/pointport/event"
 )
 
-// This file defines preemption: a job of priority 0 that finds no room for some
-// time takes it from tasks of lower priority.
+// This file defines preemption: a job of priority 0 that has found no free resources for some time
+// takes them from tasks of lower priority.
 
 const (
-	// preemptAfter is for how long a job of priority 0 waits before it takes room
-	// from others: most tasks end within it, and a stopped one has worked in vain.
+	// preemptAfter is for how long a job of priority 0 waits before it preempts others: most tasks
+	// end within this time, and the work of a stopped one is lost.
 	preemptAfter = 600 * time.Millisecond
 	// preemptEvery is the least time between two attempts for one job.
 	preemptEvery = 300 * time.Millisecond
 )
 
-// preempt makes room for a task by stopping others of lower priority on one
-// worker, where that costs least.
+// preempt frees resources for a task by stopping others of lower priority on the worker where that
+// loses the least work.
 func (b *Book) preempt(now time.Time, t waiting, workers []*Worker) {
 	e := t.entry
 	if e.job.Policy().Priority != 0 || b.lowRuns == 0 {
@@ -49,28 +49,28 @@
 	}
 }
 
-// victims returns the runs of lower priority that must stop on a worker for a
-// room to fall free, and the work that is lost with them.
+// victims returns the runs of lower priority that must stop on a worker to free the given resources,
+// and the work that is lost with them.
 func (b *Book) victims(now time.Time, w *Worker, room pointport.Shape) ([]*Run, time.Duration) {
 	free := w.free
 	var low []*Run
 	for _, r := range w.runs {
 		if r.stopping {
-			free = free.Plus(r.step().Reservation()) // falls free in a moment
+			free = free.Plus(r.step().Reservation()) // about to be freed
 			continue
 		}
 		if r.entry.job.Policy().Priority > 0 && !r.step().Gang && r.state == runLive {
 			low = append(low, r)
 		}
 	}
-	sort.Slice(low, func(i, k int) bool { return low[i].lost(now) < low[k].lost(now) })
+	sort.Slice(low, func(i, k int) bool { return low[i].lostWork(now) < low[k].lostWork(now) })
 	cost := time.Duration(0)
 	for n, r := range low {
 		if free.Fits(room) {
 			return low[:n], cost
 		}
 		free = free.Plus(r.step().Reservation())
-		cost += r.lost(now)
+		cost += r.lostWork(now)
 	}
 	if !free.Fits(room) {
 		return nil, 0
@@ -78,8 +78,8 @@
 	return low, cost
 }
 
-// lost returns the work that is lost if a run is stopped.
-func (r *Run) lost(now time.Time) time.Duration {
+// lostWork returns the work that is lost if a run is stopped.
+func (r *Run) lostWork(now time.Time) time.Duration {
 	if r.step().Checkpoints {
 		return 0
 	}
--- a/schedule/quarantine.go
+++ b/schedule/quarantine.go
@@ -6,27 +6,26 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file defines how tasks under which instances have crashed are kept apart from
-// others, so that a task that crashes instances takes few others with it, and tasks that
-// were only beside it are not taken for it.
+// This file defines how tasks under which instances have crashed are kept apart from others, so that
+// a task that crashes instances affects few others, and tasks that merely shared an instance with it
+// are not blamed.
 
 const (
-	// quarantineAfter is after how many crashes a task gets an instance of its own. A
-	// task that was beside one that crashes instances is there twice now and then.
+	// quarantineAfter is after how many crashes a task gets an instance of its own. A task that
+	// shares instances with one that crashes them occasionally sees two crashes.
 	quarantineAfter = 2
-	// quarantineWait is for how long a task waits for an instance of its own, and takes
-	// one with others then, or one that has crashed under it: a pool may have no other,
-	// and the jobs of such tasks must go on too. A move brings an instance in 1.5 s.
+	// quarantineWait is for how long a task waits for an instance of its own. After that it takes
+	// one that has other tasks or has crashed under it: the pool may have no other instance, and the
+	// jobs of such tasks must make progress too. Moving an instance into the pool takes 1.5 s.
 	quarantineWait = 1500 * time.Millisecond
-	// quarantineFor is for how long after its start nothing joins such a task at first. A
-	// task that asks for more than its instance can give does so as it loads. Each further
-	// crash doubles it, quarantineDoubled times at most, so that one that crashes its
-	// instance later than that is alone there in the end, and found out.
-	quarantineFor     = 2 * time.Second
-	quarantineDoubled = 5
-	// exoneratedAfter is for how long a serving task must have been at work for earlier
-	// crashes not to count against it any more. It runs for so long that instances
-	// crash under it by chance.
+	// quarantineFor is for how long after the start of such a task nothing is placed beside it at
+	// first. A task that asks for more than its instance can give does so while it loads. Each
+	// further crash doubles the time, maxQuarantineDoublings times at most, so that a task that
+	// crashes its instance later than that is eventually alone there and is identified as the cause.
+	quarantineFor          = 2 * time.Second
+	maxQuarantineDoublings = 5
+	// exoneratedAfter is for how long a serving task must have been serving for earlier crashes to
+	// count no longer. It runs for so long that instances crash under it by chance.
 	exoneratedAfter = 10 * time.Second
 )
 
@@ -36,8 +35,7 @@
 	return t != nil && t.Crashes > 0
 }
 
-// quarantines reports whether a task, or another of its gang, is to have an instance of
-// its own.
+// quarantines reports whether a task, or another of its gang, needs an instance of its own.
 func (e *entry) quarantines(ref workload.TaskRef) bool {
 	if len(e.crashed) == 0 {
 		return false
@@ -55,8 +53,8 @@
 	return false
 }
 
-// keptApart reports whether a task may not go to a worker because it, or a task there, is
-// to have an instance of its own, or because this instance has crashed under it.
+// keptApart reports whether a task may not be placed on a worker because it or a task there needs an
+// instance of its own, or because this instance has crashed under it.
 func (b *Book) keptApart(t waiting, w *Worker, now time.Time) bool {
 	if w.quarantined > 0 && !w.holdsOnly(t) {
 		return true
@@ -70,7 +68,7 @@
 	return t.entry.quarantines(t.ref) && !w.holdsOnly(t)
 }
 
-// holdsOnly reports whether a worker holds nothing but others of a task's gang.
+// holdsOnly reports whether a worker holds nothing but other members of a task's gang.
 func (w *Worker) holdsOnly(t waiting) bool {
 	if !t.step.Gang {
 		return len(w.runs) == 0
@@ -78,21 +76,21 @@
 	return len(w.runs) == w.steps[stepOf{t.entry, t.ref.Occurrence, t.ref.Step}]
 }
 
-// lastCrash returns when an instance last crashed under a task, or another of its gang.
+// lastCrash returns when an instance last crashed under a task or another of its gang.
 func (e *entry) lastCrash(ref workload.TaskRef) time.Time {
 	gang := e.job.Spec().Steps[ref.Step].Gang
 	var last time.Time
 	for other, c := range e.crashed {
-		mate := gang && other.Occurrence == ref.Occurrence && other.Step == ref.Step
-		if (other == ref || mate) && c.last.After(last) {
+		sameGang := gang && other.Occurrence == ref.Occurrence && other.Step == ref.Step
+		if (other == ref || sameGang) && c.last.After(last) {
 			last = c.last
 		}
 	}
 	return last
 }
 
-// neighboursToAvoid returns how many runs on a worker a task had better be apart from: all of
-// them if an instance has crashed under it, else those of tasks under which one has.
+// neighboursToAvoid returns how many runs on a worker a task is better kept apart from: all of them
+// if an instance has crashed under the task, else those of tasks under which one has.
 func (e *entry) neighboursToAvoid(t waiting, w *Worker) int {
 	if len(e.crashed) > 0 && e.suspected(t.ref) {
 		return len(w.runs)
@@ -100,15 +98,15 @@
 	return w.suspected
 }
 
-// reviewSuspicion takes in that a report shows a run, which may tell that its task does not crash
-// instances.
+// reviewSuspicion updates the suspicion against the task of a run that a report lists: the run may
+// have lasted long enough to show that the task does not crash instances.
 func (b *Book) reviewSuspicion(now time.Time, r *Run) {
 	if len(r.entry.crashed) == 0 {
 		return
 	}
 	lives := now.Sub(r.liveAt)
 	if t := r.task(); lives >= quarantineFor && t != nil && t.Crashes > 0 && t.Settled != r.number {
-		t.Settled = r.number // for the next owner, who cannot know
+		t.Settled = r.number // stored for the next owner, which has not seen the run's start
 		b.touch(r.entry, false)
 	}
 	if lives >= r.apartFor {
@@ -120,16 +118,16 @@
 	}
 }
 
-// quarantineTime returns for how long after its start nothing joins a task.
+// quarantineTime returns for how long after its start nothing is placed beside a task.
 func (e *entry) quarantineTime(ref workload.TaskRef) time.Duration {
 	t := e.job.Task(ref)
 	if t == nil {
 		return quarantineFor
 	}
-	return quarantineFor << min(max(t.Crashes-quarantineAfter, 0), quarantineDoubled)
+	return quarantineFor << min(max(t.Crashes-quarantineAfter, 0), maxQuarantineDoublings)
 }
 
-// clearSuspicion has a run count as any other on its worker.
+// clearSuspicion makes a run count like any other on its worker.
 func (w *Worker) clearSuspicion(r *Run) {
 	if r.suspected {
 		w.suspected--
--- a/schedule/rack_demand.go
+++ b/schedule/rack_demand.go
@@ -7,41 +7,41 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines what is remembered of tasks that were placed away from their
-// data, so that instances near it can be brought in.
+// This file defines what is remembered of tasks that were placed away from their data, so that
+// instances near it can be added to the pool.
 
-// farWindow is the time over which the room of such tasks is remembered.
-const farWindow = 2 * time.Second
+// rackDemandWindow is the time constant with which the recorded demand decays.
+const rackDemandWindow = 2 * time.Second
 
-// rackDemand is the room of tasks that were lately placed away from their data, by
-// the rack that has it.
+// rackDemand is the resources of tasks that were recently placed away from their data, by the rack
+// that has the data.
 type rackDemand struct {
-	byRack map[string]*fading
+	byRack map[string]*decayingDemand
 }
 
-// A fading is an amount of room that fades with time.
-type fading struct {
+// A decayingDemand is an amount of resources that decays exponentially.
+type decayingDemand struct {
 	cpu, memory float64
 	at          time.Time
 }
 
-func (f *fading) decay(now time.Time) {
+func (f *decayingDemand) decay(now time.Time) {
 	if !f.at.IsZero() {
-		share := math.Exp(-now.Sub(f.at).Seconds() / farWindow.Seconds())
+		share := math.Exp(-now.Sub(f.at).Seconds() / rackDemandWindow.Seconds())
 		f.cpu *= share
 		f.memory *= share
 	}
 	f.at = now
 }
 
-// add takes in that a task that wants a rack was placed elsewhere.
+// add records that a task whose data is in a rack was placed elsewhere.
 func (r *rackDemand) add(now time.Time, rack string, room pointport.Shape) {
 	if r.byRack == nil {
-		r.byRack = make(map[string]*fading)
+		r.byRack = make(map[string]*decayingDemand)
 	}
 	f := r.byRack[rack]
 	if f == nil {
-		f = &fading{}
+		f = &decayingDemand{}
 		r.byRack[rack] = f
 	}
 	f.decay(now)
@@ -49,8 +49,8 @@
 	f.memory += float64(room.MemoryMiB)
 }
 
-// steady returns the room by rack as it is at now.
-func (r *rackDemand) steady(now time.Time) map[string]pointport.Shape {
+// current returns the demand by rack at now.
+func (r *rackDemand) current(now time.Time) map[string]pointport.Shape {
 	out := make(map[string]pointport.Shape, len(r.byRack))
 	for rack, f := range r.byRack {
 		f.decay(now)
--- a/schedule/registration.go
+++ b/schedule/registration.go
@@ -8,32 +8,34 @@
 
 // This file defines when an incarnation that is not registered counts as gone.
 
-// A RegistryCoverage says how well the registrations are known.
+// A RegistryCoverage is the latest interval in which the registrations could be read without
+// interruption.
 type RegistryCoverage struct {
-	// Since is since when each question to the store about them has been answered, zero
-	// while the last one was not.
+	// Since is the time since which every read of the registrations from the store has succeeded,
+	// zero if the last one failed.
 	Since time.Time
-	// Until is when the last answer came.
+	// Until is the time of the last successful read.
 	Until time.Time
 }
 
 // goneAfter is for how long a registration must be missing, while the store answers, for its
-// incarnation to count as gone. Registrations that lapsed while the store was away, or by
-// mistake, are back about two seconds after it answers again; and the store may keep a change
-// from those who watch for a second.
+// incarnation to count as gone. Registrations that expired during an outage of the store, or by
+// mistake, are back about two seconds after the store answers again, and a watch of the store may
+// lag by a second.
 const goneAfter = 3 * time.Second
 
-// SetRegistryCoverage takes in how well the registrations are known that the book was told last.
+// SetRegistryCoverage sets the interval in which the registrations that the scheduler was last given
+// could be read.
 func (b *Book) SetRegistryCoverage(s RegistryCoverage) { b.sight = s }
 
-// gone reports whether a worker has left the registrations for good: it has been missing for
-// longer than one that lapsed by mistake. Time in which the registrations could not be read
-// does not count: what is not seen then may be there.
+// gone reports whether a worker's registration has been removed for good: it has been missing for
+// longer than one that expired by mistake. Time in which the registrations could not be read does
+// not count, because the registration may have been there.
 func (b *Book) gone(w *Worker) bool {
 	if w.listed || w.unlistedSince.IsZero() || b.sight.Since.IsZero() {
 		return false
 	}
-	if b.reborn(w) {
+	if b.laterRegistered(w) {
 		return true
 	}
 	from := w.unlistedSince
@@ -43,9 +45,9 @@
 	return b.sight.Until.Sub(from) >= goneAfter
 }
 
-// reborn reports whether a later life of a worker's instance is registered. It can register
-// only once the earlier life is over.
-func (b *Book) reborn(w *Worker) bool {
+// laterRegistered reports whether a later incarnation of a worker's instance is registered,
+// which is possible only once the earlier one has ended.
+func (b *Book) laterRegistered(w *Worker) bool {
 	id := w.inc.Instance()
 	if id == "" {
 		return false // its registration was never seen
@@ -58,7 +60,7 @@
 	return false
 }
 
-// updateListed takes in which workers are registered.
+// updateListed records which workers are registered.
 func (b *Book) updateListed(now time.Time, listed map[pointport.IncarnationID]bool) {
 	b.unlisted = b.unlisted[:0]
 	for id, w := range b.workers {
--- a/schedule/relocate.go
+++ b/schedule/relocate.go
@@ -8,25 +8,24 @@
 	"github.com/pointport/pointport/event"
 )
 
-// This file defines how serving tasks move off an instance that is being emptied,
-// and where they could go.
+// This file defines how serving tasks move off an instance that is being emptied, and where they can
+// go.
 
-// atWork is the progress at which a serving task serves, in percent.
+// atWork is the progress, in percent, at which a serving task serves requests.
 const atWork = 100
 
-// inheritRest is for how long a new owner moves no serving task: one that its
-// predecessor has just ordered to stop still looks as if it were at work.
-const inheritRest = 1500 * time.Millisecond
+// takeoverPause is for how long a new owner moves no serving task: one that the previous owner has
+// just ordered to stop still appears to be serving.
+const takeoverPause = 1500 * time.Millisecond
 
-// relocate stops serving tasks on workers that are being emptied, as far as
-// their steps allow and there is room for them elsewhere; they are placed there
-// at once. Without room they stay: an instance that is emptied later does less
-// harm than a service that is away.
+// relocate stops serving tasks on workers that are being emptied, as far as their steps allow and
+// there are free resources for them elsewhere, where they are placed at once. Without free resources
+// they stay: emptying an instance later does less harm than an unavailable service.
 func (b *Book) relocate(now time.Time) {
-	if now.Sub(b.taken) < inheritRest {
+	if now.Sub(b.taken) < takeoverPause {
 		return
 	}
-	var h *homes
+	var h *servingCapacity
 	for _, w := range b.workers {
 		if !w.evacuating || !w.closed(now) || w.ended {
 			continue
@@ -36,7 +35,7 @@
 				continue
 			}
 			if h == nil {
-				h = b.newHomes(now)
+				h = b.newServingCapacity(now)
 				h.takeWaiting()
 			}
 			if !h.take(waiting{r.entry, r.ref, r.step()}) {
@@ -49,26 +48,26 @@
 	}
 }
 
-// homes is the room that workers have for serving tasks once the other tasks
-// there have ended, which must not be promised twice.
-type homes struct {
+// servingCapacity is the resources that workers have for serving tasks once the other tasks there
+// have ended. Resources that are promised to one task are not available to the next.
+type servingCapacity struct {
 	book     *Book
 	now      time.Time
 	workers  []*Worker
 	left     map[*Worker]pointport.Shape
-	promised map[home]int
+	promised map[stepOnWorker]int
 }
 
-// A home is a step's place on a worker.
-type home struct {
+// A stepOnWorker is a step on one worker.
+type stepOnWorker struct {
 	worker *Worker
 	step   stepOf
 }
 
-func (b *Book) newHomes(now time.Time) *homes {
-	h := &homes{
+func (b *Book) newServingCapacity(now time.Time) *servingCapacity {
+	h := &servingCapacity{
 		book: b, now: now, workers: b.usable(now),
-		left: make(map[*Worker]pointport.Shape), promised: make(map[home]int),
+		left: make(map[*Worker]pointport.Shape), promised: make(map[stepOnWorker]int),
 	}
 	for _, w := range h.workers {
 		h.left[w] = w.soonFree()
@@ -76,11 +75,11 @@
 	return h
 }
 
-// take promises room to a serving task; false if there is none.
-func (h *homes) take(t waiting) bool {
+// take promises resources to a serving task. It returns false if no worker has enough.
+func (h *servingCapacity) take(t waiting) bool {
 	room := t.step.Reservation()
 	for _, w := range h.workers {
-		at := home{w, stepOf{t.entry, t.ref.Occurrence, t.ref.Step}}
+		at := stepOnWorker{w, stepOf{t.entry, t.ref.Occurrence, t.ref.Step}}
 		if !h.left[w].Fits(room) || !h.book.permits(t, w, h.now) {
 			continue
 		}
@@ -94,51 +93,50 @@
 	return false
 }
 
-// takeWaiting promises room to the serving tasks that wait, and returns those for
-// which there is none.
-func (h *homes) takeWaiting() []waiting {
-	var homeless []waiting
+// takeWaiting promises resources to the waiting serving tasks and returns those that fit nowhere.
+func (h *servingCapacity) takeWaiting() []waiting {
+	var unplaced []waiting
 	for e := range h.book.hungry {
 		h.book.refresh(e)
 		for _, t := range e.ready {
 			if t.step.Service && !h.take(t) {
-				homeless = append(homeless, t)
+				unplaced = append(unplaced, t)
 			}
 		}
 	}
-	return homeless
+	return unplaced
 }
 
-// missing says how many more instances a pool needs for its serving tasks.
+// missing counts the additional instances that a pool needs for its serving tasks.
 type missing struct {
-	waiting int // to hold those that wait
-	moving  int // to hold those beside them that are to move
+	waiting int // for those that wait
+	moving  int // in addition, for those that are to move
 }
 
-// missingForServing returns how many more instances it takes to hold the serving
-// tasks that wait, and those that are to move, and find no room.
+// missingForServing returns how many more instances are needed for the serving tasks that wait, and
+// for those that are to move, and fit nowhere.
 func (b *Book) missingForServing(now time.Time) missing {
-	h := b.newHomes(now)
-	homeless := h.takeWaiting()
-	var stranded []waiting
+	h := b.newServingCapacity(now)
+	unplaced := h.takeWaiting()
+	var unmoved []waiting
 	for _, w := range b.workers {
 		if !w.evacuating || !w.closed(now) || w.ended {
 			continue
 		}
 		for _, r := range w.runs {
 			if t := (waiting{r.entry, r.ref, r.step()}); r.step().Service && !h.take(t) {
-				stranded = append(stranded, t)
+				unmoved = append(unmoved, t)
 			}
 		}
 	}
 	h.workers = nil
-	return missing{waiting: h.open(homeless), moving: h.open(stranded)}
+	return missing{waiting: h.addInstances(unplaced), moving: h.addInstances(unmoved)}
 }
 
-// open adds empty instances until they hold all of some tasks, and returns how
-// many it took. Tasks that need a label are supplied by label, and those that fit
-// on no instance are left out.
-func (h *homes) open(tasks []waiting) int {
+// addInstances adds empty instances until they hold all the given tasks and returns how many it added. Tasks
+// that need a label are left out, because instances are supplied for labels separately, and so are
+// tasks that fit on no instance.
+func (h *servingCapacity) addInstances(tasks []waiting) int {
 	capacity := h.book.largestInstance()
 	opened := 0
 	for _, t := range tasks {
@@ -153,8 +151,8 @@
 	return opened
 }
 
-// largestInstance returns the most that any known instance holds. Before one is
-// known, nothing tells what fits.
+// largestInstance returns the largest amount of each resource that any known instance has; it is
+// zero until an instance is known.
 func (b *Book) largestInstance() pointport.Shape {
 	var most pointport.Shape
 	for _, w := range b.workers {
@@ -163,8 +161,8 @@
 	return most
 }
 
-// mayMiss reports whether a serving task may be taken away for a moment: fewer
-// of its step's other tasks than may be missing are not at work.
+// mayMiss reports whether a serving task may be stopped for a moment: the number of the step's other
+// tasks that are not serving is below what the step allows to be missing.
 func (b *Book) mayMiss(r *Run) bool {
 	o := r.entry.job.Occurrence(r.ref.Occurrence)
 	if o == nil {
--- a/schedule/resize.go
+++ b/schedule/resize.go
@@ -7,11 +7,11 @@
 	"github.com/pointport/pointport/event"
 )
 
-// This file defines what follows when an instance holds more or less than before.
+// This file defines how a change of an instance's capacity is handled.
 
-// resize takes in what an instance says it holds. What runs there goes on, even if that
-// takes more than there is: then what is free is below zero, so nothing fits until enough
-// has ended.
+// resize records the capacity that an instance reports. What runs there continues even if it takes
+// more than the new capacity: the free capacity is then negative, so nothing fits until enough runs
+// have ended.
 func (b *Book) resize(w *Worker, capacity pointport.Shape) {
 	before := w.inc.Capacity()
 	if capacity == before {
@@ -19,7 +19,7 @@
 	}
 	w.free = w.free.Minus(before).Plus(capacity)
 	if before == (pointport.Shape{}) {
-		return // it is new
+		return // its first registration
 	}
 	event.InstanceResized.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
 		slog.Int64("cpuMilli", capacity.CPUMilli), slog.Int64("memoryMiB", capacity.MemoryMiB),
@@ -27,5 +27,6 @@
 		slog.Int64("freeCPUMilli", w.free.CPUMilli), slog.Int64("freeMemoryMiB", w.free.MemoryMiB), slog.Int("runs", len(w.runs)))
 }
 
-// overcommitted reports whether what runs on the worker, or is to, takes more than it holds.
+// overcommitted reports whether the runs on the worker, including those that are yet to start, take
+// more than its capacity.
 func (w *Worker) overcommitted() bool { return !w.free.Fits(pointport.Shape{}) }
--- a/schedule/silence.go
+++ b/schedule/silence.go
@@ -10,15 +10,14 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file defines what becomes of the tasks on an instance that gives no answer or
-// is over.
+// This file defines what happens to the tasks on an instance that does not answer or has ended.
 
-// PollFailed takes in that a look at a worker got no answer, or an answer that
-// settles what became of the incarnation.
+// PollFailed handles a poll of a worker that got no answer, or an answer that shows that the
+// incarnation has ended.
 func (b *Book) PollFailed(w *Worker, now time.Time, err error) {
 	b.checkFence(err)
 	if w.ended {
-		return // several looks may tell of it, and it is over once
+		return // several polls may report the end, which is handled once
 	}
 	var gone *pointport.GoneError
 	if errors.As(err, &gone) {
@@ -32,27 +31,27 @@
 	w.fallSilent(now)
 	var rejected *pointport.RejectedError
 	w.refuses = errors.As(err, &rejected)
-	if now.Sub(w.silentSince) > abandonAfter && b.hearing.littleSince.IsZero() {
+	if now.Sub(w.silentSince) > abandonAfter && b.hearing.fewAnswersSince.IsZero() {
 		b.abandon(now, w)
 	}
 }
 
-// abandonAfter is for how long a worker is silent before tasks of which copies
-// may run beside each other are started elsewhere.
+// abandonAfter is for how long a worker must be silent before tasks of which copies may run
+// concurrently are started elsewhere.
 const abandonAfter = 500 * time.Millisecond
 
-// abandon puts back the tasks on a silent worker of which copies may run beside
-// each other, so that they need not wait until the worker expires.
+// abandon requeues the tasks on a silent worker of which copies may run concurrently, so that they
+// need not wait until the worker's lease expires.
 func (b *Book) abandon(now time.Time, w *Worker) {
 	for _, r := range w.runs {
 		if r.step().Copies && !r.step().Gang && r.state != runDecided && r.entry.runs[r.ref] == r && r.entry.mayAbandon(r.ref) {
 			event.TaskReturned.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
-				slog.String("incarnation", string(w.inc.ID())), slog.String("reason", "its instance is silent, and a copy may run"))
+				slog.String("incarnation", string(w.inc.ID())), slog.String("reason", "its instance is silent, and a copy may run elsewhere"))
 			b.detach(r)
 			r.entry.noteAbandoned(r)
 			if r.state == runSent {
-				// It is not known to run, so it is ruled out: an order that
-				// arrives later would start it although a copy may be done.
+				// It is not known to run, so it is ruled out by a stop: a start order that arrives
+				// later would run it although a copy may have finished.
 				b.stop(now, r, "its task was given to another instance")
 			}
 			r.entry.job.Requeue(r.ref)
@@ -62,9 +61,9 @@
 	}
 }
 
-// hasGivenUp reports whether a worker has a run of a task that was given up for a copy
-// elsewhere, and of which it is not known yet what became. The instance would refuse
-// another one, and a worker has one run of a task at a time.
+// hasGivenUp reports whether a worker has a run of a task that was given up for a copy elsewhere and
+// whose fate is not known yet. A worker has at most one run of a task at a time, and the instance
+// would refuse another one.
 func (w *Worker) hasGivenUp(t waiting) bool {
 	return t.entry.abandoned[t.ref] > 0 && w.runs[workload.TaskName(t.entry.job.ID(), t.ref)] != nil
 }
@@ -83,26 +82,26 @@
 	b.urgent = true
 }
 
-// expire lets the runs go of a worker that has been silent until its time was over.
+// expire drops the runs of a worker that has been silent until its lease expired.
 //
-// What ran there has ended, and only the instance knows how: silence tells nothing of that,
-// however long it lasts, and it may be the owner that cannot hear. So a task that may be done
-// waits while its instance is registered and until it is known to be gone.
+// These runs have ended, but only the instance knows with what result. Silence of any length does
+// not show it, and the owner may be the one that is cut off. So the task of a run that may have
+// finished waits while its instance is registered and not known to be gone.
 //
-// While the owner doubts itself nothing is let go of an instance that is registered, serving
-// tasks and copies neither: most instances live, and what is started elsewhere meets the same
-// ears.
+// While the owner suspects that it is isolated, it drops no run on a registered instance, including
+// runs of serving tasks and of tasks that may run as copies: most instances are alive, and starts
+// elsewhere would fail for the same reason.
 //
-// What is promised when neither side can be heard: no task that may be done starts again.
-// While an instance answers nobody and goes on registering, its tasks wait, without a bound
-// in time. What ends that is another life of it, the platform's word that it is over, or
-// that its registration ends.
+// If neither side can reach the other, no task that may have finished starts again. While an
+// instance answers nobody and keeps registering, its tasks wait without a time limit. The wait ends
+// when a later incarnation of the instance appears, when the platform reports that the incarnation
+// has ended, or when its registration ends.
 func (b *Book) expire(w *Worker, now time.Time) {
 	gone := b.gone(w)
 	var over []*Run
 	for _, r := range w.runs {
-		if r.mayBeLater() && r.mayBeDone() && b.listedLife(w) {
-			continue // that life says what became of it
+		if r.mayBeOnLater() && r.mayBeDone() && b.anotherRegistered(w) {
+			continue // that incarnation's report shows what became of it
 		}
 		if gone || !b.SuspectsIsolation() && !r.mayBeDone() {
 			over = append(over, r)
@@ -123,38 +122,38 @@
 	b.urgent = true
 }
 
-// mayBeDone reports whether a run may have ended so that its task must not start again.
-// Serving tasks have no end that counts, copies may run beside each other, and what belongs
-// to a job that is over starts nowhere.
+// mayBeDone reports whether a run may have ended with a result that forbids starting its task again.
+// The end of a serving task has no result, copies may run concurrently, and tasks of a job that is
+// stopping are not started again.
 func (r *Run) mayBeDone() bool {
 	return r.mayHaveBegun() && !r.detached() && !r.step().Service && !r.step().Copies && !r.entry.job.Stopping()
 }
 
-// burnsKept is for how long after everything there has ended a worker is remembered that
-// is not registered and to which starts may be under way. The platform says that orders
-// without an answer are carried out up to seconds later; this is far more.
-const burnsKept = time.Minute
+// ruleOutRetention is for how long after its lease has expired an unregistered worker is remembered
+// if starts to it may be in flight. The platform documents that unanswered orders may be carried out
+// seconds later; a minute is far longer.
+const ruleOutRetention = time.Minute
 
-// remembered reports whether a worker that is gone must not be forgotten yet. If it came
-// back as one to which no start is under way, it would be extended and carry out those
-// that are.
+// remembered reports whether a worker that is gone must be kept because starts to it may be in
+// flight. If it came back as an unknown worker, its lease would be extended and it would carry them
+// out.
 func (w *Worker) remembered(now time.Time) bool {
-	return len(w.burns) > 0 && !w.ended && now.Sub(w.life.expiry()) < burnsKept
+	return len(w.burns) > 0 && !w.ended && now.Sub(w.life.expiry()) < ruleOutRetention
 }
 
-// countUnproven counts the crash of a worker that is gone against tasks that were there.
-// Nothing proves that it crashed, and zones that are cut off heal: two cuts and a crash had
-// a serving task given up that was at work for 10 s each time. Only what had just been
-// started may have caused its silence.
+// countUnproven counts the presumed crash of a worker that is gone against the tasks that were
+// there. A crash is not proven, and a zone that is cut off may come back: counting it against all
+// runs gave up a serving task, at work for 10 s each time, after two network partitions and one
+// crash. So it counts only against runs that had just started, which may have caused the silence.
 func (b *Book) countUnproven(now time.Time, w *Worker) {
-	if !w.ended && w.parting(now) == partingCrashed {
+	if !w.ended && w.endCause(now) == causeCrashed {
 		b.countCrashes(now, justStarted(w.unproven), justStarted(w.unproven), nil)
 	}
 	w.unproven = nil
 }
 
-// sweep lets the runs go of workers that have been silent for so long that
-// everything there has ended, and forgets workers that are gone.
+// sweep drops the runs of workers that have been silent until their lease expired, and forgets
+// workers that are gone.
 func (b *Book) sweep(now time.Time) {
 	var heard tally
 	for id, w := range b.workers {
@@ -170,7 +169,7 @@
 		}
 	}
 	b.forgetOrders(now)
-	b.listen(now, heard)
+	b.updateReachability(now, heard)
 	for id, f := range b.over {
 		if now.Sub(f.at) > b.settings.KeepEnded {
 			delete(b.over, id)
--- a/schedule/stall.go
+++ b/schedule/stall.go
@@ -9,28 +9,27 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file defines how runs are found that stand still or crawl: an instance may
-// say that it is well and yet do nothing, or work many times slower than others.
+// This file defines how runs are detected that make no progress or are far too slow: an instance may
+// report that it is healthy and yet do nothing, or work many times slower than others.
 
 const (
-	// stuckAfter is for how long a run shows no progress before it counts as
-	// stuck. Reports come at least once a second.
+	// stuckAfter is for how long a run must show no progress to count as stuck. Reports come at
+	// least once a second.
 	stuckAfter = 1500 * time.Millisecond
-	// stuckMost is how often a task is started anew because it is stuck. A task
-	// that crawled is started anew once: if it crawls again, it is itself slow.
-	stuckMost = 3
-	// crawlAfter is how old a run must be before its speed says anything.
-	crawlAfter = 600 * time.Millisecond
-	// crawlFactor is how many times as long as others of its step a run must
-	// probably take to be started anew elsewhere, if it is alone on its instance;
-	// crawlTogether is enough if the other runs there are as slow. Tasks of a step
-	// differ by a third, and those that are done first are the short ones.
-	crawlFactor   = 4.0
-	crawlTogether = 2.6
-	// restartCost stands for what a new start takes beside the work itself.
+	// maxStuckRestarts is how often a task is restarted because it is stuck. A task is restarted
+	// once for being slow: if it is slow again, the cause is the task itself.
+	maxStuckRestarts = 3
+	// slowMinAge is how old a run must be before its speed can be judged.
+	slowMinAge = 600 * time.Millisecond
+	// slowFactor is how many times as long as other runs of its step a run must be expected to take
+	// to be restarted elsewhere, if it is the only slow run on its instance; slowTogetherFactor is
+	// enough if the other runs there are as slow. Tasks of a step differ by a third, and those that
+	// finish first are the short ones.
+	slowFactor         = 4.0
+	slowTogetherFactor = 2.6
+	// restartCost is the time that a restart takes in addition to the work itself.
 	restartCost = 250 * time.Millisecond
-	// stallAvoid is for how long an instance is avoided on which a run stood
-	// still or crawled.
+	// stallAvoid is for how long an instance is avoided on which a run was stuck or slow.
 	stallAvoid = 2500 * time.Millisecond
 	// wholePercent is the progress of a run that is done.
 	wholePercent = 100
@@ -43,8 +42,8 @@
 			continue
 		}
 		again := r.entry.stalled[r.ref]
-		stuck := r.stuck() && again < stuckMost
-		if !stuck && (again > 0 || !b.crawls(r)) {
+		stuck := r.stuck() && again < maxStuckRestarts
+		if !stuck && (again > 0 || !b.tooSlow(r)) {
 			continue
 		}
 		event.RunStalled.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
@@ -59,11 +58,11 @@
 	}
 }
 
-// stuck reports whether a run shows no progress any more.
+// stuck reports whether a run has stopped making progress.
 func (r *Run) stuck() bool { return r.unchanged() > stuckAfter }
 
-// unchanged returns for how long a run has shown the same progress, by its instance's
-// clock: an owner that is late takes answers in at times that say nothing of the run.
+// unchanged returns for how long a run has shown the same progress, by its instance's clock: the
+// time at which an owner that lags handles a report does not tell anything about the run.
 func (r *Run) unchanged() time.Duration {
 	if r.movedAt.IsZero() {
 		return 0
@@ -71,20 +70,20 @@
 	return time.Duration(r.shownAt - r.movedClock)
 }
 
-// crawls reports whether a run would be done sooner elsewhere, going by the
-// other runs of its step.
-func (b *Book) crawls(r *Run) bool {
-	if r.age() < crawlAfter || r.progress <= r.from {
+// tooSlow reports whether a run would be done sooner elsewhere, judged by the other runs of its
+// step.
+func (b *Book) tooSlow(r *Run) bool {
+	if r.age() < slowMinAge || r.progress <= r.from {
 		return false
 	}
-	others := b.others(r)
+	others := b.peerDuration(r)
 	if others == 0 {
 		return false
 	}
-	whole := r.whole()
-	factor := crawlFactor
-	if b.slowness(r.worker) > crawlTogether {
-		factor = crawlTogether
+	whole := r.total()
+	factor := slowFactor
+	if b.slowness(r.worker) > slowTogetherFactor {
+		factor = slowTogetherFactor
 	}
 	left := whole * time.Duration(wholePercent-r.progress) / wholePercent
 	return float64(whole) > factor*float64(others) && left > others+restartCost
@@ -93,18 +92,18 @@
 // age returns for how long a run was known to run when it was last reported.
 func (r *Run) age() time.Duration { return time.Duration(r.shownAt - r.liveClock) }
 
-// measured reports whether the progress that was seen of a run tells how fast it is.
+// measured reports whether the reported progress of a run shows how fast it is.
 func (r *Run) measured() bool { return r.progress > r.from && r.movedClock > r.liveClock }
 
-// whole returns how long the whole task takes by the progress that was seen of
-// the run, which must be some. It goes by the instance's clock: a report that is taken in
-// late made every run on the instance look slow.
-func (r *Run) whole() time.Duration {
+// total returns the estimated duration of the whole task, from the progress reported so far; the run
+// must have made some. It uses the instance's clock: with the owner's clock, a report that was
+// handled late made every run on the instance look slow.
+func (r *Run) total() time.Duration {
 	return time.Duration(r.movedClock-r.liveClock) * wholePercent / time.Duration(r.progress-r.from)
 }
 
-// observeProgress takes in the progress that a report shows whose clock showed a time. A report that
-// was passed by a newer one says nothing new.
+// observeProgress records the progress in a report that was made when the instance's clock showed
+// clock. A report that is older than one handled before is ignored.
 func (r *Run) observeProgress(now time.Time, clock pointport.InstanceClock, progress int) {
 	if clock < r.shownAt {
 		return
@@ -124,20 +123,20 @@
 	}
 }
 
-// freshReport is how old a run may be when its first report comes for the
-// progress in it to count from the run's beginning.
+// freshReport is the maximum age of a run at its first report for the progress in it to count from
+// the start of the run.
 const freshReport = 1500 * time.Millisecond
 
-// slowness returns how many times as long as elsewhere the runs on a worker
-// take, zero if there are too few to tell.
+// slowness returns the mean ratio of the durations of the runs on a worker to those elsewhere, zero
+// if there are too few runs to tell.
 func (b *Book) slowness(w *Worker) float64 {
 	sum, n := 0.0, 0
 	for _, r := range w.runs {
 		if r.state != runLive || r.step().Service || !r.measured() {
 			continue
 		}
-		if others := b.others(r); others > 0 {
-			sum += float64(r.whole()) / float64(others)
+		if others := b.peerDuration(r); others > 0 {
+			sum += float64(r.total()) / float64(others)
 			n++
 		}
 	}
@@ -148,10 +147,9 @@
 	return sum / float64(n)
 }
 
-// others returns how long the other tasks of a run's step take, those that are
-// done or, if none is, those that run on other instances; zero if neither says
-// anything.
-func (b *Book) others(r *Run) time.Duration {
+// peerDuration returns how long the other tasks of a run's step take: those that are done or, if
+// there are none, those that run on other instances. It returns zero if neither can be measured.
+func (b *Book) peerDuration(r *Run) time.Duration {
 	if took := r.entry.took[stepKey{r.ref.Occurrence, r.ref.Step}]; took.n > 0 {
 		return took.mean()
 	}
@@ -161,7 +159,7 @@
 		if ref.Occurrence != r.ref.Occurrence || ref.Step != r.ref.Step || o.worker == r.worker || o.progress <= o.from || o.state != runLive {
 			continue
 		}
-		sum += o.whole()
+		sum += o.total()
 		n++
 	}
 	if n == 0 {
@@ -170,11 +168,11 @@
 	return sum / time.Duration(n)
 }
 
-// remaining returns how long a run will probably go on.
+// remaining returns the expected remaining time of a run.
 func (b *Book) remaining(now time.Time, r *Run) time.Duration {
 	age := now.Sub(r.liveAt)
 	if r.measured() {
-		left := r.whole() * time.Duration(wholePercent-r.progress) / wholePercent
+		left := r.total() * time.Duration(wholePercent-r.progress) / wholePercent
 		return max(0, left-now.Sub(r.movedAt))
 	}
 	expected := b.learned.duration(r.entry.job.Queue(), r.step())
@@ -184,7 +182,7 @@
 	return max(0, expected-age)
 }
 
-// stepDurations is how long the tasks of a step took that are done.
+// stepDurations holds the number and the total duration of the finished tasks of a step.
 type stepDurations struct {
 	n   int
 	sum time.Duration
@@ -192,7 +190,7 @@
 
 func (t stepDurations) mean() time.Duration { return t.sum / time.Duration(t.n) }
 
-// addDuration takes in how long a task of a step took.
+// addDuration records the duration of a finished task of a step.
 func (e *entry) addDuration(key stepKey, d time.Duration) {
 	if e.took == nil {
 		e.took = make(map[stepKey]stepDurations)
--- a/schedule/survey.go
+++ b/schedule/survey.go
@@ -7,110 +7,111 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines what the owner of a pool tells whoever moves and maintains
-// instances.
+// This file defines what the owner of a pool and the steward, which moves and maintains instances,
+// report to each other.
 
-// A Closure asks that nothing new be placed on an instance. Its fields are
-// exported because a codec reads and writes them.
+// A Closure asks that no further task be placed on an instance. Its fields are exported because a
+// codec reads and writes them.
 type Closure struct {
 	Instance pointport.InstanceID `json:"instance"`
-	// Evacuate asks that serving tasks be moved off, as their steps allow.
+	// Evacuate asks that serving tasks be moved off the instance, as far as their steps allow.
 	Evacuate bool `json:"evacuate,omitempty"`
 }
 
-// A SurveyRequest is what whoever moves instances tells the owner of a pool.
+// A SurveyRequest is what the steward reports to the owner of a pool when it asks for a Survey.
 type SurveyRequest struct {
-	// Closures lists the instances that are to be closed; all others are open.
+	// Closures lists the instances to close; all others are open.
 	Closures []Closure `json:"closures,omitempty"`
-	// Soon lists instances that are to be emptied before long; serving tasks are
-	// better placed elsewhere.
+	// Soon lists the instances that will be emptied before long, which are less suitable for serving
+	// tasks.
 	Soon []pointport.InstanceID `json:"soon,omitempty"`
-	// Over lists incarnations that are known to be over.
+	// Over lists incarnations that are known to have ended.
 	Over []pointport.IncarnationID `json:"over,omitempty"`
-	// Ordered lists incarnations whose machines were ordered away, and the orders answered.
+	// Ordered lists incarnations for which an order to move or maintain the machine was answered.
 	Ordered []OrderedEnd `json:"ordered,omitempty"`
 }
 
-// An OrderedEnd is the end of an incarnation by an order about its machine that was carried
-// out. Its fields are exported because a codec reads and writes them.
+// An OrderedEnd is the end of an incarnation by an order about its machine that was carried out. Its
+// fields are exported because a codec reads and writes them.
 type OrderedEnd struct {
 	Incarnation pointport.IncarnationID `json:"incarnation"`
-	// Sure says that it is over by now: its machine was moved to another pool. Maintenance may
-	// have been done before and the incarnation be the one that came after it.
+	// Sure reports that the incarnation has certainly ended, because its machine was moved to
+	// another pool. After maintenance it is not certain: the machine may have been maintained
+	// earlier, and the incarnation may be the one that followed.
 	Sure bool `json:"sure,omitempty"`
 }
 
-// A Survey says how a pool stands. Its fields are exported because a codec reads
-// and writes them.
+// A Survey is the state of a pool: its demand for resources and the load of its instances. Its
+// fields are exported because a codec reads and writes them.
 type Survey struct {
-	// Need is the room that the pool's tasks take now, or will in a moment by the
-	// rate at which work arrives.
+	// Need is the resources that the pool's tasks take now or, if that is more, will soon take at
+	// the rate at which work arrives.
 	Need pointport.Shape `json:"need"`
-	// Arrived says that the pool has had work that ends, so that Need says
-	// something of its load.
+	// Arrived reports that the pool has had work that ends, so that Need reflects its load.
 	Arrived bool `json:"arrived,omitempty"`
-	// Waiting is the room that tasks want whose turn has come.
+	// Waiting is the resources that tasks need that are ready to start.
 	Waiting pointport.Shape `json:"waiting"`
-	// Late is as much of Need as is taken or wanted by jobs that will hardly end in time,
-	// WaitingLate as much of Waiting.
+	// Late is the part of Need, and WaitingLate the part of Waiting, that belongs to jobs that are
+	// unlikely to end in time.
 	Late        pointport.Shape `json:"late"`
 	WaitingLate pointport.Shape `json:"waitingLate"`
-	// Spread is how many more instances it takes to hold the tasks whose step
-	// bounds how many of them one instance may hold, or that failed where they
-	// could be, or that want an instance of their own.
+	// Spread is how many more instances are needed for waiting tasks whose step limits the tasks on
+	// one instance, or that have failed on the instances they could use, or that need an instance of
+	// their own.
 	Spread int `json:"spread,omitempty"`
-	// Unserved is how many more instances it takes to hold the serving tasks that
-	// wait and fit on none, even once the tasks there have ended.
+	// Unserved is how many more instances are needed for the waiting serving tasks that fit on none,
+	// even once the tasks there that end by themselves have ended.
 	Unserved int `json:"unserved,omitempty"`
-	// Unmoved is how many more instances it takes beside them to hold the serving
-	// tasks that are to move off closed instances.
+	// Unmoved is how many more instances are needed, in addition to Unserved, for the serving tasks
+	// that are to move off closed instances.
 	Unmoved int `json:"unmoved,omitempty"`
-	// Labels says for labels, a rack's among them, how much room is wanted on
-	// instances that have them and found none there.
+	// Labels holds the unmet demand by label, including racks: the resources wanted on instances
+	// that have the label and not available there.
 	Labels map[string]pointport.Shape `json:"labels,omitempty"`
-	// Widest is the largest room of a single waiting task.
+	// Widest holds the largest amount of each resource that a single waiting task needs.
 	Widest    pointport.Shape `json:"widest"`
 	Instances []InstanceLoad  `json:"instances"`
 }
 
-// An InstanceLoad says how an instance stands.
+// An InstanceLoad is the state and load of one instance.
 type InstanceLoad struct {
 	Instance    pointport.InstanceID    `json:"instance"`
 	Incarnation pointport.IncarnationID `json:"incarnation"`
 	Runs        int                     `json:"runs,omitempty"`
 	Serving     int                     `json:"serving,omitempty"`
 	Closed      bool                    `json:"closed,omitempty"`
-	// Unstored says that tasks have ended there and that this is not stored yet. Only
-	// the instance itself can tell another owner, until it is moved or maintained.
+	// Unstored reports that tasks have ended there whose ends are not stored yet. Only the instance
+	// itself can report these to another owner, until it is moved or maintained.
 	Unstored bool `json:"unstored,omitempty"`
-	// Silent says that the instance gives no answer.
+	// Silent reports that the instance does not answer.
 	Silent bool `json:"silent,omitempty"`
 	// Known is for how long the owner has known the incarnation, in nanoseconds.
 	Known time.Duration `json:"known"`
-	// Avoided says that the instance fails what it is given.
+	// Avoided reports that runs fail or stall on the instance, so that nothing is placed there for
+	// now.
 	Avoided bool `json:"avoided,omitempty"`
-	// Capacity is what the instance says it holds, which may change while it runs.
+	// Capacity is what the instance reports as its capacity, which may change while it runs.
 	Capacity pointport.Shape `json:"capacity,omitzero"`
-	// Leaving says that the instance is about to end.
+	// Leaving reports that the instance has announced that it is about to end.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// Empty reports whether the instance may be taken away without a loss: nothing runs
-// there, and what has ended there is stored. On days with three outages of the store,
-// tasks that were done ran again after their instance had been maintained and their
-// owner had lost the pool: 4 to 38 of them in five of 19 plays, in none of ten since.
+// Empty reports whether the instance may be removed without loss: nothing runs there, and all ends
+// that it has reported are stored. Without the second condition, on days with three outages of the
+// store, finished tasks ran again after their instance was maintained and their owner had lost the
+// pool: 4 to 38 tasks in five of 19 runs, and in none of ten with it.
 func (l *InstanceLoad) Empty() bool { return l.Runs == 0 && !l.Unstored }
 
-// closureTime is how long a closure holds unless it is asked for again.
+// closureTime is how long a closure holds unless it is requested again.
 const closureTime = 2 * time.Second
 
-// Survey takes in a request and returns how the pool stands.
+// Survey applies a request and returns the state of the pool.
 func (b *Book) Survey(now time.Time, req SurveyRequest) Survey {
 	for _, end := range req.Ordered {
-		b.orderedAway(now, end)
+		b.noteOrderedEnd(now, end)
 	}
 	for _, id := range req.Over {
-		b.shownOver(now, id)
+		b.endReported(now, id)
 	}
 	b.close(now, req.Closures)
 	b.soon = make(map[pointport.InstanceID]bool, len(req.Soon))
@@ -123,7 +124,7 @@
 		b.refresh(e)
 		for _, t := range e.ready {
 			if !afford(t) {
-				continue // room would not help it
+				continue // its customer's cap, not a lack of resources, holds it back
 			}
 			room := t.step.Reservation()
 			s.Waiting = s.Waiting.Plus(room)
@@ -136,11 +137,11 @@
 			s.Widest = largest(s.Widest, room)
 		}
 	}
-	for rack, room := range b.far.steady(now) {
+	for rack, room := range b.far.current(now) {
 		s.want(rack, room)
 	}
 	s.Need = b.need(now, s.Waiting)
-	s.Late = s.WaitingLate.Plus(b.lateRoom())
+	s.Late = s.WaitingLate.Plus(b.lateReservations())
 	s.Arrived = b.arrivals.any
 	s.Spread = b.spread(now)
 	m := b.missingForServing(now)
@@ -155,7 +156,7 @@
 	return s
 }
 
-// want adds to the room that is wanted on instances with a label.
+// want adds to the resources that are wanted on instances with a label.
 func (s *Survey) want(label string, room pointport.Shape) {
 	if s.Labels == nil {
 		s.Labels = make(map[string]pointport.Shape)
@@ -163,8 +164,8 @@
 	s.Labels[label] = s.Labels[label].Plus(room)
 }
 
-// spread returns how many more instances it takes to hold the waiting tasks whose
-// step bounds how many of them one instance may hold.
+// spread returns how many more instances are needed for waiting tasks that no worker can hold
+// because of their step's limit of tasks on one instance, recent failures or crashes.
 func (b *Book) spread(now time.Time) int {
 	type group struct {
 		entry   *entry
@@ -218,11 +219,11 @@
 	}
 }
 
-// closed reports whether nothing new may be placed on the worker.
+// closed reports whether the worker is closed, so that nothing new may be placed there.
 func (w *Worker) closed(now time.Time) bool { return now.Before(w.closedUntil) }
 
-// need returns the room that the pool's tasks take or want, or what the rate of
-// arrivals will come to if that is more.
+// need returns the resources that the pool's tasks take or wait for, or those expected from the rate
+// of arrivals and the serving tasks, whichever is more of each resource.
 func (b *Book) need(now time.Time, waiting pointport.Shape) pointport.Shape {
 	sum := waiting
 	for _, w := range b.workers {
@@ -233,13 +234,13 @@
 		}
 	}
 	coming := b.arrivals.steady(now)
-	coming = coming.Plus(b.servingRoom())
+	coming = coming.Plus(b.servingReservations())
 	return largest(sum, coming)
 }
 
-// lateRoom returns the room that tasks take whose jobs could hardly end in time when tasks
+// lateReservations returns the resources taken by tasks of jobs that were unlikely to end in time when tasks
 // of theirs were last placed.
-func (b *Book) lateRoom() pointport.Shape {
+func (b *Book) lateReservations() pointport.Shape {
 	var sum pointport.Shape
 	for _, w := range b.workers {
 		for _, r := range w.runs {
@@ -251,8 +252,8 @@
 	return sum
 }
 
-// servingRoom returns the room that serving tasks take.
-func (b *Book) servingRoom() pointport.Shape {
+// servingReservations returns the resources that serving tasks take.
+func (b *Book) servingReservations() pointport.Shape {
 	var sum pointport.Shape
 	for _, w := range b.workers {
 		for _, r := range w.runs {
@@ -264,6 +265,6 @@
 	return sum
 }
 
-// staysInZone reports whether a run will need no room elsewhere although its availability
-// zone is evacuated: a serving task stays there, the others end and their jobs go on elsewhere.
+// staysInZone reports whether a run will need no resources elsewhere although its availability zone
+// is evacuated: a serving task stays there, while other tasks end and their jobs continue elsewhere.
 func (r *Run) staysInZone() bool { return r.step().Service && r.worker.evacuated() }
