--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -133,7 +133,7 @@
 func (b *Book) workerEnded(w *Worker, now time.Time, why string, later *Worker) {
 	cause, there := w.endCause(now), w.begunRuns()
 	if later != nil {
-		b.follow(now, w, later, cause)
+		b.moveToLater(now, w, later, cause)
 	}
 	died := w.begunRuns()
 	for _, r := range died {
--- a/schedule/execution_lease.go
+++ b/schedule/execution_lease.go
@@ -69,11 +69,11 @@
 // tasks may run until then. The clock must be known.
 func (l *executionLease) extend(now time.Time, lease time.Duration) pointport.InstanceClock {
 	l.lastExtension = now
-	until := l.clockAt(now) + pointport.InstanceClock(lease)
-	if !l.extended || until > l.extendedTo {
-		l.extendedTo, l.extended = until, true
+	extendedTo := l.clockAt(now) + pointport.InstanceClock(lease)
+	if !l.extended || extendedTo > l.extendedTo {
+		l.extendedTo, l.extended = extendedTo, true
 	}
-	return until
+	return extendedTo
 }
 
 // clockAt returns what the instance's clock shows at now, extrapolated from its last answer; zero
--- a/schedule/gang.go
+++ b/schedule/gang.go
@@ -40,15 +40,15 @@
 
 // stopRestOfGang stops the other members of a run's gang because the run has ended or never started.
 func (b *Book) stopRestOfGang(now time.Time, r *Run, reason string) {
-	for _, mate := range b.otherMembers(r) {
-		b.stop(now, mate, reason)
+	for _, member := range b.otherMembers(r) {
+		b.stop(now, member, reason)
 	}
 }
 
 // gangDone handles the successful end of a gang: the end of one member counts for all.
 func (b *Book) gangDone(now time.Time, r *Run) {
-	for _, mate := range b.otherMembers(r) {
-		b.forget(now, mate)
+	for _, member := range b.otherMembers(r) {
+		b.forget(now, member)
 	}
 	for i := range r.entry.job.Spec().Steps[r.ref.Step].Count {
 		ref := r.ref
@@ -136,14 +136,14 @@
 // fitGang returns a worker for each task of a gang, or nil if they do not all fit.
 func (p *placement) fitGang(tasks []waiting, workers []*Worker) []*Worker {
 	step := tasks[0].step
-	room := step.Reservation()
+	need := step.Reservation()
 	taken := make(map[*Worker]int)
 	chosen := make([]*Worker, 0, len(tasks))
 	for _, t := range tasks {
 		var best *Worker
 		bestScore := 0.0
 		for _, w := range workers {
-			if !p.holds(w, t, room, taken[w]) {
+			if !p.holds(w, t, need, taken[w]) {
 				continue
 			}
 			score := p.book.score(p.now, t, w)
@@ -162,12 +162,12 @@
 
 // holds reports whether a worker has free resources for a task in addition to more others of its
 // gang.
-func (p *placement) holds(w *Worker, t waiting, room pointport.Shape, more int) bool {
+func (p *placement) holds(w *Worker, t waiting, need pointport.Shape, more int) bool {
 	free := w.free
 	for range more {
-		free = free.Minus(room)
+		free = free.Minus(need)
 	}
-	if !free.Fits(room) || !p.book.permits(t, w, p.now) {
+	if !free.Fits(need) || !p.book.permits(t, w, p.now) {
 		return false
 	}
 	return t.step.MaxPerInstance == 0 || p.book.crowd(t, w)+more < t.step.MaxPerInstance
@@ -181,14 +181,14 @@
 	}
 	p.gangWaits = true
 	step := tasks[0].step
-	room := step.Reservation()
+	need := step.Reservation()
 	rest := make([]*Worker, 0, len(p.workers))
 	byFree := append([]*Worker(nil), p.workers...)
 	sort.SliceStable(byFree, func(i, k int) bool { return byFree[i].free.CPUMilli > byFree[k].free.CPUMilli })
 	left := len(tasks)
 	for _, w := range byFree {
 		fits := 0
-		for all := w.soonFree(); all.Fits(room) && fits < left; all = all.Minus(room) {
+		for all := w.soonFree(); all.Fits(need) && fits < left; all = all.Minus(need) {
 			fits++
 			if step.MaxPerInstance > 0 && fits >= step.MaxPerInstance {
 				break
--- a/schedule/isolation.go
+++ b/schedule/isolation.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// share returns the share that is silent.
-func (t tally) share() float64 {
+// silentShare returns the share that is silent.
+func (t tally) silentShare() float64 {
 	if t.polled == 0 {
 		return 0
 	}
@@ -58,7 +58,7 @@
 
 // updateReachability reviews the suspicion after the registered instances have been counted.
 func (b *Book) updateReachability(now time.Time, t tally) {
-	b.hearing.silentShare = t.share()
+	b.hearing.silentShare = t.silentShare()
 	doubts := b.shouldSuspect(now, t.silent)
 	if doubts == b.SuspectsIsolation() {
 		return
--- a/schedule/later_incarnation.go
+++ b/schedule/later_incarnation.go
@@ -91,7 +91,7 @@
 
 // moveToLater moves the runs of a worker that has ended to later, if later may have them or may
 // still accept their starts.
-func (b *Book) follow(now time.Time, former, later *Worker, cause endCause) {
+func (b *Book) moveToLater(now time.Time, former, later *Worker, cause endCause) {
 	died := former.begunRuns()
 	for _, r := range died {
 		if !r.mayBeOnLater() || later.runs[r.name] != nil {
--- a/schedule/preempt.go
+++ b/schedule/preempt.go
@@ -45,13 +45,13 @@
 	for _, r := range best {
 		event.RunPreempted.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
 			slog.String("incarnation", string(r.worker.inc.ID())), slog.String("by", e.job.ID()))
-		b.stop(now, r, "a job of priority 0 needs its room")
+		b.stop(now, r, "a job of priority 0 needs its resources")
 	}
 }
 
 // victims returns the runs of lower priority that must stop on a worker to free the given resources,
 // and the work that is lost with them.
-func (b *Book) victims(now time.Time, w *Worker, room pointport.Shape) ([]*Run, time.Duration) {
+func (b *Book) victims(now time.Time, w *Worker, need pointport.Shape) ([]*Run, time.Duration) {
 	free := w.free
 	var low []*Run
 	for _, r := range w.runs {
@@ -66,13 +66,13 @@
 	sort.Slice(low, func(i, k int) bool { return low[i].lostWork(now) < low[k].lostWork(now) })
 	cost := time.Duration(0)
 	for n, r := range low {
-		if free.Fits(room) {
+		if free.Fits(need) {
 			return low[:n], cost
 		}
 		free = free.Plus(r.step().Reservation())
 		cost += r.lostWork(now)
 	}
-	if !free.Fits(room) {
+	if !free.Fits(need) {
 		return nil, 0
 	}
 	return low, cost
--- a/schedule/rack_demand.go
+++ b/schedule/rack_demand.go
@@ -35,7 +35,7 @@
 }
 
 // add records that a task whose data is in a rack was placed elsewhere.
-func (r *rackDemand) add(now time.Time, rack string, room pointport.Shape) {
+func (r *rackDemand) add(now time.Time, rack string, need pointport.Shape) {
 	if r.byRack == nil {
 		r.byRack = make(map[string]*decayingDemand)
 	}
@@ -45,8 +45,8 @@
 		r.byRack[rack] = f
 	}
 	f.decay(now)
-	f.cpu += float64(room.CPUMilli)
-	f.memory += float64(room.MemoryMiB)
+	f.cpu += float64(need.CPUMilli)
+	f.memory += float64(need.MemoryMiB)
 }
 
 // current returns the demand by rack at now.
--- a/schedule/relocate.go
+++ b/schedule/relocate.go
@@ -77,16 +77,16 @@
 
 // take promises resources to a serving task. It returns false if no worker has enough.
 func (h *servingCapacity) take(t waiting) bool {
-	room := t.step.Reservation()
+	need := t.step.Reservation()
 	for _, w := range h.workers {
 		at := stepOnWorker{w, stepOf{t.entry, t.ref.Occurrence, t.ref.Step}}
-		if !h.left[w].Fits(room) || !h.book.permits(t, w, h.now) {
+		if !h.left[w].Fits(need) || !h.book.permits(t, w, h.now) {
 			continue
 		}
 		if most := t.step.MaxPerInstance; most > 0 && h.book.crowd(t, w)+h.promised[at] >= most {
 			continue
 		}
-		h.left[w] = h.left[w].Minus(room)
+		h.left[w] = h.left[w].Minus(need)
 		h.promised[at]++
 		return true
 	}
--- a/schedule/stall.go
+++ b/schedule/stall.go
@@ -76,17 +76,17 @@
 	if r.age() < slowMinAge || r.progress <= r.from {
 		return false
 	}
-	others := b.peerDuration(r)
-	if others == 0 {
+	peerDuration := b.peerDuration(r)
+	if peerDuration == 0 {
 		return false
 	}
-	whole := r.total()
+	total := r.total()
 	factor := slowFactor
 	if b.slowness(r.worker) > slowTogetherFactor {
 		factor = slowTogetherFactor
 	}
-	left := whole * time.Duration(wholePercent-r.progress) / wholePercent
-	return float64(whole) > factor*float64(others) && left > others+restartCost
+	left := total * time.Duration(wholePercent-r.progress) / wholePercent
+	return float64(total) > factor*float64(peerDuration) && left > peerDuration+restartCost
 }
 
 // age returns for how long a run was known to run when it was last reported.
@@ -135,8 +135,8 @@
 		if r.state != runLive || r.step().Service || !r.measured() {
 			continue
 		}
-		if others := b.peerDuration(r); others > 0 {
-			sum += float64(r.total()) / float64(others)
+		if peerDuration := b.peerDuration(r); peerDuration > 0 {
+			sum += float64(r.total()) / float64(peerDuration)
 			n++
 		}
 	}
--- a/schedule/survey.go
+++ b/schedule/survey.go
@@ -126,19 +126,19 @@
 			if !afford(t) {
 				continue // its customer's cap, not a lack of resources, holds it back
 			}
-			room := t.step.Reservation()
-			s.Waiting = s.Waiting.Plus(room)
+			need := t.step.Reservation()
+			s.Waiting = s.Waiting.Plus(need)
 			if e.standing.class == classLate {
-				s.WaitingLate = s.WaitingLate.Plus(room)
+				s.WaitingLate = s.WaitingLate.Plus(need)
 			}
 			if label := t.step.Label; label != "" {
-				s.want(label, room)
+				s.want(label, need)
 			}
-			s.Widest = largest(s.Widest, room)
+			s.Widest = largest(s.Widest, need)
 		}
 	}
-	for rack, room := range b.far.current(now) {
-		s.want(rack, room)
+	for rack, need := range b.far.current(now) {
+		s.want(rack, need)
 	}
 	s.Need = b.need(now, s.Waiting)
 	s.Late = s.WaitingLate.Plus(b.lateReservations())
@@ -157,11 +157,11 @@
 }
 
 // want adds to the resources that are wanted on instances with a label.
-func (s *Survey) want(label string, room pointport.Shape) {
+func (s *Survey) want(label string, need pointport.Shape) {
 	if s.Labels == nil {
 		s.Labels = make(map[string]pointport.Shape)
 	}
-	s.Labels[label] = s.Labels[label].Plus(room)
+	s.Labels[label] = s.Labels[label].Plus(need)
 }
 
 // spread returns how many more instances are needed for waiting tasks that no worker can hold
