--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -241,12 +241,12 @@
 	return true
 }
 
-// countCrash counts the crash of an instance against the task of a run there; beside is the number
+// countCrash counts the crash of an instance against the task of a run there; otherRuns is the number
 // of other runs there.
-func (b *Book) countCrash(now time.Time, r *Run, how workload.CrashCase, beside int) {
+func (b *Book) countCrash(now time.Time, r *Run, how workload.CrashCase, otherRuns int) {
 	e, t := r.entry, r.task()
 	if t == nil || t.Phase == workload.Done || e.ended != "" || e.job.Stopping() {
-		b.logLost(now, r, causeCrashed, beside)
+		b.logLost(now, r, causeCrashed, otherRuns)
 		return
 	}
 	seen := e.crashesOf(r.ref)
@@ -256,7 +256,7 @@
 	seen.note(now, r.worker.inc.Instance())
 	b.touch(e, true)
 	verdict := e.job.Crash(r.ref, how)
-	b.logLost(now, r, causeCrashed, beside)
+	b.logLost(now, r, causeCrashed, otherRuns)
 	if verdict == workload.CrashRetried {
 		return
 	}
@@ -268,15 +268,15 @@
 	b.settleJob(now, e)
 }
 
-// logLost logs that a run has died with its instance; beside is the number of other runs there.
-func (b *Book) logLost(now time.Time, r *Run, cause endCause, beside int) {
+// logLost logs that a run has died with its instance; otherRuns is the number of other runs there.
+func (b *Book) logLost(now time.Time, r *Run, cause endCause, otherRuns int) {
 	crashes := 0
 	if t := r.task(); t != nil {
 		crashes = t.Crashes
 	}
 	event.RunLost.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
 		slog.String("incarnation", string(r.worker.inc.ID())), slog.String("cause", string(cause)),
-		slog.Duration("sinceSeen", r.sinceSeen(now)), slog.Int("beside", beside), slog.Int("crashes", crashes))
+		slog.Duration("sinceSeen", r.sinceSeen(now)), slog.Int("beside", otherRuns), slog.Int("crashes", crashes))
 }
 
 // sinceSeen returns how long ago the run was first seen to run, zero if it never was.
--- a/schedule/isolation.go
+++ b/schedule/isolation.go
@@ -59,13 +59,13 @@
 // updateReachability reviews the suspicion after the registered instances have been counted.
 func (b *Book) updateReachability(now time.Time, t tally) {
 	b.hearing.silentShare = t.silentShare()
-	doubts := b.shouldSuspect(now, t.silent)
-	if doubts == b.SuspectsIsolation() {
+	suspects := b.shouldSuspect(now, t.silent)
+	if suspects == b.SuspectsIsolation() {
 		return
 	}
-	event.OwnerDoubts.Log(b.logger, slog.Bool("doubts", doubts), slog.Int("silent", t.silent), slog.Int("asked", t.polled), slog.Duration("after", b.IsolationSuspectedFor(now)))
+	event.OwnerDoubts.Log(b.logger, slog.Bool("doubts", suspects), slog.Int("silent", t.silent), slog.Int("asked", t.polled), slog.Duration("after", b.IsolationSuspectedFor(now)))
 	b.hearing.suspectedSince = time.Time{}
-	if doubts {
+	if suspects {
 		b.hearing.suspectedSince = now
 	}
 }
--- a/schedule/later_incarnation.go
+++ b/schedule/later_incarnation.go
@@ -18,15 +18,15 @@
 // incarnation only once a report of that incarnation lists it. If a start was sent and the run was
 // never listed, the end of the incarnation does not show what became of the run: the run is moved to
 // the later incarnation, whose report settles it. A start that may still be in flight may reach any
-// later incarnation, so each of them is told to rule the start out before its lease is extended or
+// later incarnation, so each of them is ordered to rule the start out before its lease is extended or
 // anything is placed there.
 
 // An uncertainty belongs to a run whose start was sent to an incarnation that has ended, and that
 // the later incarnation may have accepted.
 type uncertainty struct {
-	cause  endCause           // why the earlier incarnation ended
-	how    workload.CrashCase // how a crash counts if the run died in it
-	beside int                // number of other runs that it had
+	cause     endCause           // why the earlier incarnation ended
+	how       workload.CrashCase // how a crash counts if the run died in it
+	otherRuns int                // runs of the earlier incarnation besides this one
 }
 
 // mayBeOnLater reports whether a later incarnation of the addressee may have the run, or may still
@@ -181,10 +181,10 @@
 	u := r.uncertainty
 	r.uncertainty = nil
 	if u.cause != causeCrashed {
-		b.logLost(now, r, u.cause, u.beside)
+		b.logLost(now, r, u.cause, u.otherRuns)
 		return
 	}
-	b.countCrash(now, r, u.how, u.beside)
+	b.countCrash(now, r, u.how, u.otherRuns)
 }
 
 // rememberStart records that a start may still be in flight to a later incarnation of a worker
@@ -207,11 +207,11 @@
 	if len(all) == 0 {
 		return nil
 	}
-	burns := make(map[pointport.TaskRun]bool, len(all))
+	starts := make(map[pointport.TaskRun]bool, len(all))
 	for run := range all {
-		burns[run] = true
+		starts[run] = true
 	}
-	return burns
+	return starts
 }
 
 // forgetOrders removes the records of orders that can no longer be in flight.
--- a/schedule/quarantine.go
+++ b/schedule/quarantine.go
@@ -104,15 +104,15 @@
 	if len(r.entry.crashed) == 0 {
 		return
 	}
-	lives := now.Sub(r.liveAt)
-	if t := r.task(); lives >= quarantineFor && t != nil && t.Crashes > 0 && t.Settled != r.number {
+	lasted := now.Sub(r.liveAt)
+	if t := r.task(); lasted >= quarantineFor && t != nil && t.Crashes > 0 && t.Settled != r.number {
 		t.Settled = r.number // stored for the next owner, which has not seen the run's start
 		b.touch(r.entry, false)
 	}
-	if lives >= r.apartFor {
+	if lasted >= r.apartFor {
 		r.worker.clearSuspicion(r)
 	}
-	if r.step().Service && lives >= exoneratedAfter && r.progress >= atWork && r.entry.suspected(r.ref) {
+	if r.step().Service && lasted >= exoneratedAfter && r.progress >= atWork && r.entry.suspected(r.ref) {
 		r.entry.job.ResetCrashes(r.ref)
 		b.touch(r.entry, false)
 	}
--- a/schedule/silence.go
+++ b/schedule/silence.go
@@ -98,25 +98,25 @@
 // has ended, or when its registration ends.
 func (b *Book) expire(w *Worker, now time.Time) {
 	gone := b.gone(w)
-	var over []*Run
+	var expired []*Run
 	for _, r := range w.runs {
 		if r.mayBeOnLater() && r.mayBeDone() && b.anotherRegistered(w) {
 			continue // that incarnation's report shows what became of it
 		}
 		if gone || !b.SuspectsIsolation() && !r.mayBeDone() {
-			over = append(over, r)
+			expired = append(expired, r)
 		}
 	}
-	if len(over) == 0 {
+	if len(expired) == 0 {
 		return
 	}
-	event.WorkerExpired.Log(b.logger, slog.String("incarnation", string(w.inc.ID())), slog.Int("runs", len(over)), slog.Int("unheard", len(w.runs)-len(over)),
+	event.WorkerExpired.Log(b.logger, slog.String("incarnation", string(w.inc.ID())), slog.Int("runs", len(expired)), slog.Int("unheard", len(w.runs)-len(expired)),
 		slog.Bool("gone", gone), slog.Duration("sinceHeard", w.life.sinceLastAnswer(now)))
-	for _, r := range over {
+	for _, r := range expired {
 		w.burn(r)
 		w.unproven = append(w.unproven, r)
 	}
-	for _, r := range over {
+	for _, r := range expired {
 		b.drop(now, r, "its instance was silent until its time was over")
 	}
 	b.urgent = true
@@ -155,9 +155,9 @@
 // sweep drops the runs of workers that have been silent until their lease expired, and forgets
 // workers that are gone.
 func (b *Book) sweep(now time.Time) {
-	var heard tally
+	var polled tally
 	for id, w := range b.workers {
-		heard.count(w)
+		polled.count(w)
 		if len(w.runs) > 0 && now.After(b.executionExpiry(w)) && (w.silent || !w.life.clockKnown()) {
 			b.expire(w, now)
 		}
@@ -169,7 +169,7 @@
 		}
 	}
 	b.forgetOrders(now)
-	b.updateReachability(now, heard)
+	b.updateReachability(now, polled)
 	for id, f := range b.over {
 		if now.Sub(f.at) > b.settings.KeepEnded {
 			delete(b.over, id)
