--- a/schedule/advice.go
+++ b/schedule/advice.go
@@ -51,7 +51,7 @@
 
 // permits reports whether a worker may run a task as far as labels, earlier runs and their ends,
 // crashes and advice are concerned.
-func (b *Book) permits(t waiting, w *Worker, now time.Time) bool {
+func (b *Scheduler) permits(t waitingTask, w *Worker, now time.Time) bool {
 	if !w.hasLabel(t.step.Label) || b.failedRecentlyOn(t, w, now) || b.keptApart(t, w, now) || w.hasGivenUp(t) {
 		return false
 	}
@@ -67,7 +67,7 @@
 }
 
 // ticketFor returns the ticket with which a task may run on a worker, empty if none is needed.
-func (b *Book) ticketFor(t waiting, w *Worker) string {
+func (b *Scheduler) ticketFor(t waitingTask, w *Worker) string {
 	a := t.entry.advice[stepKey{t.ref.Occurrence, t.ref.Step}]
 	if a == nil {
 		return ""
@@ -76,7 +76,7 @@
 }
 
 // seekAdvice requests advice about further workers for a step that found none it may use.
-func (b *Book) seekAdvice(now time.Time, t waiting) {
+func (b *Scheduler) seekAdvice(now time.Time, t waitingTask) {
 	if !t.entry.job.Policy().Advised {
 		return
 	}
@@ -104,7 +104,7 @@
 
 // askable returns the workers to ask about, those with the most free capacity first. Of those asked
 // about before, it returns only permitted ones whose ticket is about to expire.
-func (b *Book) askable(now time.Time, t waiting, a *advice) []pointport.IncarnationID {
+func (b *Scheduler) askable(now time.Time, t waitingTask, a *advice) []pointport.IncarnationID {
 	var workers []*Worker
 	for _, w := range b.usable(now) {
 		id := w.inc.ID()
@@ -123,7 +123,7 @@
 }
 
 // TakeAdviceRequests returns the requests to send to the advisor now.
-func (b *Book) TakeAdviceRequests() []AdviceRequest {
+func (b *Scheduler) TakeAdviceRequests() []AdviceRequest {
 	questions := b.questions
 	b.questions = nil
 	return questions
@@ -131,7 +131,7 @@
 
 // AdviceAnswered handles the advisor's answer to a request that was sent at asked: the tickets,
 // valid from asked for valid, of the incarnations that may run the step, or an error.
-func (b *Book) AdviceAnswered(q AdviceRequest, asked, now time.Time, tickets map[pointport.IncarnationID]string, valid time.Duration, err error) {
+func (b *Scheduler) AdviceAnswered(q AdviceRequest, asked, now time.Time, tickets map[pointport.IncarnationID]string, valid time.Duration, err error) {
 	e := b.jobs[q.Job]
 	if e == nil {
 		return
@@ -154,5 +154,5 @@
 	for id, text := range tickets {
 		a.good[id] = ticket{text: text, until: asked.Add(valid)}
 	}
-	b.changed(e)
+	b.invalidateReady(e)
 }
--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -40,14 +40,14 @@
 	switch {
 	case w.inc.Draining(), w.answeredUnlisted:
 		return causeLeft
-	case len(w.runs) == 0 && (w.closed(now) || w.orderedAway):
+	case len(w.runs) == 0 && (w.closed(now) || w.movedOrMaintained):
 		return causeOrdered
 	}
 	return causeCrashed
 }
 
 // EndIncarnation handles proof that an incarnation has ended.
-func (b *Book) EndIncarnation(now time.Time, id pointport.IncarnationID) {
+func (b *Scheduler) EndIncarnation(now time.Time, id pointport.IncarnationID) {
 	if w := b.workers[id]; w != nil && !w.ended {
 		b.endConfirmed(w, now, "the platform says so")
 	}
@@ -56,7 +56,7 @@
 // endConfirmed handles the certain end of an incarnation. It does nothing while a start that was
 // sent to the incarnation may be on a later one of the same addressee and no later one is known: the
 // runs stay where they are until it is.
-func (b *Book) endConfirmed(w *Worker, now time.Time, why string) {
+func (b *Scheduler) endConfirmed(w *Worker, now time.Time, why string) {
 	later := b.presentIncarnation(w)
 	if later == nil && w.anyUncertain() {
 		return
@@ -69,12 +69,12 @@
 // missed heartbeats, and the platform's list of machines lags too. Until one of them shows the end,
 // polls of the incarnation would fail, and it would count as silent and then as crashed, so that the
 // instance would be avoided when it comes back.
-func (b *Book) noteOrderedEnd(now time.Time, end OrderedEnd) {
+func (b *Scheduler) noteOrderedEnd(now time.Time, end OrderedEnd) {
 	w := b.workers[end.Incarnation]
 	if w == nil || w.ended {
 		return
 	}
-	w.orderedAway = true
+	w.movedOrMaintained = true
 	if end.Sure && len(w.runs) == 0 {
 		b.endConfirmed(w, now, "its machine was moved")
 	}
@@ -82,10 +82,10 @@
 
 // endReported handles a report, derived from the platform's list of machines, that an incarnation is
 // silent and no longer listed. An answer since then takes precedence, including a refused poll.
-func (b *Book) endReported(now time.Time, id pointport.IncarnationID) {
+func (b *Scheduler) endReported(now time.Time, id pointport.IncarnationID) {
 	w := b.workers[id]
-	if w != nil && !w.ended && w.life.clockKnown() && (!w.silent || w.refuses) {
-		event.IncarnationLives.Log(b.logger, slog.String("incarnation", string(id)), slog.Int("runs", len(w.runs)), slog.Duration("sinceHeard", w.life.sinceLastAnswer(now)))
+	if w != nil && !w.ended && w.lease.clockKnown() && (!w.silent || w.pollRefused) {
+		event.IncarnationLives.Log(b.logger, slog.String("incarnation", string(id)), slog.Int("runs", len(w.runs)), slog.Duration("sinceHeard", w.lease.sinceLastAnswer(now)))
 		return
 	}
 	b.EndIncarnation(now, id)
@@ -95,7 +95,7 @@
 // answered a poll that was sent at sent. A machine has one incarnation at a time, so those that the
 // owner knew before sent, and has had no sign of since, have ended. Their tasks then need not wait
 // for the list of machines or for a lease to expire.
-func (b *Book) endEarlierIncarnations(w *Worker, sent, now time.Time) {
+func (b *Scheduler) endEarlierIncarnations(w *Worker, sent, now time.Time) {
 	id := w.inc.Instance()
 	for _, former := range b.earlierCandidates(w) {
 		if former == w || former.ended || b.workers[former.inc.ID()] != former || !former.lastKnown().Before(sent) {
@@ -112,8 +112,8 @@
 
 // earlierCandidates returns the workers that may be earlier incarnations of a worker's machine: all
 // workers at its first answer, and later only those that are not registered.
-func (b *Book) earlierCandidates(w *Worker) []*Worker {
-	if w.life.clockKnown() {
+func (b *Scheduler) earlierCandidates(w *Worker) []*Worker {
+	if w.lease.clockKnown() {
 		return b.unlisted
 	}
 	return slices.Collect(maps.Values(b.workers))
@@ -122,15 +122,15 @@
 // lastKnown returns when the owner last had a sign of the incarnation: its last answer, or when the
 // owner first learned of it.
 func (w *Worker) lastKnown() time.Time {
-	if w.life.answeredAt.After(w.since) {
-		return w.life.answeredAt
+	if w.lease.answeredAt.After(w.since) {
+		return w.lease.answeredAt
 	}
 	return w.since
 }
 
 // workerEnded handles the end of an incarnation. The runs there have died, except those that may be
 // on later, the next incarnation of the same addressee; later is nil if none is known.
-func (b *Book) workerEnded(w *Worker, now time.Time, why string, later *Worker) {
+func (b *Scheduler) workerEnded(w *Worker, now time.Time, why string, later *Worker) {
 	cause, there := w.endCause(now), w.begunRuns()
 	if later != nil {
 		b.moveToLater(now, w, later, cause)
@@ -140,13 +140,13 @@
 		r.uncertainty = nil // the end of this incarnation is counted, and only once
 	}
 	event.WorkerEnded.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
-		slog.Int("runs", len(w.runs)), slog.String("cause", string(cause)), slog.String("reason", why), slog.Duration("sinceHeard", w.life.sinceLastAnswer(now)))
+		slog.Int("runs", len(w.runs)), slog.String("cause", string(cause)), slog.String("reason", why), slog.Duration("sinceHeard", w.lease.sinceLastAnswer(now)))
 	w.ended, w.endedAt = true, now
 	b.noteMisdirected(w)
 	b.dropAll(w, now, "its incarnation is over")
 	if cause == causeCrashed {
 		b.noteCrashOf(w, now)
-		b.countCrashes(now, w.unproven, w.unproven, nil)
+		b.countCrashes(now, w.expiredRuns, w.expiredRuns, nil)
 		b.countCrashes(now, died, there, w)
 		return
 	}
@@ -156,7 +156,7 @@
 }
 
 // noteAnswerAfterEnd logs, once, that an incarnation that counts as ended has answered.
-func (b *Book) noteAnswerAfterEnd(w *Worker, now time.Time) {
+func (b *Scheduler) noteAnswerAfterEnd(w *Worker, now time.Time) {
 	if w.answeredOver {
 		return
 	}
@@ -177,16 +177,16 @@
 }
 
 // MarkSending records that an order is about to be sent.
-func (b *Book) MarkSending(o Order) {
+func (b *Scheduler) MarkSending(o Order) {
 	if o.Kind == OrderStart {
-		o.Run.ordered = true
+		o.Run.startSent = true
 	}
 }
 
 // countCrashes counts the crash of an instance against the tasks of died, the runs that died there;
 // there lists all runs that were or may have been on the instance. at is nil if it is not known what
 // else ran there.
-func (b *Book) countCrashes(now time.Time, died, there []*Run, at *Worker) {
+func (b *Scheduler) countCrashes(now time.Time, died, there []*Run, at *Worker) {
 	for _, r := range died {
 		b.countCrash(now, r, crashCase(there, r, at), len(there)-1)
 	}
@@ -196,7 +196,7 @@
 // if it is not known what else ran there.
 func crashCase(there []*Run, r *Run, at *Worker) workload.CrashCase {
 	switch {
-	case at != nil && at.strays == 0 && len(at.burns) == 0 && allOfGang(there, r):
+	case at != nil && at.strays == 0 && len(at.startsToRuleOut) == 0 && allOfGang(there, r):
 		return workload.CrashAlone
 	case r.justStarted():
 		return workload.CrashAtStart
@@ -228,13 +228,13 @@
 	if r.liveAt.IsZero() {
 		return 0
 	}
-	return r.worker.life.answeredAt.Sub(r.liveAt)
+	return r.worker.lease.answeredAt.Sub(r.liveAt)
 }
 
 // allOfGang reports whether all runs belong to the gang of r, or r is the only one.
 func allOfGang(runs []*Run, r *Run) bool {
 	for _, o := range runs {
-		if o != r && (!r.step().Gang || o.stepOf() != r.stepOf()) {
+		if o != r && (!r.step().Gang || o.stepRef() != r.stepRef()) {
 			return false
 		}
 	}
@@ -243,7 +243,7 @@
 
 // countCrash counts the crash of an instance against the task of a run there; otherRuns is the number
 // of other runs there.
-func (b *Book) countCrash(now time.Time, r *Run, how workload.CrashCase, otherRuns int) {
+func (b *Scheduler) countCrash(now time.Time, r *Run, how workload.CrashCase, otherRuns int) {
 	e, t := r.entry, r.task()
 	if t == nil || t.Phase == workload.Done || e.ended != "" || e.job.Stopping() {
 		b.logLost(now, r, causeCrashed, otherRuns)
@@ -254,7 +254,7 @@
 		how = workload.CrashAtStart // the instance itself may be the cause
 	}
 	seen.note(now, r.worker.inc.Instance())
-	b.touch(e, true)
+	b.markDirty(e, true)
 	verdict := e.job.Crash(r.ref, how)
 	b.logLost(now, r, causeCrashed, otherRuns)
 	if verdict == workload.CrashRetried {
@@ -265,11 +265,11 @@
 	if verdict == workload.CrashFailed {
 		b.stopAll(now, e, "instances have crashed under another task of its job")
 	}
-	b.settleJob(now, e)
+	b.endJobIfDone(now, e)
 }
 
 // logLost logs that a run has died with its instance; otherRuns is the number of other runs there.
-func (b *Book) logLost(now time.Time, r *Run, cause endCause, otherRuns int) {
+func (b *Scheduler) logLost(now time.Time, r *Run, cause endCause, otherRuns int) {
 	crashes := 0
 	if t := r.task(); t != nil {
 		crashes = t.Crashes
@@ -318,7 +318,7 @@
 
 // noteCrashOf counts a crash against the instance as if a run had failed there, so that an instance
 // that crashes under any task is avoided in its next incarnation.
-func (b *Book) noteCrashOf(w *Worker, now time.Time) {
+func (b *Scheduler) noteCrashOf(w *Worker, now time.Time) {
 	if w.health.failed(now) {
 		event.SuspectWorker.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
 			slog.Int("failures", w.health.failures), slog.Duration("avoidedFor", w.health.avoidFor))
@@ -330,7 +330,7 @@
 
 // restoreHealth gives the next incarnation of an instance that has crashed the health of the
 // previous one.
-func (b *Book) restoreHealth(w *Worker, id pointport.InstanceID) {
+func (b *Scheduler) restoreHealth(w *Worker, id pointport.InstanceID) {
 	if h, ok := b.crashedHealth[id]; ok {
 		w.health = h
 		delete(b.crashedHealth, id)
--- a/schedule/crash_test.go
+++ b/schedule/crash_test.go
@@ -25,37 +25,37 @@
 	const seen = 700 * time.Millisecond
 	cases := []struct {
 		name   string
-		before func(b *schedule.Book, now time.Time)
+		before func(b *schedule.Scheduler, now time.Time)
 		tasks  int
 		cause  string
 	}{
-		{"nobody announced it", func(*schedule.Book, time.Time) {}, 2, "crashed"},
-		{"it had said that it drains", func(b *schedule.Book, now time.Time) {
+		{"nobody announced it", func(*schedule.Scheduler, time.Time) {}, 2, "crashed"},
+		{"it had said that it drains", func(b *schedule.Scheduler, now time.Time) {
 			b.SetIncarnations(now, []pointport.Incarnation{incarnation(0, pointport.WithDraining(time.Minute))})
 		}, 2, "left"},
-		{"it answered after its registration had gone", func(b *schedule.Book, now time.Time) {
+		{"it answered after its registration had gone", func(b *schedule.Scheduler, now time.Time) {
 			b.SetIncarnations(now, nil)
 			for _, w := range b.Workers() {
 				b.Report(w, now, now, running(2, 1))
 			}
 		}, 2, "left"},
-		{"it was closed and empty", func(b *schedule.Book, now time.Time) {
+		{"it was closed and empty", func(b *schedule.Scheduler, now time.Time) {
 			b.Survey(now, schedule.SurveyRequest{Closures: []schedule.Closure{{Instance: "m-0"}}})
 		}, 0, "ordered"},
-		{"it was closed and not empty yet", func(b *schedule.Book, now time.Time) {
+		{"it was closed and not empty yet", func(b *schedule.Scheduler, now time.Time) {
 			b.Survey(now, schedule.SurveyRequest{Closures: []schedule.Closure{{Instance: "m-0"}}})
 		}, 2, "crashed"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
-			b := schedule.NewBook(start, settings, slog.New(slog.NewJSONHandler(&out, nil)))
+			b := schedule.NewScheduler(start, settings, slog.New(slog.NewJSONHandler(&out, nil)))
 			hear(b, start, incarnation(0))
 			if c.tasks > 0 {
 				b.Add(start, job("a", policy, step(c.tasks, 100, nil)))
 			}
 			for _, o := range orders(b, start) {
-				b.Answered(o, start, 1, nil)
+				b.OrderAnswered(o, start, 1, nil)
 			}
 			now := start.Add(seen)
 			c.before(b, now)
@@ -107,7 +107,7 @@
 type crashSim struct {
 	t       *rapid.T
 	now     time.Time
-	book    *schedule.Book
+	book    *schedule.Scheduler
 	next    int // the number of the next incarnation
 	up      map[int]bool
 	runs    map[pointport.IncarnationID]map[string]int // by task, the run there
@@ -180,7 +180,7 @@
 			s.book.PollFailed(w, s.now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 			continue
 		}
-		w.Until(s.now, settings.Lease)
+		w.ExtendLease(s.now, settings.Lease)
 		report := pointport.Report{Clock: pointport.InstanceClock(s.now.Sub(start)), Ended: s.ends[id]}
 		for task, run := range runs {
 			report.Running = append(report.Running, pointport.RunningTask{TaskRun: pointport.TaskRun{Task: task, Run: run}, Progress: 10})
@@ -197,14 +197,14 @@
 		runs, lives := s.runs[id]
 		switch {
 		case !lives:
-			s.book.Answered(o, s.now, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true})
+			s.book.OrderAnswered(o, s.now, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true})
 		case o.Kind == schedule.OrderStart:
 			runs[o.TaskRun.Task] = o.TaskRun.Run
 			s.due[string(id)+o.TaskRun.Task] = s.now.Add(simWork)
 			s.poisoned(o)
 		default:
 			delete(runs, o.TaskRun.Task)
-			s.book.Answered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
+			s.book.OrderAnswered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
 		}
 	}
 }
@@ -212,7 +212,7 @@
 // poisoned lets a start take its effect.
 func (s *crashSim) poisoned(o schedule.Order) {
 	if o.TaskRun.Task != poisonTask {
-		s.book.Answered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
+		s.book.OrderAnswered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
 		return
 	}
 	if s.crashes >= 3 {
@@ -225,12 +225,12 @@
 			break
 		}
 	}
-	s.book.Answered(o, s.now, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true})
+	s.book.OrderAnswered(o, s.now, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true})
 }
 
 // handOver makes the book that of a new owner, which knows what is stored.
 func (s *crashSim) handOver(jobs []*workload.Job) {
-	next := schedule.NewBook(s.now, settings, slog.New(slog.DiscardHandler))
+	next := schedule.NewScheduler(s.now, settings, slog.New(slog.DiscardHandler))
 	for _, j := range jobs {
 		status, _ := s.book.Status(j.ID())
 		if status.Ended() {
@@ -408,7 +408,7 @@
 		w := b.Workers()[0]
 		now := start.Add(c.lived)
 		report(b, started, w, now, 100)
-		w.Until(now, settings.Lease)
+		w.ExtendLease(now, settings.Lease)
 		b.PollFailed(w, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 		b.SetIncarnations(now, nil)
 		now = now.Add(10 * time.Second)
@@ -448,12 +448,14 @@
 	// One crash fewer than those after which one at the start decides, and less time at
 	// work than after which crashes are forgotten.
 	const before, atWork = 3, 7 * time.Second
-	over := map[string]func(b *schedule.Book, now time.Time){
-		"gone unheard": func(b *schedule.Book, now time.Time) {
+	over := map[string]func(b *schedule.Scheduler, now time.Time){
+		"gone unheard": func(b *schedule.Scheduler, now time.Time) {
 			b.SetIncarnations(now.Add(settings.PredecessorBound+time.Second), nil)
 		},
-		"over unheard": func(b *schedule.Book, now time.Time) { b.EndIncarnation(now.Add(time.Second), incarnation(0).ID()) },
-		"over once heard": func(b *schedule.Book, now time.Time) {
+		"over unheard": func(b *schedule.Scheduler, now time.Time) {
+			b.EndIncarnation(now.Add(time.Second), incarnation(0).ID())
+		},
+		"over once heard": func(b *schedule.Scheduler, now time.Time) {
 			b.SetIncarnations(now, []pointport.Incarnation{incarnation(0)})
 			b.Report(b.Workers()[0], now, now, running(2, 1))
 			b.EndIncarnation(now.Add(time.Second), incarnation(0).ID())
@@ -473,7 +475,7 @@
 			for ; now.Sub(start) < atWork; now = now.Add(time.Second) {
 				first.Report(first.Workers()[0], now, now, running(2, 1))
 			}
-			second := schedule.NewBook(now, settings, slog.New(slog.DiscardHandler))
+			second := schedule.NewScheduler(now, settings, slog.New(slog.DiscardHandler))
 			second.Add(now, j)
 			end(second, now)
 			for i := range 2 {
--- a/schedule/doubt_test.go
+++ b/schedule/doubt_test.go
@@ -21,7 +21,7 @@
 // and the other owners heard their instances all the time.
 
 // silenced returns a book of so many instances of which so many give no answer, as of now.
-func silenced(all, silent int) (*schedule.Book, []*schedule.Worker) {
+func silenced(all, silent int) (*schedule.Scheduler, []*schedule.Worker) {
 	b := newBook()
 	var incs []pointport.Incarnation
 	for n := range all {
@@ -126,8 +126,8 @@
 			hear(b, start, all...)
 			b.Add(start, job("a", policy, step(1, 100, change)))
 			first := orders(b, start)[0]
-			first.Worker.Until(start, settings.Lease)
-			b.Answered(first, start, 1, nil)
+			first.Worker.ExtendLease(start, settings.Lease)
+			b.OrderAnswered(first, start, 1, nil)
 			silent := []*schedule.Worker{first.Worker}
 			for _, w := range b.Workers() {
 				if w != first.Worker && len(silent) < 8 {
--- a/schedule/gang.go
+++ b/schedule/gang.go
@@ -27,7 +27,7 @@
 }
 
 // otherMembers returns the runs of the other members of a run's gang, by index.
-func (b *Book) otherMembers(r *Run) []*Run {
+func (b *Scheduler) otherMembers(r *Run) []*Run {
 	var out []*Run
 	for ref, other := range r.entry.runs {
 		if other != r && ref.Occurrence == r.ref.Occurrence && ref.Step == r.ref.Step {
@@ -39,16 +39,16 @@
 }
 
 // stopRestOfGang stops the other members of a run's gang because the run has ended or never started.
-func (b *Book) stopRestOfGang(now time.Time, r *Run, reason string) {
+func (b *Scheduler) stopRestOfGang(now time.Time, r *Run, reason string) {
 	for _, member := range b.otherMembers(r) {
 		b.stop(now, member, reason)
 	}
 }
 
 // gangDone handles the successful end of a gang: the end of one member counts for all.
-func (b *Book) gangDone(now time.Time, r *Run) {
+func (b *Scheduler) gangDone(now time.Time, r *Run) {
 	for _, member := range b.otherMembers(r) {
-		b.forget(now, member)
+		b.removeRun(now, member)
 	}
 	for i := range r.entry.job.Spec().Steps[r.ref.Step].Count {
 		ref := r.ref
@@ -57,13 +57,13 @@
 			r.entry.job.Finish(ref)
 		}
 	}
-	b.touch(r.entry, true)
-	b.settleJob(now, r.entry)
+	b.markDirty(r.entry, true)
+	b.endJobIfDone(now, r.entry)
 }
 
 // expireGangs gives up gangs whose members do not all start in time, before the members have waited
 // in vain.
-func (b *Book) expireGangs(now time.Time) {
+func (b *Scheduler) expireGangs(now time.Time) {
 	for g := range b.gangs {
 		gathered, first := 0, (*Run)(nil)
 		for ref, r := range g.entry.runs {
@@ -89,7 +89,7 @@
 }
 
 // placeGang places all tasks of a gang, or none. It reports whether it placed them.
-func (p *placement) placeGang(tasks []waiting) bool {
+func (p *placement) placeGang(tasks []waitingTask) bool {
 	step := tasks[0].step
 	for _, workers := range p.gangSets(step) {
 		chosen := p.fitGang(tasks, workers)
@@ -134,7 +134,7 @@
 }
 
 // fitGang returns a worker for each task of a gang, or nil if they do not all fit.
-func (p *placement) fitGang(tasks []waiting, workers []*Worker) []*Worker {
+func (p *placement) fitGang(tasks []waitingTask, workers []*Worker) []*Worker {
 	step := tasks[0].step
 	need := step.Reservation()
 	taken := make(map[*Worker]int)
@@ -162,7 +162,7 @@
 
 // holds reports whether a worker has free resources for a task in addition to more others of its
 // gang.
-func (p *placement) holds(w *Worker, t waiting, need pointport.Shape, more int) bool {
+func (p *placement) holds(w *Worker, t waitingTask, need pointport.Shape, more int) bool {
 	free := w.free
 	for range more {
 		free = free.Minus(need)
@@ -175,7 +175,7 @@
 
 // reserveGang excludes as many workers from placement as a gang needs, because smaller tasks would
 // otherwise always take the resources that become free. It does so for one gang at a time.
-func (p *placement) reserveGang(tasks []waiting) {
+func (p *placement) reserveGang(tasks []waitingTask) {
 	if p.gangWaits {
 		return
 	}
--- a/schedule/health.go
+++ b/schedule/health.go
@@ -61,8 +61,8 @@
 
 // failedRecentlyOn reports whether a task should not be placed on a worker because it, or another
 // member of its gang, has just failed there.
-func (b *Book) failedRecentlyOn(t waiting, w *Worker, now time.Time) bool {
-	if len(t.entry.wary) == 0 {
+func (b *Scheduler) failedRecentlyOn(t waitingTask, w *Worker, now time.Time) bool {
+	if len(t.entry.avoidUntil) == 0 {
 		return false
 	}
 	if !t.step.Gang {
@@ -79,7 +79,7 @@
 }
 
 func (e *entry) avoids(ref workload.TaskRef, on pointport.IncarnationID, now time.Time) bool {
-	until, ok := e.wary[ref]
+	until, ok := e.avoidUntil[ref]
 	if !ok {
 		return false
 	}
@@ -90,8 +90,8 @@
 // avoidFailedWorker keeps a task that has failed off the worker on which it failed, for
 // retryElsewhere.
 func (e *entry) avoidFailedWorker(ref workload.TaskRef, now time.Time) {
-	if e.wary == nil {
-		e.wary = make(map[workload.TaskRef]time.Time)
+	if e.avoidUntil == nil {
+		e.avoidUntil = make(map[workload.TaskRef]time.Time)
 	}
-	e.wary[ref] = now.Add(retryElsewhere)
+	e.avoidUntil[ref] = now.Add(retryElsewhere)
 }
--- a/schedule/isolation.go
+++ b/schedule/isolation.go
@@ -57,7 +57,7 @@
 }
 
 // updateReachability reviews the suspicion after the registered instances have been counted.
-func (b *Book) updateReachability(now time.Time, t tally) {
+func (b *Scheduler) updateReachability(now time.Time, t tally) {
 	b.hearing.silentShare = t.silentShare()
 	suspects := b.shouldSuspect(now, t.silent)
 	if suspects == b.SuspectsIsolation() {
@@ -72,7 +72,7 @@
 
 // shouldSuspect reports whether an owner with this many silent instances has reason to suspect
 // isolation, or to continue to.
-func (b *Book) shouldSuspect(now time.Time, silent int) bool {
+func (b *Scheduler) shouldSuspect(now time.Time, silent int) bool {
 	h := &b.hearing
 	if b.SuspectsIsolation() {
 		return silent >= isolationMinSilent && h.silentShare >= recoveryShare
@@ -91,11 +91,11 @@
 // itself isolated. While it does, no run on a registered instance expires, and few starts should be
 // in flight: they would compete with polls for bandwidth and processor time, and most would get no
 // answer.
-func (b *Book) SuspectsIsolation() bool { return !b.hearing.suspectedSince.IsZero() }
+func (b *Scheduler) SuspectsIsolation() bool { return !b.hearing.suspectedSince.IsZero() }
 
 // IsolationSuspectedFor returns for how long the owner has suspected isolation, zero while it does
 // not.
-func (b *Book) IsolationSuspectedFor(now time.Time) time.Duration {
+func (b *Scheduler) IsolationSuspectedFor(now time.Time) time.Duration {
 	if !b.SuspectsIsolation() {
 		return 0
 	}
--- a/schedule/late_end_test.go
+++ b/schedule/late_end_test.go
@@ -14,7 +14,7 @@
 // cutOffGang returns a book whose two instances ran a gang, and were cut off with their
 // registrations until everything there had ended: the gang waits again. It returns the starts
 // that were carried out.
-func cutOffGang(t *testing.T) (*schedule.Book, []schedule.Order, time.Time) {
+func cutOffGang(t *testing.T) (*schedule.Scheduler, []schedule.Order, time.Time) {
 	t.Helper()
 	b := newBook()
 	both := []pointport.Incarnation{incarnation(0), incarnation(1)}
@@ -26,8 +26,8 @@
 	}
 	for _, o := range sent {
 		b.MarkSending(o)
-		o.Worker.Until(start, settings.Lease)
-		b.Answered(o, start, 1, nil)
+		o.Worker.ExtendLease(start, settings.Lease)
+		b.OrderAnswered(o, start, 1, nil)
 	}
 	now := start
 	for range 50 { // well beyond the lease
@@ -37,7 +37,7 @@
 			b.PollFailed(o.Worker, now, silence)
 		}
 		for _, o := range orders(b, now) {
-			b.Answered(o, now, 0, silence)
+			b.OrderAnswered(o, now, 0, silence)
 		}
 	}
 	b.SetIncarnations(now, both)
@@ -88,7 +88,7 @@
 	}
 	for _, o := range again {
 		b.MarkSending(o)
-		b.Answered(o, now, 1, nil)
+		b.OrderAnswered(o, now, 1, nil)
 	}
 	now = now.Add(time.Second)
 	late := again[0].Worker
@@ -135,7 +135,7 @@
 }
 
 // emptyOf reports whether an instance may be ordered away.
-func emptyOf(t *testing.T, b *schedule.Book, now time.Time, id pointport.IncarnationID) bool {
+func emptyOf(t *testing.T, b *schedule.Scheduler, now time.Time, id pointport.IncarnationID) bool {
 	t.Helper()
 	for _, l := range b.Survey(now, schedule.SurveyRequest{}).Instances {
 		if l.Incarnation == id {
--- a/schedule/later_incarnation.go
+++ b/schedule/later_incarnation.go
@@ -31,7 +31,7 @@
 
 // mayBeOnLater reports whether a later incarnation of the addressee may have the run, or may still
 // accept an unanswered start of it.
-func (r *Run) mayBeOnLater() bool { return r.mayHaveBegun() && (!r.listed || r.underWay()) }
+func (r *Run) mayBeOnLater() bool { return r.mayHaveBegun() && (!r.listed || r.startInFlight()) }
 
 // uncertain reports whether a later incarnation may have the run, because the addressee of its
 // worker can be shared.
@@ -44,14 +44,14 @@
 }
 
 // replaced handles an answer that came from another incarnation than the worker's.
-func (b *Book) replaced(w *Worker, now time.Time, gone *pointport.GoneError) {
+func (b *Scheduler) replaced(w *Worker, now time.Time, gone *pointport.GoneError) {
 	b.workerEnded(w, now, "another incarnation answered", b.laterIncarnation(w, now, gone.By))
 }
 
 // laterIncarnation returns the worker for id, the incarnation that answered in place of w, or nil if
 // the answer came from another addressee. The incarnation may not be registered yet; until it is, it
 // is polled at the address at which it answered.
-func (b *Book) laterIncarnation(w *Worker, now time.Time, id pointport.IncarnationID) *Worker {
+func (b *Scheduler) laterIncarnation(w *Worker, now time.Time, id pointport.IncarnationID) *Worker {
 	if id == "" {
 		return nil
 	}
@@ -62,14 +62,14 @@
 	if later.inc.Address() == "" {
 		later.inc = pointport.NewIncarnation(id, w.inc.Pool(), w.inc.Address(), pointport.WithInstance(w.inc.Instance()),
 			pointport.WithZone(w.inc.Zone()), pointport.WithRack(w.inc.Rack()), pointport.WithLabels(w.inc.Labels()))
-		b.looks[later] = struct{}{}
+		b.pollNow[later] = struct{}{}
 	}
 	return later
 }
 
 // presentIncarnation returns the incarnation of a worker's addressee that was seen last, has an
 // address and has not ended; nil if none is known.
-func (b *Book) presentIncarnation(w *Worker) *Worker {
+func (b *Scheduler) presentIncarnation(w *Worker) *Worker {
 	var present *Worker
 	for _, o := range b.workers {
 		if o.sharesAddressee(w) && !o.ended && o.inc.Address() != "" && (present == nil || o.lastKnown().After(present.lastKnown())) {
@@ -80,7 +80,7 @@
 }
 
 // anotherRegistered reports whether another incarnation of a worker's addressee is registered.
-func (b *Book) anotherRegistered(w *Worker) bool {
+func (b *Scheduler) anotherRegistered(w *Worker) bool {
 	for _, o := range b.workers {
 		if o.sharesAddressee(w) && o.listed && !o.ended {
 			return true
@@ -91,7 +91,7 @@
 
 // moveToLater moves the runs of a worker that has ended to later, if later may have them or may
 // still accept their starts.
-func (b *Book) moveToLater(now time.Time, former, later *Worker, cause endCause) {
+func (b *Scheduler) moveToLater(now time.Time, former, later *Worker, cause endCause) {
 	died := former.begunRuns()
 	for _, r := range died {
 		if !r.mayBeOnLater() || later.runs[r.name] != nil {
@@ -101,19 +101,19 @@
 			r.uncertainty = &uncertainty{cause, crashCase(died, r, former), len(died) - 1}
 		}
 		suspected, quarantined := r.suspected, r.quarantined
-		former.drop(r) // counts it like any other run until its suspicion is set again below
+		former.removeRun(r) // counts it like any other run until its suspicion is set again below
 		r.worker, r.listed, r.suspected, r.quarantined = later, false, suspected, quarantined
-		later.take(r)
-		delete(later.burns, r.TaskRun())
-		if r.state == runSettling {
+		later.addRun(r)
+		delete(later.startsToRuleOut, r.TaskRun())
+		if r.state == runAwaitingReport {
 			r.state = runSent // the incarnation that ruled it out may be the one that has ended
 			r.stopAgainAt = now
 		}
-		r.againAt = time.Time{} // its start may only be sent again if the run is placed on this worker
+		r.resendAt = time.Time{} // its start may only be sent again if the run is placed on this worker
 		event.RunFollows.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number), slog.String("incarnation", string(former.inc.ID())),
 			slog.String("later", string(later.inc.ID())), slog.Int("unanswered", r.unanswered), slog.Duration("sinceSeen", r.sinceSeen(now)))
 	}
-	b.looks[later] = struct{}{}
+	b.pollNow[later] = struct{}{}
 }
 
 // maxOrderDelay bounds how long an order may be in flight, and be delayed by the incarnation that it
@@ -123,30 +123,30 @@
 // misdirectedUntil returns until when a later incarnation may run tasks, or extend what it runs, by
 // an order that was sent at sent and meant for an earlier incarnation. An instance grants at most
 // MaxHold.
-func (b *Book) misdirectedUntil(sent time.Time) time.Time {
+func (b *Scheduler) misdirectedUntil(sent time.Time) time.Time {
 	return sent.Add(maxOrderDelay + time.Duration(float64(b.settings.MaxHold)*slowClock) + lapseSlack)
 }
 
 // executionExpiry returns when everything whose start was sent to the worker has certainly ended if
 // no further answer comes, including what a later incarnation may have accepted.
-func (b *Book) executionExpiry(w *Worker) time.Time {
+func (b *Scheduler) executionExpiry(w *Worker) time.Time {
 	if !w.anyUncertain() {
-		return w.life.expiry()
+		return w.lease.expiry()
 	}
-	return latest(w.life.expiry(), b.misdirectedUntil(w.life.lastExtension))
+	return latest(w.lease.expiry(), b.misdirectedUntil(w.lease.lastExtension))
 }
 
 // noteMisdirected records until when orders to a worker that has ended may extend what later
 // incarnations of its addressee run.
-func (b *Book) noteMisdirected(w *Worker) {
+func (b *Scheduler) noteMisdirected(w *Worker) {
 	if !w.inc.ID().Shares() {
 		return
 	}
-	to, until := w.inc.ID().Addressee(), b.misdirectedUntil(w.life.lastExtension)
+	to, until := w.inc.ID().Addressee(), b.misdirectedUntil(w.lease.lastExtension)
 	b.foreign[to] = latest(b.foreign[to], until)
 	for _, o := range b.workers {
 		if o.sharesAddressee(w) {
-			o.life.misdirectedUntil = latest(o.life.misdirectedUntil, until)
+			o.lease.misdirectedUntil = latest(o.lease.misdirectedUntil, until)
 		}
 	}
 }
@@ -167,7 +167,7 @@
 // notListedByLater handles an answer, to a poll sent at sent, in which the incarnation to which a
 // run was moved does not list it. It reports whether the run has ended. A start that may still be in
 // flight is ruled out by a stop first.
-func (b *Book) notListedByLater(now, sent time.Time, r *Run) bool {
+func (b *Scheduler) notListedByLater(now, sent time.Time, r *Run) bool {
 	if r.state == runLive && r.unanswered == 0 {
 		return sent.After(r.liveAt)
 	}
@@ -177,7 +177,7 @@
 
 // recordEarlierLoss counts the end of the earlier incarnation against a run that was moved to a
 // later one and is not there.
-func (b *Book) recordEarlierLoss(now time.Time, r *Run) {
+func (b *Scheduler) recordEarlierLoss(now time.Time, r *Run) {
 	u := r.uncertainty
 	r.uncertainty = nil
 	if u.cause != causeCrashed {
@@ -189,21 +189,21 @@
 
 // rememberStart records that a start may still be in flight to a later incarnation of a worker
 // although the run is no longer wanted.
-func (b *Book) rememberStart(now time.Time, w *Worker, run pointport.TaskRun) {
+func (b *Scheduler) rememberStart(now time.Time, w *Worker, run pointport.TaskRun) {
 	if !w.inc.ID().Shares() {
 		return
 	}
 	to := w.inc.ID().Addressee()
-	if b.underWay[to] == nil {
-		b.underWay[to] = make(map[pointport.TaskRun]time.Time)
+	if b.startsInFlight[to] == nil {
+		b.startsInFlight[to] = make(map[pointport.TaskRun]time.Time)
 	}
-	b.underWay[to][run] = now
+	b.startsInFlight[to][run] = now
 }
 
 // startsToRuleOut returns the starts that an incarnation which is new to the owner must rule out
 // first.
-func (b *Book) startsToRuleOut(id pointport.IncarnationID) map[pointport.TaskRun]bool {
-	all := b.underWay[id.Addressee()]
+func (b *Scheduler) startsToRuleOut(id pointport.IncarnationID) map[pointport.TaskRun]bool {
+	all := b.startsInFlight[id.Addressee()]
 	if len(all) == 0 {
 		return nil
 	}
@@ -215,20 +215,20 @@
 }
 
 // forgetOrders removes the records of orders that can no longer be in flight.
-func (b *Book) forgetOrders(now time.Time) {
+func (b *Scheduler) forgetOrders(now time.Time) {
 	for to, until := range b.foreign {
 		if now.After(until) {
 			delete(b.foreign, to)
 		}
 	}
-	for to, all := range b.underWay {
+	for to, all := range b.startsInFlight {
 		for run, at := range all {
 			if now.Sub(at) > ruleOutRetention {
 				delete(all, run)
 			}
 		}
 		if len(all) == 0 {
-			delete(b.underWay, to)
+			delete(b.startsInFlight, to)
 		}
 	}
 }
--- a/schedule/preempt.go
+++ b/schedule/preempt.go
@@ -22,7 +22,7 @@
 
 // preempt frees resources for a task by stopping others of lower priority on the worker where that
 // loses the least work.
-func (b *Book) preempt(now time.Time, t waiting, workers []*Worker) {
+func (b *Scheduler) preempt(now time.Time, t waitingTask, workers []*Worker) {
 	e := t.entry
 	if e.job.Policy().Priority != 0 || b.lowRuns == 0 {
 		return
@@ -34,7 +34,7 @@
 	var best []*Run
 	bestCost := time.Duration(0)
 	for _, w := range workers {
-		if !b.permits(t, w, now) || b.crowded(t, w) {
+		if !b.permits(t, w, now) || b.atStepLimit(t, w) {
 			continue
 		}
 		victims, cost := b.victims(now, w, t.step.Reservation())
@@ -51,7 +51,7 @@
 
 // victims returns the runs of lower priority that must stop on a worker to free the given resources,
 // and the work that is lost with them.
-func (b *Book) victims(now time.Time, w *Worker, need pointport.Shape) ([]*Run, time.Duration) {
+func (b *Scheduler) victims(now time.Time, w *Worker, need pointport.Shape) ([]*Run, time.Duration) {
 	free := w.free
 	var low []*Run
 	for _, r := range w.runs {
--- a/schedule/quarantine.go
+++ b/schedule/quarantine.go
@@ -55,7 +55,7 @@
 
 // keptApart reports whether a task may not be placed on a worker because it or a task there needs an
 // instance of its own, or because this instance has crashed under it.
-func (b *Book) keptApart(t waiting, w *Worker, now time.Time) bool {
+func (b *Scheduler) keptApart(t waitingTask, w *Worker, now time.Time) bool {
 	if w.quarantined > 0 && !w.holdsOnly(t) {
 		return true
 	}
@@ -69,11 +69,11 @@
 }
 
 // holdsOnly reports whether a worker holds nothing but other members of a task's gang.
-func (w *Worker) holdsOnly(t waiting) bool {
+func (w *Worker) holdsOnly(t waitingTask) bool {
 	if !t.step.Gang {
 		return len(w.runs) == 0
 	}
-	return len(w.runs) == w.steps[stepOf{t.entry, t.ref.Occurrence, t.ref.Step}]
+	return len(w.runs) == w.steps[stepRef{t.entry, t.ref.Occurrence, t.ref.Step}]
 }
 
 // lastCrash returns when an instance last crashed under a task or another of its gang.
@@ -91,7 +91,7 @@
 
 // neighboursToAvoid returns how many runs on a worker a task is better kept apart from: all of them
 // if an instance has crashed under the task, else those of tasks under which one has.
-func (e *entry) neighboursToAvoid(t waiting, w *Worker) int {
+func (e *entry) neighboursToAvoid(t waitingTask, w *Worker) int {
 	if len(e.crashed) > 0 && e.suspected(t.ref) {
 		return len(w.runs)
 	}
@@ -100,21 +100,21 @@
 
 // reviewSuspicion updates the suspicion against the task of a run that a report lists: the run may
 // have lasted long enough to show that the task does not crash instances.
-func (b *Book) reviewSuspicion(now time.Time, r *Run) {
+func (b *Scheduler) reviewSuspicion(now time.Time, r *Run) {
 	if len(r.entry.crashed) == 0 {
 		return
 	}
 	lasted := now.Sub(r.liveAt)
 	if t := r.task(); lasted >= quarantineFor && t != nil && t.Crashes > 0 && t.Settled != r.number {
 		t.Settled = r.number // stored for the next owner, which has not seen the run's start
-		b.touch(r.entry, false)
+		b.markDirty(r.entry, false)
 	}
 	if lasted >= r.apartFor {
 		r.worker.clearSuspicion(r)
 	}
 	if r.step().Service && lasted >= exoneratedAfter && r.progress >= atWork && r.entry.suspected(r.ref) {
 		r.entry.job.ResetCrashes(r.ref)
-		b.touch(r.entry, false)
+		b.markDirty(r.entry, false)
 	}
 }
 
--- a/schedule/quarantine_test.go
+++ b/schedule/quarantine_test.go
@@ -25,17 +25,17 @@
 }
 
 // answer carries out starts: each is answered and reported as running from now on.
-func answer(b *schedule.Book, all []schedule.Order, now time.Time) {
+func answer(b *schedule.Scheduler, all []schedule.Order, now time.Time) {
 	for _, o := range all {
 		if o.Kind == schedule.OrderStart {
 			b.MarkSending(o)
-			b.Answered(o, now, 1, nil)
+			b.OrderAnswered(o, now, 1, nil)
 		}
 	}
 }
 
 // report has a worker say at now that it runs what was started there, at some progress.
-func report(b *schedule.Book, all []schedule.Order, w *schedule.Worker, now time.Time, progress int) {
+func report(b *schedule.Scheduler, all []schedule.Order, w *schedule.Worker, now time.Time, progress int) {
 	r := pointport.Report{Clock: 1}
 	for _, o := range all {
 		if o.Kind == schedule.OrderStart && o.Worker == w {
@@ -160,10 +160,10 @@
 		for _, o := range orders(b, now) {
 			b.MarkSending(o)
 			if o.Kind == schedule.OrderStart {
-				o.Worker.Until(now, settings.Lease)
+				o.Worker.ExtendLease(now, settings.Lease)
 				starts[o.Worker.Endpoint().Incarnation] = true
 			}
-			b.Answered(o, now, 0, silence)
+			b.OrderAnswered(o, now, 0, silence)
 		}
 		for _, w := range b.Workers() {
 			if starts[w.Incarnation().ID()] {
--- a/schedule/registration.go
+++ b/schedule/registration.go
@@ -26,12 +26,12 @@
 
 // SetRegistryCoverage sets the interval in which the registrations that the scheduler was last given
 // could be read.
-func (b *Book) SetRegistryCoverage(s RegistryCoverage) { b.sight = s }
+func (b *Scheduler) SetRegistryCoverage(s RegistryCoverage) { b.sight = s }
 
 // gone reports whether a worker's registration has been removed for good: it has been missing for
 // longer than one that expired by mistake. Time in which the registrations could not be read does
 // not count, because the registration may have been there.
-func (b *Book) gone(w *Worker) bool {
+func (b *Scheduler) gone(w *Worker) bool {
 	if w.listed || w.unlistedSince.IsZero() || b.sight.Since.IsZero() {
 		return false
 	}
@@ -47,7 +47,7 @@
 
 // laterRegistered reports whether a later incarnation of a worker's instance is registered,
 // which is possible only once the earlier one has ended.
-func (b *Book) laterRegistered(w *Worker) bool {
+func (b *Scheduler) laterRegistered(w *Worker) bool {
 	id := w.inc.Instance()
 	if id == "" {
 		return false // its registration was never seen
@@ -61,7 +61,7 @@
 }
 
 // updateListed records which workers are registered.
-func (b *Book) updateListed(now time.Time, listed map[pointport.IncarnationID]bool) {
+func (b *Scheduler) updateListed(now time.Time, listed map[pointport.IncarnationID]bool) {
 	b.unlisted = b.unlisted[:0]
 	for id, w := range b.workers {
 		w.listed = listed[id]
--- a/schedule/relocate.go
+++ b/schedule/relocate.go
@@ -21,7 +21,7 @@
 // relocate stops serving tasks on workers that are being emptied, as far as their steps allow and
 // there are free resources for them elsewhere, where they are placed at once. Without free resources
 // they stay: emptying an instance later does less harm than an unavailable service.
-func (b *Book) relocate(now time.Time) {
+func (b *Scheduler) relocate(now time.Time) {
 	if now.Sub(b.taken) < takeoverPause {
 		return
 	}
@@ -38,7 +38,7 @@
 				h = b.newServingCapacity(now)
 				h.takeWaiting()
 			}
-			if !h.take(waiting{r.entry, r.ref, r.step()}) {
+			if !h.take(waitingTask{r.entry, r.ref, r.step()}) {
 				continue
 			}
 			event.ServingMoved.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
@@ -51,7 +51,7 @@
 // servingCapacity is the resources that workers have for serving tasks once the other tasks there
 // have ended. Resources that are promised to one task are not available to the next.
 type servingCapacity struct {
-	book     *Book
+	book     *Scheduler
 	now      time.Time
 	workers  []*Worker
 	left     map[*Worker]pointport.Shape
@@ -61,10 +61,10 @@
 // A stepOnWorker is a step on one worker.
 type stepOnWorker struct {
 	worker *Worker
-	step   stepOf
+	step   stepRef
 }
 
-func (b *Book) newServingCapacity(now time.Time) *servingCapacity {
+func (b *Scheduler) newServingCapacity(now time.Time) *servingCapacity {
 	h := &servingCapacity{
 		book: b, now: now, workers: b.usable(now),
 		left: make(map[*Worker]pointport.Shape), promised: make(map[stepOnWorker]int),
@@ -76,10 +76,10 @@
 }
 
 // take promises resources to a serving task. It returns false if no worker has enough.
-func (h *servingCapacity) take(t waiting) bool {
+func (h *servingCapacity) take(t waitingTask) bool {
 	need := t.step.Reservation()
 	for _, w := range h.workers {
-		at := stepOnWorker{w, stepOf{t.entry, t.ref.Occurrence, t.ref.Step}}
+		at := stepOnWorker{w, stepRef{t.entry, t.ref.Occurrence, t.ref.Step}}
 		if !h.left[w].Fits(need) || !h.book.permits(t, w, h.now) {
 			continue
 		}
@@ -94,9 +94,9 @@
 }
 
 // takeWaiting promises resources to the waiting serving tasks and returns those that fit nowhere.
-func (h *servingCapacity) takeWaiting() []waiting {
-	var unplaced []waiting
-	for e := range h.book.hungry {
+func (h *servingCapacity) takeWaiting() []waitingTask {
+	var unplaced []waitingTask
+	for e := range h.book.waitingJobs {
 		h.book.refresh(e)
 		for _, t := range e.ready {
 			if t.step.Service && !h.take(t) {
@@ -115,16 +115,16 @@
 
 // missingForServing returns how many more instances are needed for the serving tasks that wait, and
 // for those that are to move, and fit nowhere.
-func (b *Book) missingForServing(now time.Time) missing {
+func (b *Scheduler) missingForServing(now time.Time) missing {
 	h := b.newServingCapacity(now)
 	unplaced := h.takeWaiting()
-	var unmoved []waiting
+	var unmoved []waitingTask
 	for _, w := range b.workers {
 		if !w.evacuating || !w.closed(now) || w.ended {
 			continue
 		}
 		for _, r := range w.runs {
-			if t := (waiting{r.entry, r.ref, r.step()}); r.step().Service && !h.take(t) {
+			if t := (waitingTask{r.entry, r.ref, r.step()}); r.step().Service && !h.take(t) {
 				unmoved = append(unmoved, t)
 			}
 		}
@@ -136,14 +136,14 @@
 // addInstances adds empty instances until they hold all the given tasks and returns how many it added. Tasks
 // that need a label are left out, because instances are supplied for labels separately, and so are
 // tasks that fit on no instance.
-func (h *servingCapacity) addInstances(tasks []waiting) int {
+func (h *servingCapacity) addInstances(tasks []waitingTask) int {
 	capacity := h.book.largestInstance()
 	opened := 0
 	for _, t := range tasks {
 		if t.step.Label != "" || !capacity.Fits(t.step.Reservation()) || h.take(t) {
 			continue
 		}
-		w := &Worker{inc: pointport.NewIncarnation("", "", "", pointport.WithCapacity(capacity)), steps: make(map[stepOf]int)}
+		w := &Worker{inc: pointport.NewIncarnation("", "", "", pointport.WithCapacity(capacity)), steps: make(map[stepRef]int)}
 		h.workers, h.left[w] = append(h.workers, w), capacity
 		h.take(t)
 		opened++
@@ -153,7 +153,7 @@
 
 // largestInstance returns the largest amount of each resource that any known instance has; it is
 // zero until an instance is known.
-func (b *Book) largestInstance() pointport.Shape {
+func (b *Scheduler) largestInstance() pointport.Shape {
 	var most pointport.Shape
 	for _, w := range b.workers {
 		most = largest(most, w.inc.Capacity())
@@ -163,7 +163,7 @@
 
 // mayMiss reports whether a serving task may be stopped for a moment: the number of the step's other
 // tasks that are not serving is below what the step allows to be missing.
-func (b *Book) mayMiss(r *Run) bool {
+func (b *Scheduler) mayMiss(r *Run) bool {
 	o := r.entry.job.Occurrence(r.ref.Occurrence)
 	if o == nil {
 		return true
--- a/schedule/relocate_test.go
+++ b/schedule/relocate_test.go
@@ -22,11 +22,11 @@
 }
 
 // atWork has everything that was ordered to start run and serve.
-func atWork(b *schedule.Book, now time.Time, sent []schedule.Order) {
+func atWork(b *schedule.Scheduler, now time.Time, sent []schedule.Order) {
 	rows := make(map[*schedule.Worker][]pointport.RunningTask)
 	for _, o := range sent {
 		if o.Kind == schedule.OrderStart {
-			b.Answered(o, now, 1, nil)
+			b.OrderAnswered(o, now, 1, nil)
 			rows[o.Worker] = append(rows[o.Worker], pointport.RunningTask{TaskRun: o.TaskRun, Progress: 100})
 		}
 	}
@@ -71,10 +71,10 @@
 }
 
 // hearAll registers instances and has the new ones report that they run nothing.
-func hearAll(b *schedule.Book, now time.Time, all ...pointport.Incarnation) {
+func hearAll(b *schedule.Scheduler, now time.Time, all ...pointport.Incarnation) {
 	b.SetIncarnations(now, all)
 	for _, w := range b.Workers() {
-		if !w.Heard() {
+		if !w.HasAnswered() {
 			b.Report(w, now, now, pointport.Report{Clock: 1})
 		}
 	}
--- a/schedule/resize.go
+++ b/schedule/resize.go
@@ -12,7 +12,7 @@
 // resize records the capacity that an instance reports. What runs there continues even if it takes
 // more than the new capacity: the free capacity is then negative, so nothing fits until enough runs
 // have ended.
-func (b *Book) resize(w *Worker, capacity pointport.Shape) {
+func (b *Scheduler) resize(w *Worker, capacity pointport.Shape) {
 	before := w.inc.Capacity()
 	if capacity == before {
 		return
--- a/schedule/resize_test.go
+++ b/schedule/resize_test.go
@@ -20,7 +20,7 @@
 type roomSim struct {
 	t      *rapid.T
 	now    time.Time
-	book   *schedule.Book
+	book   *schedule.Scheduler
 	jobs   []*workload.Job
 	rooms  map[pointport.IncarnationID]pointport.Shape
 	runs   map[pointport.IncarnationID]map[pointport.TaskRun]pointport.Shape
@@ -55,7 +55,7 @@
 	for ; most > 0 && len(s.unsent) > 0; most-- {
 		o := s.unsent[0]
 		s.unsent = s.unsent[1:]
-		if s.book.Forgo(s.now, o) {
+		if s.book.SkipStart(s.now, o) {
 			continue
 		}
 		s.book.MarkSending(o)
@@ -64,10 +64,10 @@
 			s.carryOut(o)
 		}
 		if fate == "answered" {
-			s.book.Answered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
+			s.book.OrderAnswered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
 			continue
 		}
-		s.book.Answered(o, s.now, 0, &pointport.UnavailableError{Op: "order", Ambiguous: true})
+		s.book.OrderAnswered(o, s.now, 0, &pointport.UnavailableError{Op: "order", Ambiguous: true})
 	}
 }
 
@@ -126,7 +126,7 @@
 
 func (s *roomSim) takeOver() {
 	s.send(len(s.unsent))
-	next := schedule.NewBook(s.now, settings, slog.New(slog.DiscardHandler))
+	next := schedule.NewScheduler(s.now, settings, slog.New(slog.DiscardHandler))
 	for _, j := range s.jobs {
 		if status, known := s.book.Status(j.ID()); !known || status.Ended() {
 			continue
--- a/schedule/silence.go
+++ b/schedule/silence.go
@@ -14,7 +14,7 @@
 
 // PollFailed handles a poll of a worker that got no answer, or an answer that shows that the
 // incarnation has ended.
-func (b *Book) PollFailed(w *Worker, now time.Time, err error) {
+func (b *Scheduler) PollFailed(w *Worker, now time.Time, err error) {
 	b.checkFence(err)
 	if w.ended {
 		return // several polls may report the end, which is handled once
@@ -26,11 +26,11 @@
 	}
 	if !w.silent {
 		event.WorkerSilent.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
-			slog.Duration("expiresIn", w.life.expiry().Sub(now)), slog.Any("error", err))
+			slog.Duration("expiresIn", w.lease.expiry().Sub(now)), slog.Any("error", err))
 	}
-	w.fallSilent(now)
+	w.markSilent(now)
 	var rejected *pointport.RejectedError
-	w.refuses = errors.As(err, &rejected)
+	w.pollRefused = errors.As(err, &rejected)
 	if now.Sub(w.silentSince) > abandonAfter && b.hearing.fewAnswersSince.IsZero() {
 		b.abandon(now, w)
 	}
@@ -42,9 +42,9 @@
 
 // abandon requeues the tasks on a silent worker of which copies may run concurrently, so that they
 // need not wait until the worker's lease expires.
-func (b *Book) abandon(now time.Time, w *Worker) {
+func (b *Scheduler) abandon(now time.Time, w *Worker) {
 	for _, r := range w.runs {
-		if r.step().Copies && !r.step().Gang && r.state != runDecided && r.entry.runs[r.ref] == r && r.entry.mayAbandon(r.ref) {
+		if r.step().Copies && !r.step().Gang && r.state != runUnstored && r.entry.runs[r.ref] == r && r.entry.mayAbandon(r.ref) {
 			event.TaskReturned.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
 				slog.String("incarnation", string(w.inc.ID())), slog.String("reason", "its instance is silent, and a copy may run elsewhere"))
 			b.detach(r)
@@ -55,8 +55,8 @@
 				b.stop(now, r, "its task was given to another instance")
 			}
 			r.entry.job.Requeue(r.ref)
-			b.touch(r.entry, true)
-			b.settleJob(now, r.entry)
+			b.markDirty(r.entry, true)
+			b.endJobIfDone(now, r.entry)
 		}
 	}
 }
@@ -64,18 +64,18 @@
 // hasGivenUp reports whether a worker has a run of a task that was given up for a copy elsewhere and
 // whose fate is not known yet. A worker has at most one run of a task at a time, and the instance
 // would refuse another one.
-func (w *Worker) hasGivenUp(t waiting) bool {
+func (w *Worker) hasGivenUp(t waitingTask) bool {
 	return t.entry.abandoned[t.ref] > 0 && w.runs[workload.TaskName(t.entry.job.ID(), t.ref)] != nil
 }
 
-func (b *Book) checkFence(err error) {
+func (b *Scheduler) checkFence(err error) {
 	var rejected *pointport.RejectedError
 	if errors.As(err, &rejected) && rejected.Reason == pointport.RejectFence {
-		b.deposed = true
+		b.fenced = true
 	}
 }
 
-func (b *Book) dropAll(w *Worker, now time.Time, reason string) {
+func (b *Scheduler) dropAll(w *Worker, now time.Time, reason string) {
 	for _, r := range w.runs {
 		b.drop(now, r, reason)
 	}
@@ -96,7 +96,7 @@
 // instance answers nobody and keeps registering, its tasks wait without a time limit. The wait ends
 // when a later incarnation of the instance appears, when the platform reports that the incarnation
 // has ended, or when its registration ends.
-func (b *Book) expire(w *Worker, now time.Time) {
+func (b *Scheduler) expire(w *Worker, now time.Time) {
 	gone := b.gone(w)
 	var expired []*Run
 	for _, r := range w.runs {
@@ -111,10 +111,10 @@
 		return
 	}
 	event.WorkerExpired.Log(b.logger, slog.String("incarnation", string(w.inc.ID())), slog.Int("runs", len(expired)), slog.Int("unheard", len(w.runs)-len(expired)),
-		slog.Bool("gone", gone), slog.Duration("sinceHeard", w.life.sinceLastAnswer(now)))
+		slog.Bool("gone", gone), slog.Duration("sinceHeard", w.lease.sinceLastAnswer(now)))
 	for _, r := range expired {
-		w.burn(r)
-		w.unproven = append(w.unproven, r)
+		w.mustRuleOut(r)
+		w.expiredRuns = append(w.expiredRuns, r)
 	}
 	for _, r := range expired {
 		b.drop(now, r, "its instance was silent until its time was over")
@@ -138,30 +138,30 @@
 // flight. If it came back as an unknown worker, its lease would be extended and it would carry them
 // out.
 func (w *Worker) remembered(now time.Time) bool {
-	return len(w.burns) > 0 && !w.ended && now.Sub(w.life.expiry()) < ruleOutRetention
+	return len(w.startsToRuleOut) > 0 && !w.ended && now.Sub(w.lease.expiry()) < ruleOutRetention
 }
 
 // countUnproven counts the presumed crash of a worker that is gone against the tasks that were
 // there. A crash is not proven, and a zone that is cut off may come back: counting it against all
 // runs gave up a serving task, at work for 10 s each time, after two network partitions and one
 // crash. So it counts only against runs that had just started, which may have caused the silence.
-func (b *Book) countUnproven(now time.Time, w *Worker) {
+func (b *Scheduler) countUnproven(now time.Time, w *Worker) {
 	if !w.ended && w.endCause(now) == causeCrashed {
-		b.countCrashes(now, justStarted(w.unproven), justStarted(w.unproven), nil)
+		b.countCrashes(now, justStarted(w.expiredRuns), justStarted(w.expiredRuns), nil)
 	}
-	w.unproven = nil
+	w.expiredRuns = nil
 }
 
 // sweep drops the runs of workers that have been silent until their lease expired, and forgets
 // workers that are gone.
-func (b *Book) sweep(now time.Time) {
+func (b *Scheduler) sweep(now time.Time) {
 	var polled tally
 	for id, w := range b.workers {
 		polled.count(w)
-		if len(w.runs) > 0 && now.After(b.executionExpiry(w)) && (w.silent || !w.life.clockKnown()) {
+		if len(w.runs) > 0 && now.After(b.executionExpiry(w)) && (w.silent || !w.lease.clockKnown()) {
 			b.expire(w, now)
 		}
-		if len(w.runs) == 0 && !w.listed && (w.ended || now.After(w.life.expiry())) {
+		if len(w.runs) == 0 && !w.listed && (w.ended || now.After(w.lease.expiry())) {
 			b.countUnproven(now, w)
 			if !w.remembered(now) {
 				delete(b.workers, id)
@@ -170,9 +170,9 @@
 	}
 	b.forgetOrders(now)
 	b.updateReachability(now, polled)
-	for id, f := range b.over {
+	for id, f := range b.endedJobs {
 		if now.Sub(f.at) > b.settings.KeepEnded {
-			delete(b.over, id)
+			delete(b.endedJobs, id)
 		}
 	}
 }
--- a/schedule/stall.go
+++ b/schedule/stall.go
@@ -36,7 +36,7 @@
 )
 
 // stopStalledRuns stops the runs of a worker that would be done sooner elsewhere.
-func (b *Book) stopStalledRuns(now time.Time, w *Worker) {
+func (b *Scheduler) stopStalledRuns(now time.Time, w *Worker) {
 	for _, r := range w.runs {
 		if r.state != runLive || r.stopping || r.step().Service || r.step().Gang || r.progress >= wholePercent || r.pace < fullPace {
 			continue
@@ -72,7 +72,7 @@
 
 // tooSlow reports whether a run would be done sooner elsewhere, judged by the other runs of its
 // step.
-func (b *Book) tooSlow(r *Run) bool {
+func (b *Scheduler) tooSlow(r *Run) bool {
 	if r.age() < slowMinAge || r.progress <= r.from {
 		return false
 	}
@@ -129,7 +129,7 @@
 
 // slowness returns the mean ratio of the durations of the runs on a worker to those elsewhere, zero
 // if there are too few runs to tell.
-func (b *Book) slowness(w *Worker) float64 {
+func (b *Scheduler) slowness(w *Worker) float64 {
 	sum, n := 0.0, 0
 	for _, r := range w.runs {
 		if r.state != runLive || r.step().Service || !r.measured() {
@@ -149,8 +149,8 @@
 
 // peerDuration returns how long the other tasks of a run's step take: those that are done or, if
 // there are none, those that run on other instances. It returns zero if neither can be measured.
-func (b *Book) peerDuration(r *Run) time.Duration {
-	if took := r.entry.took[stepKey{r.ref.Occurrence, r.ref.Step}]; took.n > 0 {
+func (b *Scheduler) peerDuration(r *Run) time.Duration {
+	if took := r.entry.durations[stepKey{r.ref.Occurrence, r.ref.Step}]; took.n > 0 {
 		return took.mean()
 	}
 	var sum time.Duration
@@ -169,14 +169,14 @@
 }
 
 // remaining returns the expected remaining time of a run.
-func (b *Book) remaining(now time.Time, r *Run) time.Duration {
+func (b *Scheduler) remaining(now time.Time, r *Run) time.Duration {
 	age := now.Sub(r.liveAt)
 	if r.measured() {
 		left := r.total() * time.Duration(wholePercent-r.progress) / wholePercent
 		return max(0, left-now.Sub(r.movedAt))
 	}
-	expected := b.learned.duration(r.entry.job.Queue(), r.step())
-	if took := r.entry.took[stepKey{r.ref.Occurrence, r.ref.Step}]; took.n > 0 {
+	expected := b.estimates.duration(r.entry.job.Queue(), r.step())
+	if took := r.entry.durations[stepKey{r.ref.Occurrence, r.ref.Step}]; took.n > 0 {
 		expected = took.mean()
 	}
 	return max(0, expected-age)
@@ -192,9 +192,9 @@
 
 // addDuration records the duration of a finished task of a step.
 func (e *entry) addDuration(key stepKey, d time.Duration) {
-	if e.took == nil {
-		e.took = make(map[stepKey]stepDurations)
+	if e.durations == nil {
+		e.durations = make(map[stepKey]stepDurations)
 	}
-	t := e.took[key]
-	e.took[key] = stepDurations{t.n + 1, t.sum + d}
+	t := e.durations[key]
+	e.durations[key] = stepDurations{t.n + 1, t.sum + d}
 }
--- a/schedule/survey.go
+++ b/schedule/survey.go
@@ -106,7 +106,7 @@
 const closureTime = 2 * time.Second
 
 // Survey applies a request and returns the state of the pool.
-func (b *Book) Survey(now time.Time, req SurveyRequest) Survey {
+func (b *Scheduler) Survey(now time.Time, req SurveyRequest) Survey {
 	for _, end := range req.Ordered {
 		b.noteOrderedEnd(now, end)
 	}
@@ -119,8 +119,8 @@
 		b.soon[id] = true
 	}
 	var s Survey
-	afford := b.afford()
-	for e := range b.hungry {
+	afford := b.capFilter()
+	for e := range b.waitingJobs {
 		b.refresh(e)
 		for _, t := range e.ready {
 			if !afford(t) {
@@ -128,7 +128,7 @@
 			}
 			need := t.step.Reservation()
 			s.Waiting = s.Waiting.Plus(need)
-			if e.standing.class == classLate {
+			if e.rank.class == classLate {
 				s.WaitingLate = s.WaitingLate.Plus(need)
 			}
 			if label := t.step.Label; label != "" {
@@ -166,16 +166,16 @@
 
 // spread returns how many more instances are needed for waiting tasks that no worker can hold
 // because of their step's limit of tasks on one instance, recent failures or crashes.
-func (b *Book) spread(now time.Time) int {
+func (b *Scheduler) spread(now time.Time) int {
 	type group struct {
 		entry   *entry
 		k, step int
 	}
 	crowded := make(map[group]int)
 	workers := b.usable(now)
-	for e := range b.hungry {
+	for e := range b.waitingJobs {
 		for _, t := range e.ready {
-			if e.account.affords(t.step.Need) && (t.step.MaxPerInstance > 0 || len(e.wary) > 0 || len(e.crashed) > 0) && b.bestOf(now, t, workers) == nil {
+			if e.account.withinCap(t.step.Need) && (t.step.MaxPerInstance > 0 || len(e.avoidUntil) > 0 || len(e.crashed) > 0) && b.bestWorker(now, t, workers) == nil {
 				crowded[group{t.entry, t.ref.Occurrence, t.ref.Step}]++
 			}
 		}
@@ -195,16 +195,16 @@
 	}
 }
 
-func (b *Book) loadOf(now time.Time, w *Worker) InstanceLoad {
+func (b *Scheduler) loadOf(now time.Time, w *Worker) InstanceLoad {
 	return InstanceLoad{
 		Instance: w.inc.Instance(), Incarnation: w.inc.ID(), Runs: len(w.runs), Serving: w.serving,
-		Closed: w.closed(now), Silent: w.silent || !w.life.clockKnown(), Avoided: w.health.avoided(now),
+		Closed: w.closed(now), Silent: w.silent || !w.lease.clockKnown(), Avoided: w.health.avoided(now),
 		Leaving: w.inc.Draining(), Capacity: w.inc.Capacity(), Known: now.Sub(w.since), Unstored: w.unstored > 0,
 	}
 }
 
 // close sets which instances are closed.
-func (b *Book) close(now time.Time, closures []Closure) {
+func (b *Scheduler) close(now time.Time, closures []Closure) {
 	asked := make(map[pointport.InstanceID]Closure, len(closures))
 	for _, c := range closures {
 		asked[c.Instance] = c
@@ -224,7 +224,7 @@
 
 // need returns the resources that the pool's tasks take or wait for, or those expected from the rate
 // of arrivals and the serving tasks, whichever is more of each resource.
-func (b *Book) need(now time.Time, waiting pointport.Shape) pointport.Shape {
+func (b *Scheduler) need(now time.Time, waiting pointport.Shape) pointport.Shape {
 	sum := waiting
 	for _, w := range b.workers {
 		for _, r := range w.runs {
@@ -240,11 +240,11 @@
 
 // lateReservations returns the resources taken by tasks of jobs that were unlikely to end in time when tasks
 // of theirs were last placed.
-func (b *Book) lateReservations() pointport.Shape {
+func (b *Scheduler) lateReservations() pointport.Shape {
 	var sum pointport.Shape
 	for _, w := range b.workers {
 		for _, r := range w.runs {
-			if r.entry.standing.class == classLate {
+			if r.entry.rank.class == classLate {
 				sum = sum.Plus(r.step().Reservation())
 			}
 		}
@@ -253,7 +253,7 @@
 }
 
 // servingReservations returns the resources that serving tasks take.
-func (b *Book) servingReservations() pointport.Shape {
+func (b *Scheduler) servingReservations() pointport.Shape {
 	var sum pointport.Shape
 	for _, w := range b.workers {
 		for _, r := range w.runs {
--- a/shard/ask.go
+++ b/shard/ask.go
@@ -40,7 +40,7 @@
 	}
 	l.asking = true
 	// It acknowledges nothing: what goes through a peer may be late.
-	order := pointport.HoldOrder{Fence: o.own.Fence, Until: w.Until(now, o.lease), Patience: o.book.Patience(w)}
+	order := pointport.HoldOrder{Fence: o.own.Fence, Until: w.ExtendLease(now, o.lease), Patience: o.book.ExtraPollTimeout(w)}
 	go func() {
 		report, err := o.delegates.Hold(ctx, at, order)
 		o.do(func(done time.Time) {
--- a/shard/owner.go
+++ b/shard/owner.go
@@ -131,7 +131,7 @@
 	err   error
 
 	// What follows belongs to the loop.
-	book   *schedule.Book
+	book   *schedule.Scheduler
 	loaded pointport.Revision // as of which the pool's open jobs were read
 	// unreadable holds the jobs whose stored progress cannot be read.
 	unreadable map[string]bool
@@ -248,7 +248,7 @@
 			return ctx.Err()
 		}
 		moved = o.see(moved)
-		if o.book.Deposed() {
+		if o.book.Fenced() {
 			return member.ErrLost
 		}
 		wake = o.clock.After(o.turn(ctx))
@@ -317,7 +317,7 @@
 	o.planned = now
 	o.evacuate()
 	if o.own.Proven() {
-		o.book.LimitUnsent(o.unsentMost())
+		o.book.LimitUnstoredStarts(o.unsentMost())
 		o.applyCaps(ctx)
 		o.book.Plan(now)
 		o.reckonExcess(now)
