--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -241,8 +241,8 @@
 	return true
 }
 
-// countCrash counts the crash of an instance against the task of a run there; otherRuns is the number
-// of other runs there.
+// countCrash counts the crash of an instance against the task of a run there; otherRuns is the
+// number of other runs there.
 func (b *Scheduler) countCrash(now time.Time, r *Run, how workload.CrashCase, otherRuns int) {
 	e, t := r.entry, r.task()
 	if t == nil || t.Phase == workload.Done || e.ended != "" || e.job.Stopping() {
--- a/schedule/relocate.go
+++ b/schedule/relocate.go
@@ -133,9 +133,9 @@
 	return missing{waiting: h.addInstances(unplaced), moving: h.addInstances(unmoved)}
 }
 
-// addInstances adds empty instances until they hold all the given tasks and returns how many it added. Tasks
-// that need a label are left out, because instances are supplied for labels separately, and so are
-// tasks that fit on no instance.
+// addInstances adds empty instances until they hold all the given tasks and returns how many it
+// added. Tasks that need a label are left out, because instances are supplied for labels separately,
+// and so are tasks that fit on no instance.
 func (h *servingCapacity) addInstances(tasks []waitingTask) int {
 	capacity := h.book.largestInstance()
 	opened := 0
--- a/schedule/stall.go
+++ b/schedule/stall.go
@@ -61,8 +61,8 @@
 // stuck reports whether a run has stopped making progress.
 func (r *Run) stuck() bool { return r.unchanged() > stuckAfter }
 
-// unchanged returns for how long a run has shown the same progress, by its instance's clock: the
-// time at which an owner that lags handles a report does not tell anything about the run.
+// unchanged returns for how long a run has shown the same progress, by its instance's clock: an
+// owner that lags handles reports late, at times that do not reflect the run's progress.
 func (r *Run) unchanged() time.Duration {
 	if r.movedAt.IsZero() {
 		return 0
--- a/schedule/survey.go
+++ b/schedule/survey.go
@@ -49,7 +49,7 @@
 	Need pointport.Shape `json:"need"`
 	// Arrived reports that the pool has had work that ends, so that Need reflects its load.
 	Arrived bool `json:"arrived,omitempty"`
-	// Waiting is the resources that tasks need that are ready to start.
+	// Waiting is the resources that tasks need which are ready to start.
 	Waiting pointport.Shape `json:"waiting"`
 	// Late is the part of Need, and WaitingLate the part of Waiting, that belongs to jobs that are
 	// unlikely to end in time.
@@ -99,7 +99,7 @@
 // Empty reports whether the instance may be removed without loss: nothing runs there, and all ends
 // that it has reported are stored. Without the second condition, on days with three outages of the
 // store, finished tasks ran again after their instance was maintained and their owner had lost the
-// pool: 4 to 38 tasks in five of 19 runs, and in none of ten with it.
+// pool: 4 to 38 tasks in five of 19 simulations, and in none of ten with it.
 func (l *InstanceLoad) Empty() bool { return l.Runs == 0 && !l.Unstored }
 
 // closureTime is how long a closure holds unless it is requested again.
@@ -238,8 +238,8 @@
 	return largest(sum, coming)
 }
 
-// lateReservations returns the resources taken by tasks of jobs that were unlikely to end in time when tasks
-// of theirs were last placed.
+// lateReservations returns the resources taken by tasks of jobs that were unlikely to end in time
+// when tasks of theirs were last placed.
 func (b *Scheduler) lateReservations() pointport.Shape {
 	var sum pointport.Shape
 	for _, w := range b.workers {
