--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -129,7 +129,7 @@
 }
 
 // workerEnded handles the end of an incarnation. The runs there have died, except those that may be
-// on later, the next incarnation of the same addressee; later is nil if none is known.
+// on later, a later incarnation of the same addressee; later is nil if none is known.
 func (b *Scheduler) workerEnded(w *Worker, now time.Time, why string, later *Worker) {
 	cause, there := w.endCause(now), w.begunRuns()
 	if later != nil {
