--- a/evaluate/simulation.go
+++ b/evaluate/simulation.go
@@ -159,12 +159,12 @@
 func (sim *Simulation) input() assign.Input {
 	in := assign.Input{
 		Now: sim.now, Zone: zone, Zones: []pointport.ZoneID{zone}, State: sim.state, Templates: sim.templates, Waves: sim.waves,
-		Quiet: make(map[pointport.InstanceID]time.Duration), Share: share,
+		IdleFor: make(map[pointport.InstanceID]time.Duration), Share: share,
 	}
 	for _, m := range sim.machines {
 		in.Listed = append(in.Listed, m.info)
 		if !m.quietSince.IsZero() {
-			in.Quiet[m.info.ID] = sim.now.Sub(m.quietSince)
+			in.IdleFor[m.info.ID] = sim.now.Sub(m.quietSince)
 		}
 	}
 	return in
