--- a/shard/load.go
+++ b/shard/load.go
@@ -173,7 +173,7 @@
 // seen reports whether the book has a job that a caller may know of.
 func (o *Owner) seen(id string, by customer.Caller) bool {
 	owner, known := o.book.CustomerOf(id)
-	return known && by.Sees(owner)
+	return known && by.CanAccess(owner)
 }
 
 // Status returns what the owner knows of a job; false if it knows nothing, or the job is
