--- a/steward/steward.go
+++ b/steward/steward.go
@@ -137,7 +137,7 @@
 	loggedEnded map[string]map[pointport.IncarnationID]bool
 }
 
-var _ member.Tenant = (*Steward)(nil)
+var _ member.Controller = (*Steward)(nil)
 
 // Start returns a steward that runs until ctx ends, Stop is called or another member has
 // become the steward.
