--- a/shard/load.go
+++ b/shard/load.go
@@ -125,7 +125,7 @@
 	take := func(entries []pointport.Entry) {
 		o.do(func(time.Time) { o.take(entries, nil) })
 	}
-	member.Follow(ctx, o.kv, o.clock, workload.OpenPrefix(o.own.Pool), take, take, member.From(at), member.Rest(openRest))
+	member.Follow(ctx, o.kv, o.clock, workload.OpenPrefix(o.own.Pool), take, take, member.FromRevision(at), member.PauseAfterChange(openRest))
 }
 
 // Submitted tells the owner of a job that was accepted at a revision; accepted
