--- a/shard/owner.go
+++ b/shard/owner.go
@@ -249,7 +249,7 @@
 		}
 		moved = o.see(moved)
 		if o.book.Fenced() {
-			return member.ErrLost
+			return member.ErrNotOwner
 		}
 		wake = o.clock.After(o.turn(ctx))
 	}
