--- a/evacuation/doc.go
+++ b/evacuation/doc.go
@@ -1,13 +1,13 @@
-// Package evacuation says in which availability zones something may be started.
+// Package evacuation defines in which availability zones something may be started.
 //
-// The model: operators ask that an availability zone be left empty, and later take that
-// back. A Request is one such wish as the platform's store holds it. What a member knows of
-// all requests is a Zones: which availability zones are to be left empty, or nothing,
-// where what it has read is too old to go by.
+// Operators request that an availability zone be evacuated, and later withdraw the request.
+// A Request is one such request as the platform's store holds it. A Zones is what a member
+// knows of all requests: either the set of evacuated availability zones, or nothing, where
+// what the member has read is too old to rely on.
 //
 // Invariants:
 //
-//   - Whatever starts something asks Zones.Standing, and starts it only where that is Open.
-//   - The zero Zones knows nothing, and then nothing may be started anywhere: who does not
-//     know which availability zones are to be left empty must not guess either way.
+//   - Code that starts something calls Zones.State, and starts it only where that is Open.
+//   - The zero Zones knows nothing, and then nothing may be started anywhere: a member that
+//     does not know which availability zones are evacuated must not guess either way.
 package evacuation
--- a/evacuation/zones_test.go
+++ b/evacuation/zones_test.go
@@ -10,20 +10,21 @@
 	_ "github.com/pointport/pointport/internal/fixedseed"
 )
 
-// Zones says of each availability zone what a plain map of the requests says.
-func TestStandingsFollowRequests(t *testing.T) {
+// Guards against a state that does not follow from the requests: zones with a request are
+// evacuated, all others are open. A plain map of the requests is the reference.
+func TestStatesFollowRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := []pointport.ZoneID{"a", "b", "c", "d", ""}
-		asked := make(map[pointport.ZoneID]bool)
+		requested := make(map[pointport.ZoneID]bool)
 		var requests []evacuation.Request
 		for _, zone := range rapid.Permutation(zones).Draw(t, "zones")[:rapid.IntRange(0, len(zones)).Draw(t, "requests")] {
-			asked[zone] = true
+			requested[zone] = true
 			requests = append(requests, evacuation.Request{Zone: zone})
 		}
 		z := evacuation.NewZones(requests)
 		for _, zone := range zones {
 			want := evacuation.Open
-			if asked[zone] {
+			if requested[zone] {
 				want = evacuation.Evacuated
 			}
 			if got := z.State(zone); got != want {
@@ -31,18 +32,19 @@
 			}
 		}
 		if got := len(z.Requests()); got != len(requests) {
-			t.Fatalf("%d requests of %d", got, len(requests))
+			t.Fatalf("Requests returns %d requests, want %d", got, len(requests))
 		}
 	})
 }
 
-// Who knows nothing must not take any availability zone for open.
-func TestNothingIsKnownToBeginWith(t *testing.T) {
+// Guards against a zero Zones, which knows no requests, that treats availability zones as
+// open. A Zones made of an empty list of requests is known, and all its zones are open.
+func TestZeroZonesIsUnknown(t *testing.T) {
 	var z evacuation.Zones
 	if z.IsKnown() || z.State("a") != evacuation.Unknown {
-		t.Errorf("zone a is %v", z.State("a"))
+		t.Errorf("in the zero Zones, zone a is %v, want it unknown", z.State("a"))
 	}
 	if !evacuation.None.IsKnown() || evacuation.None.State("a") != evacuation.Open {
-		t.Errorf("without requests, zone a is %v", evacuation.None.State("a"))
+		t.Errorf("without requests, zone a is %v, want it open", evacuation.None.State("a"))
 	}
 }
