--- a/evacuation/zones_test.go
+++ b/evacuation/zones_test.go
@@ -10,8 +10,9 @@
 	_ "github.com/pointport/pointport/internal/fixedseed"
 )
 
-// Guards against a state that does not follow from the requests: zones with a request are
-// evacuated, all others are open. A plain map of the requests is the reference.
+// TestStatesFollowRequests checks that exactly the availability zones with a request are
+// evacuated, and that all others are open. A plain set of the requested zones is the
+// reference.
 func TestStatesFollowRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := []pointport.ZoneID{"a", "b", "c", "d", ""}
@@ -37,8 +38,8 @@
 	})
 }
 
-// Guards against a zero Zones, which knows no requests, that treats availability zones as
-// open. A Zones made of an empty list of requests is known, and all its zones are open.
+// TestZeroZonesIsUnknown checks that a zero Zones, which knows no requests, does not treat an
+// availability zone as open, while a Zones made of an empty list of requests does.
 func TestZeroZonesIsUnknown(t *testing.T) {
 	var z evacuation.Zones
 	if z.IsKnown() || z.State("a") != evacuation.Unknown {
--- a/schedule/crash_test.go
+++ b/schedule/crash_test.go
@@ -329,15 +329,15 @@
 // again.
 func TestTaskDoesNotReturnToTheInstanceThatCrashedUnderIt(t *testing.T) {
 	b := newTestScheduler()
-	life := 10
-	bad := func() pointport.Incarnation { return incarnation(life, pointport.WithInstance("m-bad")) }
+	restarts := 10
+	bad := func() pointport.Incarnation { return incarnation(restarts, pointport.WithInstance("m-bad")) }
 	sound := incarnation(1, pointport.WithLabels([]string{"sound"}))
 	registerIdle(b, start, bad())
 	j := job("a", policy, step(1, 500, nil))
 	b.Add(start, j)
 	acceptStarts(b, orders(b, start), start)
 	b.EndIncarnation(start, bad().ID())
-	life++
+	restarts++
 	b.Add(start, job("serving", policy, step(1, 500, func(s *workload.Step) { s.Service, s.Label = true, "sound" })))
 	registerIdle(b, start, sound, bad())
 	got := orders(b, start)
@@ -376,16 +376,16 @@
 func TestCrashesCountAgainstTheInstance(t *testing.T) {
 	b := newTestScheduler()
 	now := start
-	for life := range 2 {
-		registerIdle(b, now, incarnation(life, pointport.WithInstance("m-bad")))
-		b.Add(now, job(fmt.Sprintf("j%d", life), policy, step(1, 500, nil)))
+	for restarts := range 2 {
+		registerIdle(b, now, incarnation(restarts, pointport.WithInstance("m-bad")))
+		b.Add(now, job(fmt.Sprintf("j%d", restarts), policy, step(1, 500, nil)))
 		all := orders(b, now)
-		if got := startsByIncarnation(all); got[incarnation(life).ID()] == 0 {
-			t.Fatalf("starts %v on incarnation %d, want some", got, life)
+		if got := startsByIncarnation(all); got[incarnation(restarts).ID()] == 0 {
+			t.Fatalf("starts %v on incarnation %d, want some", got, restarts)
 		}
 		acceptStarts(b, all, now)
 		now = now.Add(time.Second)
-		b.EndIncarnation(now, incarnation(life).ID())
+		b.EndIncarnation(now, incarnation(restarts).ID())
 	}
 	registerIdle(b, now, incarnation(2, pointport.WithInstance("m-bad")))
 	b.Add(now, job("fresh", policy, step(1, 500, nil)))
--- a/schedule/isolation_test.go
+++ b/schedule/isolation_test.go
@@ -12,11 +12,12 @@
 // This file tests an owner to which few registered instances answer, so that it may itself be
 // isolated.
 //
-// The failure behind it: an owner that is late, for example because its link or its share of a
-// core is too small for the load, takes half of its 102 instances for silent at once, and soon
-// all. It starts their tasks elsewhere at 60 to 90 starts a second, none of which is answered
-// in time, and polls each silent instance every 0.55 s. That load keeps it from reading the
-// answers, so its jobs stand still while its instances are idle.
+// The failure behind it: an owner is late, because the instances that forward its orders have
+// too little processor time for the load (0.12 of a core). It takes half of its 102 instances
+// for silent at once, and soon all. It starts their tasks elsewhere at 60 to 90 starts a
+// second, none of which is answered in time, and polls each silent instance every 0.55 s. That
+// load keeps it from reading the answers, so its jobs stand still for twenty seconds while its
+// instances are idle.
 //
 // In a log the failure shows as 'instance silent' of half the instances within a second, by an
 // owner that is more than a second late, and as many 'start unanswered' as its limit of starts
--- a/schedule/quarantine_test.go
+++ b/schedule/quarantine_test.go
@@ -210,16 +210,16 @@
 	j := job("serving", policy, step(1, 500, func(s *workload.Step) { s.Service = true }))
 	b.Add(start, j)
 	now := start
-	for life := range 6 {
-		registerIdle(b, now, incarnation(life))
+	for restarts := range 6 {
+		registerIdle(b, now, incarnation(restarts))
 		now = now.Add(2 * time.Second) // the task has waited for an empty instance
 		started := orders(b, now)
 		if len(started) != 1 {
-			t.Fatalf("orders %v on incarnation %d after %d crashes, want one start", started, life, j.Task(workload.TaskRef{}).Crashes)
+			t.Fatalf("orders %v on incarnation %d after %d crashes, want one start", started, restarts, j.Task(workload.TaskRef{}).Crashes)
 		}
 		acceptStarts(b, started, now)
 		w := b.Workers()[0]
-		other, joined := string(rune('a'+life)), false
+		other, joined := string(rune('a'+restarts)), false
 		for second := 0; second < 40 && !joined; second++ {
 			now = now.Add(time.Second)
 			reportRuns(b, started, w, now, 100)
@@ -233,7 +233,7 @@
 			}
 		}
 		if !joined {
-			t.Fatalf("no other task is placed beside the task on incarnation %d", life)
+			t.Fatalf("no other task is placed beside the task on incarnation %d", restarts)
 		}
 		b.EndIncarnation(now.Add(100*time.Millisecond), w.Incarnation().ID())
 		b.Cancel(now, other)
@@ -248,8 +248,8 @@
 	late := job("late", policy, step(1, 500, func(s *workload.Step) { s.Service = true }))
 	b.Add(start, late)
 	now, crashes := start, 0
-	for life := 0; life < 20 && !late.Failed(); life++ {
-		registerIdle(b, now, incarnation(life))
+	for restarts := 0; restarts < 20 && !late.Failed(); restarts++ {
+		registerIdle(b, now, incarnation(restarts))
 		now = now.Add(2 * time.Second)
 		started := orders(b, now)
 		acceptStarts(b, started, now)
@@ -259,7 +259,7 @@
 			now = now.Add(time.Second)
 			reportRuns(b, started, w, now, 100)
 			if !joined {
-				b.Add(now, job(fmt.Sprintf("j%d", life), policy, step(1, 500, nil)))
+				b.Add(now, job(fmt.Sprintf("j%d", restarts), policy, step(1, 500, nil)))
 				more := orders(b, now)
 				acceptStarts(b, more, now)
 				started, joined = append(started, more...), len(startsByIncarnation(more)) > 0
--- a/schedule/replaced_run_test.go
+++ b/schedule/replaced_run_test.go
@@ -100,7 +100,7 @@
 	now = now.Add(600 * time.Millisecond)
 	copied := next()
 	if copied.TaskRun.Run != policy.MaxAttempts+1 {
-		t.Fatalf("the copy is run %d, want %d", copied.TaskRun.Run, policy.MaxAttempts+1)
+		t.Fatalf("the copy is run %d, want the one after the last attempt", copied.TaskRun.Run)
 	}
 	failed(third)
 	if !j.Failed() {
--- a/schedule/resize_test.go
+++ b/schedule/resize_test.go
@@ -14,9 +14,10 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file tests instances that hold more or less than before while they run.
+// This file tests instances whose capacity changes while tasks run there.
 
-// A capacitySim is a pool of instances that run what they are told, whatever it takes.
+// A capacitySim simulates a pool whose instances carry out orders whatever capacity these
+// take, and checks that no start exceeds the free capacity of its instance.
 type capacitySim struct {
 	t        *rapid.T
 	now      time.Time
@@ -62,7 +63,7 @@
 			continue
 		}
 		s.book.Sending(o)
-		fate := rapid.SampledFrom([]string{"answered", "answered", "lost", "mute"}).Draw(s.t, "fate")
+		fate := rapid.SampledFrom([]string{"answered", "answered", "lost", "answer lost"}).Draw(s.t, "fate")
 		if fate != "lost" {
 			s.carryOut(o)
 		}
--- a/schedule/scheduler_test.go
+++ b/schedule/scheduler_test.go
@@ -146,7 +146,7 @@
 	b := newTestScheduler()
 	late := start.Add(10 * time.Second)
 	whole := step(1, 4000, nil)
-	b.Add(late, job("hopeless", policy, whole)) // submitted ten seconds earlier
+	b.Add(late, job("late", policy, whole)) // submitted ten seconds earlier
 	b.Add(late, workload.New("fresh", "q", policy, &workload.Spec{Steps: []workload.Step{whole}}, late))
 	registerIdle(b, late, incarnation(0))
 	got := orders(b, late)
