--- a/schedule/expiry_test.go
+++ b/schedule/expiry_test.go
@@ -213,8 +213,8 @@
 	}
 }
 
-// TestPlacementRespectsUnstoredStartLimit checks that no more tasks are placed than the limit of starts
-// that wait to be stored and sent allows.
+// TestPlacementRespectsUnstoredStartLimit checks that no more tasks are placed than the limit
+// of starts that wait to be stored and sent allows.
 func TestPlacementRespectsUnstoredStartLimit(t *testing.T) {
 	b := newTestScheduler()
 	registerIdle(b, start, incarnation(0), incarnation(1))
--- a/schedule/isolation_test.go
+++ b/schedule/isolation_test.go
@@ -57,8 +57,9 @@
 	}
 }
 
-// TestSuspicionEndsOnceMostInstancesAnswer checks that an owner that suspects isolation ceases to do so
-// once most instances answer, and not as soon as a few more answer than when it began.
+// TestSuspicionEndsOnceMostInstancesAnswer checks that an owner that suspects isolation ceases
+// to do so once most instances answer, and not as soon as a few more answer than when it
+// began.
 func TestSuspicionEndsOnceMostInstancesAnswer(t *testing.T) {
 	b, silent := schedulerWithSilent(100, 60)
 	reportIdle := func(workers []*schedule.Worker) {
--- a/schedule/later_incarnation_test.go
+++ b/schedule/later_incarnation_test.go
@@ -239,8 +239,8 @@
 	}
 }
 
-// TestSuspectedTaskStaysAloneOnLaterIncarnation checks that a task that is kept alone because of earlier
-// crashes is also kept alone on the later incarnation.
+// TestSuspectedTaskStaysAloneOnLaterIncarnation checks that a task that is kept alone because
+// of earlier crashes is also kept alone on the later incarnation.
 func TestSuspectedTaskStaysAloneOnLaterIncarnation(t *testing.T) {
 	b := newTestScheduler()
 	registerIdle(b, start, restarted(0))
@@ -258,8 +258,8 @@
 	}
 }
 
-// TestRunOnLaterIncarnationCountsNoCrash checks that no crash counts against a task whose run goes on
-// on the later incarnation.
+// TestRunOnLaterIncarnationCountsNoCrash checks that no crash counts against a task whose run
+// goes on on the later incarnation.
 func TestRunOnLaterIncarnationCountsNoCrash(t *testing.T) {
 	b, first, j := schedulerWithStart(t)
 	b.Answered(first, start, 3, nil)
@@ -287,9 +287,9 @@
 	}
 }
 
-// TestStartInFlightIsRuledOutOnEachLaterIncarnation checks that a start in flight that is no longer
-// wanted is ruled out on each later incarnation, since a new incarnation knows nothing of
-// earlier stops.
+// TestStartInFlightIsRuledOutOnEachLaterIncarnation checks that a start in flight that is no
+// longer wanted is ruled out on each later incarnation, since a new incarnation knows nothing
+// of earlier stops.
 func TestStartInFlightIsRuledOutOnEachLaterIncarnation(t *testing.T) {
 	b, first, _ := schedulerWithStart(t)
 	b.Answered(first, start.Add(400*time.Millisecond), 0, silence)
@@ -317,10 +317,11 @@
 	}
 }
 
-// TestNewOwnerPollsTheLaterIncarnation checks that a new owner polls the later incarnation before it
-// restarts a task. The store names the incarnation that the task was placed on, or only its
-// addressee, as earlier versions stored it. When the later incarnation answers, it has seen
-// the fencing token of the new owner, so no further start of the old owner can reach it.
+// TestNewOwnerPollsTheLaterIncarnation checks that a new owner polls the later incarnation
+// before it restarts a task. The store names the incarnation that the task was placed on, or
+// only its addressee, as earlier versions stored it. When the later incarnation answers, it
+// has seen the fencing token of the new owner, so no further start of the old owner can reach
+// it.
 func TestNewOwnerPollsTheLaterIncarnation(t *testing.T) {
 	for name, on := range map[string]pointport.IncarnationID{"the earlier incarnation": restarted(0).ID(), "an addressee": "i"} {
 		t.Run(name, func(t *testing.T) {
@@ -376,9 +377,9 @@
 	}
 }
 
-// TestLateAnswerOfEarlierIncarnation checks how a late answer to a poll of the earlier incarnation
-// is handled once the later one is known: what it lists as done is done, and what it lists as
-// running was lost with it.
+// TestLateAnswerOfEarlierIncarnation checks how a late answer to a poll of the earlier
+// incarnation is handled once the later one is known: what it lists as done is done, and what
+// it lists as running was lost with it.
 func TestLateAnswerOfEarlierIncarnation(t *testing.T) {
 	b := newTestScheduler()
 	registerIdle(b, start, restarted(0))
@@ -478,9 +479,9 @@
 	})
 }
 
-// TestTaskThatMayBeDoneOnRegisteredLaterIncarnationWaits checks that a task does not restart while a
-// later incarnation is registered that does not answer. It may have received the start and
-// completed the task.
+// TestTaskThatMayBeDoneOnRegisteredLaterIncarnationWaits checks that a task does not restart
+// while a later incarnation is registered that does not answer. It may have received the start
+// and completed the task.
 func TestTaskThatMayBeDoneOnRegisteredLaterIncarnationWaits(t *testing.T) {
 	b, first, _ := schedulerWithStart(t)
 	b.Answered(first, start, 3, nil)
--- a/schedule/quarantine_test.go
+++ b/schedule/quarantine_test.go
@@ -107,9 +107,9 @@
 	}
 }
 
-// TestSuspectedTaskEventuallyRunsBesideOthers checks that a suspected task is placed beside others,
-// where these are few, if no instance is empty for a while. A third crash there does not show
-// which task caused it, so only a fourth one fails the task.
+// TestSuspectedTaskEventuallyRunsBesideOthers checks that a suspected task is placed beside
+// others, where these are few, if no instance is empty for a while. A third crash there does
+// not show which task caused it, so only a fourth one fails the task.
 func TestSuspectedTaskEventuallyRunsBesideOthers(t *testing.T) {
 	b := newTestScheduler()
 	registerIdle(b, start, incarnation(0))
@@ -202,9 +202,9 @@
 	}
 }
 
-// TestServingTaskBesideCrashingTasksDoesNotFail checks that a serving task does not fail because of
-// crashes that other tasks cause. It has been at work for seconds each time its instance
-// crashes, and another task was just started there.
+// TestServingTaskBesideCrashingTasksDoesNotFail checks that a serving task does not fail
+// because of crashes that other tasks cause. It has been at work for seconds each time its
+// instance crashes, and another task was just started there.
 func TestServingTaskBesideCrashingTasksDoesNotFail(t *testing.T) {
 	b := newTestScheduler()
 	j := job("serving", policy, step(1, 500, func(s *workload.Step) { s.Service = true }))
--- a/schedule/ruled_out_test.go
+++ b/schedule/ruled_out_test.go
@@ -194,9 +194,9 @@
 	}
 }
 
-// TestUnregisteredInstanceIsNotSentRepeatedStops checks that an instance whose registration is gone
-// is not sent one stop after the other to rule a start out. It is not polled, so nothing shows
-// that it is silent.
+// TestUnregisteredInstanceIsNotSentRepeatedStops checks that an instance whose registration is
+// gone is not sent one stop after the other to rule a start out. It is not polled, so nothing
+// shows that it is silent.
 func TestUnregisteredInstanceIsNotSentRepeatedStops(t *testing.T) {
 	b, first, now := schedulerWithExpiredStart(t, true)
 	b.Report(first.Worker, now, now, pointport.Report{Clock: clockAt(now)})
--- a/schedule/scheduler_test.go
+++ b/schedule/scheduler_test.go
@@ -140,8 +140,8 @@
 	}
 }
 
-// TestJobsThatCanEndInTimeGoFirst checks that jobs that can still meet their deadline are placed before those
-// that can no longer, even if these were submitted earlier.
+// TestJobsThatCanEndInTimeGoFirst checks that jobs that can still meet their deadline are
+// placed before those that can no longer, even if these were submitted earlier.
 func TestJobsThatCanEndInTimeGoFirst(t *testing.T) {
 	b := newTestScheduler()
 	late := start.Add(10 * time.Second)
@@ -253,9 +253,9 @@
 	}
 }
 
-// TestTaskOfSilentInstanceRestartsElsewhere checks when the task of a silent instance whose registration has gone is
-// started elsewhere: after its execution lease has expired, even by a slow clock, or within a
-// second if copies of the task may run.
+// TestTaskOfSilentInstanceRestartsElsewhere checks when the task of a silent instance whose
+// registration has gone is started elsewhere: after its execution lease has expired, even by a
+// slow clock, or within a second if copies of the task may run.
 func TestTaskOfSilentInstanceRestartsElsewhere(t *testing.T) {
 	for _, copies := range []bool{false, true} {
 		b := newTestScheduler()
@@ -293,8 +293,8 @@
 	}
 }
 
-// TestAdviceIsRequestedAndFollowed checks that the tasks of an advised step wait until the advisor has
-// answered, and are started as it advises, with its ticket.
+// TestAdviceIsRequestedAndFollowed checks that the tasks of an advised step wait until the
+// advisor has answered, and are started as it advises, with its ticket.
 func TestAdviceIsRequestedAndFollowed(t *testing.T) {
 	b := newTestScheduler()
 	registerIdle(b, start, incarnation(0), incarnation(1), incarnation(2))
--- a/schedule/share_test.go
+++ b/schedule/share_test.go
@@ -93,10 +93,10 @@
 	}
 }
 
-// TestOverloadByOneCustomerDoesNotAffectOthers checks that one customer that submits ten times its usual
-// load to a half loaded pool reduces the share of jobs that any other customer gets done in
-// time by at most 0.05, with five customers and with twenty, of equal size or not. Without
-// fair shares, the four others of five lost 0.20 to 0.32.
+// TestOverloadByOneCustomerDoesNotAffectOthers checks that one customer that submits ten times
+// its usual load to a half loaded pool reduces the share of jobs that any other customer gets
+// done in time by at most 0.05, with five customers and with twenty, of equal size or not.
+// Without fair shares, the four others of five lost 0.20 to 0.32.
 func TestOverloadByOneCustomerDoesNotAffectOthers(t *testing.T) {
 	for _, customers := range []int{1, 5, 20} {
 		for _, skewed := range []bool{false, true} {
@@ -157,9 +157,9 @@
 	return c
 }
 
-// TestExcessIsReportedOnlyForOverloadingCustomer checks that the scheduler reports, some time after one
-// customer begins to overload the pool, that further jobs of this customer are of no use, and
-// that it reports so of no other customer and ceases when the backlog is gone.
+// TestExcessIsReportedOnlyForOverloadingCustomer checks that the scheduler reports, some time
+// after one customer begins to overload the pool, that further jobs of this customer are of no
+// use, and that it reports so of no other customer and ceases when the backlog is gone.
 func TestExcessIsReportedOnlyForOverloadingCustomer(t *testing.T) {
 	c := newShareSim(20)
 	weights := map[string]float64{"c0": 1, "c1": 1, "c2": 1, "c3": 1, "c4": 1}
