--- a/intake/submit.go
+++ b/intake/submit.go
@@ -53,7 +53,7 @@
 	if err := d.inExcess(ctx, q, id); err != nil {
 		return err
 	}
-	accepted, err := workload.New(id, q.Name, q.Policy, spec, d.clock.Now(), workload.Of(d.caller.Name)).EncodeAccepted()
+	accepted, err := workload.New(id, q.Name, q.Policy, spec, d.clock.Now(), workload.WithCustomer(d.caller.Name)).EncodeAccepted()
 	if err != nil {
 		return err
 	}
@@ -83,7 +83,7 @@
 		return nil
 	}
 	for n := range spec.Steps {
-		if most := spec.Steps[n].AtOnce(); !c.Bears(most) {
+		if most := spec.Steps[n].ConcurrentNeed(); !c.Bears(most) {
 			return &workload.SpecError{Field: fmt.Sprintf("steps[%d].need", n), Value: most, Reason: fmt.Sprintf("must run at once and is beyond the cap of %s, %v", c.Name, c.Cap)}
 		}
 	}
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -188,7 +188,7 @@
 // configure puts a configuration with the cluster's pools and queues into the
 // store.
 func (c *cluster) configure(k *workload.Catalog) {
-	k.Pools = []workload.PoolInfo{{Name: "shift", Guards: true}, {Name: "payout", Guards: true}, {Name: spareName, Spare: true}}
+	k.Pools = []workload.PoolInfo{{Name: "shift", EnforcesCapacity: true}, {Name: "payout", EnforcesCapacity: true}, {Name: spareName, Spare: true}}
 	for _, pool := range []string{"shift", "payout"} {
 		k.Queues = append(k.Queues, workload.Queue{
 			Name: pool + "-close", Host: "example", Path: "/" + pool + "/", Pool: pool,
--- a/node/random_test.go
+++ b/node/random_test.go
@@ -127,7 +127,7 @@
 		return testbed.Work{}
 	}
 	step := s.jobs[n].Steps[ref.Step]
-	w := testbed.Work{Room: step.Room(), Duration: step.Estimate * time.Duration(2+(ref.Index+n)%3) / 3, Serves: step.Service, Copies: step.Copies, MayMiss: step.MayMiss}
+	w := testbed.Work{Room: step.Reservation(), Duration: step.Estimate * time.Duration(2+(ref.Index+n)%3) / 3, Serves: step.Service, Copies: step.Copies, MayMiss: step.MayMiss}
 	if _, cancelled := s.cancels[n]; cancelled {
 		w.MayMiss = 0 // all its tasks are stopped at once
 	}
@@ -142,7 +142,7 @@
 	w.Crashes = n == s.poison && ref == workload.TaskRef{}
 	for _, before := range step.After {
 		for i := range s.jobs[n].Steps[before].Count {
-			w.After = append(w.After, workload.TaskName(id, workload.TaskRef{K: ref.K, Step: before, Index: i}))
+			w.After = append(w.After, workload.TaskName(id, workload.TaskRef{Occurrence: ref.Occurrence, Step: before, Index: i}))
 		}
 	}
 	return w
@@ -463,17 +463,17 @@
 		switch {
 		case !p.accepted[n].Load():
 			return fmt.Sprintf("job %d was not accepted", n)
-		case p.cancelled[n].Load() && status == workload.Completed && !spec.Lasts():
+		case p.cancelled[n].Load() && status == workload.Completed && !spec.RunsUntilCancelled():
 			continue // it was done before
 		case p.cancelled[n].Load() && status == workload.Failed && (n == p.script.poison || n == p.script.hopeless):
 			continue // it had failed before
 		case p.cancelled[n].Load():
 			want = workload.Cancelled
-		case n == p.script.hopeless && !spec.Lasts():
+		case n == p.script.hopeless && !spec.RunsUntilCancelled():
 			want = workload.Failed
-		case n == p.script.poison && !(spec.Lasts() && spec.Steps[0].Count > 1):
+		case n == p.script.poison && !(spec.RunsUntilCancelled() && spec.Steps[0].Count > 1):
 			want = workload.Failed
-		case spec.Lasts():
+		case spec.RunsUntilCancelled():
 			want = workload.Running
 		}
 		if status == workload.Failed && p.givenUpByChance(n) {
--- a/schedule/advice.go
+++ b/schedule/advice.go
@@ -42,8 +42,8 @@
 	until time.Time
 }
 
-// A Question asks the advisor which of some incarnations may run a step.
-type Question struct {
+// A AdviceRequest asks the advisor which of some incarnations may run a step.
+type AdviceRequest struct {
 	Job          string
 	Step         string // the name under which the advisor knows it
 	Incarnations []pointport.IncarnationID
@@ -52,14 +52,14 @@
 
 // permits reports whether a worker may run a task, as far as labels, earlier runs
 // and their ends, crashes and advice go.
-func (b *Book) permits(t waiting, w *Worker, now time.Time) bool {
+func (b *Scheduler) permits(t waitingTask, w *Worker, now time.Time) bool {
 	if !w.hasLabel(t.step.Label) || b.wary(t, w, now) || b.keptApart(t, w, now) || w.hasGivenUp(t) {
 		return false
 	}
 	if !t.entry.job.Policy().Advised {
 		return true
 	}
-	a := t.entry.advice[stepKey{t.ref.K, t.ref.Step}]
+	a := t.entry.advice[stepKey{t.ref.Occurrence, t.ref.Step}]
 	if a == nil {
 		return false
 	}
@@ -69,8 +69,8 @@
 
 // ticketFor returns the ticket with which a task may run on a worker, empty if
 // none is needed.
-func (b *Book) ticketFor(t waiting, w *Worker) string {
-	a := t.entry.advice[stepKey{t.ref.K, t.ref.Step}]
+func (b *Scheduler) ticketFor(t waitingTask, w *Worker) string {
+	a := t.entry.advice[stepKey{t.ref.Occurrence, t.ref.Step}]
 	if a == nil {
 		return ""
 	}
@@ -78,11 +78,11 @@
 }
 
 // seekAdvice asks about further workers for a step that found none it may use.
-func (b *Book) seekAdvice(now time.Time, t waiting) {
+func (b *Scheduler) seekAdvice(now time.Time, t waitingTask) {
 	if !t.entry.job.Policy().Advised {
 		return
 	}
-	key := stepKey{t.ref.K, t.ref.Step}
+	key := stepKey{t.ref.Occurrence, t.ref.Step}
 	a := t.entry.advice[key]
 	if a == nil {
 		a = &advice{asked: make(map[pointport.IncarnationID]bool), good: make(map[pointport.IncarnationID]ticket)}
@@ -99,20 +99,20 @@
 		return
 	}
 	a.asking = true
-	b.questions = append(b.questions, Question{
+	b.questions = append(b.questions, AdviceRequest{
 		Job: t.entry.job.ID(), Step: workload.StepName(t.entry.job.ID(), t.ref), Incarnations: ids, key: key,
 	})
 }
 
 // askable returns the workers to ask about: those with most room first, and of
 // those asked about before only the good ones whose ticket runs out.
-func (b *Book) askable(now time.Time, t waiting, a *advice) []pointport.IncarnationID {
+func (b *Scheduler) askable(now time.Time, t waitingTask, a *advice) []pointport.IncarnationID {
 	var workers []*Worker
 	for _, w := range b.usable(now) {
 		id := w.inc.ID()
 		ticket, good := a.good[id]
 		expired := good && !now.Add(ticketReserve).Before(ticket.until)
-		if w.hasLabel(t.step.Label) && w.inc.Capacity().Fits(t.step.Room()) && (!a.asked[id] || expired) {
+		if w.hasLabel(t.step.Label) && w.inc.Capacity().Fits(t.step.Reservation()) && (!a.asked[id] || expired) {
 			workers = append(workers, w)
 		}
 	}
@@ -124,16 +124,16 @@
 	return ids
 }
 
-// TakeQuestions returns the questions to put to the advisor now.
-func (b *Book) TakeQuestions() []Question {
+// TakeAdviceRequests returns the questions to put to the advisor now.
+func (b *Scheduler) TakeAdviceRequests() []AdviceRequest {
 	questions := b.questions
 	b.questions = nil
 	return questions
 }
 
-// Advised takes in the advisor's answer to a question that was put at asked: the
+// AdviceAnswered takes in the advisor's answer to a question that was put at asked: the
 // tickets of the incarnations that may run the step, or an error.
-func (b *Book) Advised(q Question, asked, now time.Time, tickets map[pointport.IncarnationID]string, valid time.Duration, err error) {
+func (b *Scheduler) AdviceAnswered(q AdviceRequest, asked, now time.Time, tickets map[pointport.IncarnationID]string, valid time.Duration, err error) {
 	e := b.jobs[q.Job]
 	if e == nil {
 		return
@@ -156,5 +156,5 @@
 	for id, text := range tickets {
 		a.good[id] = ticket{text: text, until: asked.Add(valid)}
 	}
-	b.changed(e)
+	b.invalidateReady(e)
 }
--- a/schedule/arrivals.go
+++ b/schedule/arrivals.go
@@ -47,8 +47,8 @@
 		}
 		a.any = true
 		weight := float64(s.Count) * learned.duration(j.Queue(), s).Seconds() / window
-		a.cpu += weight * float64(s.Room().CPUMilli)
-		a.memory += weight * float64(s.Room().MemoryMiB)
+		a.cpu += weight * float64(s.Reservation().CPUMilli)
+		a.memory += weight * float64(s.Reservation().MemoryMiB)
 	}
 }
 
--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -39,14 +39,14 @@
 	switch {
 	case w.inc.Draining(), w.answeredUnlisted:
 		return partingLeft
-	case len(w.runs) == 0 && (w.closed(now) || w.orderedAway):
+	case len(w.runs) == 0 && (w.closed(now) || w.movedOrMaintained):
 		return partingOrdered
 	}
 	return partingCrashed
 }
 
 // EndIncarnation takes in proof that an incarnation is over.
-func (b *Book) EndIncarnation(now time.Time, id pointport.IncarnationID) {
+func (b *Scheduler) EndIncarnation(now time.Time, id pointport.IncarnationID) {
 	if w := b.workers[id]; w != nil && !w.ended {
 		b.endKnown(w, now, "the platform says so")
 	}
@@ -54,7 +54,7 @@
 
 // endKnown takes in that an incarnation is surely over, unless what was ordered to it may be on
 // a life that nobody has heard of yet.
-func (b *Book) endKnown(w *Worker, now time.Time, why string) {
+func (b *Scheduler) endKnown(w *Worker, now time.Time, why string) {
 	later := b.presentLife(w)
 	if later == nil && w.anyUncertain() {
 		return
@@ -67,12 +67,12 @@
 // and the list of machines is behind as well: until one of them tells, it would be looked at in
 // vain and count as silent, and then as crashed, so that the instance is avoided when it comes
 // back.
-func (b *Book) orderedAway(now time.Time, end OrderedEnd) {
+func (b *Scheduler) orderedAway(now time.Time, end OrderedEnd) {
 	w := b.workers[end.Incarnation]
 	if w == nil || w.ended {
 		return
 	}
-	w.orderedAway = true
+	w.movedOrMaintained = true
 	if end.Sure && len(w.runs) == 0 {
 		b.endKnown(w, now, "its machine was moved")
 	}
@@ -80,20 +80,20 @@
 
 // shownOver takes in that whoever reads the list of machines saw an incarnation silent and
 // its life gone. If it has answered since, also that it is not well, its own word counts.
-func (b *Book) shownOver(now time.Time, id pointport.IncarnationID) {
+func (b *Scheduler) shownOver(now time.Time, id pointport.IncarnationID) {
 	w := b.workers[id]
-	if w != nil && !w.ended && w.life.known() && (!w.silent || w.refuses) {
-		event.IncarnationLives.Log(b.logger, slog.String("incarnation", string(id)), slog.Int("runs", len(w.runs)), slog.Duration("sinceHeard", w.life.sinceHeard(now)))
+	if w != nil && !w.ended && w.lease.clockKnown() && (!w.silent || w.pollRefused) {
+		event.IncarnationLives.Log(b.logger, slog.String("incarnation", string(id)), slog.Int("runs", len(w.runs)), slog.Duration("sinceHeard", w.lease.sinceLastAnswer(now)))
 		return
 	}
 	b.EndIncarnation(now, id)
 }
 
-// endFormerLives takes in that a worker has answered a look that was sent at sent. A machine
+// endEarlierIncarnations takes in that a worker has answered a look that was sent at sent. A machine
 // has one life at a time, so its lives that were there before are over: those that the owner
 // had known, and not heard of, since then. With this their tasks wait for no list of machines
 // nor for their time to pass.
-func (b *Book) endFormerLives(w *Worker, sent, now time.Time) {
+func (b *Scheduler) endEarlierIncarnations(w *Worker, sent, now time.Time) {
 	id := w.inc.Instance()
 	for _, former := range b.formers(w) {
 		if former == w || former.ended || b.workers[former.inc.ID()] != former || !former.lastKnown().Before(sent) {
@@ -110,8 +110,8 @@
 
 // formers returns the workers among which those are that a worker has followed: any when it is
 // first heard, and later those that are not registered.
-func (b *Book) formers(w *Worker) []*Worker {
-	if w.life.known() {
+func (b *Scheduler) formers(w *Worker) []*Worker {
+	if w.lease.clockKnown() {
 		return b.unlisted
 	}
 	return slices.Collect(maps.Values(b.workers))
@@ -120,15 +120,15 @@
 // lastKnown returns when the owner last had a sign of the incarnation: an answer, or that it
 // was there.
 func (w *Worker) lastKnown() time.Time {
-	if w.life.heard.After(w.since) {
-		return w.life.heard
+	if w.lease.heard.After(w.since) {
+		return w.lease.heard
 	}
 	return w.since
 }
 
 // workerEnded takes in that an incarnation is over; what ran there has died, but for what may be
 // on the later life of its addressee, nil if none is known.
-func (b *Book) workerEnded(w *Worker, now time.Time, why string, later *Worker) {
+func (b *Scheduler) workerEnded(w *Worker, now time.Time, why string, later *Worker) {
 	cause, there := w.parting(now), w.begunRuns()
 	if later != nil {
 		b.follow(now, w, later, cause)
@@ -138,13 +138,13 @@
 		r.uncertainty = nil // the end of this life counts, and once
 	}
 	event.WorkerEnded.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
-		slog.Int("runs", len(w.runs)), slog.String("cause", string(cause)), slog.String("reason", why), slog.Duration("sinceHeard", w.life.sinceHeard(now)))
+		slog.Int("runs", len(w.runs)), slog.String("cause", string(cause)), slog.String("reason", why), slog.Duration("sinceHeard", w.lease.sinceLastAnswer(now)))
 	w.ended, w.endedAt = true, now
 	b.noteForeign(w)
 	b.dropAll(w, now, "its incarnation is over")
 	if cause == partingCrashed {
 		b.noteCrashOf(w, now)
-		b.countCrashes(now, w.unproven, w.unproven, nil)
+		b.countCrashes(now, w.expiredRuns, w.expiredRuns, nil)
 		b.countCrashes(now, died, there, w)
 		return
 	}
@@ -153,8 +153,8 @@
 	}
 }
 
-// answeredOver takes in that an incarnation answers that counts as over, and says so once.
-func (b *Book) answeredOver(w *Worker, now time.Time) {
+// noteAnswerAfterEnd takes in that an incarnation answers that counts as over, and says so once.
+func (b *Scheduler) noteAnswerAfterEnd(w *Worker, now time.Time) {
 	if w.answeredOver {
 		return
 	}
@@ -174,16 +174,16 @@
 	return out
 }
 
-// Sending takes in that an order is sent now.
-func (b *Book) Sending(o Order) {
+// MarkSending takes in that an order is sent now.
+func (b *Scheduler) MarkSending(o Order) {
 	if o.Kind == OrderStart {
-		o.Run.ordered = true
+		o.Run.startSent = true
 	}
 }
 
 // countCrashes counts the crash of an instance against the tasks of runs that died there, beside
 // others that were there or may have been. At is nil if it is not known what else was.
-func (b *Book) countCrashes(now time.Time, died, there []*Run, at *Worker) {
+func (b *Scheduler) countCrashes(now time.Time, died, there []*Run, at *Worker) {
 	for _, r := range died {
 		b.countCrash(now, r, crashCase(there, r, at), len(there)-1)
 	}
@@ -193,12 +193,12 @@
 // there. At is nil if it is not known what else was there.
 func crashCase(there []*Run, r *Run, at *Worker) workload.CrashCase {
 	switch {
-	case at != nil && at.strays == 0 && len(at.burns) == 0 && allOfGang(there, r):
+	case at != nil && at.strays == 0 && len(at.startsToRuleOut) == 0 && allOfGang(there, r):
 		return workload.CrashAlone
 	case r.justStarted():
 		return workload.CrashAtStart
 	}
-	return workload.CrashBeside
+	return workload.CrashShared
 }
 
 // justStarted reports whether a run was not known to run for long when its instance last
@@ -224,13 +224,13 @@
 	if r.liveAt.IsZero() {
 		return 0
 	}
-	return r.worker.life.heard.Sub(r.liveAt)
+	return r.worker.lease.heard.Sub(r.liveAt)
 }
 
 // allOfGang reports whether runs are all of one run's gang, or that run alone.
 func allOfGang(runs []*Run, r *Run) bool {
 	for _, o := range runs {
-		if o != r && (!r.step().Gang || o.stepOf() != r.stepOf()) {
+		if o != r && (!r.step().Gang || o.stepRef() != r.stepRef()) {
 			return false
 		}
 	}
@@ -239,7 +239,7 @@
 
 // countCrash counts the crash of an instance against a task that had a run there, beside
 // so many others.
-func (b *Book) countCrash(now time.Time, r *Run, how workload.CrashCase, beside int) {
+func (b *Scheduler) countCrash(now time.Time, r *Run, how workload.CrashCase, beside int) {
 	e, t := r.entry, r.task()
 	if t == nil || t.Phase == workload.Done || e.ended != "" || e.job.Stopping() {
 		b.tellLost(now, r, partingCrashed, beside)
@@ -250,7 +250,7 @@
 		how = workload.CrashAtStart // it may be the instance's own doing
 	}
 	seen.note(now, r.worker.inc.Instance())
-	b.touch(e, true)
+	b.markDirty(e, true)
 	verdict := e.job.Crash(r.ref, how)
 	b.tellLost(now, r, partingCrashed, beside)
 	if verdict == workload.CrashRetried {
@@ -261,11 +261,11 @@
 	if verdict == workload.CrashFailed {
 		b.stopAll(now, e, "instances have crashed under another task of its job")
 	}
-	b.settleJob(now, e)
+	b.endJobIfDone(now, e)
 }
 
 // tellLost logs that a run has died with its instance, beside so many others.
-func (b *Book) tellLost(now time.Time, r *Run, cause parting, beside int) {
+func (b *Scheduler) tellLost(now time.Time, r *Run, cause parting, beside int) {
 	crashes := 0
 	if t := r.task(); t != nil {
 		crashes = t.Crashes
@@ -314,18 +314,18 @@
 
 // noteCrashOf counts a crash against the instance as a failed run would be, so that one
 // that crashes under whatever it is given is avoided in its next life.
-func (b *Book) noteCrashOf(w *Worker, now time.Time) {
+func (b *Scheduler) noteCrashOf(w *Worker, now time.Time) {
 	if w.health.failed(now) {
 		event.SuspectWorker.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
-			slog.Int("failures", w.health.failures), slog.Duration("avoidedFor", w.health.span))
+			slog.Int("failures", w.health.failures), slog.Duration("avoidedFor", w.health.avoidFor))
 	}
 	if id := w.inc.Instance(); id != "" {
 		b.crashedHealth[id] = w.health
 	}
 }
 
-// comeBack gives the next life of an instance that has crashed the health of its last.
-func (b *Book) comeBack(w *Worker, id pointport.InstanceID) {
+// restoreHealth gives the next life of an instance that has crashed the health of its last.
+func (b *Scheduler) restoreHealth(w *Worker, id pointport.InstanceID) {
 	if h, ok := b.crashedHealth[id]; ok {
 		w.health = h
 		delete(b.crashedHealth, id)
--- a/schedule/crash_test.go
+++ b/schedule/crash_test.go
@@ -26,37 +26,37 @@
 	const seen = 700 * time.Millisecond
 	cases := []struct {
 		name   string
-		before func(b *schedule.Book, now time.Time)
+		before func(b *schedule.Scheduler, now time.Time)
 		tasks  int
 		cause  string
 	}{
-		{"unannounced", func(*schedule.Book, time.Time) {}, 2, "crashed"},
-		{"it was draining", func(b *schedule.Book, now time.Time) {
+		{"unannounced", func(*schedule.Scheduler, time.Time) {}, 2, "crashed"},
+		{"it was draining", func(b *schedule.Scheduler, now time.Time) {
 			b.SetIncarnations(now, []pointport.Incarnation{incarnation(0, pointport.WithDraining(time.Minute))})
 		}, 2, "left"},
-		{"it answered after its registration was gone", func(b *schedule.Book, now time.Time) {
+		{"it answered after its registration was gone", func(b *schedule.Scheduler, now time.Time) {
 			b.SetIncarnations(now, nil)
 			for _, w := range b.Workers() {
 				b.Report(w, now, now, reportOfFirstRuns(2, 1))
 			}
 		}, 2, "left"},
-		{"it was closed and empty", func(b *schedule.Book, now time.Time) {
+		{"it was closed and empty", func(b *schedule.Scheduler, now time.Time) {
 			b.Survey(now, schedule.SurveyRequest{Closures: []schedule.Closure{{Instance: "m-0"}}})
 		}, 0, "ordered"},
-		{"it was closed but not empty yet", func(b *schedule.Book, now time.Time) {
+		{"it was closed but not empty yet", func(b *schedule.Scheduler, now time.Time) {
 			b.Survey(now, schedule.SurveyRequest{Closures: []schedule.Closure{{Instance: "m-0"}}})
 		}, 2, "crashed"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
-			b := schedule.NewBook(start, settings, slog.New(slog.NewJSONHandler(&out, nil)))
+			b := schedule.NewScheduler(start, settings, slog.New(slog.NewJSONHandler(&out, nil)))
 			registerIdle(b, start, incarnation(0))
 			if c.tasks > 0 {
 				b.Add(start, job("a", policy, step(c.tasks, 100, nil)))
 			}
 			for _, o := range orders(b, start) {
-				b.Answered(o, start, 1, nil)
+				b.OrderAnswered(o, start, 1, nil)
 			}
 			now := start.Add(seen)
 			c.before(b, now)
@@ -110,7 +110,7 @@
 type crashSim struct {
 	t                     *rapid.T
 	now                   time.Time
-	book                  *schedule.Book
+	book                  *schedule.Scheduler
 	nextIncarnation       int // number of the next incarnation
 	up                    map[int]bool
 	runs                  map[pointport.IncarnationID]map[string]int // the run of each task, by incarnation
@@ -182,10 +182,10 @@
 		id := w.Endpoint().Incarnation
 		runs, lives := s.runs[id]
 		if !lives {
-			s.book.Silent(w, s.now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
+			s.book.PollFailed(w, s.now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 			continue
 		}
-		w.Until(s.now, settings.Lease)
+		w.ExtendLease(s.now, settings.Lease)
 		report := pointport.Report{Clock: pointport.InstanceClock(s.now.Sub(start)), Ended: s.ends[id]}
 		for task, run := range runs {
 			report.Running = append(report.Running, pointport.RunningTask{TaskRun: pointport.TaskRun{Task: task, Run: run}, Progress: 10})
@@ -198,19 +198,19 @@
 // carryOut carries out orders at their instances.
 func (s *crashSim) carryOut(all []schedule.Order) {
 	for _, o := range all {
-		s.book.Sending(o)
+		s.book.MarkSending(o)
 		id := o.Worker.Endpoint().Incarnation
 		runs, lives := s.runs[id]
 		switch {
 		case !lives:
-			s.book.Answered(o, s.now, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true})
+			s.book.OrderAnswered(o, s.now, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true})
 		case o.Kind == schedule.OrderStart:
 			runs[o.TaskRun.Task] = o.TaskRun.Run
 			s.endsAt[string(id)+o.TaskRun.Task] = s.now.Add(simWork)
 			s.answerStart(o)
 		default:
 			delete(runs, o.TaskRun.Task)
-			s.book.Answered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
+			s.book.OrderAnswered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
 		}
 	}
 }
@@ -218,7 +218,7 @@
 // answerStart answers a start, or crashes the instance if the start is of the poison task.
 func (s *crashSim) answerStart(o schedule.Order) {
 	if o.TaskRun.Task != poisonTask {
-		s.book.Answered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
+		s.book.OrderAnswered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
 		return
 	}
 	if s.crashes >= 3 {
@@ -231,12 +231,12 @@
 			break
 		}
 	}
-	s.book.Answered(o, s.now, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true})
+	s.book.OrderAnswered(o, s.now, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true})
 }
 
 // changeOwner replaces the scheduler by that of a new owner, which knows only what is stored.
 func (s *crashSim) changeOwner(jobs []*workload.Job) {
-	next := schedule.NewBook(s.now, settings, slog.New(slog.DiscardHandler))
+	next := schedule.NewScheduler(s.now, settings, slog.New(slog.DiscardHandler))
 	for _, j := range jobs {
 		status, _ := s.book.Status(j.ID())
 		if status.Ended() {
@@ -421,8 +421,8 @@
 		w := b.Workers()[0]
 		now := start.Add(c.lived)
 		reportRuns(b, started, w, now, 100)
-		w.Until(now, settings.Lease)
-		b.Silent(w, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
+		w.ExtendLease(now, settings.Lease)
+		b.PollFailed(w, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 		b.SetIncarnations(now, nil)
 		now = now.Add(10 * time.Second)
 		b.SetIncarnations(now, nil)
@@ -441,7 +441,7 @@
 	registerIdle(b, start, incarnation(0))
 	crashed := b.Workers()[0]
 	for range 2 {
-		b.Silent(crashed, start, &pointport.GoneError{Incarnation: incarnation(0).ID()})
+		b.PollFailed(crashed, start, &pointport.GoneError{Incarnation: incarnation(0).ID()})
 	}
 	registerIdle(b, start, incarnation(1, pointport.WithInstance(incarnation(0).Instance())))
 	b.Add(start, job("a", policy, step(1, 100, nil)))
@@ -461,12 +461,14 @@
 	// One crash fewer than the number at which a crash right after a start fails the task, and
 	// less time at work than that after which crashes are forgotten.
 	const before, atWork = 3, 7 * time.Second
-	over := map[string]func(b *schedule.Book, now time.Time){
-		"unregistered before the first answer": func(b *schedule.Book, now time.Time) {
+	over := map[string]func(b *schedule.Scheduler, now time.Time){
+		"unregistered before the first answer": func(b *schedule.Scheduler, now time.Time) {
 			b.SetIncarnations(now.Add(settings.PredecessorBound+time.Second), nil)
 		},
-		"ended before the first answer": func(b *schedule.Book, now time.Time) { b.EndIncarnation(now.Add(time.Second), incarnation(0).ID()) },
-		"ended after the first answer": func(b *schedule.Book, now time.Time) {
+		"ended before the first answer": func(b *schedule.Scheduler, now time.Time) {
+			b.EndIncarnation(now.Add(time.Second), incarnation(0).ID())
+		},
+		"ended after the first answer": func(b *schedule.Scheduler, now time.Time) {
 			b.SetIncarnations(now, []pointport.Incarnation{incarnation(0)})
 			b.Report(b.Workers()[0], now, now, reportOfFirstRuns(2, 1))
 			b.EndIncarnation(now.Add(time.Second), incarnation(0).ID())
@@ -486,7 +488,7 @@
 			for ; now.Sub(start) < atWork; now = now.Add(time.Second) {
 				first.Report(first.Workers()[0], now, now, reportOfFirstRuns(2, 1))
 			}
-			second := schedule.NewBook(now, settings, slog.New(slog.DiscardHandler))
+			second := schedule.NewScheduler(now, settings, slog.New(slog.DiscardHandler))
 			second.Add(now, j)
 			end(second, now)
 			for i := range 2 {
--- a/schedule/evacuate.go
+++ b/schedule/evacuate.go
@@ -14,8 +14,8 @@
 // runs there runs to its end: the operators ask only that nothing more be sent, and stopping
 // it would lose its work or, for a serving task, take it away from those whom it serves.
 
-// Evacuate takes in which availability zones are evacuated.
-func (b *Book) Evacuate(z evacuation.Zones) { *b.zones = z }
+// SetEvacuations takes in which availability zones are evacuated.
+func (b *Scheduler) SetEvacuations(z evacuation.Zones) { *b.zones = z }
 
 // standing says whether tasks may be started in the worker's availability zone.
 func (w *Worker) standing() evacuation.ZoneState { return w.zones.State(w.inc.Zone()) }
@@ -27,15 +27,15 @@
 // zone. Its task waits again, at once if the start was never sent; one that was sent without
 // an answer is ruled out by a stop first, so that it is not carried out later. While it is
 // not known what the operators ask, it is left as it is.
-func (b *Book) forgoInZone(now time.Time, r *Run) bool {
+func (b *Scheduler) forgoInZone(now time.Time, r *Run) bool {
 	standing := r.worker.standing()
 	if standing == evacuation.Open {
 		return false
 	}
 	event.StartForgone.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number), slog.String("incarnation", string(r.worker.inc.ID())),
-		slog.String("zone", string(r.worker.inc.Zone())), slog.String("standing", standing.String()), slog.Bool("sentBefore", r.ordered))
+		slog.String("zone", string(r.worker.inc.Zone())), slog.String("standing", standing.String()), slog.Bool("sentBefore", r.startSent))
 	if standing == evacuation.Unknown {
-		r.againAt = now.Add(startAgain)
+		r.resendAt = now.Add(startAgain)
 		return true
 	}
 	b.stop(now, r, "its availability zone is evacuated, and it is not known to run there")
--- a/schedule/evacuate_test.go
+++ b/schedule/evacuate_test.go
@@ -59,13 +59,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := newTestScheduler()
 			registerIdle(b, start, north(0), north(2), south(1))
-			b.Evacuate(northEvacuated)
+			b.SetEvacuations(northEvacuated)
 			b.Add(start, job("a", policy, c.step))
 			got := startsByZone(orders(b, start))
 			if got["north"] != 0 || got["south"] != c.want {
 				t.Errorf("starts %v, want none in north and %d in south", got, c.want)
 			}
-			b.Evacuate(evacuation.None)
+			b.SetEvacuations(evacuation.None)
 			if got := startsByZone(orders(b, start.Add(time.Second))); c.want == 0 && got["north"] == 0 {
 				t.Error("nothing starts in north once it is open")
 			}
@@ -82,7 +82,7 @@
 		Steps: []workload.Step{step(2, 100, nil)}, Recur: workload.Recurrence{Times: 4, First: start.Add(time.Second), Every: time.Second},
 	}, start)
 	b.Add(start, recurring)
-	b.Evacuate(northEvacuated)
+	b.SetEvacuations(northEvacuated)
 	all := 0
 	for n := range 4 {
 		got := startsByZone(orders(b, start.Add(time.Duration(n+1)*time.Second)))
@@ -103,7 +103,7 @@
 	b := newTestScheduler()
 	registerIdle(b, start, north(0), south(1))
 	b.Add(start, job("a", policy, step(2, 500, nil)))
-	b.Evacuate(evacuation.Zones{})
+	b.SetEvacuations(evacuation.Zones{})
 	if got := startsByZone(orders(b, start)); len(got) != 0 {
 		t.Errorf("starts %v while evacuations are unknown, want none", got)
 	}
@@ -111,7 +111,7 @@
 	if got := x.Steps[0].Waits; !strings.Contains(got, "may be evacuated") {
 		t.Errorf("the wait is explained as %q", got)
 	}
-	b.Evacuate(northEvacuated)
+	b.SetEvacuations(northEvacuated)
 	if got := startsByZone(orders(b, start)); got["south"] != 2 {
 		t.Errorf("starts %v once the evacuations are known, want two in south", got)
 	}
@@ -123,7 +123,7 @@
 	b := newTestScheduler()
 	registerIdle(b, start, north(0))
 	b.Add(start, job("a", policy, step(2, 500, nil)))
-	b.Evacuate(northEvacuated)
+	b.SetEvacuations(northEvacuated)
 	orders(b, start)
 	x, _ := b.Explain(start, "a")
 	if got := x.Steps[0].Waits; !strings.Contains(got, "in an evacuated availability zone") {
@@ -141,15 +141,15 @@
 		registerIdle(b, start, north(0))
 		b.Add(start, job("a", policy, step(1, 500, nil)))
 		sent := orders(b, start)
-		if len(sent) != 1 || b.Forgo(start, sent[0]) {
+		if len(sent) != 1 || b.SkipStart(start, sent[0]) {
 			t.Fatalf("orders %v, want one start that is not skipped", sent)
 		}
 		first, now := sent[0], start.Add(time.Second)
 		if sentBefore {
-			b.Answered(first, start, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true, Err: errors.New("reset")})
+			b.OrderAnswered(first, start, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true, Err: errors.New("reset")})
 		}
-		b.Evacuate(northEvacuated)
-		if !b.Forgo(now, first) {
+		b.SetEvacuations(northEvacuated)
+		if !b.SkipStart(now, first) {
 			t.Fatalf("the start is not skipped (sent before: %v)", sentBefore)
 		}
 		b.SetIncarnations(now, []pointport.Incarnation{north(0), south(1)})
@@ -174,21 +174,21 @@
 	registerIdle(b, start, north(0))
 	b.Add(start, job("a", policy, step(1, 500, nil)))
 	first := orders(b, start)[0]
-	first.Worker.Until(start, settings.Lease)
-	b.Answered(first, start, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true, Err: errors.New("reset")})
-	b.Evacuate(evacuation.Zones{})
+	first.Worker.ExtendLease(start, settings.Lease)
+	b.OrderAnswered(first, start, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true, Err: errors.New("reset")})
+	b.SetEvacuations(evacuation.Zones{})
 	now := start
 	for range 5 {
 		now = now.Add(200 * time.Millisecond)
 		for _, o := range orders(b, now) {
-			if o.Kind == schedule.OrderStop || !b.Forgo(now, o) {
+			if o.Kind == schedule.OrderStop || !b.SkipStart(now, o) {
 				t.Fatalf("%+v is sent while evacuations are unknown", o)
 			}
 		}
 	}
-	b.Evacuate(evacuation.None)
+	b.SetEvacuations(evacuation.None)
 	now = now.Add(200 * time.Millisecond)
-	if again := orders(b, now); len(again) != 1 || again[0].Kind != schedule.OrderStart || b.Forgo(now, again[0]) {
+	if again := orders(b, now); len(again) != 1 || again[0].Kind != schedule.OrderStart || b.SkipStart(now, again[0]) {
 		t.Errorf("orders %+v, want the start once more", again)
 	}
 }
@@ -203,7 +203,7 @@
 	b.Add(start, job("ends", policy, step(1, 1000, nil)))
 	acceptAndReport(b, start, orders(b, start))
 	before := b.Survey(start, schedule.SurveyRequest{}).Need.CPUMilli
-	b.Evacuate(northEvacuated)
+	b.SetEvacuations(northEvacuated)
 	now := start.Add(2 * time.Second)
 	if got := countStops(orders(b, now)); got != 0 {
 		t.Errorf("%d tasks are stopped by the evacuation, want none", got)
@@ -233,7 +233,7 @@
 	acceptAndReport(b, start, orders(b, start))
 	now := start.Add(3 * time.Second)
 	registerNewIdle(b, now, south(1), north(0))
-	b.Evacuate(northEvacuated)
+	b.SetEvacuations(northEvacuated)
 	s := b.Survey(now, schedule.SurveyRequest{Closures: []schedule.Closure{{Instance: "m-1", Evacuate: true}}})
 	if got := countStops(orders(b, now)); got != 0 || s.Unmoved != 1 {
 		t.Errorf("%d serving tasks are stopped and %d instances are missing for moves, want 0 and 1", got, s.Unmoved)
@@ -245,12 +245,12 @@
 func TestAdvisorIsNotAskedAboutAnEvacuatedZone(t *testing.T) {
 	b := newTestScheduler()
 	registerIdle(b, start, north(0), south(1))
-	b.Evacuate(northEvacuated)
+	b.SetEvacuations(northEvacuated)
 	advised := policy
 	advised.Advised = true
 	b.Add(start, job("a", advised, step(1, 500, nil)))
 	orders(b, start)
-	for _, q := range b.TakeQuestions() {
+	for _, q := range b.TakeAdviceRequests() {
 		for _, id := range q.Incarnations {
 			if id == "i-0" {
 				t.Errorf("advice request %+v contains an instance in the evacuated zone", q)
@@ -268,7 +268,7 @@
 	low.Priority = 1
 	b.Add(start, job("low", low, step(1, 4000, nil)))
 	acceptAndReport(b, start, orders(b, start))
-	b.Evacuate(northEvacuated)
+	b.SetEvacuations(northEvacuated)
 	b.Add(start, job("urgent", policy, step(1, 4000, nil)))
 	now := start
 	for range 20 {
--- a/schedule/expiry_test.go
+++ b/schedule/expiry_test.go
@@ -32,14 +32,14 @@
 		t.Fatalf("orders %v, want one start", sent)
 	}
 	first := sent[0]
-	first.Worker.Until(start, settings.Lease)
-	b.Answered(first, start, 0, silence)
+	first.Worker.ExtendLease(start, settings.Lease)
+	b.OrderAnswered(first, start, 0, silence)
 	now := start
 	for range 60 { // well beyond the execution lease
 		now = now.Add(100 * time.Millisecond)
-		b.Silent(first.Worker, now, silence)
+		b.PollFailed(first.Worker, now, silence)
 		for _, o := range orders(b, now) {
-			b.Answered(o, now, 0, silence)
+			b.OrderAnswered(o, now, 0, silence)
 		}
 	}
 	if s, _ := b.Status("a"); s.Ended() {
@@ -105,8 +105,8 @@
 			registerIdle(b, start, other...)
 			b.Add(start, job("a", policy, step(1, 100, c.change)))
 			first := orders(b, start)[0]
-			first.Worker.Until(start, settings.Lease)
-			b.Answered(first, start, 0, nil)
+			first.Worker.ExtendLease(start, settings.Lease)
+			b.OrderAnswered(first, start, 0, nil)
 			silent := first.Worker.Incarnation()
 			if silent.ID() == other[0].ID() {
 				other = other[1:]
@@ -114,10 +114,10 @@
 				other = other[:1]
 			}
 			again := pointport.NewIncarnation("i-again", "p", "10.0.0.9:1", pointport.WithInstance(silent.Instance()), pointport.WithCapacity(size))
-			sight := schedule.Sight{From: start}
+			sight := schedule.RegistryCoverage{Since: start}
 			for at := time.Duration(0); at < observationTime; at += 50 * time.Millisecond {
 				now := start.Add(at)
-				b.Silent(first.Worker, now, silence)
+				b.PollFailed(first.Worker, now, silence)
 				registered := other
 				if c.gone == nil || !c.gone(at) {
 					registered = append(registered[:1:1], silent)
@@ -127,14 +127,14 @@
 				}
 				switch unread := c.unread != nil && c.unread(at); {
 				case unread:
-					sight = schedule.Sight{}
-				case sight.From.IsZero():
-					sight = schedule.Sight{From: now, Until: now}
+					sight = schedule.RegistryCoverage{}
+				case sight.Since.IsZero():
+					sight = schedule.RegistryCoverage{Since: now, Until: now}
 				default:
 					sight.Until = now
 				}
 				b.SetIncarnations(now, registered)
-				b.See(sight)
+				b.SetRegistryCoverage(sight)
 				for _, o := range orders(b, now) {
 					if o.Kind != schedule.OrderStart || o.Worker == first.Worker {
 						continue
@@ -160,13 +160,13 @@
 	registerIdle(b, start, incarnation(0))
 	b.Add(start, job("a", policy, step(1, 100, nil)))
 	first := orders(b, start)[0]
-	first.Worker.Until(start, settings.Lease)
-	b.Answered(first, start, 0, nil)
+	first.Worker.ExtendLease(start, settings.Lease)
+	b.OrderAnswered(first, start, 0, nil)
 	b.Cancel(start, "a")
 	now := start
 	for range 60 {
 		now = now.Add(100 * time.Millisecond)
-		b.Silent(first.Worker, now, silence)
+		b.PollFailed(first.Worker, now, silence)
 		orders(b, now)
 	}
 	if status, _ := b.Status("a"); status != workload.Cancelled {
@@ -185,11 +185,11 @@
 	if len(sent) != 1 {
 		t.Fatalf("orders %v, want one start", sent)
 	}
-	if b.Forgo(start, sent[0]) {
+	if b.SkipStart(start, sent[0]) {
 		t.Fatal("the start is skipped although its instance answers")
 	}
-	b.Silent(sent[0].Worker, start, silence)
-	if !b.Forgo(start, sent[0]) {
+	b.PollFailed(sent[0].Worker, start, silence)
+	if !b.SkipStart(start, sent[0]) {
 		t.Fatal("the start is not skipped although its instance is silent")
 	}
 	again := orders(b, start.Add(10*time.Millisecond))
@@ -205,10 +205,10 @@
 	registerIdle(b, start, incarnation(0))
 	b.Add(start, job("a", policy, step(1, 100, nil)))
 	sent := orders(b, start)
-	sent[0].Worker.Until(start, settings.Lease)
-	b.Answered(sent[0], start, 0, silence)
-	b.Silent(sent[0].Worker, start, silence)
-	if b.Forgo(start, sent[0]) {
+	sent[0].Worker.ExtendLease(start, settings.Lease)
+	b.OrderAnswered(sent[0], start, 0, silence)
+	b.PollFailed(sent[0].Worker, start, silence)
+	if b.SkipStart(start, sent[0]) {
 		t.Error("the start is skipped although an earlier order of it may have arrived")
 	}
 }
@@ -221,11 +221,11 @@
 	for _, id := range []string{"a", "b", "c", "d"} {
 		b.Add(start, job(id, policy, step(4, 100, nil)))
 	}
-	b.LimitUnsent(8)
+	b.LimitUnstoredStarts(8)
 	if n := len(startsByIncarnation(orders(b, start))); n == 0 {
 		t.Fatal("nothing is placed below the limit")
 	}
-	b.LimitUnsent(0)
+	b.LimitUnstoredStarts(0)
 	b.Add(start, job("e", policy, step(1, 100, nil)))
 	if got := orders(b, start); len(got) != 0 {
 		t.Errorf("%d orders with a limit of 0, want none", len(got))
@@ -240,8 +240,8 @@
 	registerIdle(b, start, incarnation(0), incarnation(1))
 	b.Add(start, job("a", policy, step(1, 100, nil)))
 	first := orders(b, start)[0]
-	b.Sending(first)
-	b.Answered(first, start, clockAt(start), nil)
+	b.MarkSending(first)
+	b.OrderAnswered(first, start, clockAt(start), nil)
 	b.EndIncarnation(start, first.Worker.Incarnation().ID())
 	b.Report(first.Worker, start, start, reportOfOrderEnd(first, pointport.EndDone))
 	if got := startsByIncarnation(orders(b, start)); len(got) != 0 {
@@ -262,8 +262,8 @@
 	b.Add(start, job("a", policy, step(2, 100, func(s *workload.Step) { s.Gang = true })))
 	both := orders(b, start)
 	for _, o := range both {
-		b.Sending(o)
-		b.Answered(o, start, clockAt(start), nil)
+		b.MarkSending(o)
+		b.OrderAnswered(o, start, clockAt(start), nil)
 	}
 	b.SetIncarnations(start, []pointport.Incarnation{incarnation(0), incarnation(1)})
 	for _, w := range b.Workers() {
@@ -280,7 +280,7 @@
 		{Number: 1, TaskRun: both[0].TaskRun, Kind: pointport.EndDone}, {Number: 2, TaskRun: both[1].TaskRun, Kind: pointport.EndDone},
 	}})
 	for _, o := range again {
-		if o.Kind == schedule.OrderStart && !b.Forgo(start, o) {
+		if o.Kind == schedule.OrderStart && !b.SkipStart(start, o) {
 			t.Errorf("the start of %v is not skipped although its gang is done", o.TaskRun)
 		}
 	}
--- a/schedule/explain_customer_test.go
+++ b/schedule/explain_customer_test.go
@@ -14,10 +14,10 @@
 func TestCapIsExplained(t *testing.T) {
 	b := newTestScheduler()
 	registerIdle(b, start, incarnation(0), incarnation(1))
-	b.Allow(map[string]pointport.Shape{"bistro": {CPUMilli: 2500, MemoryMiB: 1 << 20, Accelerators: 1}})
+	b.SetAllowed(map[string]pointport.Shape{"bistro": {CPUMilli: 2500, MemoryMiB: 1 << 20, Accelerators: 1}})
 	spec := &workload.Spec{Steps: []workload.Step{step(4, 1000, nil)}}
-	b.Add(start, workload.New("a", "q", policy, spec, start, workload.Of("bistro")))
-	b.Add(start, workload.New("b", "q", policy, spec, start, workload.Of("cafe")))
+	b.Add(start, workload.New("a", "q", policy, spec, start, workload.WithCustomer("bistro")))
+	b.Add(start, workload.New("b", "q", policy, spec, start, workload.WithCustomer("cafe")))
 	if got := len(orders(b, start)); got != 6 {
 		t.Fatalf("%d starts, want two for bistro and four for cafe", got)
 	}
--- a/schedule/gang.go
+++ b/schedule/gang.go
@@ -28,10 +28,10 @@
 }
 
 // mates returns the runs of the other members of a run's gang.
-func (b *Book) mates(r *Run) []*Run {
+func (b *Scheduler) mates(r *Run) []*Run {
 	var out []*Run
 	for ref, other := range r.entry.runs {
-		if other != r && ref.K == r.ref.K && ref.Step == r.ref.Step {
+		if other != r && ref.Occurrence == r.ref.Occurrence && ref.Step == r.ref.Step {
 			out = append(out, other)
 		}
 	}
@@ -39,18 +39,18 @@
 	return out
 }
 
-// breakGang stops the other members of a run's gang, because the run has ended
+// stopRestOfGang stops the other members of a run's gang, because the run has ended
 // or never started.
-func (b *Book) breakGang(now time.Time, r *Run, reason string) {
+func (b *Scheduler) stopRestOfGang(now time.Time, r *Run, reason string) {
 	for _, mate := range b.mates(r) {
 		b.stop(now, mate, reason)
 	}
 }
 
 // gangDone takes in that a gang has ended well: one member's end stands for all.
-func (b *Book) gangDone(now time.Time, r *Run) {
+func (b *Scheduler) gangDone(now time.Time, r *Run) {
 	for _, mate := range b.mates(r) {
-		b.forget(now, mate)
+		b.removeRun(now, mate)
 	}
 	for i := range r.entry.job.Spec().Steps[r.ref.Step].Count {
 		ref := r.ref
@@ -59,17 +59,17 @@
 			r.entry.job.Finish(ref)
 		}
 	}
-	b.touch(r.entry, true)
-	b.settleJob(now, r.entry)
+	b.markDirty(r.entry, true)
+	b.endJobIfDone(now, r.entry)
 }
 
-// tendGangs gives up gangs that do not gather, before their members wait for
+// expireGangs gives up gangs that do not gather, before their members wait for
 // nothing.
-func (b *Book) tendGangs(now time.Time) {
+func (b *Scheduler) expireGangs(now time.Time) {
 	for g := range b.gangs {
 		gathered, first := 0, (*Run)(nil)
 		for ref, r := range g.entry.runs {
-			if ref.K != g.k || ref.Step != g.step || r.number != g.number {
+			if ref.Occurrence != g.k || ref.Step != g.step || r.number != g.number {
 				continue
 			}
 			first = r
@@ -85,13 +85,13 @@
 			event.GangGivenUp.Log(b.logger, slog.String("job", g.entry.job.ID()), slog.Int("step", g.step),
 				slog.Int("run", g.number), slog.Int("gathered", gathered))
 			b.stop(now, first, "its gang did not gather")
-			b.breakGang(now, first, "its gang did not gather")
+			b.stopRestOfGang(now, first, "its gang did not gather")
 		}
 	}
 }
 
 // placeGang places all tasks of a gang, or none.
-func (p *placement) placeGang(tasks []waiting) bool {
+func (p *placement) placeGang(tasks []waitingTask) bool {
 	step := tasks[0].step
 	for _, workers := range p.gangSets(step) {
 		chosen := p.fitGang(tasks, workers)
@@ -106,7 +106,7 @@
 			p.book.placeAs(p.now, t, chosen[n], number+1, len(workers))
 		}
 		t := tasks[0]
-		p.book.gangs[&gang{entry: t.entry, k: t.ref.K, step: t.ref.Step, number: number + 1, since: p.now}] = struct{}{}
+		p.book.gangs[&gang{entry: t.entry, k: t.ref.Occurrence, step: t.ref.Step, number: number + 1, since: p.now}] = struct{}{}
 		return true
 	}
 	p.reserveGang(tasks)
@@ -137,9 +137,9 @@
 
 // fitGang returns a worker for each task of a gang, or nil if they do not all
 // fit.
-func (p *placement) fitGang(tasks []waiting, workers []*Worker) []*Worker {
+func (p *placement) fitGang(tasks []waitingTask, workers []*Worker) []*Worker {
 	step := tasks[0].step
-	room := step.Room()
+	room := step.Reservation()
 	taken := make(map[*Worker]int)
 	chosen := make([]*Worker, 0, len(tasks))
 	for _, t := range tasks {
@@ -164,7 +164,7 @@
 }
 
 // holds reports whether a worker can hold a task beside some more of its gang.
-func (p *placement) holds(w *Worker, t waiting, room pointport.Shape, more int) bool {
+func (p *placement) holds(w *Worker, t waitingTask, room pointport.Shape, more int) bool {
 	free := w.free
 	for range more {
 		free = free.Minus(room)
@@ -178,13 +178,13 @@
 // reserveGang keeps as many workers free of other tasks as a gang needs, because
 // smaller tasks would always take the room that falls free. One gang at a time
 // is waited for.
-func (p *placement) reserveGang(tasks []waiting) {
+func (p *placement) reserveGang(tasks []waitingTask) {
 	if p.gangWaits {
 		return
 	}
 	p.gangWaits = true
 	step := tasks[0].step
-	room := step.Room()
+	room := step.Reservation()
 	rest := make([]*Worker, 0, len(p.workers))
 	byFree := append([]*Worker(nil), p.workers...)
 	sort.SliceStable(byFree, func(i, k int) bool { return byFree[i].free.CPUMilli > byFree[k].free.CPUMilli })
--- a/schedule/health.go
+++ b/schedule/health.go
@@ -25,7 +25,7 @@
 type health struct {
 	failures int // in a row
 	avoid    time.Time
-	span     time.Duration
+	avoidFor time.Duration
 }
 
 // succeeded takes in that a run on the worker has ended well. It reports whether
@@ -43,8 +43,8 @@
 	if h.failures < failuresToAvoid {
 		return false
 	}
-	h.span = min(max(avoidFirst, 2*h.span), avoidMost)
-	h.avoid = now.Add(h.span)
+	h.avoidFor = min(max(avoidFirst, 2*h.avoidFor), avoidMost)
+	h.avoid = now.Add(h.avoidFor)
 	return true
 }
 
@@ -62,8 +62,8 @@
 
 // wary reports whether a task should not go to a worker because it, or another of
 // its gang, has just failed there.
-func (b *Book) wary(t waiting, w *Worker, now time.Time) bool {
-	if len(t.entry.wary) == 0 {
+func (b *Scheduler) wary(t waitingTask, w *Worker, now time.Time) bool {
+	if len(t.entry.avoidUntil) == 0 {
 		return false
 	}
 	if !t.step.Gang {
@@ -80,7 +80,7 @@
 }
 
 func (e *entry) waryOf(ref workload.TaskRef, on pointport.IncarnationID, now time.Time) bool {
-	until, ok := e.wary[ref]
+	until, ok := e.avoidUntil[ref]
 	if !ok {
 		return false
 	}
@@ -88,10 +88,10 @@
 	return task != nil && task.Phase == workload.Pending && task.On == on && now.Before(until)
 }
 
-// beWary keeps a task that has failed away from where it did, for a while.
-func (e *entry) beWary(ref workload.TaskRef, now time.Time) {
-	if e.wary == nil {
-		e.wary = make(map[workload.TaskRef]time.Time)
+// avoidFailedWorker keeps a task that has failed away from where it did, for a while.
+func (e *entry) avoidFailedWorker(ref workload.TaskRef, now time.Time) {
+	if e.avoidUntil == nil {
+		e.avoidUntil = make(map[workload.TaskRef]time.Time)
 	}
-	e.wary[ref] = now.Add(retryElsewhere)
+	e.avoidUntil[ref] = now.Add(retryElsewhere)
 }
--- a/schedule/incarnation_end_test.go
+++ b/schedule/incarnation_end_test.go
@@ -12,7 +12,7 @@
 
 // schedulerWithTwoIncarnations returns a scheduler with one task on the former incarnation of
 // an instance, and the workers of the former and the later incarnation.
-func schedulerWithTwoIncarnations(t *testing.T) (b *schedule.Book, former, later *schedule.Worker) {
+func schedulerWithTwoIncarnations(t *testing.T) (b *schedule.Scheduler, former, later *schedule.Worker) {
 	t.Helper()
 	b = newTestScheduler()
 	instance := pointport.WithInstance("m")
@@ -24,8 +24,8 @@
 		t.Fatalf("orders %v, want one start", sent)
 	}
 	former = sent[0].Worker
-	former.Until(start, settings.Lease)
-	b.Answered(sent[0], start, 0, nil)
+	former.ExtendLease(start, settings.Lease)
+	b.OrderAnswered(sent[0], start, 0, nil)
 	b.SetIncarnations(start, []pointport.Incarnation{first, second})
 	for _, w := range b.Workers() {
 		if w != former {
@@ -41,13 +41,13 @@
 func TestMachineListDoesNotOverruleAnAnswer(t *testing.T) {
 	b, former, _ := schedulerWithTwoIncarnations(t)
 	now := start.Add(time.Second)
-	b.Silent(former, now, silence)
+	b.PollFailed(former, now, silence)
 	b.Report(former, now, now.Add(10*time.Millisecond), pointport.Report{Clock: 1, Running: []pointport.RunningTask{{TaskRun: pointport.TaskRun{Task: "a.0.0.0", Run: 1}}}})
 	b.Survey(now.Add(20*time.Millisecond), schedule.SurveyRequest{Over: []pointport.IncarnationID{former.Incarnation().ID()}})
 	if former.Ended() {
 		t.Error("an incarnation that has answered since counts as ended")
 	}
-	b.Silent(former, now.Add(time.Second), silence)
+	b.PollFailed(former, now.Add(time.Second), silence)
 	b.Survey(now.Add(time.Second), schedule.SurveyRequest{Over: []pointport.IncarnationID{former.Incarnation().ID()}})
 	if !former.Ended() {
 		t.Error("an incarnation that is silent and listed as ended does not count as ended")
@@ -59,7 +59,7 @@
 // Their tasks need not wait until their execution leases expire.
 func TestLaterIncarnationProvesEndOfFormerOne(t *testing.T) {
 	b, former, later := schedulerWithTwoIncarnations(t)
-	b.Silent(former, start.Add(time.Second), silence)
+	b.PollFailed(former, start.Add(time.Second), silence)
 	asked := start.Add(1200 * time.Millisecond)
 	b.Report(later, asked, asked.Add(time.Millisecond), pointport.Report{Clock: 1})
 	if !former.Ended() {
@@ -94,7 +94,7 @@
 	acceptStarts(b, orders(b, start), start)
 	w := b.Workers()[0]
 	now := start.Add(time.Second)
-	b.Silent(w, now, &pointport.RejectedError{Incarnation: w.Incarnation().ID(), Reason: pointport.RejectUnhealthy})
+	b.PollFailed(w, now, &pointport.RejectedError{Incarnation: w.Incarnation().ID(), Reason: pointport.RejectUnhealthy})
 	b.Survey(now.Add(100*time.Millisecond), schedule.SurveyRequest{Over: []pointport.IncarnationID{w.Incarnation().ID()}})
 	if w.Ended() {
 		t.Error("the incarnation of an instance that has just refused a poll counts as ended")
--- a/schedule/instance_model_test.go
+++ b/schedule/instance_model_test.go
@@ -278,14 +278,14 @@
 	work := w.workOf(o.Task)
 	free := l.instance.capacity
 	for _, r := range l.runs {
-		free = free.Minus(r.work.step.Room())
+		free = free.Minus(r.work.step.Reservation())
 	}
 	switch {
 	case l.extendedTo <= l.clock(w.now):
 		return l.reject(pointport.RejectLate)
 	case l.ruledOut[o.Task] >= o.Run || l.runs[o.Task] != nil:
 		return l.reject(pointport.RejectOldRun)
-	case !free.Fits(work.step.Room()):
+	case !free.Fits(work.step.Reservation()):
 		w.checkFull(l, o.TaskRun)
 		return l.reject(pointport.RejectRoom)
 	}
--- a/schedule/isolation_test.go
+++ b/schedule/isolation_test.go
@@ -25,7 +25,7 @@
 
 // schedulerWithSilent returns a scheduler with a number of instances, and the workers of those
 // that have been silent for a second.
-func schedulerWithSilent(all, silent int) (*schedule.Book, []*schedule.Worker) {
+func schedulerWithSilent(all, silent int) (*schedule.Scheduler, []*schedule.Worker) {
 	b := newTestScheduler()
 	var incs []pointport.Incarnation
 	for n := range all {
@@ -34,7 +34,7 @@
 	registerIdle(b, start, incs...)
 	workers := b.Workers()[:silent]
 	for _, w := range workers {
-		b.Silent(w, start, silence)
+		b.PollFailed(w, start, silence)
 	}
 	b.Plan(start)
 	b.Plan(start.Add(time.Second))
@@ -51,8 +51,8 @@
 	}{
 		{2, 1, false}, {2, 2, false}, {3, 3, false}, {10, 5, false}, {11, 6, false}, {12, 8, true}, {102, 68, true}, {102, 102, true},
 	} {
-		if b, _ := schedulerWithSilent(c.all, c.silent); b.Doubts() != c.want {
-			t.Errorf("%d of %d instances are silent: owner suspects isolation: %v, want %v", c.silent, c.all, b.Doubts(), c.want)
+		if b, _ := schedulerWithSilent(c.all, c.silent); b.SuspectsIsolation() != c.want {
+			t.Errorf("%d of %d instances are silent: owner suspects isolation: %v, want %v", c.silent, c.all, b.SuspectsIsolation(), c.want)
 		}
 	}
 }
@@ -69,11 +69,11 @@
 		b.Plan(start)
 	}
 	reportIdle(silent[:20])
-	if !b.Doubts() {
+	if !b.SuspectsIsolation() {
 		t.Error("the owner no longer suspects isolation while 40 of 100 instances are silent")
 	}
 	reportIdle(silent[20:40])
-	if b.Doubts() {
+	if b.SuspectsIsolation() {
 		t.Error("the owner suspects isolation while 20 of 100 instances are silent")
 	}
 }
@@ -91,11 +91,11 @@
 	now := start
 	for range 10 {
 		for _, w := range b.Workers() {
-			b.Silent(w, now, silence)
+			b.PollFailed(w, now, silence)
 		}
 		for range 9 {
 			b.Plan(now)
-			if b.Doubts() {
+			if b.SuspectsIsolation() {
 				t.Fatal("the owner suspects isolation after less than a second of silence")
 			}
 			now = now.Add(100 * time.Millisecond)
@@ -113,7 +113,7 @@
 	b, _ := schedulerWithSilent(10, 8)
 	b.SetIncarnations(start, []pointport.Incarnation{incarnation(8), incarnation(9)})
 	b.Plan(start)
-	if b.Doubts() {
+	if b.SuspectsIsolation() {
 		t.Error("the owner suspects isolation although all registered instances answer")
 	}
 }
@@ -135,8 +135,8 @@
 			registerIdle(b, start, all...)
 			b.Add(start, job("a", policy, step(1, 100, change)))
 			first := orders(b, start)[0]
-			first.Worker.Until(start, settings.Lease)
-			b.Answered(first, start, 1, nil)
+			first.Worker.ExtendLease(start, settings.Lease)
+			b.OrderAnswered(first, start, 1, nil)
 			silent := []*schedule.Worker{first.Worker}
 			for _, w := range b.Workers() {
 				if w != first.Worker && len(silent) < 8 {
@@ -146,7 +146,7 @@
 			now := start
 			for range 300 { // half a minute
 				for _, w := range silent {
-					b.Silent(w, now, silence)
+					b.PollFailed(w, now, silence)
 				}
 				for _, o := range orders(b, now) {
 					if o.Kind == schedule.OrderStart {
@@ -160,7 +160,7 @@
 			}
 			again := 0
 			for range 20 {
-				b.Silent(first.Worker, now, silence)
+				b.PollFailed(first.Worker, now, silence)
 				again += len(startsByIncarnation(orders(b, now)))
 				now = now.Add(100 * time.Millisecond)
 			}
--- a/schedule/late_end_test.go
+++ b/schedule/late_end_test.go
@@ -14,7 +14,7 @@
 // schedulerWithExpiredGang returns a scheduler whose two instances ran a gang and were cut
 // off, together with their registrations, until their execution leases had expired, so that
 // the gang waits again. It also returns the starts that were carried out and the time.
-func schedulerWithExpiredGang(t *testing.T) (*schedule.Book, []schedule.Order, time.Time) {
+func schedulerWithExpiredGang(t *testing.T) (*schedule.Scheduler, []schedule.Order, time.Time) {
 	t.Helper()
 	b := newTestScheduler()
 	both := []pointport.Incarnation{incarnation(0), incarnation(1)}
@@ -25,19 +25,19 @@
 		t.Fatalf("orders %v, want a start on each instance", sent)
 	}
 	for _, o := range sent {
-		b.Sending(o)
-		o.Worker.Until(start, settings.Lease)
-		b.Answered(o, start, 1, nil)
+		b.MarkSending(o)
+		o.Worker.ExtendLease(start, settings.Lease)
+		b.OrderAnswered(o, start, 1, nil)
 	}
 	now := start
 	for range 50 { // well beyond the execution lease
 		now = now.Add(100 * time.Millisecond)
 		b.SetIncarnations(now, nil)
 		for _, o := range sent {
-			b.Silent(o.Worker, now, silence)
+			b.PollFailed(o.Worker, now, silence)
 		}
 		for _, o := range orders(b, now) {
-			b.Answered(o, now, 0, silence)
+			b.OrderAnswered(o, now, 0, silence)
 		}
 	}
 	b.SetIncarnations(now, both)
@@ -86,8 +86,8 @@
 		t.Fatalf("orders %v, want the gang started again", again)
 	}
 	for _, o := range again {
-		b.Sending(o)
-		b.Answered(o, now, 1, nil)
+		b.MarkSending(o)
+		b.OrderAnswered(o, now, 1, nil)
 	}
 	now = now.Add(time.Second)
 	late := again[0].Worker
@@ -134,7 +134,7 @@
 
 // countsAsEmpty reports whether an instance counts as empty, so that it may be moved or
 // maintained.
-func countsAsEmpty(t *testing.T, b *schedule.Book, now time.Time, id pointport.IncarnationID) bool {
+func countsAsEmpty(t *testing.T, b *schedule.Scheduler, now time.Time, id pointport.IncarnationID) bool {
 	t.Helper()
 	for _, l := range b.Survey(now, schedule.SurveyRequest{}).Instances {
 		if l.Incarnation == id {
--- a/schedule/later.go
+++ b/schedule/later_incarnation.go
@@ -30,7 +30,7 @@
 
 // mayBeLater reports whether a later life of the addressee may have the run, or may yet take a start
 // of it that has got no answer.
-func (r *Run) mayBeLater() bool { return r.mayHaveBegun() && (!r.listed || r.underWay()) }
+func (r *Run) mayBeLater() bool { return r.mayHaveBegun() && (!r.listed || r.startInFlight()) }
 
 // uncertain reports whether that is so, and there may be a later life of its worker's addressee.
 func (r *Run) uncertain() bool { return r.worker.inc.ID().Shares() && r.mayBeLater() }
@@ -41,14 +41,14 @@
 }
 
 // replaced takes in that another incarnation has answered in place of a worker.
-func (b *Book) replaced(w *Worker, now time.Time, gone *pointport.GoneError) {
+func (b *Scheduler) replaced(w *Worker, now time.Time, gone *pointport.GoneError) {
 	b.workerEnded(w, now, "another incarnation answered", b.laterLife(w, now, gone.By))
 }
 
 // laterLife returns the worker for the life that has answered in place of another one under the
 // same addressee, nil if the one that answered has another addressee. It may not have registered
 // yet; until it has, it is asked at the address at which it has answered.
-func (b *Book) laterLife(w *Worker, now time.Time, id pointport.IncarnationID) *Worker {
+func (b *Scheduler) laterLife(w *Worker, now time.Time, id pointport.IncarnationID) *Worker {
 	if id == "" {
 		return nil
 	}
@@ -59,14 +59,14 @@
 	if later.inc.Address() == "" {
 		later.inc = pointport.NewIncarnation(id, w.inc.Pool(), w.inc.Address(), pointport.WithInstance(w.inc.Instance()),
 			pointport.WithZone(w.inc.Zone()), pointport.WithRack(w.inc.Rack()), pointport.WithLabels(w.inc.Labels()))
-		b.looks[later] = struct{}{}
+		b.pollNow[later] = struct{}{}
 	}
 	return later
 }
 
 // presentLife returns the life of a worker's addressee that was heard last, can be asked and is not
 // over, nil if none is known.
-func (b *Book) presentLife(w *Worker) *Worker {
+func (b *Scheduler) presentLife(w *Worker) *Worker {
 	var present *Worker
 	for _, o := range b.workers {
 		if o.sharesWith(w) && !o.ended && o.inc.Address() != "" && (present == nil || o.lastKnown().After(present.lastKnown())) {
@@ -77,7 +77,7 @@
 }
 
 // listedLife reports whether another life of a worker's addressee is registered.
-func (b *Book) listedLife(w *Worker) bool {
+func (b *Scheduler) listedLife(w *Worker) bool {
 	for _, o := range b.workers {
 		if o.sharesWith(w) && o.listed && !o.ended {
 			return true
@@ -88,7 +88,7 @@
 
 // follow moves the runs of a worker that is over and that a later life may have, or may yet take, to
 // that life.
-func (b *Book) follow(now time.Time, former, later *Worker, cause parting) {
+func (b *Scheduler) follow(now time.Time, former, later *Worker, cause parting) {
 	died := former.begunRuns()
 	for _, r := range died {
 		if !r.mayBeLater() || later.runs[r.name] != nil {
@@ -98,19 +98,19 @@
 			r.uncertainty = &uncertainty{cause, crashCase(died, r, former), len(died) - 1}
 		}
 		suspected, quarantined := r.suspected, r.quarantined
-		former.drop(r) // which has it count as any other
+		former.removeRun(r) // which has it count as any other
 		r.worker, r.listed, r.suspected, r.quarantined = later, false, suspected, quarantined
-		later.take(r)
-		delete(later.burns, r.TaskRun())
-		if r.state == runSettling {
+		later.addRun(r)
+		delete(later.startsToRuleOut, r.TaskRun())
+		if r.state == runAwaitingReport {
 			r.state = runSent // what ruled it out may have been the life that is over
 			r.stopAgainAt = now
 		}
-		r.againAt = time.Time{} // to be ordered again it would have to be placed there
+		r.resendAt = time.Time{} // to be ordered again it would have to be placed there
 		event.RunFollows.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number), slog.String("incarnation", string(former.inc.ID())),
 			slog.String("later", string(later.inc.ID())), slog.Int("unanswered", r.unanswered), slog.Duration("sinceSeen", r.sinceSeen(now)))
 	}
-	b.looks[later] = struct{}{}
+	b.pollNow[later] = struct{}{}
 }
 
 // takenLate is for how long an order may be on its way, and be held back by the life that it
@@ -119,37 +119,37 @@
 
 // foreignUntil returns until when a later life may run what it took, or extend what it runs, by an
 // order that was sent at a time and meant for an earlier life: as long as an instance grants.
-func (b *Book) foreignUntil(ordered time.Time) time.Time {
+func (b *Scheduler) foreignUntil(ordered time.Time) time.Time {
 	return ordered.Add(takenLate + time.Duration(float64(b.settings.MaxHold)*slowClock) + lapseSlack)
 }
 
-// endsOf returns when everything has surely ended that was ordered to a worker, if no further answer
+// executionExpiry returns when everything has surely ended that was ordered to a worker, if no further answer
 // comes: also what a later life may have taken.
-func (b *Book) endsOf(w *Worker) time.Time {
+func (b *Scheduler) executionExpiry(w *Worker) time.Time {
 	if !w.anyUncertain() {
-		return w.life.ends()
+		return w.lease.expiry()
 	}
-	return latest(w.life.ends(), b.foreignUntil(w.life.ordered))
+	return latest(w.lease.expiry(), b.foreignUntil(w.lease.ordered))
 }
 
 // noteForeign notes until when orders to a worker that is over may extend what later lives of its
 // addressee run.
-func (b *Book) noteForeign(w *Worker) {
+func (b *Scheduler) noteForeign(w *Worker) {
 	if !w.inc.ID().Shares() {
 		return
 	}
-	to, until := w.inc.ID().Addressee(), b.foreignUntil(w.life.ordered)
+	to, until := w.inc.ID().Addressee(), b.foreignUntil(w.lease.ordered)
 	b.foreign[to] = latest(b.foreign[to], until)
 	for _, o := range b.workers {
 		if o.sharesWith(w) {
-			o.life.foreign = latest(o.life.foreign, until)
+			o.lease.misdirectedUntil = latest(o.lease.misdirectedUntil, until)
 		}
 	}
 }
 
-// found takes in that the life to which a run has followed has it, or had it: it did not die with
+// confirmListed takes in that the life to which a run has followed has it, or had it: it did not die with
 // the former one.
-func (r *Run) found() {
+func (r *Run) confirmListed() {
 	r.listed = true
 	if r.uncertainty == nil {
 		return
@@ -160,10 +160,10 @@
 	}
 }
 
-// notFollowed takes in that the life to which a run has followed does not list it, by an answer to
+// notListedByLater takes in that the life to which a run has followed does not list it, by an answer to
 // a look that was sent at sent. It reports whether the run is over: a start that got no answer is
 // ruled out first.
-func (b *Book) notFollowed(now, sent time.Time, r *Run) bool {
+func (b *Scheduler) notListedByLater(now, sent time.Time, r *Run) bool {
 	if r.state == runLive && r.unanswered == 0 {
 		return sent.After(r.liveAt)
 	}
@@ -171,8 +171,8 @@
 	return false
 }
 
-// diedBefore counts the crash of the life before against a run that has followed and is not there.
-func (b *Book) diedBefore(now time.Time, r *Run) {
+// recordEarlierLoss counts the crash of the life before against a run that has followed and is not there.
+func (b *Scheduler) recordEarlierLoss(now time.Time, r *Run) {
 	u := r.uncertainty
 	r.uncertainty = nil
 	if u.cause != partingCrashed {
@@ -184,20 +184,20 @@
 
 // rememberStart notes that a start may still be under way to a later life of a worker, although
 // nothing wants it any more.
-func (b *Book) rememberStart(now time.Time, w *Worker, run pointport.TaskRun) {
+func (b *Scheduler) rememberStart(now time.Time, w *Worker, run pointport.TaskRun) {
 	if !w.inc.ID().Shares() {
 		return
 	}
 	to := w.inc.ID().Addressee()
-	if b.underWay[to] == nil {
-		b.underWay[to] = make(map[pointport.TaskRun]time.Time)
+	if b.startsInFlight[to] == nil {
+		b.startsInFlight[to] = make(map[pointport.TaskRun]time.Time)
 	}
-	b.underWay[to][run] = now
+	b.startsInFlight[to][run] = now
 }
 
-// burnFor returns the starts that a life which is new to the owner must rule out first.
-func (b *Book) burnFor(id pointport.IncarnationID) map[pointport.TaskRun]bool {
-	all := b.underWay[id.Addressee()]
+// startsToRuleOut returns the starts that a life which is new to the owner must rule out first.
+func (b *Scheduler) startsToRuleOut(id pointport.IncarnationID) map[pointport.TaskRun]bool {
+	all := b.startsInFlight[id.Addressee()]
 	if len(all) == 0 {
 		return nil
 	}
@@ -209,20 +209,20 @@
 }
 
 // forgetOrders forgets the orders that can be under way no more.
-func (b *Book) forgetOrders(now time.Time) {
+func (b *Scheduler) forgetOrders(now time.Time) {
 	for to, until := range b.foreign {
 		if now.After(until) {
 			delete(b.foreign, to)
 		}
 	}
-	for to, all := range b.underWay {
+	for to, all := range b.startsInFlight {
 		for run, at := range all {
 			if now.Sub(at) > burnsKept {
 				delete(all, run)
 			}
 		}
 		if len(all) == 0 {
-			delete(b.underWay, to)
+			delete(b.startsInFlight, to)
 		}
 	}
 }
--- a/schedule/later_incarnation_test.go
+++ b/schedule/later_incarnation_test.go
@@ -31,7 +31,7 @@
 }
 
 // workerOf returns the worker of an incarnation.
-func workerOf(t *testing.T, b *schedule.Book, inc pointport.Incarnation) *schedule.Worker {
+func workerOf(t *testing.T, b *schedule.Scheduler, inc pointport.Incarnation) *schedule.Worker {
 	t.Helper()
 	for _, w := range b.Workers() {
 		if w.Incarnation().ID() == inc.ID() {
@@ -44,14 +44,14 @@
 
 // schedulerWithStart returns a scheduler in which the start of a task on the first incarnation
 // of an instance was sent at start.
-func schedulerWithStart(t *testing.T) (*schedule.Book, schedule.Order, *workload.Job) {
+func schedulerWithStart(t *testing.T) (*schedule.Scheduler, schedule.Order, *workload.Job) {
 	t.Helper()
 	return schedulerWithStartOn(t, restarted(0), nil)
 }
 
 // schedulerWithStartOn returns a scheduler in which the start of a task on an incarnation was
 // sent at start; change modifies the step of the task and may be nil.
-func schedulerWithStartOn(t *testing.T, inc pointport.Incarnation, change func(*workload.Step)) (*schedule.Book, schedule.Order, *workload.Job) {
+func schedulerWithStartOn(t *testing.T, inc pointport.Incarnation, change func(*workload.Step)) (*schedule.Scheduler, schedule.Order, *workload.Job) {
 	t.Helper()
 	b := newTestScheduler()
 	registerIdle(b, start, inc)
@@ -61,8 +61,8 @@
 	if len(all) != 1 || all[0].Kind != schedule.OrderStart {
 		t.Fatalf("orders %v, want a start", all)
 	}
-	b.Sending(all[0])
-	all[0].Worker.Until(start, settings.Lease)
+	b.MarkSending(all[0])
+	all[0].Worker.ExtendLease(start, settings.Lease)
 	return b, all[0], j
 }
 
@@ -88,26 +88,26 @@
 	orders(b, now)
 	b.Add(now, job("a", policy, step(1, 100, nil)))
 	first := orders(b, now)[0]
-	b.Sending(first)
-	if got := w.Look(); got.Acknowledged != 0 {
+	b.MarkSending(first)
+	if got := w.NextPoll(); got.Acknowledged != 0 {
 		t.Errorf("with a start in flight, the poll acknowledges ends up to %d, want none", got.Acknowledged)
 	}
-	b.Answered(first, now, 3, nil)
-	if got := w.Look(); got.Acknowledged != 0 {
+	b.OrderAnswered(first, now, 3, nil)
+	if got := w.NextPoll(); got.Acknowledged != 0 {
 		t.Errorf("with a start that any incarnation may have answered, the poll acknowledges ends up to %d, want none", got.Acknowledged)
 	}
 	b.Report(w, now, now, reportOfRun(first.TaskRun))
-	look := w.Look()
-	if look != (schedule.Look{Acknowledged: 9}) || !w.Acknowledging(now) {
-		t.Errorf("once the run is listed, the poll is %+v and starts are held back: %v, want an acknowledgement of 9 that does not wait, and starts held back", look, w.Acknowledging(now))
+	look := w.NextPoll()
+	if look != (schedule.Poll{Acknowledged: 9}) || !w.AckInFlight(now) {
+		t.Errorf("once the run is listed, the poll is %+v and starts are held back: %v, want an acknowledgement of 9 that does not wait, and starts held back", look, w.AckInFlight(now))
 	}
-	if again := w.Look(); again.Acknowledged != 0 || !again.MayWait {
+	if again := w.NextPoll(); again.Acknowledged != 0 || !again.MayWait {
 		t.Errorf("beside that poll, the next one is %+v, want one that waits and acknowledges nothing", again)
 	}
-	if !w.Looked(look, now, true) || w.Acknowledging(now) {
+	if !w.PollDone(look, now, true) || w.AckInFlight(now) {
 		t.Error("once the acknowledging poll is answered, starts are still held back, or no poll is due at once")
 	}
-	if after := w.Look(); after != (schedule.Look{MayWait: true}) {
+	if after := w.NextPoll(); after != (schedule.Poll{MayWait: true}) {
 		t.Errorf("after it, the poll is %+v, want one that waits for an end and acknowledges nothing", after)
 	}
 }
@@ -120,9 +120,9 @@
 	w := b.Workers()[0]
 	b.Report(w, start, start, pointport.Report{Clock: 2, Ended: []pointport.TaskEnd{{Number: 9, TaskRun: pointport.TaskRun{Task: "b.0.0.0", Run: 1}, Kind: pointport.EndDone}}})
 	b.Add(start, job("a", policy, step(1, 100, nil)))
-	b.Sending(orders(b, start)[0])
-	if got := w.Look(); got != (schedule.Look{Acknowledged: 9, MayWait: true}) || w.Acknowledging(start) {
-		t.Errorf("the poll is %+v and starts are held back: %v, want an acknowledgement of 9 that waits, and no start held back", got, w.Acknowledging(start))
+	b.MarkSending(orders(b, start)[0])
+	if got := w.NextPoll(); got != (schedule.Poll{Acknowledged: 9, MayWait: true}) || w.AckInFlight(start) {
+		t.Errorf("the poll is %+v and starts are held back: %v, want an acknowledgement of 9 that waits, and no start held back", got, w.AckInFlight(start))
 	}
 }
 
@@ -133,17 +133,17 @@
 	for _, answered := range []bool{true, false} {
 		b, first, _ := schedulerWithStart(t)
 		if answered {
-			b.Answered(first, start, 3, nil)
+			b.OrderAnswered(first, start, 3, nil)
 		}
 		now := start.Add(time.Second)
-		b.Silent(first.Worker, now, replacedBy(restarted(0), restarted(1)))
+		b.PollFailed(first.Worker, now, replacedBy(restarted(0), restarted(1)))
 		if !first.Worker.Ended() {
 			t.Fatal("the earlier incarnation does not count as ended")
 		}
 		if got := startsByIncarnation(orders(b, now)); len(got) != 0 {
 			t.Fatalf("starts %v before the later incarnation was polled", got)
 		}
-		if !slices.ContainsFunc(b.TakeLooks(), func(w *schedule.Worker) bool { return w.Incarnation().ID() == restarted(1).ID() }) {
+		if !slices.ContainsFunc(b.TakePolls(), func(w *schedule.Worker) bool { return w.Incarnation().ID() == restarted(1).ID() }) {
 			t.Error("the later incarnation, which has not registered yet, is not polled")
 		}
 		later := workerOf(t, b, restarted(1))
@@ -163,7 +163,7 @@
 // incarnation has received its start and completed it before it is polled for the first time.
 func TestEndListedByLaterIncarnationCounts(t *testing.T) {
 	b, first, _ := schedulerWithStart(t)
-	b.Answered(first, start, 3, nil)
+	b.OrderAnswered(first, start, 3, nil)
 	now := start.Add(2 * time.Second)
 	b.SetIncarnations(now, []pointport.Incarnation{restarted(1)})
 	b.Report(workerOf(t, b, restarted(1)), now, now, pointport.Report{Clock: 6, Ended: []pointport.TaskEnd{{Number: 1, TaskRun: first.TaskRun, Kind: pointport.EndDone}}})
@@ -183,9 +183,9 @@
 	for _, answered := range []bool{true, false} {
 		b, first, _ := schedulerWithStart(t)
 		if answered {
-			b.Answered(first, start, 3, nil)
+			b.OrderAnswered(first, start, 3, nil)
 		} else {
-			b.Answered(first, start.Add(400*time.Millisecond), 0, silence)
+			b.OrderAnswered(first, start.Add(400*time.Millisecond), 0, silence)
 		}
 		now := start.Add(time.Second)
 		b.SetIncarnations(now, []pointport.Incarnation{restarted(1)})
@@ -197,7 +197,7 @@
 			if len(startsByIncarnation(all)) != 0 || len(stops) != 1 || stops[0].Worker != later {
 				t.Fatalf("orders %+v, want only a stop to the later incarnation", all)
 			}
-			b.Answered(stops[0], now.Add(time.Millisecond), 0, nil)
+			b.OrderAnswered(stops[0], now.Add(time.Millisecond), 0, nil)
 			now = now.Add(10 * time.Millisecond)
 			b.Report(later, now, now, pointport.Report{Clock: 6})
 		}
@@ -216,12 +216,12 @@
 	for _, answered := range []bool{true, false} {
 		b, first, j := schedulerWithStart(t)
 		if answered {
-			b.Answered(first, start, 3, nil)
+			b.OrderAnswered(first, start, 3, nil)
 		} else {
-			b.Answered(first, start.Add(400*time.Millisecond), 0, silence)
+			b.OrderAnswered(first, start.Add(400*time.Millisecond), 0, silence)
 		}
 		now := start.Add(time.Second)
-		b.Silent(first.Worker, now, replacedBy(restarted(0), restarted(1)))
+		b.PollFailed(first.Worker, now, replacedBy(restarted(0), restarted(1)))
 		if got := j.Task(workload.TaskRef{}).Crashes; got != 0 {
 			t.Errorf("start answered: %v: %d crashes before it is known whether the run is on the later incarnation", answered, got)
 		}
@@ -230,7 +230,7 @@
 			now = now.Add(10 * time.Millisecond)
 			b.Report(later, now, now, pointport.Report{Clock: 5})
 			for _, stop := range ordersFor(orders(b, now), schedule.OrderStop, first.TaskRun) {
-				b.Answered(stop, now.Add(time.Millisecond), 0, nil)
+				b.OrderAnswered(stop, now.Add(time.Millisecond), 0, nil)
 			}
 		}
 		if got := j.Task(workload.TaskRef{}).Crashes; got != 1 {
@@ -246,11 +246,11 @@
 	registerIdle(b, start, restarted(0))
 	b.Add(start, crashedJob("a", 2, step(1, 100, nil)))
 	first := orders(b, start)[0]
-	b.Sending(first)
-	b.Answered(first, start, 3, nil)
+	b.MarkSending(first)
+	b.OrderAnswered(first, start, 3, nil)
 	now := start.Add(10 * time.Millisecond)
 	b.SetIncarnations(now, []pointport.Incarnation{restarted(1)})
-	b.Silent(first.Worker, now, replacedBy(restarted(0), restarted(1)))
+	b.PollFailed(first.Worker, now, replacedBy(restarted(0), restarted(1)))
 	b.Report(workerOf(t, b, restarted(1)), now, now, reportOfRun(first.TaskRun))
 	b.Add(now, job("b", policy, step(1, 100, nil)))
 	if got := startsByIncarnation(orders(b, now)); len(got) != 0 {
@@ -262,9 +262,9 @@
 // goes on on the later incarnation.
 func TestRunOnLaterIncarnationCountsNoCrash(t *testing.T) {
 	b, first, j := schedulerWithStart(t)
-	b.Answered(first, start, 3, nil)
+	b.OrderAnswered(first, start, 3, nil)
 	now := start.Add(time.Second)
-	b.Silent(first.Worker, now, replacedBy(restarted(0), restarted(1)))
+	b.PollFailed(first.Worker, now, replacedBy(restarted(0), restarted(1)))
 	now = now.Add(10 * time.Millisecond)
 	b.Report(workerOf(t, b, restarted(1)), now, now, reportOfRun(first.TaskRun))
 	if got := j.Task(workload.TaskRef{}).Crashes; got != 0 {
@@ -279,9 +279,9 @@
 	for _, clock := range []pointport.InstanceClock{0, pointport.InstanceClock(time.Hour)} {
 		b, first, _ := schedulerWithStart(t)
 		now := start.Add(time.Second)
-		before := first.Worker.Until(now, settings.Lease)
-		b.Answered(first, now, clock, nil)
-		if got := first.Worker.Until(now, settings.Lease); got != before {
+		before := first.Worker.ExtendLease(now, settings.Lease)
+		b.OrderAnswered(first, now, clock, nil)
+		if got := first.Worker.ExtendLease(now, settings.Lease); got != before {
 			t.Errorf("after an answer whose clock shows %v, the execution lease is extended to %v, want %v", clock, got, before)
 		}
 	}
@@ -292,11 +292,11 @@
 // of earlier stops.
 func TestStartInFlightIsRuledOutOnEachLaterIncarnation(t *testing.T) {
 	b, first, _ := schedulerWithStart(t)
-	b.Answered(first, start.Add(400*time.Millisecond), 0, silence)
+	b.OrderAnswered(first, start.Add(400*time.Millisecond), 0, silence)
 	now := start.Add(500 * time.Millisecond)
 	b.Cancel(now, "a")
 	stop := ordersFor(orders(b, now), schedule.OrderStop, first.TaskRun)[0]
-	b.Answered(stop, now, 0, nil)
+	b.OrderAnswered(stop, now, 0, nil)
 	now = now.Add(time.Millisecond)
 	b.Report(first.Worker, now, now, pointport.Report{Clock: 4})
 	b.Add(now, job("b", policy, step(1, 100, nil)))
@@ -307,10 +307,10 @@
 		b.Report(later, now, now, pointport.Report{Clock: 1})
 		all := orders(b, now)
 		again := ordersFor(all, schedule.OrderStop, first.TaskRun)
-		if len(again) != 1 || again[0].Worker != later || startsByIncarnation(all)[restarted(n).ID()] != 0 || later.Until(now, settings.Lease) != 0 {
-			t.Fatalf("incarnation %d: orders %+v, execution lease extended to %v, want the start ruled out before anything else", n, all, later.Until(now, settings.Lease))
+		if len(again) != 1 || again[0].Worker != later || startsByIncarnation(all)[restarted(n).ID()] != 0 || later.ExtendLease(now, settings.Lease) != 0 {
+			t.Fatalf("incarnation %d: orders %+v, execution lease extended to %v, want the start ruled out before anything else", n, all, later.ExtendLease(now, settings.Lease))
 		}
-		b.Answered(again[0], now, 0, nil)
+		b.OrderAnswered(again[0], now, 0, nil)
 	}
 	if got := startsByIncarnation(orders(b, now)); got[restarted(2).ID()] != 1 {
 		t.Errorf("starts %v once the start is ruled out, want one", got)
@@ -328,7 +328,7 @@
 			for _, has := range []bool{true, false} {
 				b := newTestScheduler()
 				j := job("a", policy, step(1, 100, nil))
-				j.Begin(start)
+				j.BeginDue(start)
 				j.Place(workload.TaskRef{}, on, 1)
 				b.Add(start, j)
 				now := start.Add(time.Second)
@@ -358,7 +358,7 @@
 // earlier incarnation, which has ended, does not disturb the run on the later one.
 func TestStaleRegistrationOfEndedIncarnationIsIgnored(t *testing.T) {
 	b, first, _ := schedulerWithStart(t)
-	b.Answered(first, start, 3, nil)
+	b.OrderAnswered(first, start, 3, nil)
 	now := start.Add(time.Second)
 	b.SetIncarnations(now, []pointport.Incarnation{restarted(1)})
 	later := workerOf(t, b, restarted(1))
@@ -367,7 +367,7 @@
 	b.SetIncarnations(now, []pointport.Incarnation{restarted(0)})
 	for _, w := range b.Workers() {
 		if w != later {
-			b.Silent(w, now, replacedBy(restarted(0), restarted(1)))
+			b.PollFailed(w, now, replacedBy(restarted(0), restarted(1)))
 		}
 	}
 	now = now.Add(10 * time.Millisecond)
@@ -386,8 +386,8 @@
 	b.Add(start, job("a", policy, step(2, 100, nil)))
 	all := orders(b, start)
 	for _, o := range all {
-		b.Sending(o)
-		b.Answered(o, start, 3, nil)
+		b.MarkSending(o)
+		b.OrderAnswered(o, start, 3, nil)
 	}
 	former := all[0].Worker
 	now := start.Add(time.Second)
@@ -412,8 +412,8 @@
 func TestSilentInstanceWithSharedAddresseeIsNotExtended(t *testing.T) {
 	b, first, _ := schedulerWithStart(t)
 	now := start.Add(time.Second)
-	b.Silent(first.Worker, now, silence)
-	if got := first.Worker.Until(now, settings.Lease); got != 0 {
+	b.PollFailed(first.Worker, now, silence)
+	if got := first.Worker.ExtendLease(now, settings.Lease); got != 0 {
 		t.Errorf("the execution lease is extended to %v, want no extension", got)
 	}
 }
@@ -421,13 +421,13 @@
 // delayUntilRestart continues with an instance that does not answer, some registered
 // incarnations and another, sound instance. It returns how long after start the task starts on
 // the sound one, zero if it does not within a minute.
-func delayUntilRestart(b *schedule.Book, from time.Time, silent []*schedule.Worker, registered ...pointport.Incarnation) time.Duration {
+func delayUntilRestart(b *schedule.Scheduler, from time.Time, silent []*schedule.Worker, registered ...pointport.Incarnation) time.Duration {
 	other := incarnation(5)
 	for now := from; now.Sub(start) < time.Minute; now = now.Add(250 * time.Millisecond) {
 		for _, w := range silent {
-			b.Silent(w, now, silence)
+			b.PollFailed(w, now, silence)
 		}
-		b.See(schedule.Sight{From: start, Until: now})
+		b.SetRegistryCoverage(schedule.RegistryCoverage{Since: start, Until: now})
 		b.SetIncarnations(now, append([]pointport.Incarnation{other}, registered...))
 		for _, w := range b.Workers() {
 			if w.Incarnation().ID() == other.ID() {
@@ -453,26 +453,26 @@
 	const least = 20 * time.Second // orders may be delayed by 10 s, and instances grant up to 10 s
 	t.Run("later incarnation is unknown", func(t *testing.T) {
 		b, first, _ := schedulerWithStartOn(t, restarted(0), asService)
-		b.Answered(first, start, 3, nil)
+		b.OrderAnswered(first, start, 3, nil)
 		if got := delayUntilRestart(b, start.Add(time.Second), []*schedule.Worker{first.Worker}); got < least {
 			t.Errorf("the task restarts after %v, want at least %v", got, least)
 		}
 	})
 	t.Run("later incarnation has listed the run", func(t *testing.T) {
 		b, first, _ := schedulerWithStartOn(t, restarted(0), asService)
-		b.Answered(first, start, 3, nil)
+		b.OrderAnswered(first, start, 3, nil)
 		now := start.Add(100 * time.Millisecond)
-		b.Silent(first.Worker, now, replacedBy(restarted(0), restarted(1)))
+		b.PollFailed(first.Worker, now, replacedBy(restarted(0), restarted(1)))
 		later := workerOf(t, b, restarted(1))
 		b.Report(later, now, now, reportOfRun(first.TaskRun))
-		later.Until(now, settings.Lease)
+		later.ExtendLease(now, settings.Lease)
 		if got := delayUntilRestart(b, now.Add(time.Second), []*schedule.Worker{later}); got < least {
 			t.Errorf("the task restarts after %v, want at least %v: an order to the earlier incarnation may have extended its execution lease", got, least)
 		}
 	})
 	t.Run("no later incarnation can have the addressee", func(t *testing.T) {
 		b, first, _ := schedulerWithStartOn(t, incarnation(0), asService)
-		b.Answered(first, start, 3, nil)
+		b.OrderAnswered(first, start, 3, nil)
 		if got := delayUntilRestart(b, start.Add(time.Second), []*schedule.Worker{first.Worker}); got == 0 || got > 6*time.Second {
 			t.Errorf("the task restarts after %v, want a little more than the lease", got)
 		}
@@ -484,7 +484,7 @@
 // and completed the task.
 func TestTaskThatMayBeDoneOnRegisteredLaterIncarnationWaits(t *testing.T) {
 	b, first, _ := schedulerWithStart(t)
-	b.Answered(first, start, 3, nil)
+	b.OrderAnswered(first, start, 3, nil)
 	now := start.Add(time.Second)
 	b.SetIncarnations(now, []pointport.Incarnation{restarted(1)})
 	silent := []*schedule.Worker{first.Worker, workerOf(t, b, restarted(1))}
@@ -499,7 +499,7 @@
 // one.
 func TestRepeatedStartIsRuledOutOnLaterIncarnation(t *testing.T) {
 	b, first, _ := schedulerWithStart(t)
-	b.Answered(first, start.Add(400*time.Millisecond), 0, silence)
+	b.OrderAnswered(first, start.Add(400*time.Millisecond), 0, silence)
 	now := start.Add(500 * time.Millisecond)
 	b.Report(first.Worker, now, now, reportOfRun(first.TaskRun))
 	now = now.Add(time.Second)
@@ -516,10 +516,10 @@
 // incarnation also ends before it is known whether it had the run.
 func TestEndOfTwoIncarnationsCountsAsOneCrash(t *testing.T) {
 	b, first, j := schedulerWithStart(t)
-	b.Answered(first, start, 3, nil)
+	b.OrderAnswered(first, start, 3, nil)
 	now := start.Add(time.Second)
-	b.Silent(first.Worker, now, replacedBy(restarted(0), restarted(1)))
-	b.Silent(workerOf(t, b, restarted(1)), now, &pointport.GoneError{Incarnation: restarted(1).ID()})
+	b.PollFailed(first.Worker, now, replacedBy(restarted(0), restarted(1)))
+	b.PollFailed(workerOf(t, b, restarted(1)), now, &pointport.GoneError{Incarnation: restarted(1).ID()})
 	if got := j.Task(workload.TaskRef{}).Crashes; got != 1 {
 		t.Errorf("%d crashes, want 1", got)
 	}
@@ -530,9 +530,9 @@
 // its addressee and have received the start.
 func TestListDoesNotEndIncarnationWithStartInFlight(t *testing.T) {
 	b, first, _ := schedulerWithStart(t)
-	b.Answered(first, start, 3, nil)
+	b.OrderAnswered(first, start, 3, nil)
 	now := start.Add(time.Second)
-	b.Silent(first.Worker, now, silence)
+	b.PollFailed(first.Worker, now, silence)
 	b.EndIncarnation(now, restarted(0).ID())
 	if first.Worker.Ended() {
 		t.Error("the incarnation counts as ended although it has not listed its run")
--- a/schedule/memory_test.go
+++ b/schedule/memory_test.go
@@ -21,13 +21,13 @@
 }
 
 // runJobs runs count jobs to their end, one after the other, and returns the time after that.
-func runJobs(b *schedule.Book, now time.Time, first, count int) time.Time {
+func runJobs(b *schedule.Scheduler, now time.Time, first, count int) time.Time {
 	for n := range count {
 		now = now.Add(20 * time.Millisecond)
 		b.Add(now, job(fmt.Sprintf("%016x", first+n), policy, step(4, 100, nil)))
 		for _, o := range orders(b, now) {
-			b.Answered(o, now, pointport.InstanceClock(now.Sub(start)), nil)
-			end := pointport.TaskEnd{Number: o.Worker.Look().Acknowledged + 1, TaskRun: o.TaskRun, Kind: pointport.EndDone}
+			b.OrderAnswered(o, now, pointport.InstanceClock(now.Sub(start)), nil)
+			end := pointport.TaskEnd{Number: o.Worker.NextPoll().Acknowledged + 1, TaskRun: o.TaskRun, Kind: pointport.EndDone}
 			b.Report(o.Worker, now, now, pointport.Report{Clock: pointport.InstanceClock(now.Sub(start)), Ended: []pointport.TaskEnd{end}})
 			b.Stored(b.TakeBatch(everything), now)
 		}
--- a/schedule/owner_model_test.go
+++ b/schedule/owner_model_test.go
@@ -31,7 +31,7 @@
 // A modelOwner models the owner of a pool, which drives a scheduler in its event loop.
 type modelOwner struct {
 	sim         *simulation
-	book        *schedule.Book
+	book        *schedule.Scheduler
 	pausedUntil time.Time // until when its event loop is paused
 	inbox       []func()
 	lastPlan    time.Time
@@ -189,7 +189,7 @@
 func (o *modelOwner) sendQueued(l *modelQueue) {
 	for len(l.queue) > 0 && l.inFlight < modelMaxInFlight {
 		n := 0
-		if l.queue[0].Worker.Acknowledging(o.sim.now) {
+		if l.queue[0].Worker.AckInFlight(o.sim.now) {
 			n = slices.IndexFunc(l.queue, func(o schedule.Order) bool { return o.Kind != schedule.OrderStart })
 		}
 		if n < 0 {
@@ -197,7 +197,7 @@
 		}
 		order := l.queue[n]
 		l.queue = slices.Delete(l.queue, n, n+1)
-		if !o.book.Forgo(o.sim.now, order) {
+		if !o.book.SkipStart(o.sim.now, order) {
 			o.sendOne(l, order)
 		}
 	}
@@ -207,13 +207,13 @@
 func (o *modelOwner) sendOne(l *modelQueue, order schedule.Order) {
 	w := o.sim
 	l.inFlight++
-	o.book.Sending(order)
-	until := order.Worker.Until(w.now, settings.Lease)
+	o.book.MarkSending(order)
+	until := order.Worker.ExtendLease(w.now, settings.Lease)
 	w.checkSending(order)
 	handleAnswer := func(clock pointport.InstanceClock, err error) {
 		w.t.Logf("%v handled: %s of %v at %s: %v", w.since(), kindName(order.Kind), order.TaskRun, order.Worker.Endpoint().Incarnation, err)
 		l.inFlight--
-		o.book.Answered(order, w.now, clock, err)
+		o.book.OrderAnswered(order, w.now, clock, err)
 		o.sendQueued(l)
 	}
 	w.call(kindName(order.Kind), order.TaskRun, order.Worker.Endpoint(), modelOrderTimeout, func(at *modelIncarnation, answer func(any, error)) {
@@ -250,7 +250,7 @@
 // which a report is wanted.
 func (o *modelOwner) pollAll() {
 	now := o.sim.now
-	urgent := o.book.TakeLooks()
+	urgent := o.book.TakePolls()
 	slices.SortFunc(urgent, byID)
 	for _, w := range urgent {
 		o.poll(w, 0)
@@ -293,14 +293,14 @@
 func (o *modelOwner) poll(w *schedule.Worker, wait time.Duration) {
 	sim, sent, l := o.sim, o.sim.now, o.pollOf(w)
 	l.inFlight++
-	if !w.Heard() || w.Silent() {
+	if !w.HasAnswered() || w.Silent() {
 		wait = 0
 	}
-	plan := w.Look()
+	plan := w.NextPoll()
 	if !plan.MayWait {
 		wait = 0
 	}
-	order := pointport.HoldOrder{Fence: modelFence, Until: millis(w.Until(sent, settings.Lease)), Acknowledged: plan.Acknowledged, Wait: wait}
+	order := pointport.HoldOrder{Fence: modelFence, Until: millis(w.ExtendLease(sent, settings.Lease)), Acknowledged: plan.Acknowledged, Wait: wait}
 	sim.call("poll", pointport.TaskRun{}, w.Endpoint(), modelOrderTimeout+wait, func(at *modelIncarnation, answer func(any, error)) {
 		at.hold(w.Endpoint().Incarnation, order, func(r pointport.Report, err error) {
 			r.Clock = millis(r.Clock)
@@ -312,8 +312,8 @@
 			l.inFlight--
 			if err != nil {
 				sim.t.Logf("%v handled: poll of %s sent at %v: %v", sim.since(), w.Endpoint().Incarnation, sent.Sub(start), err)
-				w.Looked(plan, sim.now, false)
-				o.book.Silent(w, sim.now, err)
+				w.PollDone(plan, sim.now, false)
+				o.book.PollFailed(w, sim.now, err)
 				l.next = sim.now.Add(modelPollRetry)
 				return
 			}
@@ -321,7 +321,7 @@
 			o.book.Report(w, sent, sim.now, report)
 			sim.noteEnds(report.Ended)
 			switch {
-			case w.Looked(plan, sim.now, true):
+			case w.PollDone(plan, sim.now, true):
 				l.next = sim.now
 			case len(report.Ended) > 0:
 				l.next = sim.now.Add(modelAckDelay)
--- a/schedule/pace.go
+++ b/schedule/pace.go
@@ -25,9 +25,9 @@
 	paceEvery = 600 * time.Millisecond
 )
 
-// steer sets the pace of the tasks that fill a worker by the tails of those that
+// adjustPace sets the pace of the tasks that fill a worker by the tails of those that
 // serve there.
-func (b *Book) steer(now time.Time, w *Worker) {
+func (b *Scheduler) adjustPace(now time.Time, w *Worker) {
 	if now.Sub(w.paced) < paceEvery {
 		return
 	}
@@ -60,6 +60,6 @@
 		event.PaceSet.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
 			slog.String("incarnation", string(w.inc.ID())), slog.Int("percent", pace), slog.Float64("tailOfTarget", worst))
 		r.pace, w.paced = pace, now
-		b.sends = append(b.sends, Order{Kind: OrderPace, Run: r, Worker: w, TaskRun: r.TaskRun(), Percent: pace})
+		b.pendingOrders = append(b.pendingOrders, Order{Kind: OrderPace, Run: r, Worker: w, TaskRun: r.TaskRun(), Percent: pace})
 	}
 }
--- a/schedule/patience.go
+++ b/schedule/patience.go
@@ -11,10 +11,10 @@
 // time in which their answers could have been read.
 const lookPatience = 1600 * time.Millisecond
 
-// Patience returns how much longer than usual to wait for the answer to a look.
-func (b *Book) Patience(w *Worker) time.Duration {
+// ExtraPollTimeout returns how much longer than usual to wait for the answer to a look.
+func (b *Scheduler) ExtraPollTimeout(w *Worker) time.Duration {
 	if !w.silent {
 		return 0
 	}
-	return time.Duration(b.hearing.share * float64(lookPatience))
+	return time.Duration(b.hearing.silentShare * float64(lookPatience))
 }
--- a/schedule/poll_timeout_test.go
+++ b/schedule/poll_timeout_test.go
@@ -13,14 +13,14 @@
 func TestPollTimeoutGrowsWithSilentInstances(t *testing.T) {
 	few, one := schedulerWithSilent(20, 1)
 	all, every := schedulerWithSilent(20, 20)
-	if got := few.Patience(one[0]); got > 100*time.Millisecond {
+	if got := few.ExtraPollTimeout(one[0]); got > 100*time.Millisecond {
 		t.Errorf("timeout is extended by %v for one silent instance of 20, want at most 100ms", got)
 	}
-	if got := all.Patience(every[0]); got < time.Second {
+	if got := all.ExtraPollTimeout(every[0]); got < time.Second {
 		t.Errorf("timeout is extended by %v when all instances are silent, want at least 1s", got)
 	}
 	heard, _ := schedulerWithSilent(2, 0)
-	if got := heard.Patience(heard.Workers()[0]); got != 0 {
+	if got := heard.ExtraPollTimeout(heard.Workers()[0]); got != 0 {
 		t.Errorf("timeout is extended by %v for an instance that answers, want 0", got)
 	}
 }
--- a/schedule/preempt.go
+++ b/schedule/preempt.go
@@ -22,7 +22,7 @@
 
 // preempt makes room for a task by stopping others of lower priority on one
 // worker, where that costs least.
-func (b *Book) preempt(now time.Time, t waiting, workers []*Worker) {
+func (b *Scheduler) preempt(now time.Time, t waitingTask, workers []*Worker) {
 	e := t.entry
 	if e.job.Policy().Priority != 0 || b.lowRuns == 0 {
 		return
@@ -34,10 +34,10 @@
 	var best []*Run
 	bestCost := time.Duration(0)
 	for _, w := range workers {
-		if !b.permits(t, w, now) || b.crowded(t, w) {
+		if !b.permits(t, w, now) || b.atStepLimit(t, w) {
 			continue
 		}
-		victims, cost := b.victims(now, w, t.step.Room())
+		victims, cost := b.victims(now, w, t.step.Reservation())
 		if len(victims) > 0 && (best == nil || cost < bestCost) {
 			best, bestCost = victims, cost
 		}
@@ -51,12 +51,12 @@
 
 // victims returns the runs of lower priority that must stop on a worker for a
 // room to fall free, and the work that is lost with them.
-func (b *Book) victims(now time.Time, w *Worker, room pointport.Shape) ([]*Run, time.Duration) {
+func (b *Scheduler) victims(now time.Time, w *Worker, room pointport.Shape) ([]*Run, time.Duration) {
 	free := w.free
 	var low []*Run
 	for _, r := range w.runs {
 		if r.stopping {
-			free = free.Plus(r.step().Room()) // falls free in a moment
+			free = free.Plus(r.step().Reservation()) // falls free in a moment
 			continue
 		}
 		if r.entry.job.Policy().Priority > 0 && !r.step().Gang && r.state == runLive {
@@ -69,7 +69,7 @@
 		if free.Fits(room) {
 			return low[:n], cost
 		}
-		free = free.Plus(r.step().Room())
+		free = free.Plus(r.step().Reservation())
 		cost += r.lost(now)
 	}
 	if !free.Fits(room) {
--- a/schedule/quarantine.go
+++ b/schedule/quarantine.go
@@ -57,7 +57,7 @@
 
 // keptApart reports whether a task may not go to a worker because it, or a task there, is
 // to have an instance of its own, or because this instance has crashed under it.
-func (b *Book) keptApart(t waiting, w *Worker, now time.Time) bool {
+func (b *Scheduler) keptApart(t waitingTask, w *Worker, now time.Time) bool {
 	if w.quarantined > 0 && !w.holdsOnly(t) {
 		return true
 	}
@@ -71,11 +71,11 @@
 }
 
 // holdsOnly reports whether a worker holds nothing but others of a task's gang.
-func (w *Worker) holdsOnly(t waiting) bool {
+func (w *Worker) holdsOnly(t waitingTask) bool {
 	if !t.step.Gang {
 		return len(w.runs) == 0
 	}
-	return len(w.runs) == w.steps[stepOf{t.entry, t.ref.K, t.ref.Step}]
+	return len(w.runs) == w.steps[stepRef{t.entry, t.ref.Occurrence, t.ref.Step}]
 }
 
 // lastCrash returns when an instance last crashed under a task, or another of its gang.
@@ -83,7 +83,7 @@
 	gang := e.job.Spec().Steps[ref.Step].Gang
 	var last time.Time
 	for other, c := range e.crashed {
-		mate := gang && other.K == ref.K && other.Step == ref.Step
+		mate := gang && other.Occurrence == ref.Occurrence && other.Step == ref.Step
 		if (other == ref || mate) && c.last.After(last) {
 			last = c.last
 		}
@@ -91,37 +91,37 @@
 	return last
 }
 
-// companyOf returns how many runs on a worker a task had better be apart from: all of
+// neighboursToAvoid returns how many runs on a worker a task had better be apart from: all of
 // them if an instance has crashed under it, else those of tasks under which one has.
-func (e *entry) companyOf(t waiting, w *Worker) int {
+func (e *entry) neighboursToAvoid(t waitingTask, w *Worker) int {
 	if len(e.crashed) > 0 && e.suspected(t.ref) {
 		return len(w.runs)
 	}
 	return w.suspected
 }
 
-// acquit takes in that a report shows a run, which may tell that its task does not crash
+// reviewSuspicion takes in that a report shows a run, which may tell that its task does not crash
 // instances.
-func (b *Book) acquit(now time.Time, r *Run) {
+func (b *Scheduler) reviewSuspicion(now time.Time, r *Run) {
 	if len(r.entry.crashed) == 0 {
 		return
 	}
 	lives := now.Sub(r.liveAt)
 	if t := r.task(); lives >= quarantineFor && t != nil && t.Crashes > 0 && t.Settled != r.number {
 		t.Settled = r.number // for the next owner, who cannot know
-		b.touch(r.entry, false)
+		b.markDirty(r.entry, false)
 	}
 	if lives >= r.apartFor {
-		r.worker.clear(r)
+		r.worker.clearSuspicion(r)
 	}
 	if r.step().Service && lives >= exoneratedAfter && r.progress >= atWork && r.entry.suspected(r.ref) {
-		r.entry.job.Exonerate(r.ref)
-		b.touch(r.entry, false)
+		r.entry.job.ResetCrashes(r.ref)
+		b.markDirty(r.entry, false)
 	}
 }
 
-// apartFor returns for how long after its start nothing joins a task.
-func (e *entry) apartFor(ref workload.TaskRef) time.Duration {
+// quarantineTime returns for how long after its start nothing joins a task.
+func (e *entry) quarantineTime(ref workload.TaskRef) time.Duration {
 	t := e.job.Task(ref)
 	if t == nil {
 		return quarantineFor
@@ -129,8 +129,8 @@
 	return quarantineFor << min(max(t.Crashes-quarantineAfter, 0), quarantineDoubled)
 }
 
-// clear has a run count as any other on its worker.
-func (w *Worker) clear(r *Run) {
+// clearSuspicion has a run count as any other on its worker.
+func (w *Worker) clearSuspicion(r *Run) {
 	if r.suspected {
 		w.suspected--
 	}
--- a/schedule/quarantine_test.go
+++ b/schedule/quarantine_test.go
@@ -15,28 +15,28 @@
 // crashedJob returns a job of one step, each of whose tasks has a number of crashes.
 func crashedJob(id string, crashes int, s workload.Step) *workload.Job {
 	j := job(id, policy, s)
-	j.Begin(start)
+	j.BeginDue(start)
 	for i := range s.Count {
 		for range crashes {
-			j.Crash(workload.TaskRef{Index: i}, workload.CrashBeside)
+			j.Crash(workload.TaskRef{Index: i}, workload.CrashShared)
 		}
 	}
 	return j
 }
 
 // acceptStarts answers start orders as carried out at now.
-func acceptStarts(b *schedule.Book, all []schedule.Order, now time.Time) {
+func acceptStarts(b *schedule.Scheduler, all []schedule.Order, now time.Time) {
 	for _, o := range all {
 		if o.Kind == schedule.OrderStart {
-			b.Sending(o)
-			b.Answered(o, now, 1, nil)
+			b.MarkSending(o)
+			b.OrderAnswered(o, now, 1, nil)
 		}
 	}
 }
 
 // reportRuns handles a report of a worker at now that lists the runs started there, all with
 // the same progress.
-func reportRuns(b *schedule.Book, all []schedule.Order, w *schedule.Worker, now time.Time, progress int) {
+func reportRuns(b *schedule.Scheduler, all []schedule.Order, w *schedule.Worker, now time.Time, progress int) {
 	r := pointport.Report{Clock: 1}
 	for _, o := range all {
 		if o.Kind == schedule.OrderStart && o.Worker == w {
@@ -164,16 +164,16 @@
 	starts := make(map[pointport.IncarnationID]bool)
 	for now := start; now.Before(start.Add(3 * time.Second)); now = now.Add(100 * time.Millisecond) {
 		for _, o := range orders(b, now) {
-			b.Sending(o)
+			b.MarkSending(o)
 			if o.Kind == schedule.OrderStart {
-				o.Worker.Until(now, settings.Lease)
+				o.Worker.ExtendLease(now, settings.Lease)
 				starts[o.Worker.Endpoint().Incarnation] = true
 			}
-			b.Answered(o, now, 0, silence)
+			b.OrderAnswered(o, now, 0, silence)
 		}
 		for _, w := range b.Workers() {
 			if starts[w.Incarnation().ID()] {
-				b.Silent(w, now, silence)
+				b.PollFailed(w, now, silence)
 			}
 		}
 	}
@@ -228,7 +228,7 @@
 			}
 			b.Add(now, job(other, policy, step(1, 500, nil)))
 			for _, o := range orders(b, now) {
-				b.Sending(o)
+				b.MarkSending(o)
 				joined = true
 			}
 		}
--- a/schedule/queue.go
+++ b/schedule/queue.go
@@ -27,15 +27,15 @@
 	reckonEvery = 300 * time.Millisecond
 )
 
-// A standing says how pressing a job is; less comes first.
-type standing struct {
+// A rank says how pressing a job is; less comes first.
+type rank struct {
 	priority int
 	class    class
 	// latest is when the job's next tasks must start for it to end in time.
 	latest time.Time
 }
 
-func (s standing) less(t standing) bool {
+func (s rank) less(t rank) bool {
 	switch {
 	case s.priority != t.priority:
 		return s.priority < t.priority
@@ -58,20 +58,20 @@
 func (c class) String() string { return [...]string{"serving", "begun", "fresh", "late"}[c] }
 
 // queue returns the jobs with waiting tasks, the most pressing first.
-func (b *Book) queue(now time.Time) []*entry {
-	out := make([]*entry, 0, len(b.hungry))
-	for e := range b.hungry {
+func (b *Scheduler) queue(now time.Time) []*entry {
+	out := make([]*entry, 0, len(b.waitingJobs))
+	for e := range b.waitingJobs {
 		b.refresh(e)
 		if len(e.ready) == 0 {
-			delete(b.hungry, e)
+			delete(b.waitingJobs, e)
 			continue
 		}
-		e.standing = b.stand(now, e)
+		e.rank = b.stand(now, e)
 		out = append(out, e)
 	}
 	sort.Slice(out, func(i, k int) bool {
-		if out[i].standing != out[k].standing {
-			return out[i].standing.less(out[k].standing)
+		if out[i].rank != out[k].rank {
+			return out[i].rank.less(out[k].rank)
 		}
 		return out[i].job.ID() < out[k].job.ID()
 	})
@@ -84,16 +84,16 @@
 }
 
 // objective returns how long a job should take, by what is known of its work.
-func (b *Book) objective(e *entry) time.Duration {
+func (b *Scheduler) objective(e *entry) time.Duration {
 	whole := time.Duration(0)
-	for _, c := range b.learned.chains(e.job.Queue(), e.job.Spec()) {
+	for _, c := range b.estimates.chains(e.job.Queue(), e.job.Spec()) {
 		whole = max(whole, c)
 	}
 	return allowance(e.job.Policy(), whole)
 }
 
 // refresh lists the tasks of a job whose turn has come, if that has changed.
-func (b *Book) refresh(e *entry) {
+func (b *Scheduler) refresh(e *entry) {
 	if !e.stale {
 		return
 	}
@@ -104,7 +104,7 @@
 	}
 	e.job.Occurrences(func(o *workload.Occurrence) {
 		for n, step := range o.Steps {
-			if o.Left(n) == 0 || !e.job.Ready(o, n) {
+			if o.Remaining(n) == 0 || !e.job.Ready(o, n) {
 				continue
 			}
 			if e.job.Spec().Steps[n].Gang && !allPending(step) {
@@ -112,8 +112,8 @@
 			}
 			for i := range step {
 				if step[i].Phase == workload.Pending {
-					ref := workload.TaskRef{K: o.K, Step: n, Index: i}
-					e.ready = append(e.ready, waiting{e, ref, &e.job.Spec().Steps[n]})
+					ref := workload.TaskRef{Occurrence: o.Index, Step: n, Index: i}
+					e.ready = append(e.ready, waitingTask{e, ref, &e.job.Spec().Steps[n]})
 				}
 			}
 		}
@@ -132,8 +132,8 @@
 
 func lessRef(a, b workload.TaskRef) bool {
 	switch {
-	case a.K != b.K:
-		return a.K < b.K
+	case a.Occurrence != b.Occurrence:
+		return a.Occurrence < b.Occurrence
 	case a.Step != b.Step:
 		return a.Step < b.Step
 	}
@@ -141,9 +141,9 @@
 }
 
 // stand works out how pressing a job is.
-func (b *Book) stand(now time.Time, e *entry) standing {
+func (b *Scheduler) stand(now time.Time, e *entry) rank {
 	job := e.job
-	s := standing{priority: job.Policy().Priority, class: classFresh}
+	s := rank{priority: job.Policy().Priority, class: classFresh}
 	if e.ready[0].step.Service {
 		s.class, s.latest = classServing, job.Submitted()
 		return s
@@ -152,7 +152,7 @@
 		s.class = classBegun
 	}
 	if now.Sub(e.chainsAt) > reckonEvery {
-		e.chains, e.chainsAt = b.learned.chains(job.Queue(), job.Spec()), now
+		e.chains, e.chainsAt = b.estimates.chains(job.Queue(), job.Spec()), now
 	}
 	chains := e.chains
 	whole := time.Duration(0)
@@ -165,7 +165,7 @@
 		left = max(left, chains[t.ref.Step])
 	}
 	from := job.Submitted()
-	if due := job.Spec().Due(first.K); !due.IsZero() {
+	if due := job.Spec().Due(first.Occurrence); !due.IsZero() {
 		from = due
 	}
 	s.latest = from.Add(allowance(job.Policy(), whole) - left)
--- a/schedule/relocate_test.go
+++ b/schedule/relocate_test.go
@@ -23,11 +23,11 @@
 
 // acceptAndReport answers all start orders as carried out, and handles reports that list their
 // runs at full progress.
-func acceptAndReport(b *schedule.Book, now time.Time, sent []schedule.Order) {
+func acceptAndReport(b *schedule.Scheduler, now time.Time, sent []schedule.Order) {
 	rows := make(map[*schedule.Worker][]pointport.RunningTask)
 	for _, o := range sent {
 		if o.Kind == schedule.OrderStart {
-			b.Answered(o, now, 1, nil)
+			b.OrderAnswered(o, now, 1, nil)
 			rows[o.Worker] = append(rows[o.Worker], pointport.RunningTask{TaskRun: o.TaskRun, Progress: 100})
 		}
 	}
@@ -75,10 +75,10 @@
 
 // registerNewIdle registers instances and handles a report from each new one that it runs
 // nothing.
-func registerNewIdle(b *schedule.Book, now time.Time, all ...pointport.Incarnation) {
+func registerNewIdle(b *schedule.Scheduler, now time.Time, all ...pointport.Incarnation) {
 	b.SetIncarnations(now, all)
 	for _, w := range b.Workers() {
-		if !w.Heard() {
+		if !w.HasAnswered() {
 			b.Report(w, now, now, pointport.Report{Clock: 1})
 		}
 	}
--- a/schedule/replaced_run_test.go
+++ b/schedule/replaced_run_test.go
@@ -25,28 +25,28 @@
 		t.Fatalf("orders %v, want one start", sent)
 	}
 	first := sent[0]
-	first.Worker.Until(start, 10*time.Second) // as the sender of the order extends the execution lease
+	first.Worker.ExtendLease(start, 10*time.Second) // as the sender of the order extends the execution lease
 	silence := &pointport.UnavailableError{Op: "start", Ambiguous: true, Err: errors.New("reset")}
 	now := start
 	started, stopped := 0, 0
 	for range 30 {
 		now = now.Add(100 * time.Millisecond)
-		b.Silent(first.Worker, now, silence)
+		b.PollFailed(first.Worker, now, silence)
 		for _, o := range orders(b, now) {
 			switch {
 			case o.Worker != first.Worker && o.Kind == schedule.OrderStart:
 				started++
-				b.Answered(o, now, 1, nil)
+				b.OrderAnswered(o, now, 1, nil)
 			case o.Worker == first.Worker && o.Kind == schedule.OrderStart && started > 0:
 				t.Fatalf("%v is started on a silent instance after its task was started on another one", o.TaskRun)
 			case o.Worker == first.Worker && o.Kind == schedule.OrderStop && o.TaskRun == first.TaskRun:
 				stopped++
-				b.Answered(o, now, 0, silence)
+				b.OrderAnswered(o, now, 0, silence)
 			default:
-				b.Answered(o, now, 0, silence)
+				b.OrderAnswered(o, now, 0, silence)
 			}
 		}
-		b.Answered(first, now, 0, silence)
+		b.OrderAnswered(first, now, 0, silence)
 	}
 	if started != 1 || stopped == 0 {
 		t.Errorf("%d starts elsewhere and %d stops of the first run, want one start and at least one stop", started, stopped)
@@ -78,9 +78,9 @@
 				}
 			}
 			for _, o := range orders(b, now) {
-				b.Sending(o)
+				b.MarkSending(o)
 				if o.Kind == schedule.OrderStart {
-					b.Answered(o, now, 1, nil)
+					b.OrderAnswered(o, now, 1, nil)
 					return o
 				}
 			}
@@ -93,10 +93,10 @@
 		failed(next())
 	}
 	third := next()
-	third.Worker.Until(now, settings.Lease)
+	third.Worker.ExtendLease(now, settings.Lease)
 	silence := &pointport.UnavailableError{Op: "hold", Ambiguous: true}
-	b.Silent(third.Worker, now, silence)
-	b.Silent(third.Worker, now.Add(600*time.Millisecond), silence)
+	b.PollFailed(third.Worker, now, silence)
+	b.PollFailed(third.Worker, now.Add(600*time.Millisecond), silence)
 	now = now.Add(600 * time.Millisecond)
 	copied := next()
 	if copied.TaskRun.Run != policy.MaxAttempts+1 {
@@ -123,7 +123,7 @@
 // reports it once more.
 func TestRepeatedFailedEndCountsOnce(t *testing.T) {
 	j := job("a", policy, step(1, 100, nil))
-	j.Begin(start)
+	j.BeginDue(start)
 	ref := workload.TaskRef{}
 	j.Place(ref, incarnation(0).ID(), 1)
 	j.Fail(ref, 1)
@@ -163,10 +163,10 @@
 // the replaced run.
 func TestCopyIsNotPlacedBesideReplacedRun(t *testing.T) {
 	b, first, second, now := schedulerWithUnsentCopy(t)
-	if b.Forgo(now, second) {
+	if b.SkipStart(now, second) {
 		t.Fatal("the start of the copy is skipped")
 	}
-	b.Sending(second)
+	b.MarkSending(second)
 	b.EndIncarnation(now, second.Worker.Incarnation().ID())
 	now = now.Add(2 * time.Second) // its quarantine is over
 	b.Report(first.Worker, now, now, pointport.Report{Clock: clockAt(now), Running: []pointport.RunningTask{{TaskRun: first.TaskRun, Progress: 10}}})
@@ -180,7 +180,7 @@
 		t.Fatalf("starts %v once the replaced run has ended, want one", startsByIncarnation(all))
 	}
 	third := all[0]
-	b.Answered(third, now, clockAt(now), nil)
+	b.OrderAnswered(third, now, clockAt(now), nil)
 	b.Report(third.Worker, now, now, pointport.Report{Clock: clockAt(now), Ended: []pointport.TaskEnd{{Number: 2, TaskRun: third.TaskRun, Kind: pointport.EndDone}}})
 	b.Add(now, job("whole", policy, step(1, size.CPUMilli, nil)))
 	if got := startsByIncarnation(orders(b, now)); len(got) != 1 {
--- a/schedule/report.go
+++ b/schedule/report.go
@@ -12,34 +12,34 @@
 // This file defines what the book takes from what instances say of their tasks.
 
 // Report takes in what an instance said at now to a look that was sent at sent.
-func (b *Book) Report(w *Worker, sent, now time.Time, report pointport.Report) {
+func (b *Scheduler) Report(w *Worker, sent, now time.Time, report pointport.Report) {
 	if w.ended {
-		b.answeredOver(w, now)
+		b.noteAnswerAfterEnd(w, now)
 		b.ends(w, now, report.Ended) // what has ended well need not run again
 		return
 	}
-	b.endFormerLives(w, sent, now)
-	w.life.read(now, report.Clock)
+	b.endEarlierIncarnations(w, sent, now)
+	w.lease.observeClock(now, report.Clock)
 	w.reported = now
 	w.silent = false // an answer to an order would not tell what the instance runs
 	w.answeredUnlisted = w.answeredUnlisted || !w.listed
-	w.unproven = nil // it lives
+	w.expiredRuns = nil // it lives
 	b.ends(w, now, report.Ended)
 	b.running(w, now, report)
 	b.missing(w, sent, now, report)
-	b.inspect(now, w)
-	b.steer(now, w)
+	b.stopStalledRuns(now, w)
+	b.adjustPace(now, w)
 }
 
 // ends takes in the ends that an instance lists.
-func (b *Book) ends(w *Worker, now time.Time, all []pointport.TaskEnd) {
+func (b *Scheduler) ends(w *Worker, now time.Time, all []pointport.TaskEnd) {
 	for _, end := range all {
 		b.taskEnded(w, now, end)
 	}
 }
 
 // running takes in the runs that an instance has.
-func (b *Book) running(w *Worker, now time.Time, report pointport.Report) {
+func (b *Scheduler) running(w *Worker, now time.Time, report pointport.Report) {
 	w.strays = 0
 	for _, row := range report.Running {
 		r := w.runs[row.Task]
@@ -48,15 +48,15 @@
 			b.stray(w, row.TaskRun)
 			continue
 		}
-		r.found()
+		r.confirmListed()
 		b.live(r, now, report.Clock)
 		if r.detached() {
 			b.stop(now, r, "its job has no use for it any more")
 			continue
 		}
 		r.load = row.Load
-		r.moved(now, report.Clock, row.Progress)
-		b.acquit(now, r)
+		r.observeProgress(now, report.Clock, row.Progress)
+		b.reviewSuspicion(now, r)
 		if t := r.task(); t != nil && row.Checkpoint != "" {
 			t.Checkpoint = row.Checkpoint
 		}
@@ -64,8 +64,8 @@
 }
 
 // live notes that an instance runs r, by an answer in which its clock shows a time.
-func (b *Book) live(r *Run, now time.Time, clock pointport.InstanceClock) {
-	if r.state == runSettling || r.state == runLive {
+func (b *Scheduler) live(r *Run, now time.Time, clock pointport.InstanceClock) {
+	if r.state == runAwaitingReport || r.state == runLive {
 		return
 	}
 	r.inherited = r.state == runInherited
@@ -79,14 +79,14 @@
 }
 
 // stray stops a run that no task of the book is placed as.
-func (b *Book) stray(w *Worker, run pointport.TaskRun) {
+func (b *Scheduler) stray(w *Worker, run pointport.TaskRun) {
 	event.StrayRun.Log(b.logger, slog.String("task", run.Task), slog.Int("run", run.Run),
 		slog.String("incarnation", string(w.inc.ID())), slog.String("elsewhere", string(b.runsOn(run.Task))))
-	b.sends = append(b.sends, Order{Kind: OrderStop, Worker: w, TaskRun: run})
+	b.pendingOrders = append(b.pendingOrders, Order{Kind: OrderStop, Worker: w, TaskRun: run})
 }
 
 // runsOn returns the incarnation on which a task has a run, empty if it has none.
-func (b *Book) runsOn(task string) pointport.IncarnationID {
+func (b *Scheduler) runsOn(task string) pointport.IncarnationID {
 	id, ref, err := workload.ParseTaskName(task)
 	if err != nil {
 		return "" // no task of ours
@@ -98,7 +98,7 @@
 }
 
 // missing settles the runs that an instance should have and does not list.
-func (b *Book) missing(w *Worker, sent, now time.Time, report pointport.Report) {
+func (b *Scheduler) missing(w *Worker, sent, now time.Time, report pointport.Report) {
 	if len(report.Ended) >= maxListedEnds {
 		return
 	}
@@ -116,10 +116,10 @@
 			// The instance has seen our fence by now, so an order of the earlier
 			// owner cannot start it any more.
 			gone = true
-		case r.state == runSettling:
+		case r.state == runAwaitingReport:
 			gone = sent.After(r.settleAfter)
 		case r.uncertainty != nil:
-			gone = b.notFollowed(now, sent, r)
+			gone = b.notListedByLater(now, sent, r)
 		case r.state == runLive:
 			gone = sent.After(r.liveAt)
 		}
@@ -130,7 +130,7 @@
 }
 
 // taskEnded takes in the end of a run.
-func (b *Book) taskEnded(w *Worker, now time.Time, end pointport.TaskEnd) {
+func (b *Scheduler) taskEnded(w *Worker, now time.Time, end pointport.TaskEnd) {
 	r := w.runs[end.Task]
 	if end.Number <= w.seen {
 		b.tellKnown(w, r, end)
@@ -144,9 +144,9 @@
 	event.RunEnded.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
 		slog.String("incarnation", string(w.inc.ID())), slog.String("how", string(end.Kind)),
 		slog.Duration("after", now.Sub(r.placedAt)), slog.Duration("startedAfter", r.startedAfter()))
-	r.found()
+	r.confirmListed()
 	if r.detached() {
-		b.forget(now, r)
+		b.removeRun(now, r)
 		b.givenUpEnded(w, now, end)
 		return
 	}
@@ -166,7 +166,7 @@
 
 // tellKnown logs an end that is passed over as known although its run, nil for none, is
 // placed there: a run of which the end was taken in is not.
-func (b *Book) tellKnown(w *Worker, r *Run, end pointport.TaskEnd) {
+func (b *Scheduler) tellKnown(w *Worker, r *Run, end pointport.TaskEnd) {
 	if r == nil || r.number != end.Run {
 		return
 	}
@@ -176,7 +176,7 @@
 
 // noteUnstored notes that a run of a job has ended on a worker, if that has changed the
 // job.
-func (b *Book) noteUnstored(w *Worker, e *entry) {
+func (b *Scheduler) noteUnstored(w *Worker, e *entry) {
 	if _, changed := b.dirty[e]; !changed {
 		return
 	}
@@ -189,7 +189,7 @@
 // silent until its time was over, a run may have ended before that.
 // A failed end counts like that of any run: else a task that fails each time was started
 // after as many failed runs as it may have.
-func (b *Book) givenUpEnded(w *Worker, now time.Time, end pointport.TaskEnd) {
+func (b *Scheduler) givenUpEnded(w *Worker, now time.Time, end pointport.TaskEnd) {
 	if end.Kind != pointport.EndDone && end.Kind != pointport.EndFailed {
 		return
 	}
@@ -216,7 +216,7 @@
 
 // finishGivenUp takes in that tasks are done by runs that were given up; the present ones
 // are not wanted any more.
-func (b *Book) finishGivenUp(now time.Time, e *entry, refs []workload.TaskRef) {
+func (b *Scheduler) finishGivenUp(now time.Time, e *entry, refs []workload.TaskRef) {
 	for _, ref := range refs {
 		if other := e.runs[ref]; other != nil {
 			b.stop(now, other, "an earlier run of its task has ended")
@@ -229,8 +229,8 @@
 			stepDone = e.job.Finish(ref) || stepDone
 		}
 	}
-	b.touch(e, stepDone)
-	b.settleJob(now, e)
+	b.markDirty(e, stepDone)
+	b.endJobIfDone(now, e)
 }
 
 // together returns the tasks for which a good end of one stands: all of a gang's, because
@@ -248,34 +248,34 @@
 }
 
 // givenUpFailed takes in that a run has failed that was given up for another one.
-func (b *Book) givenUpFailed(w *Worker, now time.Time, e *entry, ref workload.TaskRef, run int) {
+func (b *Scheduler) givenUpFailed(w *Worker, now time.Time, e *entry, ref workload.TaskRef, run int) {
 	if e.job.Stopping() || e.job.Spec().Steps[ref.Step].Service {
 		return
 	}
 	before := e.job.Task(ref).Failures
-	jobFailed := e.job.FailGivenUp(ref, run)
+	jobFailed := e.job.FailReplacedRun(ref, run)
 	if e.job.Task(ref).Failures == before {
 		return // it was counted before
 	}
 	event.RunEnded.Log(b.logger, slog.String("task", workload.TaskName(e.job.ID(), ref)), slog.Int("run", run),
 		slog.String("incarnation", string(w.inc.ID())), slog.String("how", string(pointport.EndFailed)), slog.Bool("givenUp", true))
-	b.touch(e, true)
+	b.markDirty(e, true)
 	b.noteUnstored(w, e)
 	if jobFailed {
 		b.stopAll(now, e, "an earlier run of its task has failed, and with it as many as may")
 	}
-	b.settleJob(now, e)
+	b.endJobIfDone(now, e)
 }
 
-func (b *Book) runDone(now time.Time, r *Run) {
+func (b *Scheduler) runDone(now time.Time, r *Run) {
 	if !r.liveAt.IsZero() && !r.inherited && r.from == 0 {
-		b.learned.observe(r.entry.job.Queue(), r.step(), now.Sub(r.liveAt))
-		r.entry.note(stepKey{r.ref.K, r.ref.Step}, now.Sub(r.liveAt))
+		b.estimates.observe(r.entry.job.Queue(), r.step(), now.Sub(r.liveAt))
+		r.entry.addDuration(stepKey{r.ref.Occurrence, r.ref.Step}, now.Sub(r.liveAt))
 	}
 	if r.worker.health.succeeded() {
 		event.SoundWorker.Log(b.logger, slog.String("incarnation", string(r.worker.inc.ID())))
 	}
-	b.forget(now, r)
+	b.removeRun(now, r)
 	t := r.task()
 	if t == nil || t.Phase == workload.Done {
 		return
@@ -285,27 +285,27 @@
 		return
 	}
 	stepDone := r.entry.job.Finish(r.ref)
-	b.touch(r.entry, stepDone)
-	b.settleJob(now, r.entry)
+	b.markDirty(r.entry, stepDone)
+	b.endJobIfDone(now, r.entry)
 }
 
-func (b *Book) runFailed(now time.Time, r *Run) {
+func (b *Scheduler) runFailed(now time.Time, r *Run) {
 	if r.worker.health.failed(now) {
 		event.SuspectWorker.Log(b.logger, slog.String("incarnation", string(r.worker.inc.ID())),
-			slog.Int("failures", r.worker.health.failures), slog.Duration("avoidedFor", r.worker.health.span))
+			slog.Int("failures", r.worker.health.failures), slog.Duration("avoidedFor", r.worker.health.avoidFor))
 	}
-	b.forget(now, r)
+	b.removeRun(now, r)
 	if r.task() == nil {
 		return
 	}
 	jobFailed := r.entry.job.Fail(r.ref, r.number)
-	r.entry.beWary(r.ref, now)
-	b.touch(r.entry, true)
+	r.entry.avoidFailedWorker(r.ref, now)
+	b.markDirty(r.entry, true)
 	switch {
 	case jobFailed:
 		b.stopAll(now, r.entry, "another task of its job has failed too often")
 	case r.step().Gang:
-		b.breakGang(now, r, "another of its gang has failed")
+		b.stopRestOfGang(now, r, "another of its gang has failed")
 	}
-	b.settleJob(now, r.entry)
+	b.endJobIfDone(now, r.entry)
 }
--- a/schedule/resize.go
+++ b/schedule/resize.go
@@ -12,7 +12,7 @@
 // resize takes in what an instance says it holds. What runs there goes on, even if that
 // takes more than there is: then what is free is below zero, so nothing fits until enough
 // has ended.
-func (b *Book) resize(w *Worker, capacity pointport.Shape) {
+func (b *Scheduler) resize(w *Worker, capacity pointport.Shape) {
 	before := w.inc.Capacity()
 	if capacity == before {
 		return
@@ -27,5 +27,5 @@
 		slog.Int64("freeCPUMilli", w.free.CPUMilli), slog.Int64("freeMemoryMiB", w.free.MemoryMiB), slog.Int("runs", len(w.runs)))
 }
 
-// overfull reports whether what runs on the worker, or is to, takes more than it holds.
-func (w *Worker) overfull() bool { return !w.free.Fits(pointport.Shape{}) }
+// overcommitted reports whether what runs on the worker, or is to, takes more than it holds.
+func (w *Worker) overcommitted() bool { return !w.free.Fits(pointport.Shape{}) }
--- a/schedule/resize_test.go
+++ b/schedule/resize_test.go
@@ -21,7 +21,7 @@
 type capacitySim struct {
 	t        *rapid.T
 	now      time.Time
-	book     *schedule.Book
+	book     *schedule.Scheduler
 	jobs     []*workload.Job
 	capacity map[pointport.IncarnationID]pointport.Shape
 	runs     map[pointport.IncarnationID]map[pointport.TaskRun]pointport.Shape
@@ -59,19 +59,19 @@
 	for ; most > 0 && len(s.unsent) > 0; most-- {
 		o := s.unsent[0]
 		s.unsent = s.unsent[1:]
-		if s.book.Forgo(s.now, o) {
+		if s.book.SkipStart(s.now, o) {
 			continue
 		}
-		s.book.Sending(o)
+		s.book.MarkSending(o)
 		fate := rapid.SampledFrom([]string{"answered", "answered", "lost", "answer lost"}).Draw(s.t, "fate")
 		if fate != "lost" {
 			s.carryOut(o)
 		}
 		if fate == "answered" {
-			s.book.Answered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
+			s.book.OrderAnswered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
 			continue
 		}
-		s.book.Answered(o, s.now, 0, &pointport.UnavailableError{Op: "order", Ambiguous: true})
+		s.book.OrderAnswered(o, s.now, 0, &pointport.UnavailableError{Op: "order", Ambiguous: true})
 	}
 }
 
@@ -108,7 +108,7 @@
 		s.t.Fatal(err)
 	}
 	at := slices.IndexFunc(s.jobs, func(j *workload.Job) bool { return j.ID() == id })
-	return s.jobs[at].Spec().Steps[ref.Step].Room()
+	return s.jobs[at].Spec().Steps[ref.Step].Reservation()
 }
 
 // end ends a run.
@@ -135,7 +135,7 @@
 // takeOver sends all waiting orders and replaces the scheduler by that of a new owner.
 func (s *capacitySim) takeOver() {
 	s.send(len(s.unsent))
-	next := schedule.NewBook(s.now, settings, slog.New(slog.DiscardHandler))
+	next := schedule.NewScheduler(s.now, settings, slog.New(slog.DiscardHandler))
 	for _, j := range s.jobs {
 		if status, known := s.book.Status(j.ID()); !known || status.Ended() {
 			continue
--- a/schedule/ruled_out_test.go
+++ b/schedule/ruled_out_test.go
@@ -39,21 +39,21 @@
 			registerIdle(b, start, incarnation(0), incarnation(1))
 			b.Add(start, job("a", policy, step(1, 100, nil)))
 			first := orders(b, start)[0]
-			b.Sending(first)
-			first.Worker.Until(start, settings.Lease)
+			b.MarkSending(first)
+			first.Worker.ExtendLease(start, settings.Lease)
 			now := start.Add(400 * time.Millisecond)
-			b.Answered(first, now, 0, silence)
+			b.OrderAnswered(first, now, 0, silence)
 			now = now.Add(200 * time.Millisecond)
 			again := ordersFor(orders(b, now), schedule.OrderStart, first.TaskRun)
 			if len(again) != 1 {
 				t.Fatalf("%d starts, want the first one once more", len(again))
 			}
-			b.Answered(again[0], now, 0, refusal(first, pointport.RejectUnhealthy))
+			b.OrderAnswered(again[0], now, 0, refusal(first, pointport.RejectUnhealthy))
 			stops := ordersFor(orders(b, now), schedule.OrderStop, first.TaskRun)
 			if len(stops) != 1 {
 				t.Fatalf("%d stops, want one that rules the start out", len(stops))
 			}
-			b.Answered(stops[0], now, 0, refusal(first, reason))
+			b.OrderAnswered(stops[0], now, 0, refusal(first, reason))
 			for range 20 { // until the stop has been ordered again
 				now = now.Add(100 * time.Millisecond)
 				b.Report(first.Worker, now.Add(-time.Millisecond), now, pointport.Report{Clock: pointport.InstanceClock(now.Sub(start))})
@@ -68,7 +68,7 @@
 			if len(stops) == 0 {
 				t.Fatal("the stop is not ordered again")
 			}
-			b.Answered(stops[0], now, pointport.InstanceClock(now.Sub(start)), nil)
+			b.OrderAnswered(stops[0], now, pointport.InstanceClock(now.Sub(start)), nil)
 			now = now.Add(time.Millisecond)
 			b.Report(first.Worker, now, now, pointport.Report{Clock: pointport.InstanceClock(now.Sub(start))})
 			if got := startsByIncarnation(orders(b, now)); len(got) != 1 {
@@ -82,31 +82,31 @@
 // instance got no answer until its execution lease expired, so that the task was requeued. It
 // also returns the order of that start and the time. The instance is no longer registered
 // then, unless stays is set.
-func schedulerWithExpiredStart(t *testing.T, stays bool) (*schedule.Book, schedule.Order, time.Time) {
+func schedulerWithExpiredStart(t *testing.T, stays bool) (*schedule.Scheduler, schedule.Order, time.Time) {
 	t.Helper()
 	b := newTestScheduler()
 	registerIdle(b, start, incarnation(0))
 	b.Add(start, job("a", policy, step(1, 100, func(s *workload.Step) { s.Service = true })))
 	first := orders(b, start)[0]
-	b.Sending(first)
-	first.Worker.Until(start, settings.Lease)
+	b.MarkSending(first)
+	first.Worker.ExtendLease(start, settings.Lease)
 	now := start.Add(400 * time.Millisecond)
-	b.Answered(first, now, 0, silence)
+	b.OrderAnswered(first, now, 0, silence)
 	if !stays {
 		b.SetIncarnations(now, nil)
 	}
 	for range 50 { // well beyond the execution lease
 		now = now.Add(100 * time.Millisecond)
-		b.Silent(first.Worker, now, silence)
+		b.PollFailed(first.Worker, now, silence)
 		for _, o := range orders(b, now) {
-			b.Answered(o, now, 0, silence)
+			b.OrderAnswered(o, now, 0, silence)
 		}
 	}
 	return b, first, now
 }
 
 // onlyWorker returns the worker of the only instance.
-func onlyWorker(t *testing.T, b *schedule.Book) *schedule.Worker {
+func onlyWorker(t *testing.T, b *schedule.Scheduler) *schedule.Worker {
 	t.Helper()
 	all := b.Workers()
 	if len(all) != 1 {
@@ -118,7 +118,7 @@
 // leaseExtended reports whether an instance would carry out a start in flight, because its
 // execution lease reaches beyond now.
 func leaseExtended(w *schedule.Worker, now time.Time) bool {
-	return w.Until(now, settings.Lease) > pointport.InstanceClock(now.Sub(start))
+	return w.ExtendLease(now, settings.Lease) > pointport.InstanceClock(now.Sub(start))
 }
 
 // clockAt returns what the clock of an instance shows at a time.
@@ -138,17 +138,17 @@
 			if len(stops) != 1 {
 				t.Fatalf("%d stops, want one that rules the start out", len(stops))
 			}
-			b.Answered(stops[0], now, 0, refusal(first, reason))
+			b.OrderAnswered(stops[0], now, 0, refusal(first, reason))
 			now = now.Add(time.Second)
 			all := orders(b, now)
 			if got := startsByIncarnation(all); len(got) != 0 || leaseExtended(first.Worker, now) {
-				t.Errorf("starts %v and an execution lease until %v at %v; the replaced start may still be carried out", got, first.Worker.Until(now, settings.Lease), clockAt(now))
+				t.Errorf("starts %v and an execution lease until %v at %v; the replaced start may still be carried out", got, first.Worker.ExtendLease(now, settings.Lease), clockAt(now))
 			}
 			stops = ordersFor(all, schedule.OrderStop, first.TaskRun)
 			if len(stops) != 1 {
 				t.Fatalf("%d stops, want the refused one again", len(stops))
 			}
-			b.Answered(stops[0], now, clockAt(now), nil)
+			b.OrderAnswered(stops[0], now, clockAt(now), nil)
 			if !leaseExtended(first.Worker, now) {
 				t.Error("the execution lease is not extended although the start is ruled out")
 			}
@@ -169,13 +169,13 @@
 	b.Report(w, now, now, pointport.Report{Clock: clockAt(now)})
 	all := orders(b, now)
 	if got := startsByIncarnation(all); len(got) != 0 || leaseExtended(w, now) {
-		t.Errorf("starts %v and an execution lease until %v at %v; the replaced start may still be carried out", got, w.Until(now, settings.Lease), clockAt(now))
+		t.Errorf("starts %v and an execution lease until %v at %v; the replaced start may still be carried out", got, w.ExtendLease(now, settings.Lease), clockAt(now))
 	}
 	stops := ordersFor(all, schedule.OrderStop, first.TaskRun)
 	if len(stops) != 1 {
 		t.Fatalf("%d stops, want one that rules the start out", len(stops))
 	}
-	b.Answered(stops[0], now, clockAt(now), nil)
+	b.OrderAnswered(stops[0], now, clockAt(now), nil)
 	if !leaseExtended(w, now) {
 		t.Error("the execution lease is not extended although the start is ruled out")
 	}
@@ -206,7 +206,7 @@
 		now = now.Add(100 * time.Millisecond)
 		for _, o := range ordersFor(orders(b, now), schedule.OrderStop, first.TaskRun) {
 			stops++
-			b.Answered(o, now, 0, silence)
+			b.OrderAnswered(o, now, 0, silence)
 		}
 	}
 	if stops > 1 {
--- a/schedule/scheduler_test.go
+++ b/schedule/scheduler_test.go
@@ -27,8 +27,8 @@
 }
 
 // newTestScheduler returns a scheduler without jobs and instances.
-func newTestScheduler() *schedule.Book {
-	return schedule.NewBook(start, settings, slog.New(slog.DiscardHandler))
+func newTestScheduler() *schedule.Scheduler {
+	return schedule.NewScheduler(start, settings, slog.New(slog.DiscardHandler))
 }
 
 // size is the capacity of an instance.
@@ -46,7 +46,7 @@
 }
 
 // registerIdle registers instances and handles a report from each that it runs nothing.
-func registerIdle(b *schedule.Book, now time.Time, all ...pointport.Incarnation) {
+func registerIdle(b *schedule.Scheduler, now time.Time, all ...pointport.Incarnation) {
 	b.SetIncarnations(now, all)
 	for _, w := range b.Workers() {
 		b.Report(w, now, now, pointport.Report{Clock: 1})
@@ -72,7 +72,7 @@
 }
 
 // orders plans, stores what has changed and returns the orders to be sent.
-func orders(b *schedule.Book, now time.Time) []schedule.Order {
+func orders(b *schedule.Scheduler, now time.Time) []schedule.Order {
 	b.Plan(now)
 	b.Stored(b.TakeBatch(everything), now)
 	return b.TakeOrders()
@@ -164,7 +164,7 @@
 	low.Priority = 1
 	b.Add(start, job("low", low, step(1, 4000, nil)))
 	first := orders(b, start)
-	b.Answered(first[0], start, 1, nil)
+	b.OrderAnswered(first[0], start, 1, nil)
 	b.Add(start, job("high", policy, step(1, 4000, nil)))
 	var stops int
 	for now := start; now.Before(start.Add(2 * time.Second)); now = now.Add(100 * time.Millisecond) {
@@ -188,7 +188,7 @@
 		id := fmt.Sprintf("job%d", n)
 		b.Add(start, job(id, policy, step(1, 100, nil)))
 		o := orders(b, start)[0]
-		b.Answered(o, start, 1, nil)
+		b.OrderAnswered(o, start, 1, nil)
 		b.Report(o.Worker, start, start, pointport.Report{Clock: 1, Ended: []pointport.TaskEnd{{
 			Number: int64(n + 1), TaskRun: o.TaskRun, Kind: pointport.EndFailed,
 		}}})
@@ -208,7 +208,7 @@
 	registerIdle(b, start, incarnation(0), incarnation(1))
 	b.Add(start, job("a", policy, step(1, 100, nil)))
 	o := orders(b, start)[0]
-	b.Answered(o, start, 1, nil)
+	b.OrderAnswered(o, start, 1, nil)
 	b.Report(o.Worker, start, start, pointport.Report{Clock: 1, Ended: []pointport.TaskEnd{{Number: 1, TaskRun: o.TaskRun, Kind: pointport.EndFailed}}})
 	next := orders(b, start)
 	if len(next) != 1 || next[0].Worker == o.Worker || next[0].TaskRun.Run != 2 {
@@ -225,7 +225,7 @@
 	b.Add(start, job("a", policy, step(2, 4000, nil)))
 	first := orders(b, start)
 	for _, o := range first {
-		b.Answered(o, start, clockAt(start), nil)
+		b.OrderAnswered(o, start, clockAt(start), nil)
 	}
 	quick, slow := first[0], first[1]
 	now := start.Add(500 * time.Millisecond)
@@ -239,10 +239,10 @@
 		for _, o := range orders(b, now) {
 			switch o.Kind {
 			case schedule.OrderStop:
-				b.Answered(o, now, clockAt(now), nil)
+				b.OrderAnswered(o, now, clockAt(now), nil)
 				b.Report(o.Worker, now.Add(time.Millisecond), now, pointport.Report{Clock: clockAt(now), Ended: []pointport.TaskEnd{{Number: 2, TaskRun: o.TaskRun, Kind: pointport.EndStopped}}})
 			case schedule.OrderStart:
-				b.Answered(o, now, clockAt(now), nil)
+				b.OrderAnswered(o, now, clockAt(now), nil)
 				restarts++
 				run, progress = o, 0
 			}
@@ -262,14 +262,14 @@
 		registerIdle(b, start, incarnation(0))
 		b.Add(start, job("a", policy, step(1, 100, func(s *workload.Step) { s.Copies = copies })))
 		o := orders(b, start)[0]
-		o.Worker.Until(start, settings.Lease)
-		b.Answered(o, start, 1, nil)
+		o.Worker.ExtendLease(start, settings.Lease)
+		b.OrderAnswered(o, start, 1, nil)
 		b.SetIncarnations(start, []pointport.Incarnation{incarnation(0), incarnation(1)})
 		silent := &pointport.UnavailableError{Op: "hold", Ambiguous: true}
 		var again time.Duration
 		for now := start; again == 0 && now.Before(start.Add(8*time.Second)); now = now.Add(50 * time.Millisecond) {
-			b.Silent(o.Worker, now, silent)
-			b.See(schedule.Sight{From: start, Until: now})
+			b.PollFailed(o.Worker, now, silent)
+			b.SetRegistryCoverage(schedule.RegistryCoverage{Since: start, Until: now})
 			if now.Sub(start) == time.Second {
 				b.SetIncarnations(now, []pointport.Incarnation{incarnation(1)})
 			}
@@ -304,11 +304,11 @@
 	if got := startsByIncarnation(orders(b, start)); len(got) != 0 {
 		t.Fatalf("starts %v without advice", got)
 	}
-	questions := b.TakeQuestions()
+	questions := b.TakeAdviceRequests()
 	if len(questions) != 1 || questions[0].Step != "a.0.0" || len(questions[0].Incarnations) != 3 {
 		t.Fatalf("advice requests %+v, want one for all instances", questions)
 	}
-	b.Advised(questions[0], start, start, map[pointport.IncarnationID]string{"i-2": "ticket"}, 3*time.Second, nil)
+	b.AdviceAnswered(questions[0], start, start, map[pointport.IncarnationID]string{"i-2": "ticket"}, 3*time.Second, nil)
 	got := orders(b, start)
 	if startsByIncarnation(got)["i-2"] != 2 || got[0].Ticket != "ticket" {
 		t.Errorf("orders %+v, want two starts with the ticket", got)
@@ -326,7 +326,7 @@
 	b.Add(start, job("fill", policy, fill))
 	first := orders(b, start)
 	for _, o := range first {
-		b.Answered(o, start, 1, nil)
+		b.OrderAnswered(o, start, 1, nil)
 	}
 	pace := 100
 	report := func(now time.Time, tail int) {
@@ -363,7 +363,7 @@
 	b.Add(start, job("short", policy, step(1, 500, func(s *workload.Step) { s.Estimate = 200 * time.Millisecond })))
 	b.Add(start, job("long", policy, step(1, 500, func(s *workload.Step) { s.Estimate = 9 * time.Second })))
 	for _, o := range orders(b, start) {
-		b.Answered(o, start, 1, nil)
+		b.OrderAnswered(o, start, 1, nil)
 	}
 	b.SetIncarnations(start, []pointport.Incarnation{incarnation(0, pointport.WithDraining(2*time.Second))})
 	stopped := make(map[string]bool)
@@ -411,7 +411,7 @@
 			}
 			at := o.Worker.Endpoint().Incarnation
 			s := specs[id]
-			used[at] = used[at].Plus(s.Room())
+			used[at] = used[at].Plus(s.Reservation())
 			perStep[id+string(at)]++
 			perJob[id]++
 			if most := specs[id].MaxPerInstance; most > 0 && perStep[id+string(at)] > most {
--- a/schedule/share_test.go
+++ b/schedule/share_test.go
@@ -13,7 +13,7 @@
 // A shareSim simulates a pool of instances on which the tasks of several customers take a
 // second each.
 type shareSim struct {
-	book       *schedule.Book
+	book       *schedule.Scheduler
 	now        time.Time
 	ends       map[*schedule.Worker][]end
 	customerOf map[string]string
@@ -52,7 +52,7 @@
 	c.customerOf[id], c.open[id] = customer, c.now
 	c.submitted[customer]++
 	spec := &workload.Spec{Steps: []workload.Step{{Count: 4, Need: pointport.Shape{CPUMilli: 1000, MemoryMiB: 10}, Estimate: shareSimTaskTime}}}
-	c.book.Add(c.now, workload.New(id, "q", policy, spec, c.now, workload.Of(customer)))
+	c.book.Add(c.now, workload.New(id, "q", policy, spec, c.now, workload.WithCustomer(customer)))
 }
 
 // step advances the time by 20 ms.
@@ -60,7 +60,7 @@
 	c.now = c.now.Add(20 * time.Millisecond)
 	clock := pointport.InstanceClock(c.now.Sub(start).Milliseconds())
 	for _, o := range orders(c.book, c.now) {
-		c.book.Answered(o, c.now, clock, nil)
+		c.book.OrderAnswered(o, c.now, clock, nil)
 		if o.Kind == schedule.OrderStart {
 			c.ends[o.Worker] = append(c.ends[o.Worker], end{c.now.Add(shareSimTaskTime), o.TaskRun})
 		}
--- a/schedule/silence.go
+++ b/schedule/silence.go
@@ -13,9 +13,9 @@
 // This file defines what becomes of the tasks on an instance that gives no answer or
 // is over.
 
-// Silent takes in that a look at a worker got no answer, or an answer that
+// PollFailed takes in that a look at a worker got no answer, or an answer that
 // settles what became of the incarnation.
-func (b *Book) Silent(w *Worker, now time.Time, err error) {
+func (b *Scheduler) PollFailed(w *Worker, now time.Time, err error) {
 	b.checkFence(err)
 	if w.ended {
 		return // several looks may tell of it, and it is over once
@@ -27,11 +27,11 @@
 	}
 	if !w.silent {
 		event.WorkerSilent.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
-			slog.Duration("expiresIn", w.life.ends().Sub(now)), slog.Any("error", err))
+			slog.Duration("expiresIn", w.lease.expiry().Sub(now)), slog.Any("error", err))
 	}
-	w.fallSilent(now)
+	w.markSilent(now)
 	var rejected *pointport.RejectedError
-	w.refuses = errors.As(err, &rejected)
+	w.pollRefused = errors.As(err, &rejected)
 	if now.Sub(w.silentSince) > abandonAfter && b.hearing.littleSince.IsZero() {
 		b.abandon(now, w)
 	}
@@ -43,9 +43,9 @@
 
 // abandon puts back the tasks on a silent worker of which copies may run beside
 // each other, so that they need not wait until the worker expires.
-func (b *Book) abandon(now time.Time, w *Worker) {
+func (b *Scheduler) abandon(now time.Time, w *Worker) {
 	for _, r := range w.runs {
-		if r.step().Copies && !r.step().Gang && r.state != runDecided && r.entry.runs[r.ref] == r && r.entry.mayAbandon(r.ref) {
+		if r.step().Copies && !r.step().Gang && r.state != runUnstored && r.entry.runs[r.ref] == r && r.entry.mayAbandon(r.ref) {
 			event.TaskReturned.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
 				slog.String("incarnation", string(w.inc.ID())), slog.String("reason", "its instance is silent, and a copy may run"))
 			b.detach(r)
@@ -55,9 +55,9 @@
 				// arrives later would start it although a copy may be done.
 				b.stop(now, r, "its task was given to another instance")
 			}
-			r.entry.job.Return(r.ref)
-			b.touch(r.entry, true)
-			b.settleJob(now, r.entry)
+			r.entry.job.Requeue(r.ref)
+			b.markDirty(r.entry, true)
+			b.endJobIfDone(now, r.entry)
 		}
 	}
 }
@@ -65,18 +65,18 @@
 // hasGivenUp reports whether a worker has a run of a task that was given up for a copy
 // elsewhere, and of which it is not known yet what became. The instance would refuse
 // another one, and a worker has one run of a task at a time.
-func (w *Worker) hasGivenUp(t waiting) bool {
+func (w *Worker) hasGivenUp(t waitingTask) bool {
 	return t.entry.abandoned[t.ref] > 0 && w.runs[workload.TaskName(t.entry.job.ID(), t.ref)] != nil
 }
 
-func (b *Book) checkFence(err error) {
+func (b *Scheduler) checkFence(err error) {
 	var rejected *pointport.RejectedError
 	if errors.As(err, &rejected) && rejected.Reason == pointport.RejectFence {
-		b.deposed = true
+		b.fenced = true
 	}
 }
 
-func (b *Book) dropAll(w *Worker, now time.Time, reason string) {
+func (b *Scheduler) dropAll(w *Worker, now time.Time, reason string) {
 	for _, r := range w.runs {
 		b.drop(now, r, reason)
 	}
@@ -97,14 +97,14 @@
 // While an instance answers nobody and goes on registering, its tasks wait, without a bound
 // in time. What ends that is another life of it, the platform's word that it is over, or
 // that its registration ends.
-func (b *Book) expire(w *Worker, now time.Time) {
+func (b *Scheduler) expire(w *Worker, now time.Time) {
 	gone := b.gone(w)
 	var over []*Run
 	for _, r := range w.runs {
 		if r.mayBeLater() && r.mayBeDone() && b.listedLife(w) {
 			continue // that life says what became of it
 		}
-		if gone || !b.Doubts() && !r.mayBeDone() {
+		if gone || !b.SuspectsIsolation() && !r.mayBeDone() {
 			over = append(over, r)
 		}
 	}
@@ -112,10 +112,10 @@
 		return
 	}
 	event.WorkerExpired.Log(b.logger, slog.String("incarnation", string(w.inc.ID())), slog.Int("runs", len(over)), slog.Int("unheard", len(w.runs)-len(over)),
-		slog.Bool("gone", gone), slog.Duration("sinceHeard", w.life.sinceHeard(now)))
+		slog.Bool("gone", gone), slog.Duration("sinceHeard", w.lease.sinceLastAnswer(now)))
 	for _, r := range over {
-		w.burn(r)
-		w.unproven = append(w.unproven, r)
+		w.mustRuleOut(r)
+		w.expiredRuns = append(w.expiredRuns, r)
 	}
 	for _, r := range over {
 		b.drop(now, r, "its instance was silent until its time was over")
@@ -139,30 +139,30 @@
 // back as one to which no start is under way, it would be extended and carry out those
 // that are.
 func (w *Worker) remembered(now time.Time) bool {
-	return len(w.burns) > 0 && !w.ended && now.Sub(w.life.ends()) < burnsKept
+	return len(w.startsToRuleOut) > 0 && !w.ended && now.Sub(w.lease.expiry()) < burnsKept
 }
 
 // countUnproven counts the crash of a worker that is gone against tasks that were there.
 // Nothing proves that it crashed, and zones that are cut off heal: two cuts and a crash had
 // a serving task given up that was at work for 10 s each time. Only what had just been
 // started may have caused its silence.
-func (b *Book) countUnproven(now time.Time, w *Worker) {
+func (b *Scheduler) countUnproven(now time.Time, w *Worker) {
 	if !w.ended && w.parting(now) == partingCrashed {
-		b.countCrashes(now, justStarted(w.unproven), justStarted(w.unproven), nil)
+		b.countCrashes(now, justStarted(w.expiredRuns), justStarted(w.expiredRuns), nil)
 	}
-	w.unproven = nil
+	w.expiredRuns = nil
 }
 
 // sweep lets the runs go of workers that have been silent for so long that
 // everything there has ended, and forgets workers that are gone.
-func (b *Book) sweep(now time.Time) {
+func (b *Scheduler) sweep(now time.Time) {
 	var heard tally
 	for id, w := range b.workers {
 		heard.count(w)
-		if len(w.runs) > 0 && now.After(b.endsOf(w)) && (w.silent || !w.life.known()) {
+		if len(w.runs) > 0 && now.After(b.executionExpiry(w)) && (w.silent || !w.lease.clockKnown()) {
 			b.expire(w, now)
 		}
-		if len(w.runs) == 0 && !w.listed && (w.ended || now.After(w.life.ends())) {
+		if len(w.runs) == 0 && !w.listed && (w.ended || now.After(w.lease.expiry())) {
 			b.countUnproven(now, w)
 			if !w.remembered(now) {
 				delete(b.workers, id)
@@ -171,9 +171,9 @@
 	}
 	b.forgetOrders(now)
 	b.listen(now, heard)
-	for id, f := range b.over {
+	for id, f := range b.endedJobs {
 		if now.Sub(f.at) > b.settings.KeepEnded {
-			delete(b.over, id)
+			delete(b.endedJobs, id)
 		}
 	}
 }
--- a/schedule/simulation_model_test.go
+++ b/schedule/simulation_model_test.go
@@ -366,7 +366,7 @@
 // stepName returns what identifies the step of a task: its job, occurrence and step.
 func stepName(task string) string {
 	id, ref, _ := workload.ParseTaskName(task)
-	return fmt.Sprint(id, ref.K, ref.Step)
+	return fmt.Sprint(id, ref.Occurrence, ref.Step)
 }
 
 // gather lets the runs of a gang begin once all of them are there.
@@ -421,7 +421,7 @@
 	kept := settings
 	kept.KeepEnded = time.Hour // so that all jobs are known at the end of a simulation
 	w.owner = &modelOwner{
-		sim: w, book: schedule.NewBook(start, kept, slog.New(slog.DiscardHandler)), queues: make(map[*schedule.Worker]*modelQueue),
+		sim: w, book: schedule.NewScheduler(start, kept, slog.New(slog.DiscardHandler)), queues: make(map[*schedule.Worker]*modelQueue),
 		polls: make(map[*schedule.Worker]*modelPoll), cancelled: make(map[string]bool),
 	}
 	for n := range 2 + w.drawBelow("instances", 2) {
--- a/schedule/skip_start_test.go
+++ b/schedule/skip_start_test.go
@@ -24,7 +24,7 @@
 // schedulerWithUnsentCopy returns a scheduler with a task whose first run is on a silent
 // instance and of which a copy was placed elsewhere, the starts of both, and the time. The
 // start of the copy is not sent yet.
-func schedulerWithUnsentCopy(t *testing.T) (b *schedule.Book, first, second schedule.Order, now time.Time) {
+func schedulerWithUnsentCopy(t *testing.T) (b *schedule.Scheduler, first, second schedule.Order, now time.Time) {
 	t.Helper()
 	b = newTestScheduler()
 	b.Add(start, job("a", policy, step(1, 100, func(s *workload.Step) { s.Copies = true })))
@@ -32,11 +32,11 @@
 	sent := orders(b, start)
 	acceptStarts(b, sent, start)
 	first = sent[0]
-	first.Worker.Until(start, settings.Lease)
+	first.Worker.ExtendLease(start, settings.Lease)
 	silence := &pointport.UnavailableError{Op: "hold", Ambiguous: true}
-	b.Silent(first.Worker, start, silence)
+	b.PollFailed(first.Worker, start, silence)
 	now = start.Add(600 * time.Millisecond)
-	b.Silent(first.Worker, now, silence)
+	b.PollFailed(first.Worker, now, silence)
 	all := orders(b, now)
 	if got := startsByIncarnation(all); len(all) != 1 || got[first.Worker.Incarnation().ID()] != 0 {
 		t.Fatalf("starts %v, want one of a copy", got)
@@ -54,7 +54,7 @@
 func TestStartThatWaitsIsNotSentOnceItsTaskIsDone(t *testing.T) {
 	b, first, second, now := schedulerWithUnsentCopy(t)
 	b.Report(first.Worker, now, now, reportOfOrderEnd(first, pointport.EndDone))
-	if !b.Forgo(now, second) {
+	if !b.SkipStart(now, second) {
 		t.Error("the start of a copy is not skipped although the task is done")
 	}
 	orders(b, now)
@@ -71,7 +71,7 @@
 	registerIdle(b, start, incarnation(0))
 	waits := orders(b, start)[0]
 	b.Cancel(start, "a")
-	if !b.Forgo(start, waits) {
+	if !b.SkipStart(start, waits) {
 		t.Error("the start of a cancelled job is not skipped")
 	}
 	orders(b, start)
@@ -89,7 +89,7 @@
 	registerIdle(b, start, incarnation(0))
 	waits := orders(b, start)[0]
 	b.EndIncarnation(start, incarnation(0).ID())
-	if !b.Forgo(start, waits) {
+	if !b.SkipStart(start, waits) {
 		t.Error("the start of a dropped run is not skipped")
 	}
 }
@@ -98,11 +98,11 @@
 // again once its run was stopped: the stop rules the start out.
 func TestStartIsNotSentAgainOnceItsRunIsStopped(t *testing.T) {
 	b, first, second, now := schedulerWithUnsentCopy(t)
-	if b.Forgo(now, second) {
+	if b.SkipStart(now, second) {
 		t.Fatal("the start is skipped before it was sent once")
 	}
-	b.Sending(second)
-	b.Answered(second, now, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true})
+	b.MarkSending(second)
+	b.OrderAnswered(second, now, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true})
 	now = now.Add(200 * time.Millisecond)
 	var again []schedule.Order
 	for _, o := range orders(b, now) {
@@ -114,7 +114,7 @@
 		t.Fatalf("orders %v, want the start once more", again)
 	}
 	b.Report(first.Worker, now, now, reportOfOrderEnd(first, pointport.EndDone))
-	if !b.Forgo(now, again[0]) {
+	if !b.SkipStart(now, again[0]) {
 		t.Error("the repeated start is not skipped although the task is done")
 	}
 	stopped := false
--- a/schedule/stall.go
+++ b/schedule/stall.go
@@ -36,8 +36,8 @@
 	wholePercent = 100
 )
 
-// inspect stops the runs of a worker that would be done sooner elsewhere.
-func (b *Book) inspect(now time.Time, w *Worker) {
+// stopStalledRuns stops the runs of a worker that would be done sooner elsewhere.
+func (b *Scheduler) stopStalledRuns(now time.Time, w *Worker) {
 	for _, r := range w.runs {
 		if r.state != runLive || r.stopping || r.step().Service || r.step().Gang || r.progress >= wholePercent || r.pace < fullPace {
 			continue
@@ -73,7 +73,7 @@
 
 // crawls reports whether a run would be done sooner elsewhere, going by the
 // other runs of its step.
-func (b *Book) crawls(r *Run) bool {
+func (b *Scheduler) crawls(r *Run) bool {
 	if r.age() < crawlAfter || r.progress <= r.from {
 		return false
 	}
@@ -103,9 +103,9 @@
 	return time.Duration(r.movedClock-r.liveClock) * wholePercent / time.Duration(r.progress-r.from)
 }
 
-// moved takes in the progress that a report shows whose clock showed a time. A report that
+// observeProgress takes in the progress that a report shows whose clock showed a time. A report that
 // was passed by a newer one says nothing new.
-func (r *Run) moved(now time.Time, clock pointport.InstanceClock, progress int) {
+func (r *Run) observeProgress(now time.Time, clock pointport.InstanceClock, progress int) {
 	if clock < r.shownAt {
 		return
 	}
@@ -130,7 +130,7 @@
 
 // slowness returns how many times as long as elsewhere the runs on a worker
 // take, zero if there are too few to tell.
-func (b *Book) slowness(w *Worker) float64 {
+func (b *Scheduler) slowness(w *Worker) float64 {
 	sum, n := 0.0, 0
 	for _, r := range w.runs {
 		if r.state != runLive || r.step().Service || !r.measured() {
@@ -151,14 +151,14 @@
 // others returns how long the other tasks of a run's step take, those that are
 // done or, if none is, those that run on other instances; zero if neither says
 // anything.
-func (b *Book) others(r *Run) time.Duration {
-	if took := r.entry.took[stepKey{r.ref.K, r.ref.Step}]; took.n > 0 {
+func (b *Scheduler) others(r *Run) time.Duration {
+	if took := r.entry.durations[stepKey{r.ref.Occurrence, r.ref.Step}]; took.n > 0 {
 		return took.mean()
 	}
 	var sum time.Duration
 	n := 0
 	for ref, o := range r.entry.runs {
-		if ref.K != r.ref.K || ref.Step != r.ref.Step || o.worker == r.worker || o.progress <= o.from || o.state != runLive {
+		if ref.Occurrence != r.ref.Occurrence || ref.Step != r.ref.Step || o.worker == r.worker || o.progress <= o.from || o.state != runLive {
 			continue
 		}
 		sum += o.whole()
@@ -171,32 +171,32 @@
 }
 
 // remaining returns how long a run will probably go on.
-func (b *Book) remaining(now time.Time, r *Run) time.Duration {
+func (b *Scheduler) remaining(now time.Time, r *Run) time.Duration {
 	age := now.Sub(r.liveAt)
 	if r.measured() {
 		left := r.whole() * time.Duration(wholePercent-r.progress) / wholePercent
 		return max(0, left-now.Sub(r.movedAt))
 	}
-	expected := b.learned.duration(r.entry.job.Queue(), r.step())
-	if took := r.entry.took[stepKey{r.ref.K, r.ref.Step}]; took.n > 0 {
+	expected := b.estimates.duration(r.entry.job.Queue(), r.step())
+	if took := r.entry.durations[stepKey{r.ref.Occurrence, r.ref.Step}]; took.n > 0 {
 		expected = took.mean()
 	}
 	return max(0, expected-age)
 }
 
-// stepTook is how long the tasks of a step took that are done.
-type stepTook struct {
+// stepDurations is how long the tasks of a step took that are done.
+type stepDurations struct {
 	n   int
 	sum time.Duration
 }
 
-func (t stepTook) mean() time.Duration { return t.sum / time.Duration(t.n) }
+func (t stepDurations) mean() time.Duration { return t.sum / time.Duration(t.n) }
 
-// note takes in how long a task of a step took.
-func (e *entry) note(key stepKey, d time.Duration) {
-	if e.took == nil {
-		e.took = make(map[stepKey]stepTook)
+// addDuration takes in how long a task of a step took.
+func (e *entry) addDuration(key stepKey, d time.Duration) {
+	if e.durations == nil {
+		e.durations = make(map[stepKey]stepDurations)
 	}
-	t := e.took[key]
-	e.took[key] = stepTook{t.n + 1, t.sum + d}
+	t := e.durations[key]
+	e.durations[key] = stepDurations{t.n + 1, t.sum + d}
 }
--- a/schedule/stall_test.go
+++ b/schedule/stall_test.go
@@ -18,13 +18,13 @@
 
 // schedulerWithRun returns a scheduler with one run that was started at start, and the order
 // that started it.
-func schedulerWithRun() (*schedule.Book, schedule.Order) {
+func schedulerWithRun() (*schedule.Scheduler, schedule.Order) {
 	b := newTestScheduler()
 	registerIdle(b, start, incarnation(0), incarnation(1))
 	b.Add(start, job("a", policy, step(1, 100, nil)))
 	o := orders(b, start)[0]
-	b.Sending(o)
-	b.Answered(o, start, clockAt(start), nil)
+	b.MarkSending(o)
+	b.OrderAnswered(o, start, clockAt(start), nil)
 	return b, o
 }
 
@@ -80,8 +80,8 @@
 	b.Add(start, job("a", policy, step(2, 4000, nil)))
 	both := orders(b, start)
 	for _, o := range both {
-		b.Sending(o)
-		b.Answered(o, start, clockAt(start), nil)
+		b.MarkSending(o)
+		b.OrderAnswered(o, start, clockAt(start), nil)
 	}
 	quick, other := both[0], both[1]
 	second := start.Add(time.Second)
--- a/schedule/survey.go
+++ b/schedule/survey.go
@@ -105,7 +105,7 @@
 const closureTime = 2 * time.Second
 
 // Survey takes in a request and returns how the pool stands.
-func (b *Book) Survey(now time.Time, req SurveyRequest) Survey {
+func (b *Scheduler) Survey(now time.Time, req SurveyRequest) Survey {
 	for _, end := range req.Ordered {
 		b.orderedAway(now, end)
 	}
@@ -118,16 +118,16 @@
 		b.soon[id] = true
 	}
 	var s Survey
-	afford := b.afford()
-	for e := range b.hungry {
+	afford := b.capFilter()
+	for e := range b.waitingJobs {
 		b.refresh(e)
 		for _, t := range e.ready {
 			if !afford(t) {
 				continue // room would not help it
 			}
-			room := t.step.Room()
+			room := t.step.Reservation()
 			s.Waiting = s.Waiting.Plus(room)
-			if e.standing.class == classLate {
+			if e.rank.class == classLate {
 				s.WaitingLate = s.WaitingLate.Plus(room)
 			}
 			if label := t.step.Label; label != "" {
@@ -165,17 +165,17 @@
 
 // spread returns how many more instances it takes to hold the waiting tasks whose
 // step bounds how many of them one instance may hold.
-func (b *Book) spread(now time.Time) int {
+func (b *Scheduler) spread(now time.Time) int {
 	type group struct {
 		entry   *entry
 		k, step int
 	}
 	crowded := make(map[group]int)
 	workers := b.usable(now)
-	for e := range b.hungry {
+	for e := range b.waitingJobs {
 		for _, t := range e.ready {
-			if e.account.affords(t.step.Need) && (t.step.MaxPerInstance > 0 || len(e.wary) > 0 || len(e.crashed) > 0) && b.bestOf(now, t, workers) == nil {
-				crowded[group{t.entry, t.ref.K, t.ref.Step}]++
+			if e.account.withinCap(t.step.Need) && (t.step.MaxPerInstance > 0 || len(e.avoidUntil) > 0 || len(e.crashed) > 0) && b.bestWorker(now, t, workers) == nil {
+				crowded[group{t.entry, t.ref.Occurrence, t.ref.Step}]++
 			}
 		}
 	}
@@ -194,16 +194,16 @@
 	}
 }
 
-func (b *Book) loadOf(now time.Time, w *Worker) InstanceLoad {
+func (b *Scheduler) loadOf(now time.Time, w *Worker) InstanceLoad {
 	return InstanceLoad{
 		Instance: w.inc.Instance(), Incarnation: w.inc.ID(), Runs: len(w.runs), Serving: w.serving,
-		Closed: w.closed(now), Silent: w.silent || !w.life.known(), Avoided: w.health.avoided(now),
+		Closed: w.closed(now), Silent: w.silent || !w.lease.clockKnown(), Avoided: w.health.avoided(now),
 		Leaving: w.inc.Draining(), Capacity: w.inc.Capacity(), Known: now.Sub(w.since), Unstored: w.unstored > 0,
 	}
 }
 
 // close sets which instances are closed.
-func (b *Book) close(now time.Time, closures []Closure) {
+func (b *Scheduler) close(now time.Time, closures []Closure) {
 	asked := make(map[pointport.InstanceID]Closure, len(closures))
 	for _, c := range closures {
 		asked[c.Instance] = c
@@ -223,12 +223,12 @@
 
 // need returns the room that the pool's tasks take or want, or what the rate of
 // arrivals will come to if that is more.
-func (b *Book) need(now time.Time, waiting pointport.Shape) pointport.Shape {
+func (b *Scheduler) need(now time.Time, waiting pointport.Shape) pointport.Shape {
 	sum := waiting
 	for _, w := range b.workers {
 		for _, r := range w.runs {
 			if !r.staysInZone() {
-				sum = sum.Plus(r.step().Room())
+				sum = sum.Plus(r.step().Reservation())
 			}
 		}
 	}
@@ -239,12 +239,12 @@
 
 // lateRoom returns the room that tasks take whose jobs could hardly end in time when tasks
 // of theirs were last placed.
-func (b *Book) lateRoom() pointport.Shape {
+func (b *Scheduler) lateRoom() pointport.Shape {
 	var sum pointport.Shape
 	for _, w := range b.workers {
 		for _, r := range w.runs {
-			if r.entry.standing.class == classLate {
-				sum = sum.Plus(r.step().Room())
+			if r.entry.rank.class == classLate {
+				sum = sum.Plus(r.step().Reservation())
 			}
 		}
 	}
@@ -252,12 +252,12 @@
 }
 
 // servingRoom returns the room that serving tasks take.
-func (b *Book) servingRoom() pointport.Shape {
+func (b *Scheduler) servingRoom() pointport.Shape {
 	var sum pointport.Shape
 	for _, w := range b.workers {
 		for _, r := range w.runs {
 			if r.step().Service && !r.staysInZone() {
-				sum = sum.Plus(r.step().Room())
+				sum = sum.Plus(r.step().Reservation())
 			}
 		}
 	}
--- a/schedule/takeover_test.go
+++ b/schedule/takeover_test.go
@@ -17,10 +17,10 @@
 // inheritingScheduler returns the scheduler of a new owner with one job. An earlier owner has
 // placed its only task on incarnation(0), which has not reported yet. Another instance,
 // incarnation(1), is registered too. The worker of incarnation(0) is returned as well.
-func inheritingScheduler(t interface{ Fatal(args ...any) }) (*schedule.Book, *schedule.Worker) {
+func inheritingScheduler(t interface{ Fatal(args ...any) }) (*schedule.Scheduler, *schedule.Worker) {
 	b := newTestScheduler()
 	j := job("a", policy, step(1, 100, nil))
-	j.Begin(start)
+	j.BeginDue(start)
 	j.Place(workload.TaskRef{}, incarnation(0).ID(), 1)
 	b.Add(start, j)
 	b.SetIncarnations(start, []pointport.Incarnation{incarnation(0), incarnation(1)})
@@ -38,9 +38,9 @@
 
 // reportOthersIdle handles a report from every worker but one, unless it has reported before,
 // that it runs nothing.
-func reportOthersIdle(b *schedule.Book, but *schedule.Worker, now time.Time) {
+func reportOthersIdle(b *schedule.Scheduler, but *schedule.Worker, now time.Time) {
 	for _, w := range b.Workers() {
-		if w != but && !w.Heard() {
+		if w != but && !w.HasAnswered() {
 			b.Report(w, now, now, pointport.Report{Clock: 1})
 		}
 	}
@@ -57,9 +57,9 @@
 // earlier owner has extended the execution lease.
 func TestAnswerToOrderDoesNotExpireInheritedRun(t *testing.T) {
 	b, old := inheritingScheduler(t)
-	b.Silent(old, start.Add(500*time.Millisecond), &pointport.UnavailableError{Op: "hold", Ambiguous: true})
+	b.PollFailed(old, start.Add(500*time.Millisecond), &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 	answered := start.Add(2 * time.Second)
-	b.Answered(stopOfUnknownRun(old), answered, pointport.InstanceClock(time.Hour), nil)
+	b.OrderAnswered(stopOfUnknownRun(old), answered, pointport.InstanceClock(time.Hour), nil)
 	for now := answered; now.Before(start.Add(settings.PredecessorBound)); now = now.Add(50 * time.Millisecond) {
 		reportOthersIdle(b, old, now)
 		if got := startsByIncarnation(orders(b, now)); len(got) != 0 {
@@ -69,7 +69,7 @@
 	now := start.Add(settings.PredecessorBound + 100*time.Millisecond)
 	b.SetIncarnations(now, []pointport.Incarnation{incarnation(1)})
 	now = now.Add(registrationGrace) // the instance will no longer report how the task ended
-	b.See(schedule.Sight{From: start, Until: now})
+	b.SetRegistryCoverage(schedule.RegistryCoverage{Since: start, Until: now})
 	if got := startsByIncarnation(orders(b, now)); got[incarnation(1).ID()] != 1 {
 		t.Errorf("starts %v once the bound for the earlier owner has passed, want one on the other instance", got)
 	}
@@ -158,16 +158,16 @@
 			switch event {
 			case 0: // an order is answered, at once or late
 				clock := i.clock(now)
-				late = append(late, answer{due, func(now time.Time) { b.Answered(stopOfUnknownRun(old), now, clock, nil) }})
+				late = append(late, answer{due, func(now time.Time) { b.OrderAnswered(stopOfUnknownRun(old), now, clock, nil) }})
 			case 1: // a poll is answered, at once or late
-				i.extend(now, old.Until(now, settings.Lease))
+				i.extend(now, old.ExtendLease(now, settings.Lease))
 				report := i.report(now)
 				late = append(late, answer{due, func(now time.Time) { b.Report(old, sent, now, report) }})
 			case 2: // a poll is carried out and its answer lost
-				i.extend(now, old.Until(now, settings.Lease))
-				b.Silent(old, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
+				i.extend(now, old.ExtendLease(now, settings.Lease))
+				b.PollFailed(old, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 			case 3: // a poll does not reach the instance
-				b.Silent(old, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
+				b.PollFailed(old, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 			}
 			rest := late[:0]
 			for _, a := range late {
--- a/shard/ask.go
+++ b/shard/ask.go
@@ -40,7 +40,7 @@
 	}
 	l.asking = true
 	// It acknowledges nothing: what goes through a peer may be late.
-	order := pointport.HoldOrder{Fence: o.own.Fence, Until: w.Until(now, o.lease), Patience: o.book.Patience(w)}
+	order := pointport.HoldOrder{Fence: o.own.Fence, Until: w.ExtendLease(now, o.lease), Patience: o.book.ExtraPollTimeout(w)}
 	go func() {
 		report, err := o.delegates.Hold(ctx, at, order)
 		o.do(func(done time.Time) {
@@ -57,7 +57,7 @@
 	case errors.As(err, &unavailable):
 		return // nobody hears it
 	case err != nil:
-		o.book.Silent(w, now, err) // what it says tells what became of it, or of this owner
+		o.book.PollFailed(w, now, err) // what it says tells what became of it, or of this owner
 		return
 	}
 	if w.Silent() {
--- a/shard/caps.go
+++ b/shard/caps.go
@@ -57,7 +57,7 @@
 			allowed[name] = pointport.Shape{}
 		}
 	}
-	o.book.Allow(allowed)
+	o.book.SetAllowed(allowed)
 }
 
 // followCaps follows the accounts until ctx ends.
--- a/shard/lag.go
+++ b/shard/lag.go
@@ -78,7 +78,7 @@
 func (o *Owner) show(now time.Time) {
 	o.shownWindow.Store(int64(o.window.size))
 	o.shownDelegating.Store(o.delegating)
-	o.shownUnfit.Store(o.book.DoubtedFor(now) > unfitAfter)
+	o.shownUnfit.Store(o.book.IsolationSuspectedFor(now) > unfitAfter)
 	if worst, fresh := o.lag.take(now); fresh && worst >= lateLoop {
 		event.OwnerLate.Log(o.logger, slog.Duration("lag", worst), slog.Int("workers", o.book.WorkerCount()),
 			slog.Int("messages", len(o.inbox)), slog.Int("window", int(o.window.size)), slog.Duration("plan", o.turnGap/turnShare))
--- a/shard/load.go
+++ b/shard/load.go
@@ -33,7 +33,7 @@
 // sees every later one.
 func (o *Owner) load(ctx context.Context) (pointport.Revision, error) {
 	now := o.clock.Now()
-	o.book = schedule.NewBook(now, schedule.Settings{
+	o.book = schedule.NewScheduler(now, schedule.Settings{
 		Lease:            o.lease,
 		PredecessorBound: o.session.TTL() + time.Duration(float64(o.lease)*1.05) + predecessorSlack,
 		MaxHold:          o.maxHold,
@@ -172,7 +172,7 @@
 
 // seen reports whether the book has a job that a caller may know of.
 func (o *Owner) seen(id string, by customer.Caller) bool {
-	owner, known := o.book.Owner(id)
+	owner, known := o.book.CustomerOf(id)
 	return known && by.Sees(owner)
 }
 
--- a/shard/look.go
+++ b/shard/look.go
@@ -27,7 +27,7 @@
 	if !o.own.Proven() {
 		return
 	}
-	for _, w := range o.book.TakeLooks() {
+	for _, w := range o.book.TakePolls() {
 		o.look(ctx, now, w, 0)
 	}
 	seen := make(map[*schedule.Worker]bool)
@@ -61,14 +61,14 @@
 func (o *Owner) look(ctx context.Context, now time.Time, w *schedule.Worker, waitFor time.Duration) {
 	l := o.lookOf(w)
 	l.inFlight++
-	if !w.Heard() || w.Silent() {
+	if !w.HasAnswered() || w.Silent() {
 		waitFor = 0 // its clock must be known before anything can be extended
 	}
-	plan := w.Look()
+	plan := w.NextPoll()
 	if !plan.MayWait {
 		waitFor = 0
 	}
-	order := pointport.HoldOrder{Fence: o.own.Fence, Until: w.Until(now, o.lease), Acknowledged: plan.Acknowledged, Wait: waitFor, Patience: o.book.Patience(w)}
+	order := pointport.HoldOrder{Fence: o.own.Fence, Until: w.ExtendLease(now, o.lease), Acknowledged: plan.Acknowledged, Wait: waitFor, Patience: o.book.ExtraPollTimeout(w)}
 	at := w.Endpoint()
 	way := o.wayTo(now, w)
 	go func() {
@@ -76,14 +76,14 @@
 		o.do(func(now2 time.Time) {
 			l.inFlight--
 			if err != nil {
-				w.Looked(plan, now2, false)
+				w.PollDone(plan, now2, false)
 				o.unheard(w, now, now2, err)
 				l.next = now2.Add(lookRetry)
 				return
 			}
 			o.book.Report(w, now, now2, report)
 			switch {
-			case w.Looked(plan, now2, true):
+			case w.PollDone(plan, now2, true):
 				l.next = now2
 			case len(report.Ended) > 0:
 				l.next = now2.Add(ackWait)
@@ -99,5 +99,5 @@
 	if errors.As(err, &unavailable) && w.ReportedSince(sent) {
 		return
 	}
-	o.book.Silent(w, now, err)
+	o.book.PollFailed(w, now, err)
 }
--- a/shard/orders.go
+++ b/shard/orders.go
@@ -75,7 +75,7 @@
 // pump sends what waits in a lane, as far as its width and the window allow.
 func (o *Owner) pump(ctx context.Context, now time.Time, l *lane) {
 	for len(l.queue) > 0 && l.inFlight < laneWidth {
-		order, ok := o.next(l, o.mayStart() && !l.worker.Acknowledging(o.clock.Now()))
+		order, ok := o.next(l, o.mayStart() && !l.worker.AckInFlight(o.clock.Now()))
 		switch {
 		case !ok && o.mayStart():
 			return // it goes on once the instance has answered
@@ -83,7 +83,7 @@
 			o.hold(l)
 			return
 		}
-		if o.book.Forgo(o.clock.Now(), order) {
+		if o.book.SkipStart(o.clock.Now(), order) {
 			continue
 		}
 		o.sendOne(ctx, now, l, order)
@@ -118,7 +118,7 @@
 
 // mostStarts returns how many starts may be under way.
 func (o *Owner) mostStarts() float64 {
-	if o.book.Doubts() {
+	if o.book.SuspectsIsolation() {
 		return startsInDoubt
 	}
 	return o.window.size
@@ -152,9 +152,9 @@
 	if start {
 		o.starts.underWay++
 	}
-	o.book.Sending(order)
+	o.book.MarkSending(order)
 	sent := o.clock.Now()
-	at, until := l.worker.Endpoint(), l.worker.Until(now, o.lease) // the loop alone may read the worker
+	at, until := l.worker.Endpoint(), l.worker.ExtendLease(now, o.lease) // the loop alone may read the worker
 	way := o.wayTo(now, l.worker)
 	go func() {
 		clock, err := o.carryOut(ctx, way, at, order, until)
@@ -164,7 +164,7 @@
 			if start {
 				o.startAnswered(now, answered.Sub(sent), err)
 			}
-			o.book.Answered(order, now, clock, err)
+			o.book.OrderAnswered(order, now, clock, err)
 			if o.own.Proven() {
 				o.pump(ctx, now, l)
 				o.pumpHeld(ctx, now)
--- a/shard/orders_test.go
+++ b/shard/orders_test.go
@@ -31,7 +31,7 @@
 // that lets them go, and so many may wait that nothing more is placed.
 func TestHeldStartsGoOnWithoutAnAnswer(t *testing.T) {
 	now := time.Now()
-	book := schedule.NewBook(now, schedule.Settings{Lease: time.Second}, slog.New(slog.DiscardHandler))
+	book := schedule.NewScheduler(now, schedule.Settings{Lease: time.Second}, slog.New(slog.DiscardHandler))
 	size := pointport.Shape{CPUMilli: 4000, MemoryMiB: 4000}
 	book.SetIncarnations(now, []pointport.Incarnation{
 		pointport.NewIncarnation("i-1", "p", "10.0.0.1:1", pointport.WithInstance("m-1"), pointport.WithCapacity(size)),
@@ -68,7 +68,7 @@
 	now := time.Now()
 	start, stop := schedule.Order{Kind: schedule.OrderStart}, schedule.Order{Kind: schedule.OrderStop}
 	l := &lane{queue: []schedule.Order{start, start, stop}}
-	o := &Owner{book: schedule.NewBook(now, schedule.Settings{}, slog.New(slog.DiscardHandler)), window: window{size: 1}, starts: starts{queued: 2, underWay: 1}}
+	o := &Owner{book: schedule.NewScheduler(now, schedule.Settings{}, slog.New(slog.DiscardHandler)), window: window{size: 1}, starts: starts{queued: 2, underWay: 1}}
 	if got, ok := o.next(l, o.mayStart()); !ok || got.Kind != schedule.OrderStop {
 		t.Fatalf("%v, %v, want the stop", got.Kind, ok)
 	}
@@ -84,12 +84,12 @@
 // While an instance is told which of its ends are stored, no start goes there, and other orders do.
 func TestNoStartWhileEndsAreAcknowledged(t *testing.T) {
 	now := time.Now()
-	b := schedule.NewBook(now, schedule.Settings{}, slog.New(slog.DiscardHandler))
+	b := schedule.NewScheduler(now, schedule.Settings{}, slog.New(slog.DiscardHandler))
 	b.SetIncarnations(now, []pointport.Incarnation{pointport.NewIncarnation(pointport.NewIncarnationID("i", now), "p", "10.0.0.1:1")})
 	w := b.Workers()[0]
 	b.Report(w, now, now, pointport.Report{Ended: []pointport.TaskEnd{{Number: 1, Kind: pointport.EndDone}}})
 	b.Stored(b.TakeBatch(1), now)
-	if w.Look().Acknowledged != 1 || !w.Acknowledging(now) {
+	if w.NextPoll().Acknowledged != 1 || !w.AckInFlight(now) {
 		t.Fatal("nothing is acknowledged")
 	}
 	l := &lane{worker: w, queue: []schedule.Order{{Kind: schedule.OrderStart, Worker: w}}}
--- a/shard/owner.go
+++ b/shard/owner.go
@@ -69,7 +69,7 @@
 	Of(pool string) ([]pointport.Incarnation, <-chan struct{})
 	// Sight returns how well the registrations are known. Whatever was known at its end
 	// has closed the channel that Of returned before it.
-	Sight() schedule.Sight
+	Sight() schedule.RegistryCoverage
 }
 
 // Services are what an owner stands on.
@@ -131,7 +131,7 @@
 	err   error
 
 	// What follows belongs to the loop.
-	book   *schedule.Book
+	book   *schedule.Scheduler
 	loaded pointport.Revision // as of which the pool's open jobs were read
 	// unreadable holds the jobs whose stored progress cannot be read.
 	unreadable map[string]bool
@@ -248,7 +248,7 @@
 			return ctx.Err()
 		}
 		moved = o.see(moved)
-		if o.book.Deposed() {
+		if o.book.Fenced() {
 			return member.ErrLost
 		}
 		wake = o.clock.After(o.turn(ctx))
@@ -276,14 +276,14 @@
 		moved = o.refresh()
 	default:
 	}
-	o.book.See(sight)
+	o.book.SetRegistryCoverage(sight)
 	return moved
 }
 
 // evacuate tells the book what is known now of evacuated availability zones.
 func (o *Owner) evacuate() {
 	if o.evacuated != nil {
-		o.book.Evacuate(o.evacuated())
+		o.book.SetEvacuations(o.evacuated())
 	}
 }
 
@@ -317,7 +317,7 @@
 	o.planned = now
 	o.evacuate()
 	if o.own.Proven() {
-		o.book.LimitUnsent(o.unsentMost())
+		o.book.LimitUnstoredStarts(o.unsentMost())
 		o.applyCaps(ctx)
 		o.book.Plan(now)
 		o.reckonExcess(now)
--- a/shard/write.go
+++ b/shard/write.go
@@ -34,7 +34,7 @@
 	}
 	removals := o.removals[:min(len(o.removals), maxRemovals)]
 	batch := o.book.TakeBatch(o.batchEntries() - len(removals))
-	if batch.Whole {
+	if batch.Complete {
 		o.removals = o.removals[len(removals):]
 	} else {
 		removals = nil // what they stand for may be left for the next batch
@@ -79,7 +79,7 @@
 	}
 	var taken []waiter
 	o.waiters = slices.DeleteFunc(o.waiters, func(w waiter) bool {
-		due := batch.Whole || stored[w.job]
+		due := batch.Complete || stored[w.job]
 		if due {
 			taken = append(taken, w)
 		}
@@ -100,7 +100,7 @@
 
 // consult puts the questions that are due to the advisor.
 func (o *Owner) consult(ctx context.Context, asked time.Time) {
-	for _, q := range o.book.TakeQuestions() {
+	for _, q := range o.book.TakeAdviceRequests() {
 		go func() {
 			var tickets map[pointport.IncarnationID]string
 			var valid time.Duration
@@ -108,7 +108,7 @@
 			if o.advisor != nil {
 				tickets, valid, err = o.advisor.Advise(ctx, q.Step, q.Incarnations)
 			}
-			o.do(func(now time.Time) { o.book.Advised(q, asked, now, tickets, valid, err) })
+			o.do(func(now time.Time) { o.book.AdviceAnswered(q, asked, now, tickets, valid, err) })
 		}()
 	}
 }
--- a/soak/customer_test.go
+++ b/soak/customer_test.go
@@ -83,7 +83,7 @@
 		return testbed.Work{}
 	}
 	step := &t.spec.Steps[ref.Step]
-	w := testbed.Work{Room: step.Room(), Duration: step.Estimate, Serves: step.Service}
+	w := testbed.Work{Room: step.Reservation(), Duration: step.Estimate, Serves: step.Service}
 	w.Crashes = t.crashes && ref == workload.TaskRef{}
 	for _, a := range step.After {
 		for i := range t.spec.Steps[a].Count {
@@ -122,7 +122,7 @@
 func (s *soak) crashes(t *ticket) bool {
 	last := t.id[len(t.id)-4:]
 	n, err := strconv.ParseUint(last, 16, 64)
-	return s.odd && err == nil && n%crashEvery == 0 && !t.spec.Lasts()
+	return s.odd && err == nil && n%crashEvery == 0 && !t.spec.RunsUntilCancelled()
 }
 
 // answerTime is how long customers wait for an answer.
@@ -221,7 +221,7 @@
 		if c.random.IntN(12) == 0 {
 			c.cancel(ctx, recent[c.random.IntN(len(recent))])
 		}
-		if t.spec.Lasts() {
+		if t.spec.RunsUntilCancelled() {
 			services = append(services, t)
 		}
 		if len(services) > servicesMost {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -213,7 +213,7 @@
 			open = append(open, fmt.Sprintf("cancelled job %s is %s", t.id, status))
 		case t.asked && status == workload.Cancelled:
 			// It is cancelled, whether or not the customer was told so.
-		case t.spec.Lasts():
+		case t.spec.RunsUntilCancelled():
 			if want := t.spec.Steps[0].Count; s.grid.Fleet().RunsOf(t.id) != want {
 				open = append(open, fmt.Sprintf("serving job %s has %d runs of %d", t.id, s.grid.Fleet().RunsOf(t.id), want))
 			}
--- a/soak/trouble_test.go
+++ b/soak/trouble_test.go
@@ -154,7 +154,7 @@
 	defer s.mu.Unlock()
 	next := *s.catalog
 	next.Queues = append(append([]workload.Queue(nil), next.Queues...), workload.Queue{
-		Name: "extra", Host: host, Path: "/extra" + string(rune('a'+len(next.Queues))) + "/", Pool: s.queues[0].Pool, Policy: s.queues[0].Policy, Anonymous: true,
+		Name: "extra", Host: host, Path: "/extra" + string(rune('a'+len(next.Queues))) + "/", Pool: s.queues[0].Pool, Policy: s.queues[0].Policy, AllowAnonymous: true,
 	})
 	s.catalog = &next
 	if err := s.grid.Configure(s.catalog); err != nil {
--- a/standin/grid/grid.go
+++ b/standin/grid/grid.go
@@ -226,9 +226,9 @@
 		k.Customers = customer.NewDirectory(g.settings.Customers)
 	}
 	for _, pool := range g.settings.Pools {
-		k.Pools = append(k.Pools, workload.PoolInfo{Name: pool, Guards: true})
+		k.Pools = append(k.Pools, workload.PoolInfo{Name: pool, EnforcesCapacity: true})
 		k.Queues = append(k.Queues, workload.Queue{
-			Name: pool, Host: g.settings.Host, Path: "/" + pool + "/", Pool: pool, Anonymous: true,
+			Name: pool, Host: g.settings.Host, Path: "/" + pool + "/", Pool: pool, AllowAnonymous: true,
 			Policy: workload.Policy{MaxAttempts: 3, Stretch: 1.6, Target: 600 * time.Millisecond},
 		})
 	}
--- a/workload/catalog.go
+++ b/workload/catalog.go
@@ -19,9 +19,9 @@
 	// Timeout is how long an answer to a customer may take.
 	Timeout time.Duration
 	Policy  Policy
-	// Anonymous says that callers need show no key. A key that one shows must be good all
+	// AllowAnonymous says that callers need show no key. A key that one shows must be good all
 	// the same.
-	Anonymous bool
+	AllowAnonymous bool
 	// Advice says how the advisor behaves for the queue; it is zero if the queue
 	// needs none.
 	Advice Advice
@@ -29,9 +29,9 @@
 
 // Advice says how the advisor answers for a queue.
 type Advice struct {
-	Base  time.Duration // for each question
-	Each  time.Duration // for each instance that is asked about
-	Valid time.Duration // how long an answer holds
+	Base        time.Duration // for each question
+	PerInstance time.Duration // for each instance that is asked about
+	ValidFor    time.Duration // how long an answer holds
 }
 
 // A PoolInfo is what the configuration says of a pool.
@@ -39,8 +39,8 @@
 	Name string
 	// Spare says that the pool's instances are switched off and cost nothing.
 	Spare bool
-	// Guards says that the pool's instances refuse what does not fit.
-	Guards bool
+	// EnforcesCapacity says that the pool's instances refuse what does not fit.
+	EnforcesCapacity bool
 }
 
 // Limits bound what a client may send.
--- a/workload/codec.go
+++ b/workload/codec.go
@@ -41,7 +41,7 @@
 		// Each owner in turn would run out of memory for a step of a billion tasks.
 		return nil, fmt.Errorf("stored job %s: %w", id, err)
 	}
-	return New(id, d.Queue, d.Policy, d.Spec, d.Submitted, Of(d.Customer)), nil
+	return New(id, d.Queue, d.Policy, d.Spec, d.Submitted, WithCustomer(d.Customer)), nil
 }
 
 // progressDocument is the stored form of a job's progress. The rows of an
@@ -179,7 +179,7 @@
 const progressBytes = 512
 
 func (o *Occurrence) append(b []byte) []byte {
-	b = strconv.AppendInt(append(b, `{"k":`...), int64(o.K), 10)
+	b = strconv.AppendInt(append(b, `{"k":`...), int64(o.Index), 10)
 	b = append(b, `,"s":[`...)
 	for n, step := range o.Steps {
 		if n > 0 {
--- a/workload/job.go
+++ b/workload/job.go
@@ -61,7 +61,7 @@
 
 // An Occurrence is the progress of one run of all steps.
 type Occurrence struct {
-	K     int
+	Index int
 	Steps [][]Task
 	// left counts the tasks of each step that are not done.
 	left []int
@@ -88,8 +88,8 @@
 // An Option changes a Job that is made.
 type Option func(*Job)
 
-// Of names the customer whose the job is.
-func Of(customer string) Option { return func(j *Job) { j.customer = customer } }
+// WithCustomer names the customer whose the job is.
+func WithCustomer(customer string) Option { return func(j *Job) { j.customer = customer } }
 
 // New returns a job none of whose tasks has begun.
 func New(id, queue string, policy Policy, spec *Spec, submitted time.Time, options ...Option) *Job {
@@ -144,9 +144,9 @@
 	return len(j.occurrences) > 0 && (len(j.occurrences)+1)*j.spec.tasks() > mostOpenTasks
 }
 
-// Begin makes the tasks of the occurrences that are due by now. It reports
+// BeginDue makes the tasks of the occurrences that are due by now. It reports
 // whether there were any.
-func (j *Job) Begin(now time.Time) bool {
+func (j *Job) BeginDue(now time.Time) bool {
 	begun := false
 	for j.next < j.spec.Occurrences() && !j.Stopping() && !j.full() {
 		if due := j.spec.Due(j.next); due.After(now) {
@@ -168,7 +168,7 @@
 }
 
 func newOccurrence(k int, spec *Spec) *Occurrence {
-	o := &Occurrence{K: k, Steps: make([][]Task, len(spec.Steps)), left: make([]int, len(spec.Steps))}
+	o := &Occurrence{Index: k, Steps: make([][]Task, len(spec.Steps)), left: make([]int, len(spec.Steps))}
 	for n := range spec.Steps {
 		o.Steps[n] = make([]Task, spec.Steps[n].Count)
 		o.left[n] = spec.Steps[n].Count
@@ -196,13 +196,13 @@
 	return true
 }
 
-// Left returns how many tasks of step n are not done.
-func (o *Occurrence) Left(n int) int { return o.left[n] }
+// Remaining returns how many tasks of step n are not done.
+func (o *Occurrence) Remaining(n int) int { return o.left[n] }
 
 // Task returns the task that ref names, or nil if its occurrence is not under
 // way.
 func (j *Job) Task(ref TaskRef) *Task {
-	o := j.occurrences[ref.K]
+	o := j.occurrences[ref.Occurrence]
 	if o == nil || ref.Step >= len(o.Steps) || ref.Index >= len(o.Steps[ref.Step]) {
 		return nil
 	}
@@ -216,8 +216,8 @@
 	t.Phase, t.On, t.Run = Placed, on, run
 }
 
-// Return puts a placed task back to wait.
-func (j *Job) Return(ref TaskRef) {
+// Requeue puts a placed task back to wait.
+func (j *Job) Requeue(ref TaskRef) {
 	t := j.Task(ref)
 	t.Phase, t.On = Pending, ""
 }
@@ -226,13 +226,13 @@
 func (j *Job) Finish(ref TaskRef) (stepDone bool) {
 	t := j.Task(ref)
 	t.Phase, t.On, t.Checkpoint, t.Crashes = Done, "", "", 0
-	o := j.occurrences[ref.K]
+	o := j.occurrences[ref.Occurrence]
 	o.left[ref.Step]--
 	if o.left[ref.Step] > 0 {
 		return false
 	}
 	if o.done() {
-		delete(j.occurrences, ref.K)
+		delete(j.occurrences, ref.Occurrence)
 		j.over++
 	}
 	return true
@@ -254,9 +254,9 @@
 	return j.countFailure(ref, run)
 }
 
-// FailGivenUp notes that a run of a task has failed that was given up before its end was
+// FailReplacedRun notes that a run of a task has failed that was given up before its end was
 // known; the task stays where it is. It reports whether the job has failed with it.
-func (j *Job) FailGivenUp(ref TaskRef, run int) bool {
+func (j *Job) FailReplacedRun(ref TaskRef, run int) bool {
 	t := j.Task(ref)
 	if len(t.FailedRuns) != t.Failures || run > t.Run {
 		return false // which runs were counted is not known, or it is none of ours
@@ -278,7 +278,7 @@
 	t.FailedRuns = append(t.FailedRuns, run)
 	if step.Gang {
 		// A gang fails as one.
-		mates := j.occurrences[ref.K].Steps[ref.Step]
+		mates := j.occurrences[ref.Occurrence].Steps[ref.Step]
 		for i := range mates {
 			mates[i].Failures, mates[i].FailedRuns = t.Failures, slices.Clone(t.FailedRuns)
 		}
@@ -307,20 +307,20 @@
 
 // The cases, in the order of what they say against the task.
 const (
-	// CrashBeside: other tasks ran there, and this one had for a while.
-	CrashBeside CrashCase = iota
+	// CrashShared: other tasks ran there, and this one had for a while.
+	CrashShared CrashCase = iota
 	// CrashAtStart: other tasks ran there, and this one had just been started.
 	CrashAtStart
 	// CrashAlone: nothing else ran there.
 	CrashAlone
 )
 
-// A CrashVerdict says what follows from a crash for the task that had a run there.
-type CrashVerdict uint8
+// A CrashOutcome says what follows from a crash for the task that had a run there.
+type CrashOutcome uint8
 
 // The verdicts on a task under which an instance has crashed.
 const (
-	CrashRetried CrashVerdict = iota // it is started again, or runs elsewhere already
+	CrashRetried CrashOutcome = iota // it is started again, or runs elsewhere already
 	CrashGivenUp                     // it is not started again; its job goes on without it
 	CrashFailed                      // its job has failed with it
 )
@@ -335,7 +335,7 @@
 // What ran for a while and was hit beside others decides nothing: of 11 tasks that were
 // given up in a fleet of twelve instances with nine that crash theirs, two were serving
 // tasks that had been at work for 5 s each time.
-func (j *Job) Crash(ref TaskRef, how CrashCase) CrashVerdict {
+func (j *Job) Crash(ref TaskRef, how CrashCase) CrashOutcome {
 	t := j.Task(ref)
 	t.Crashes++
 	decided := how == CrashAlone && t.Crashes >= crashesAlone || how == CrashAtStart && t.Crashes >= crashesMost
@@ -366,8 +366,8 @@
 	return false
 }
 
-// Exonerate forgets the crashes of a task that has shown that it does not cause them.
-func (j *Job) Exonerate(ref TaskRef) { j.Task(ref).Crashes = 0 }
+// ResetCrashes forgets the crashes of a task that has shown that it does not cause them.
+func (j *Job) ResetCrashes(ref TaskRef) { j.Task(ref).Crashes = 0 }
 
 // PlacedTasks returns how many tasks are placed.
 func (j *Job) PlacedTasks() int {
@@ -436,17 +436,17 @@
 
 // A TaskRef names a task within its job.
 type TaskRef struct {
-	K, Step, Index int
+	Occurrence, Step, Index int
 }
 
 // TaskName returns the name under which instances know a task.
 func TaskName(job string, ref TaskRef) string {
-	return job + "." + strconv.Itoa(ref.K) + "." + strconv.Itoa(ref.Step) + "." + strconv.Itoa(ref.Index)
+	return job + "." + strconv.Itoa(ref.Occurrence) + "." + strconv.Itoa(ref.Step) + "." + strconv.Itoa(ref.Index)
 }
 
 // StepName returns the name under which the advisor knows a step.
 func StepName(job string, ref TaskRef) string {
-	return job + "." + strconv.Itoa(ref.K) + "." + strconv.Itoa(ref.Step)
+	return job + "." + strconv.Itoa(ref.Occurrence) + "." + strconv.Itoa(ref.Step)
 }
 
 // taskNameParts is a job and three numbers.
--- a/workload/spec.go
+++ b/workload/spec.go
@@ -91,8 +91,8 @@
 	MayMiss int `json:"mayMiss,omitempty"`
 }
 
-// Room returns what a task of the step takes of an instance's capacity.
-func (s *Step) Room() pointport.Shape {
+// Reservation returns what a task of the step takes of an instance's capacity.
+func (s *Step) Reservation() pointport.Shape {
 	need := s.Need
 	if s.Fills {
 		need.CPUMilli = 0
@@ -100,9 +100,9 @@
 	return need
 }
 
-// AtOnce returns what tasks of the step declare that have to run at the same time: all of a
+// ConcurrentNeed returns what tasks of the step declare that have to run at the same time: all of a
 // gang, else one.
-func (s *Step) AtOnce() pointport.Shape {
+func (s *Step) ConcurrentNeed() pointport.Shape {
 	if !s.Gang {
 		return s.Need
 	}
@@ -132,8 +132,8 @@
 	return n
 }
 
-// Lasts reports whether the job runs until it is cancelled.
-func (s *Spec) Lasts() bool {
+// RunsUntilCancelled reports whether the job runs until it is cancelled.
+func (s *Spec) RunsUntilCancelled() bool {
 	for n := range s.Steps {
 		if s.Steps[n].Service {
 			return true
--- a/workload/workload_test.go
+++ b/workload/workload_test.go
@@ -40,7 +40,7 @@
 		for n, step := range o.Steps {
 			for i := range step {
 				if step[i].Phase == phase {
-					out = append(out, workload.TaskRef{K: o.K, Step: n, Index: i})
+					out = append(out, workload.TaskRef{Occurrence: o.Index, Step: n, Index: i})
 				}
 			}
 		}
@@ -58,7 +58,7 @@
 	now := time.Unix(1000, 0)
 	for range rapid.IntRange(0, 30).Draw(t, "actions") {
 		now = now.Add(200 * time.Millisecond)
-		j.Begin(now)
+		j.BeginDue(now)
 		pending, placed := refs(j, workload.Pending), refs(j, workload.Placed)
 		switch action := rapid.IntRange(0, 6).Draw(t, "action"); {
 		case action <= 2 && len(pending) > 0:
@@ -71,9 +71,9 @@
 			j.Task(ref).Checkpoint = rapid.StringMatching("[0-9a-f]{0,8}").Draw(t, "checkpoint")
 			j.Fail(ref, j.Task(ref).Run)
 		case action == 5 && len(placed) > 0:
-			j.Return(rapid.SampledFrom(placed).Draw(t, "returned"))
+			j.Requeue(rapid.SampledFrom(placed).Draw(t, "returned"))
 		case action == 6 && len(pending) > 0:
-			j.Crash(rapid.SampledFrom(pending).Draw(t, "crashed"), rapid.SampledFrom([]workload.CrashCase{workload.CrashBeside, workload.CrashAtStart, workload.CrashAlone}).Draw(t, "how"))
+			j.Crash(rapid.SampledFrom(pending).Draw(t, "crashed"), rapid.SampledFrom([]workload.CrashCase{workload.CrashShared, workload.CrashAtStart, workload.CrashAlone}).Draw(t, "how"))
 		}
 	}
 	if rapid.IntRange(0, 4).Draw(t, "cancel") == 0 {
@@ -124,7 +124,7 @@
 		j.Occurrences(func(o *workload.Occurrence) {
 			for n := range o.Steps {
 				for _, before := range spec.Steps[n].After {
-					if j.Ready(o, n) && o.Left(before) > 0 {
+					if j.Ready(o, n) && o.Remaining(before) > 0 {
 						t.Fatalf("step %d is ready and step %d before it is not done", n, before)
 					}
 				}
@@ -137,7 +137,7 @@
 }
 
 func TestTaskNames(t *testing.T) {
-	ref := workload.TaskRef{K: 3, Step: 1, Index: 17}
+	ref := workload.TaskRef{Occurrence: 3, Step: 1, Index: 17}
 	id, got, err := workload.ParseTaskName(workload.TaskName("5c0e7a21d94b36f8", ref))
 	if err != nil || id != "5c0e7a21d94b36f8" || got != ref {
 		t.Errorf("parsed %s %+v %v", id, got, err)
@@ -191,7 +191,7 @@
 // fourth if it had just been started. One beside others that it had run with for a while
 // decides nothing, however many there are.
 func TestCrashesAreCounted(t *testing.T) {
-	const beside, atStart, alone = workload.CrashBeside, workload.CrashAtStart, workload.CrashAlone
+	const beside, atStart, alone = workload.CrashShared, workload.CrashAtStart, workload.CrashAlone
 	cases := []struct {
 		name  string
 		how   []workload.CrashCase // of each crash
@@ -207,7 +207,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			j := workload.New("00112233445566aa", "q", workload.Policy{MaxAttempts: 3}, &workload.Spec{Steps: []workload.Step{{Count: 2}}}, time.Unix(1000, 0))
-			j.Begin(time.Unix(1000, 0))
+			j.BeginDue(time.Unix(1000, 0))
 			ref := workload.TaskRef{Index: 1}
 			for n, how := range c.how {
 				last := n == len(c.how)-1
@@ -225,8 +225,8 @@
 // A serving task is given up alone, and its job fails with the last one.
 func TestServingTasksAreGivenUpOneByOne(t *testing.T) {
 	j := workload.New("00112233445566aa", "q", workload.Policy{MaxAttempts: 3}, &workload.Spec{Steps: []workload.Step{{Count: 2, Service: true}}}, time.Unix(1000, 0))
-	j.Begin(time.Unix(1000, 0))
-	for index, want := range []workload.CrashVerdict{workload.CrashGivenUp, workload.CrashFailed} {
+	j.BeginDue(time.Unix(1000, 0))
+	for index, want := range []workload.CrashOutcome{workload.CrashGivenUp, workload.CrashFailed} {
 		ref := workload.TaskRef{Index: index}
 		j.Place(ref, "i-1", 7)
 		j.Crash(ref, workload.CrashAlone)
@@ -234,7 +234,7 @@
 		if got := j.Crash(ref, workload.CrashAlone); got != workload.CrashRetried {
 			t.Errorf("the verdict on task %d is %d while another run of it is placed", index, got)
 		}
-		j.Return(ref)
+		j.Requeue(ref)
 		if got := j.Crash(ref, workload.CrashAlone); got != want {
 			t.Errorf("the verdict on task %d is %d, want %d", index, got, want)
 		}
@@ -252,9 +252,9 @@
 // run that has run for a while.
 func TestWhatFewTasksHaveIsReadAgain(t *testing.T) {
 	j := workload.New("00112233445566aa", "q", workload.Policy{MaxAttempts: 9}, &workload.Spec{Steps: []workload.Step{{Count: 3}, {Count: 2}}}, time.Unix(1000, 0))
-	j.Begin(time.Unix(1000, 0))
+	j.BeginDue(time.Unix(1000, 0))
 	crashed, failed := workload.TaskRef{Index: 2}, workload.TaskRef{Step: 1, Index: 1}
-	j.Crash(crashed, workload.CrashBeside)
+	j.Crash(crashed, workload.CrashShared)
 	j.Place(crashed, "i-1", 4)
 	j.Task(crashed).Settled = 4
 	j.Place(failed, "i-2", 1)
@@ -277,7 +277,7 @@
 // stands, and passes over when the life began.
 func TestEarlierVersionsReadTheAddressee(t *testing.T) {
 	j := workload.New("00112233445566aa", "q", workload.Policy{}, &workload.Spec{Steps: []workload.Step{{Count: 1}}}, time.Unix(1000, 0))
-	j.Begin(time.Unix(1000, 0))
+	j.BeginDue(time.Unix(1000, 0))
 	j.Place(workload.TaskRef{}, pointport.NewIncarnationID("i-2", time.UnixMilli(1796284627123)), 1)
 	const want = `{"n":1,"k":[{"k":0,"s":[[[1,1,0,"i-2"]]],"b":[[0,0,1796284627123]]}]}`
 	if got := string(j.EncodeProgress()); got != want {
@@ -363,7 +363,7 @@
 		if j.RestoreProgress(stored) != nil {
 			return
 		}
-		j.Begin(time.Unix(2000, 0))
+		j.BeginDue(time.Unix(2000, 0))
 		j.Status()
 		j.Incarnations()
 		for _, ref := range refs(j, workload.Placed) {
@@ -393,7 +393,7 @@
 		if err := j.Spec().Check(); err != nil {
 			t.Errorf("it is taken although %v", err)
 		}
-		j.Begin(time.Unix(2000, 0))
+		j.BeginDue(time.Unix(2000, 0))
 		j.EncodeProgress()
 	})
 }
@@ -403,17 +403,17 @@
 func TestOccurrencesUnderWayAreBounded(t *testing.T) {
 	spec := &workload.Spec{Steps: []workload.Step{{Count: 100}}, Recur: workload.Recurrence{Times: 1_000_000_000, First: time.Unix(1000, 0)}}
 	j := workload.New("00112233445566aa", "q", workload.Policy{MaxAttempts: 2}, spec, time.Unix(1000, 0))
-	j.Begin(time.Unix(2000, 0))
+	j.BeginDue(time.Unix(2000, 0))
 	open := len(refs(j, workload.Pending))
 	if open == 0 || open > 4*workload.MaxTasks {
 		t.Fatalf("%d tasks are open", open)
 	}
 	for i := range 100 {
-		ref := workload.TaskRef{K: 0, Index: i}
+		ref := workload.TaskRef{Occurrence: 0, Index: i}
 		j.Place(ref, "i-1", 1)
 		j.Finish(ref)
 	}
-	if !j.Begin(time.Unix(2000, 0)) || len(refs(j, workload.Pending)) != open {
+	if !j.BeginDue(time.Unix(2000, 0)) || len(refs(j, workload.Pending)) != open {
 		t.Errorf("%d tasks are open once an occurrence is over, want %d again", len(refs(j, workload.Pending)), open)
 	}
 }
