--- a/schedule/bench_test.go
+++ b/schedule/bench_test.go
@@ -10,20 +10,20 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// BenchmarkPlanOverload measures Plan for a pool of 80 full instances with a backlog of 400
+// BenchmarkPlanOverload measures Plan for a pool of 80 full instances with a backlog of 300
 // jobs of 13 tasks each.
 func BenchmarkPlanOverload(b *testing.B) {
 	now := time.Unix(1000, 0)
-	book := NewScheduler(now, Settings{Lease: 4 * time.Second, GangTime: 3 * time.Second, FarFactor: 2}, slog.New(slog.DiscardHandler))
+	scheduler := NewScheduler(now, Settings{Lease: 4 * time.Second, GangTime: 3 * time.Second, FarFactor: 2}, slog.New(slog.DiscardHandler))
 	var fleet []pointport.Incarnation
 	for n := range 80 {
 		id := pointport.IncarnationID(fmt.Sprintf("i-%02d", n))
 		fleet = append(fleet, pointport.NewIncarnation(id, "shift", "10.0.0.1:1", pointport.WithInstance(pointport.InstanceID(id)),
 			pointport.WithCapacity(pointport.Shape{CPUMilli: 16000, MemoryMiB: 32768})))
 	}
-	book.SetIncarnations(now, fleet)
-	for _, w := range book.Workers() {
-		book.Report(w, now, now, pointport.Report{})
+	scheduler.SetIncarnations(now, fleet)
+	for _, w := range scheduler.Workers() {
+		scheduler.Report(w, now, now, pointport.Report{})
 	}
 	for n := range 400 {
 		step := workload.Step{Count: 8, Need: pointport.Shape{CPUMilli: int64(1200 + 50*(n%20)), MemoryMiB: 1300}, Estimate: time.Second}
@@ -32,12 +32,12 @@
 		}
 		spec := &workload.Spec{Steps: []workload.Step{step, {Count: 5, Need: step.Need, Estimate: time.Second, After: []int{0}}}}
 		policy := workload.Policy{MaxAttempts: 3, Stretch: 1.6, Target: 600 * time.Millisecond}
-		book.Add(now, workload.New(fmt.Sprintf("%016x", n), "q", policy, spec, now))
+		scheduler.Add(now, workload.New(fmt.Sprintf("%016x", n), "q", policy, spec, now))
 	}
-	book.Plan(now)
+	scheduler.Plan(now)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		book.Plan(now.Add(time.Duration(i%1000) * time.Millisecond))
+		scheduler.Plan(now.Add(time.Duration(i%1000) * time.Millisecond))
 	}
 }
--- a/schedule/crash_test.go
+++ b/schedule/crash_test.go
@@ -110,7 +110,7 @@
 type crashSim struct {
 	t                     *rapid.T
 	now                   time.Time
-	book                  *schedule.Scheduler
+	scheduler             *schedule.Scheduler
 	nextIncarnation       int // number of the next incarnation
 	up                    map[int]bool
 	runs                  map[pointport.IncarnationID]map[string]int // the run of each task, by incarnation
@@ -174,15 +174,15 @@
 		}
 	}
 	for len(s.dead) > 0 && rapid.Bool().Draw(s.t, "crash known") {
-		s.book.EndIncarnation(s.now, s.dead[0])
+		s.scheduler.EndIncarnation(s.now, s.dead[0])
 		s.dead = s.dead[1:]
 	}
-	s.book.SetIncarnations(s.now, s.registrations())
-	for _, w := range s.book.Workers() {
+	s.scheduler.SetIncarnations(s.now, s.registrations())
+	for _, w := range s.scheduler.Workers() {
 		id := w.Endpoint().Incarnation
 		runs, lives := s.runs[id]
 		if !lives {
-			s.book.PollFailed(w, s.now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
+			s.scheduler.PollFailed(w, s.now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 			continue
 		}
 		w.ExtendLease(s.now, settings.Lease)
@@ -190,27 +190,27 @@
 		for task, run := range runs {
 			report.Running = append(report.Running, pointport.RunningTask{TaskRun: pointport.TaskRun{Task: task, Run: run}, Progress: 10})
 		}
-		s.book.Report(w, s.now, s.now, report)
+		s.scheduler.Report(w, s.now, s.now, report)
 	}
-	s.carryOut(orders(s.book, s.now))
+	s.carryOut(orders(s.scheduler, s.now))
 }
 
 // carryOut carries out orders at their instances.
 func (s *crashSim) carryOut(all []schedule.Order) {
 	for _, o := range all {
-		s.book.MarkSending(o)
+		s.scheduler.MarkSending(o)
 		id := o.Worker.Endpoint().Incarnation
 		runs, lives := s.runs[id]
 		switch {
 		case !lives:
-			s.book.OrderAnswered(o, s.now, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true})
+			s.scheduler.OrderAnswered(o, s.now, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true})
 		case o.Kind == schedule.OrderStart:
 			runs[o.TaskRun.Task] = o.TaskRun.Run
 			s.endsAt[string(id)+o.TaskRun.Task] = s.now.Add(simWork)
 			s.answerStart(o)
 		default:
 			delete(runs, o.TaskRun.Task)
-			s.book.OrderAnswered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
+			s.scheduler.OrderAnswered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
 		}
 	}
 }
@@ -218,7 +218,7 @@
 // answerStart answers a start, or crashes the instance if the start is of the poison task.
 func (s *crashSim) answerStart(o schedule.Order) {
 	if o.TaskRun.Task != poisonTask {
-		s.book.OrderAnswered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
+		s.scheduler.OrderAnswered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
 		return
 	}
 	if s.crashes >= 3 {
@@ -231,14 +231,14 @@
 			break
 		}
 	}
-	s.book.OrderAnswered(o, s.now, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true})
+	s.scheduler.OrderAnswered(o, s.now, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true})
 }
 
 // changeOwner replaces the scheduler by that of a new owner, which knows only what is stored.
 func (s *crashSim) changeOwner(jobs []*workload.Job) {
 	next := schedule.NewScheduler(s.now, settings, slog.New(slog.DiscardHandler))
 	for _, j := range jobs {
-		status, _ := s.book.Status(j.ID())
+		status, _ := s.scheduler.Status(j.ID())
 		if status.Ended() {
 			s.ended[j.ID()] = status
 			continue
@@ -250,7 +250,7 @@
 		*j = *again
 		next.Add(s.now, j)
 	}
-	s.book = next
+	s.scheduler = next
 }
 
 // crashUnrelated crashes the newest instance for a reason that has nothing to do with its
@@ -271,7 +271,7 @@
 func TestOnlyTheTaskThatCrashesInstancesFails(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &crashSim{
-			t: t, now: start, book: newTestScheduler(), up: make(map[int]bool),
+			t: t, now: start, scheduler: newTestScheduler(), up: make(map[int]bool),
 			runs: make(map[pointport.IncarnationID]map[string]int), ends: make(map[pointport.IncarnationID][]pointport.TaskEnd),
 			endsAt: make(map[string]time.Time), ended: make(map[string]workload.Status), besideUnrelatedCrash: make(map[string]bool),
 		}
@@ -286,7 +286,7 @@
 			jobs = append(jobs, job(fmt.Sprintf("other%d", i), policy, step(1, 500, nil)))
 		}
 		for _, j := range jobs {
-			s.book.Add(s.now, j)
+			s.scheduler.Add(s.now, j)
 		}
 		crashAt, handAt := rapid.IntRange(0, 60).Draw(t, "crashAt"), rapid.IntRange(0, 60).Draw(t, "handAt")
 		for tick := range 600 {
@@ -309,7 +309,7 @@
 			if j == poisoned {
 				want = workload.Failed
 			}
-			got, known := s.book.Status(j.ID())
+			got, known := s.scheduler.Status(j.ID())
 			if !known {
 				got = s.ended[j.ID()]
 			}
--- a/schedule/expiry_test.go
+++ b/schedule/expiry_test.go
@@ -21,8 +21,8 @@
 // When the instance answers again, the end that it lists must count although the run was
 // replaced.
 //
-// In a log the failure shows as 'instance expired' and 'task returned' of run 1 after its end,
-// and a start of run 2.
+// In a log the failure shows as 'instance expired' and 'task returned' of run 1 half a second
+// after its end, and a start of run 2 shortly after that.
 func TestTaskThatEndedBeforeItsInstanceExpiredIsNotRunAgain(t *testing.T) {
 	b := newTestScheduler()
 	registerIdle(b, start, incarnation(0))
@@ -79,21 +79,21 @@
 		return func(at time.Duration) bool { return at >= s(from) && at < s(until) }
 	}
 	cases := map[string]struct {
-		gone    func(at time.Duration) bool // reports whether the registration is missing; nil for never
-		unread  func(at time.Duration) bool // reports whether the store gives no answer; nil for never
-		laterAt float64                     // when a later incarnation registers, in seconds; zero for never
-		change  func(*workload.Step)
-		least   time.Duration // from the begin of the silence to the start elsewhere
-		atMost  time.Duration
-		nowhere bool // the task never starts elsewhere
+		unregistered func(at time.Duration) bool // reports whether the registration is missing; nil for never
+		unreadable   func(at time.Duration) bool // reports whether the store gives no answer; nil for never
+		laterAt      float64                     // when a later incarnation registers, in seconds; zero for never
+		change       func(*workload.Step)
+		least        time.Duration // from the begin of the silence to the start elsewhere
+		atMost       time.Duration
+		nowhere      bool // the task never starts elsewhere
 	}{
 		"registered":           {nowhere: true},
-		"unregistered":         {gone: missing(3, 999), least: s(6), atMost: s(6.2)},
-		"unregistered at once": {gone: missing(0, 999), least: s(4), atMost: s(4.5)},
-		"unregistered late":    {gone: missing(7, 999), least: s(10), atMost: s(10.2)},
-		"lapsed by mistake":    {gone: missing(5, 7.5), nowhere: true},
-		"unregistered while the store is unreadable": {gone: missing(7, 999), unread: missing(8, 30), least: s(33), atMost: s(33.2)},
-		"later incarnation":                          {gone: missing(3, 999), laterAt: 5, least: s(5), atMost: s(5.2)},
+		"unregistered":         {unregistered: missing(3, 999), least: s(6), atMost: s(6.2)},
+		"unregistered at once": {unregistered: missing(0, 999), least: s(4), atMost: s(4.5)},
+		"unregistered late":    {unregistered: missing(7, 999), least: s(10), atMost: s(10.2)},
+		"lapsed by mistake":    {unregistered: missing(5, 7.5), nowhere: true},
+		"unregistered while the store is unreadable": {unregistered: missing(7, 999), unreadable: missing(8, 30), least: s(33), atMost: s(33.2)},
+		"later incarnation":                          {unregistered: missing(3, 999), laterAt: 5, least: s(5), atMost: s(5.2)},
 		"later incarnation, both registered":         {laterAt: 5, nowhere: true},
 		"serving tasks":                              {change: func(s *workload.Step) { s.Service = true }, least: s(4), atMost: s(5)},
 		"tasks with copies":                          {change: func(s *workload.Step) { s.Copies = true }, least: s(.5), atMost: s(1)},
@@ -114,27 +114,27 @@
 				other = other[:1]
 			}
 			again := pointport.NewIncarnation("i-again", "p", "10.0.0.9:1", pointport.WithInstance(silent.Instance()), pointport.WithCapacity(size))
-			sight := schedule.RegistryCoverage{Since: start}
+			coverage := schedule.RegistryCoverage{Since: start}
 			for at := time.Duration(0); at < observationTime; at += 50 * time.Millisecond {
 				now := start.Add(at)
 				b.PollFailed(first.Worker, now, silence)
 				registered := other
-				if c.gone == nil || !c.gone(at) {
+				if c.unregistered == nil || !c.unregistered(at) {
 					registered = append(registered[:1:1], silent)
 				}
 				if c.laterAt > 0 && at >= s(c.laterAt) {
 					registered = append(registered[:len(registered):len(registered)], again)
 				}
-				switch unread := c.unread != nil && c.unread(at); {
-				case unread:
-					sight = schedule.RegistryCoverage{}
-				case sight.Since.IsZero():
-					sight = schedule.RegistryCoverage{Since: now, Until: now}
+				switch unreadable := c.unreadable != nil && c.unreadable(at); {
+				case unreadable:
+					coverage = schedule.RegistryCoverage{}
+				case coverage.Since.IsZero():
+					coverage = schedule.RegistryCoverage{Since: now, Until: now}
 				default:
-					sight.Until = now
+					coverage.Until = now
 				}
 				b.SetIncarnations(now, registered)
-				b.SetRegistryCoverage(sight)
+				b.SetRegistryCoverage(coverage)
 				for _, o := range orders(b, now) {
 					if o.Kind != schedule.OrderStart || o.Worker == first.Worker {
 						continue
--- a/schedule/instance_model_test.go
+++ b/schedule/instance_model_test.go
@@ -248,7 +248,7 @@
 }
 
 // admit checks the fencing token of an order and extends the execution lease as the order
-// asks, by at most the maximum hold time.
+// asks, to at most the maximum hold time from now.
 func (l *modelIncarnation) admit(fence pointport.Fence, until pointport.InstanceClock) error {
 	if fence < l.fence {
 		return l.reject(pointport.RejectFence)
--- a/schedule/isolation_test.go
+++ b/schedule/isolation_test.go
@@ -12,16 +12,16 @@
 // This file tests an owner to which few registered instances answer, so that it may itself be
 // isolated.
 //
-// The failure behind it: an owner is late, because the instances that forward its orders have
-// too little processor time for the load (0.12 of a core). It takes half of its 102 instances
-// for silent at once, and soon all. It starts their tasks elsewhere at 60 to 90 starts a
-// second, none of which is answered in time, and polls each silent instance every 0.55 s. That
-// load keeps it from reading the answers, so its jobs stand still for twenty seconds while its
-// instances are idle.
+// The failure behind it: after a load that exceeds what entry instances with 0.12 of a core
+// can handle, the owner of a pool is late. It takes half of its 102 instances for silent at
+// once, and soon all. It starts their tasks elsewhere at 60 to 90 starts a second, none of
+// which is answered in time, and polls each silent instance every 0.55 s. That load keeps it
+// from reading the answers, so its jobs stand still for twenty seconds while its instances are
+// idle.
 //
-// In a log the failure shows as 'instance silent' of half the instances within a second, by an
-// owner that is more than a second late, and as many 'start unanswered' as its limit of starts
-// in flight allows, while other owners get answers all the time.
+// In a log the failure shows as 'instance silent' of 51 instances within a second, by an owner
+// that is 1.7 s late, and as many 'start unanswered' as its limit of starts in flight allows,
+// while other owners get answers all the time.
 
 // schedulerWithSilent returns a scheduler with a number of instances, and the workers of those
 // that have been silent for a second.
@@ -119,8 +119,9 @@
 }
 
 // TestNothingExpiresWhileIsolationIsSuspected checks that an owner that suspects isolation
-// replaces no run on a registered instance, not even of serving tasks and of tasks that may
-// have copies. Once the instances answer again, their runs go on as before.
+// starts nothing again that was placed on a registered instance, not even serving tasks and
+// tasks that may have copies. Once most instances answer again, the task of one that stays
+// silent is started elsewhere as usual.
 func TestNothingExpiresWhileIsolationIsSuspected(t *testing.T) {
 	for name, change := range map[string]func(*workload.Step){
 		"serving":     func(s *workload.Step) { s.Service = true },
--- a/schedule/owner_model_test.go
+++ b/schedule/owner_model_test.go
@@ -31,7 +31,7 @@
 // A modelOwner models the owner of a pool, which drives a scheduler in its event loop.
 type modelOwner struct {
 	sim         *simulation
-	book        *schedule.Scheduler
+	scheduler   *schedule.Scheduler
 	pausedUntil time.Time // until when its event loop is paused
 	inbox       []func()
 	lastPlan    time.Time
@@ -121,12 +121,12 @@
 func (o *modelOwner) plan() {
 	now := o.sim.now
 	o.nextPlan, o.lastPlan = time.Time{}, now
-	o.book.Plan(now)
+	o.scheduler.Plan(now)
 	o.write()
 	o.send()
 	o.pollAll()
 	next := now.Add(modelIdlePlanInterval)
-	if o.book.Pending() && !o.writing {
+	if o.scheduler.Pending() && !o.writing {
 		next = later(now.Add(modelPlanInterval), o.lastWrite.Add(modelWriteInterval))
 	}
 	for _, l := range o.polls {
@@ -149,10 +149,10 @@
 // ago.
 func (o *modelOwner) write() {
 	now := o.sim.now
-	if o.writing || !o.book.Pending() || now.Sub(o.lastWrite) < modelWriteInterval {
+	if o.writing || !o.scheduler.Pending() || now.Sub(o.lastWrite) < modelWriteInterval {
 		return
 	}
-	batch := o.book.TakeBatch(everything)
+	batch := o.scheduler.TakeBatch(everything)
 	o.writing, o.lastWrite = true, now
 	took := 3 * time.Millisecond
 	if o.sim.faultOccurs(slowStore) {
@@ -161,7 +161,7 @@
 	o.sim.after(took, func() {
 		o.handle(func() {
 			o.writing = false
-			o.book.Stored(batch, o.sim.now)
+			o.scheduler.Stored(batch, o.sim.now)
 		})
 	})
 }
@@ -171,7 +171,7 @@
 	for _, w := range slices.SortedFunc(maps.Keys(o.queues), byID) {
 		o.sendQueued(o.queues[w])
 	}
-	all := o.book.TakeOrders()
+	all := o.scheduler.TakeOrders()
 	slices.SortStableFunc(all, byTask) // a simulation can be repeated only if the order is deterministic
 	for _, order := range all {
 		l := o.queues[order.Worker]
@@ -197,7 +197,7 @@
 		}
 		order := l.queue[n]
 		l.queue = slices.Delete(l.queue, n, n+1)
-		if !o.book.SkipStart(o.sim.now, order) {
+		if !o.scheduler.SkipStart(o.sim.now, order) {
 			o.sendOne(l, order)
 		}
 	}
@@ -207,13 +207,13 @@
 func (o *modelOwner) sendOne(l *modelQueue, order schedule.Order) {
 	w := o.sim
 	l.inFlight++
-	o.book.MarkSending(order)
+	o.scheduler.MarkSending(order)
 	until := order.Worker.ExtendLease(w.now, settings.Lease)
 	w.checkSending(order)
 	handleAnswer := func(clock pointport.InstanceClock, err error) {
 		w.t.Logf("%v handled: %s of %v at %s: %v", w.since(), kindName(order.Kind), order.TaskRun, order.Worker.Endpoint().Incarnation, err)
 		l.inFlight--
-		o.book.OrderAnswered(order, w.now, clock, err)
+		o.scheduler.OrderAnswered(order, w.now, clock, err)
 		o.sendQueued(l)
 	}
 	w.call(kindName(order.Kind), order.TaskRun, order.Worker.Endpoint(), modelOrderTimeout, func(at *modelIncarnation, answer func(any, error)) {
@@ -250,13 +250,13 @@
 // which a report is wanted.
 func (o *modelOwner) pollAll() {
 	now := o.sim.now
-	urgent := o.book.TakePolls()
+	urgent := o.scheduler.TakePolls()
 	slices.SortFunc(urgent, byID)
 	for _, w := range urgent {
 		o.poll(w, 0)
 	}
 	seen := make(map[*schedule.Worker]bool)
-	for _, w := range o.book.Workers() {
+	for _, w := range o.scheduler.Workers() {
 		seen[w] = true
 		if l := o.pollOf(w); l.inFlight == 0 && !now.Before(l.next) {
 			o.poll(w, modelPollWait)
@@ -313,12 +313,12 @@
 			if err != nil {
 				sim.t.Logf("%v handled: poll of %s sent at %v: %v", sim.since(), w.Endpoint().Incarnation, sent.Sub(start), err)
 				w.PollDone(plan, sim.now, false)
-				o.book.PollFailed(w, sim.now, err)
+				o.scheduler.PollFailed(w, sim.now, err)
 				l.next = sim.now.Add(modelPollRetry)
 				return
 			}
 			sim.t.Logf("%v handled: poll of %s sent at %v: %v, ended %v", sim.since(), w.Endpoint().Incarnation, sent.Sub(start), names(report.Running), report.Ended)
-			o.book.Report(w, sent, sim.now, report)
+			o.scheduler.Report(w, sent, sim.now, report)
 			sim.noteEnds(report.Ended)
 			switch {
 			case w.PollDone(plan, sim.now, true):
--- a/schedule/replaced_run_test.go
+++ b/schedule/replaced_run_test.go
@@ -15,7 +15,8 @@
 
 // TestAbandonedStartIsRuledOut checks that a start without an answer is not sent again once
 // its task was started on another instance. By then the copy may be done, and the repeated
-// start, accepted by an instance that has just recovered, would run a completed task again.
+// start, accepted by an instance that has just recovered, would run a completed task again
+// (1.5 s after its end in one case).
 func TestAbandonedStartIsRuledOut(t *testing.T) {
 	b := newTestScheduler()
 	registerIdle(b, start, incarnation(0), incarnation(1))
--- a/schedule/resize_test.go
+++ b/schedule/resize_test.go
@@ -19,15 +19,15 @@
 // A capacitySim simulates a pool whose instances carry out orders whatever capacity these
 // take, and checks that no start exceeds the free capacity of its instance.
 type capacitySim struct {
-	t        *rapid.T
-	now      time.Time
-	book     *schedule.Scheduler
-	jobs     []*workload.Job
-	capacity map[pointport.IncarnationID]pointport.Shape
-	runs     map[pointport.IncarnationID]map[pointport.TaskRun]pointport.Shape
-	ends     map[pointport.IncarnationID][]pointport.TaskEnd
-	ruledOut map[pointport.IncarnationID]map[pointport.TaskRun]bool
-	unsent   []schedule.Order
+	t         *rapid.T
+	now       time.Time
+	scheduler *schedule.Scheduler
+	jobs      []*workload.Job
+	capacity  map[pointport.IncarnationID]pointport.Shape
+	runs      map[pointport.IncarnationID]map[pointport.TaskRun]pointport.Shape
+	ends      map[pointport.IncarnationID][]pointport.TaskEnd
+	ruledOut  map[pointport.IncarnationID]map[pointport.TaskRun]bool
+	unsent    []schedule.Order
 }
 
 const capacitySimInstances = 3
@@ -38,18 +38,18 @@
 	for n := range capacitySimInstances {
 		all = append(all, incarnation(n, pointport.WithCapacity(s.capacity[incarnation(n).ID()])))
 	}
-	s.book.SetIncarnations(s.now, all)
+	s.scheduler.SetIncarnations(s.now, all)
 }
 
 // report handles a report of each instance.
 func (s *capacitySim) report() {
-	for _, w := range s.book.Workers() {
+	for _, w := range s.scheduler.Workers() {
 		id := w.Incarnation().ID()
 		r := pointport.Report{Clock: pointport.InstanceClock(s.now.Sub(start)), Ended: s.ends[id]}
 		for run := range s.runs[id] {
 			r.Running = append(r.Running, pointport.RunningTask{TaskRun: run, Progress: int(s.now.Sub(start)/time.Millisecond) % 100})
 		}
-		s.book.Report(w, s.now, s.now, r)
+		s.scheduler.Report(w, s.now, s.now, r)
 	}
 }
 
@@ -59,19 +59,19 @@
 	for ; most > 0 && len(s.unsent) > 0; most-- {
 		o := s.unsent[0]
 		s.unsent = s.unsent[1:]
-		if s.book.SkipStart(s.now, o) {
+		if s.scheduler.SkipStart(s.now, o) {
 			continue
 		}
-		s.book.MarkSending(o)
+		s.scheduler.MarkSending(o)
 		fate := rapid.SampledFrom([]string{"answered", "answered", "lost", "answer lost"}).Draw(s.t, "fate")
 		if fate != "lost" {
 			s.carryOut(o)
 		}
 		if fate == "answered" {
-			s.book.OrderAnswered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
+			s.scheduler.OrderAnswered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
 			continue
 		}
-		s.book.OrderAnswered(o, s.now, 0, &pointport.UnavailableError{Op: "order", Ambiguous: true})
+		s.scheduler.OrderAnswered(o, s.now, 0, &pointport.UnavailableError{Op: "order", Ambiguous: true})
 	}
 }
 
@@ -137,12 +137,12 @@
 	s.send(len(s.unsent))
 	next := schedule.NewScheduler(s.now, settings, slog.New(slog.DiscardHandler))
 	for _, j := range s.jobs {
-		if status, known := s.book.Status(j.ID()); !known || status.Ended() {
+		if status, known := s.scheduler.Status(j.ID()); !known || status.Ended() {
 			continue
 		}
 		next.Add(s.now, j)
 	}
-	s.book = next
+	s.scheduler = next
 }
 
 // TestNoStartExceedsChangingCapacity checks that no start exceeds the capacity that its
@@ -151,7 +151,7 @@
 func TestNoStartExceedsChangingCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &capacitySim{
-			t: t, now: start, book: newTestScheduler(), capacity: make(map[pointport.IncarnationID]pointport.Shape),
+			t: t, now: start, scheduler: newTestScheduler(), capacity: make(map[pointport.IncarnationID]pointport.Shape),
 			ruledOut: make(map[pointport.IncarnationID]map[pointport.TaskRun]bool),
 			runs:     make(map[pointport.IncarnationID]map[pointport.TaskRun]pointport.Shape), ends: make(map[pointport.IncarnationID][]pointport.TaskEnd),
 		}
@@ -164,12 +164,12 @@
 				s.now = s.now.Add(50 * time.Millisecond)
 				s.register()
 				s.report()
-				s.unsent = append(s.unsent, orders(s.book, s.now)...)
+				s.unsent = append(s.unsent, orders(s.scheduler, s.now)...)
 			},
 			"submit": func(t *rapid.T) {
 				j := job(fmt.Sprintf("j%d", len(s.jobs)), policy, step(rapid.IntRange(1, 4).Draw(t, "tasks"), int64(500*rapid.IntRange(0, 4).Draw(t, "cpu")), nil))
 				s.jobs = append(s.jobs, j)
-				s.book.Add(s.now, j)
+				s.scheduler.Add(s.now, j)
 			},
 			"resize": func(t *rapid.T) {
 				id := incarnation(rapid.IntRange(0, capacitySimInstances-1).Draw(t, "which")).ID()
@@ -181,7 +181,7 @@
 			"takeOver": func(*rapid.T) { s.takeOver() },
 			"cancel": func(t *rapid.T) {
 				if len(s.jobs) > 0 {
-					s.book.Cancel(s.now, rapid.SampledFrom(s.jobs).Draw(t, "job").ID())
+					s.scheduler.Cancel(s.now, rapid.SampledFrom(s.jobs).Draw(t, "job").ID())
 				}
 			},
 		})
@@ -192,7 +192,7 @@
 			s.now = s.now.Add(50 * time.Millisecond)
 			s.register()
 			s.report()
-			s.unsent = append(s.unsent, orders(s.book, s.now)...)
+			s.unsent = append(s.unsent, orders(s.scheduler, s.now)...)
 			s.send(len(s.unsent))
 			for n := range capacitySimInstances {
 				id := incarnation(n).ID()
@@ -203,7 +203,7 @@
 			}
 		}
 		for _, j := range s.jobs {
-			if status, known := s.book.Status(j.ID()); known && !status.Ended() {
+			if status, known := s.scheduler.Status(j.ID()); known && !status.Ended() {
 				t.Errorf("job %s is %q although the capacity is back, want it ended", j.ID(), status)
 			}
 		}
--- a/schedule/ruled_out_test.go
+++ b/schedule/ruled_out_test.go
@@ -27,11 +27,11 @@
 	return out
 }
 
-// TestRefusedStopDoesNotRuleOutItsStart checks that a refused stop does not count as
-// carried out, so that a task never has two runs at once. A start gets no answer within 0.4 s;
-// sent again, it is refused because the instance is unhealthy; the stop that is to rule it out
-// is refused for the same reason; a poll lists no such run. If the task is started elsewhere
-// now, the first order may still be carried out.
+// TestRefusedStopDoesNotRuleOutItsStart checks that a refused stop does not count as carried
+// out, so that a task never has two runs at once. A start gets no answer within 0.4 s; sent
+// again, it is refused because the instance is unhealthy; the stop that is to rule it out is
+// refused for the same reason; a poll lists no such run. If the task is started elsewhere now,
+// 0.6 s after the first order, that order may still be carried out.
 func TestRefusedStopDoesNotRuleOutItsStart(t *testing.T) {
 	for _, reason := range []pointport.RejectReason{pointport.RejectUnhealthy, pointport.RejectInvalid} {
 		t.Run(string(reason), func(t *testing.T) {
--- a/schedule/scheduler_test.go
+++ b/schedule/scheduler_test.go
@@ -304,11 +304,11 @@
 	if got := startsByIncarnation(orders(b, start)); len(got) != 0 {
 		t.Fatalf("starts %v without advice", got)
 	}
-	questions := b.TakeAdviceRequests()
-	if len(questions) != 1 || questions[0].Step != "a.0.0" || len(questions[0].Incarnations) != 3 {
-		t.Fatalf("advice requests %+v, want one for all instances", questions)
+	requests := b.TakeAdviceRequests()
+	if len(requests) != 1 || requests[0].Step != "a.0.0" || len(requests[0].Incarnations) != 3 {
+		t.Fatalf("advice requests %+v, want one for all instances", requests)
 	}
-	b.AdviceAnswered(questions[0], start, start, map[pointport.IncarnationID]string{"i-2": "ticket"}, 3*time.Second, nil)
+	b.AdviceAnswered(requests[0], start, start, map[pointport.IncarnationID]string{"i-2": "ticket"}, 3*time.Second, nil)
 	got := orders(b, start)
 	if startsByIncarnation(got)["i-2"] != 2 || got[0].Ticket != "ticket" {
 		t.Errorf("orders %+v, want two starts with the ticket", got)
--- a/schedule/share_test.go
+++ b/schedule/share_test.go
@@ -13,7 +13,7 @@
 // A shareSim simulates a pool of instances on which the tasks of several customers take a
 // second each.
 type shareSim struct {
-	book       *schedule.Scheduler
+	scheduler  *schedule.Scheduler
 	now        time.Time
 	ends       map[*schedule.Worker][]end
 	customerOf map[string]string
@@ -23,7 +23,7 @@
 	number            int64
 }
 
-// An end is when a run ends.
+// An end is the time at which a run ends.
 type end struct {
 	at  time.Time
 	run pointport.TaskRun
@@ -35,14 +35,14 @@
 // newShareSim returns a simulation of a pool with a number of idle instances.
 func newShareSim(instances int) *shareSim {
 	c := &shareSim{
-		book: newTestScheduler(), now: start, ends: make(map[*schedule.Worker][]end), customerOf: make(map[string]string),
+		scheduler: newTestScheduler(), now: start, ends: make(map[*schedule.Worker][]end), customerOf: make(map[string]string),
 		open: make(map[string]time.Time), inTime: make(map[string]int), submitted: make(map[string]int),
 	}
 	var all []pointport.Incarnation
 	for n := range instances {
 		all = append(all, incarnation(n))
 	}
-	registerIdle(c.book, c.now, all...)
+	registerIdle(c.scheduler, c.now, all...)
 	return c
 }
 
@@ -52,15 +52,15 @@
 	c.customerOf[id], c.open[id] = customer, c.now
 	c.submitted[customer]++
 	spec := &workload.Spec{Steps: []workload.Step{{Count: 4, Need: pointport.Shape{CPUMilli: 1000, MemoryMiB: 10}, Estimate: shareSimTaskTime}}}
-	c.book.Add(c.now, workload.New(id, "q", policy, spec, c.now, workload.WithCustomer(customer)))
+	c.scheduler.Add(c.now, workload.New(id, "q", policy, spec, c.now, workload.WithCustomer(customer)))
 }
 
 // step advances the time by 20 ms.
 func (c *shareSim) step() {
 	c.now = c.now.Add(20 * time.Millisecond)
 	clock := pointport.InstanceClock(c.now.Sub(start).Milliseconds())
-	for _, o := range orders(c.book, c.now) {
-		c.book.OrderAnswered(o, c.now, clock, nil)
+	for _, o := range orders(c.scheduler, c.now) {
+		c.scheduler.OrderAnswered(o, c.now, clock, nil)
 		if o.Kind == schedule.OrderStart {
 			c.ends[o.Worker] = append(c.ends[o.Worker], end{c.now.Add(shareSimTaskTime), o.TaskRun})
 		}
@@ -79,10 +79,10 @@
 			report.Ended = append(report.Ended, pointport.TaskEnd{Number: c.number, TaskRun: e.run, Kind: pointport.EndDone})
 		}
 		c.ends[w] = left
-		c.book.Report(w, c.now, c.now, report)
+		c.scheduler.Report(w, c.now, c.now, report)
 	}
 	for id, at := range c.open {
-		status, _ := c.book.Status(id)
+		status, _ := c.scheduler.Status(id)
 		if !status.Ended() {
 			continue
 		}
@@ -140,7 +140,7 @@
 		sum += w
 		due[n] = float64((n+phase)%10) / 10
 	}
-	c.book.SetWeights(weights)
+	c.scheduler.SetWeights(weights)
 	for at := time.Duration(0); at < 24*time.Second; at += tick {
 		for n := range customers {
 			name := fmt.Sprintf("c%d", n)
@@ -163,7 +163,7 @@
 func TestExcessIsReportedOnlyForOverloadingCustomer(t *testing.T) {
 	c := newShareSim(20)
 	weights := map[string]float64{"c0": 1, "c1": 1, "c2": 1, "c3": 1, "c4": 1}
-	c.book.SetWeights(weights)
+	c.scheduler.SetWeights(weights)
 	first, last := time.Duration(0), time.Duration(0)
 	for at := time.Duration(0); at < 40*time.Second; at += 20 * time.Millisecond {
 		if at%(500*time.Millisecond) == 0 && at < 20*time.Second {
@@ -171,7 +171,7 @@
 				c.submit(name)
 			}
 		}
-		excess := c.book.Excess(c.now)
+		excess := c.scheduler.Excess(c.now)
 		if at >= 4*time.Second && at < 14*time.Second && excess["c0"] == 0 {
 			c.submit("c0") // 50 jobs a second, of which the pool completes 20
 		}
--- a/schedule/simulation_model_test.go
+++ b/schedule/simulation_model_test.go
@@ -256,7 +256,7 @@
 					all = append(all, m.registration())
 				}
 			}
-			w.owner.book.SetIncarnations(w.now, all)
+			w.owner.scheduler.SetIncarnations(w.now, all)
 		})
 	})
 }
@@ -421,7 +421,7 @@
 	kept := settings
 	kept.KeepEnded = time.Hour // so that all jobs are known at the end of a simulation
 	w.owner = &modelOwner{
-		sim: w, book: schedule.NewScheduler(start, kept, slog.New(slog.DiscardHandler)), queues: make(map[*schedule.Worker]*modelQueue),
+		sim: w, scheduler: schedule.NewScheduler(start, kept, slog.New(slog.DiscardHandler)), queues: make(map[*schedule.Worker]*modelQueue),
 		polls: make(map[*schedule.Worker]*modelPoll), cancelled: make(map[string]bool),
 	}
 	for n := range 2 + w.drawBelow("instances", 2) {
@@ -463,7 +463,7 @@
 		w.steps[id] = s
 		w.after(w.drawDuration("submitted", activePeriod), func() {
 			j := workload.New(id, "q", policy, &workload.Spec{Steps: []workload.Step{s}}, w.now)
-			w.owner.handle(func() { w.owner.book.Add(w.now, j) })
+			w.owner.handle(func() { w.owner.scheduler.Add(w.now, j) })
 		})
 	}
 }
@@ -471,7 +471,7 @@
 // openJob returns a job that has not ended, or the empty string if all have.
 func (w *simulation) openJob() string {
 	for id := range w.steps {
-		if status, _ := w.owner.book.Status(id); !status.Ended() {
+		if status, _ := w.owner.scheduler.Status(id); !status.Ended() {
 			return id
 		}
 	}
@@ -542,7 +542,7 @@
 // cancel has a customer cancel a job.
 func (w *simulation) cancel(id string) {
 	w.owner.handle(func() {
-		if w.owner.book.Cancel(w.now, id) {
+		if w.owner.scheduler.Cancel(w.now, id) {
 			w.owner.cancelled[id] = true
 		}
 	})
@@ -567,7 +567,7 @@
 		}
 	}
 	w.owner.handle(func() {
-		w.owner.book.Survey(w.now, schedule.SurveyRequest{
+		w.owner.scheduler.Survey(w.now, schedule.SurveyRequest{
 			Closures: []schedule.Closure{{Instance: pointport.InstanceID(fmt.Sprintf("m-%d", m.number)), Evacuate: true}},
 			Over:     slices.Clone(over),
 		})
--- a/schedule/skip_start_test.go
+++ b/schedule/skip_start_test.go
@@ -12,14 +12,14 @@
 // This file tests that a start that waits to be sent is skipped once it must not be carried
 // out any more.
 //
-// The failure behind it: a task's instance becomes silent and a copy is placed elsewhere;
-// the start of the copy waits behind orders that get no answer; the first instance answers
-// again and reports that the task is done or has failed for the last time; the copy is
-// stopped, and its start is sent a second later. So a completed task runs again, and a failed
-// one runs more often than its policy allows.
+// The failure behind it: a task's instance becomes silent and a copy is placed elsewhere; the
+// start of the copy waits behind orders that get no answer; the first instance answers again
+// and reports that the task is done or has failed for the last time; the copy is stopped, and
+// its start is sent a second later. So a completed task runs again 1.0 s after its end, and a
+// failed one runs more often than its policy allows.
 //
 // In a log the failure shows as 'task returned', 'run ended' of the first run, and a second
-// run whose 'startedAfter' is more than a second and whose end is a stop.
+// run whose 'startedAfter' is 1.2 s and whose end is a stop.
 
 // schedulerWithUnsentCopy returns a scheduler with a task whose first run is on a silent
 // instance and of which a copy was placed elsewhere, the starts of both, and the time. The
