--- a/schedule/crash_test.go
+++ b/schedule/crash_test.go
@@ -180,8 +180,8 @@
 	s.scheduler.SetIncarnations(s.now, s.registrations())
 	for _, w := range s.scheduler.Workers() {
 		id := w.Endpoint().Incarnation
-		runs, lives := s.runs[id]
-		if !lives {
+		runs, alive := s.runs[id]
+		if !alive {
 			s.scheduler.PollFailed(w, s.now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 			continue
 		}
@@ -200,9 +200,9 @@
 	for _, o := range all {
 		s.scheduler.MarkSending(o)
 		id := o.Worker.Endpoint().Incarnation
-		runs, lives := s.runs[id]
+		runs, alive := s.runs[id]
 		switch {
-		case !lives:
+		case !alive:
 			s.scheduler.OrderAnswered(o, s.now, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true})
 		case o.Kind == schedule.OrderStart:
 			runs[o.TaskRun.Task] = o.TaskRun.Run
--- a/schedule/resize_test.go
+++ b/schedule/resize_test.go
@@ -89,15 +89,15 @@
 		if _, there := s.runs[id][o.TaskRun]; there || s.ruledOut[id][o.TaskRun] {
 			return
 		}
-		room := s.reservationOf(o.TaskRun.Task)
+		need := s.reservationOf(o.TaskRun.Task)
 		free := s.capacity[id]
 		for _, taken := range s.runs[id] {
 			free = free.Minus(taken)
 		}
-		if !free.Fits(room) {
-			s.t.Fatalf("start of %v on %s, whose free capacity is %v, needs %v", o.TaskRun, id, free, room)
+		if !free.Fits(need) {
+			s.t.Fatalf("start of %v on %s, whose free capacity is %v, needs %v", o.TaskRun, id, free, need)
 		}
-		s.runs[id][o.TaskRun] = room
+		s.runs[id][o.TaskRun] = need
 	}
 }
 
