--- a/shard/caps.go
+++ b/shard/caps.go
@@ -13,42 +13,42 @@
 	"github.com/pointport/pointport/schedule"
 )
 
-// This file defines how an owner keeps to customers' caps: it follows their accounts, tells
-// its book what may be used, and moves parts of caps to its pool.
+// This file defines how an owner enforces customers' caps: it follows the customers' accounts,
+// passes the resulting limits to its scheduler, and transfers shares of caps to its pool.
 
 const (
-	// capsEntries is how many entries of a transaction that moves parts of caps do not
-	// belong to an account: the condition on the ownership.
-	capsEntries = 1
-	// accountEntries is how many belong to each: a condition and a put.
+	// ownershipEntries is how many entries of a transaction that transfers shares of caps
+	// do not belong to an account: the condition on the pool's ownership.
+	ownershipEntries = 1
+	// accountEntries is how many entries belong to each account: a condition and a put.
 	accountEntries = 2
-	// capsAtOnce is how many accounts one transaction changes.
-	capsAtOnce = (pointport.MaxTxnEntries - capsEntries) / accountEntries
+	// accountsPerTxn is the most accounts that one transaction changes.
+	accountsPerTxn = (pointport.MaxTxnEntries - ownershipEntries) / accountEntries
 )
 
-// caps is what an owner knows of customers' caps.
+// caps is the owner's view of the customers' caps.
 type caps struct {
 	ledger *quota.Ledger
-	// moving says that a change of accounts is under way.
-	moving bool
+	// transferring reports whether a transaction that changes accounts is in flight.
+	transferring bool
 }
 
-// applyCaps tells the book what customers may use, by the newest that is known.
+// applyCaps passes to the scheduler what each customer may use under the latest configuration.
 //
-// Nothing of a customer with a cap starts while the configuration may be out of date: a
-// lowered cap would be passed by what this owner starts, and nobody else would know.
+// While the configuration may be out of date, no task of a customer with a cap starts: if the
+// cap has been lowered, this owner's starts would exceed it, and no other member would notice.
 func (o *Owner) applyCaps(ctx context.Context) {
 	if o.quotas == nil {
 		return
 	}
 	policy, fresh := o.quotas()
-	o.book.SetWeights(policy.Weights())
+	o.scheduler.SetWeights(policy.Weights())
 	if o.caps == nil && !policy.Limited() {
 		return
 	}
 	if o.caps == nil {
-		o.caps = &caps{ledger: quota.NewLedger(o.own.Pool)}
-		go o.followCaps(ctx)
+		o.caps = &caps{ledger: quota.NewLedger(o.ownership.Pool)}
+		go o.watchAccounts(ctx)
 	}
 	o.caps.ledger.SetPolicy(policy)
 	allowed := o.caps.ledger.Allowed()
@@ -57,58 +57,59 @@
 			allowed[name] = pointport.Shape{}
 		}
 	}
-	o.book.Allow(allowed)
+	o.scheduler.Allow(allowed)
 }
 
-// followCaps follows the accounts until ctx ends.
-func (o *Owner) followCaps(ctx context.Context) {
+// watchAccounts follows the accounts until ctx ends.
+func (o *Owner) watchAccounts(ctx context.Context) {
 	take := func(how func(*quota.Ledger, []pointport.Entry) error) func([]pointport.Entry) {
 		return func(entries []pointport.Entry) {
-			o.do(func(time.Time) { o.noteAccounts(how(o.caps.ledger, entries)) })
+			o.enqueue(func(time.Time) { o.logUnreadableAccount(how(o.caps.ledger, entries)) })
 		}
 	}
 	member.Follow(ctx, o.kv, o.clock, quota.Prefix, take((*quota.Ledger).Reset), take((*quota.Ledger).Apply))
 }
 
-// noteAccounts logs that an account cannot be read, if err is not nil.
-func (o *Owner) noteAccounts(err error) {
+// logUnreadableAccount logs a non-nil error from decoding an account.
+func (o *Owner) logUnreadableAccount(err error) {
 	if err != nil {
 		event.QuotaUnreadable.Log(o.logger, slog.Any("error", err))
 	}
 }
 
-// moveCaps stores what the pool should hold of customers' caps, one transaction at a time.
-func (o *Owner) moveCaps(ctx context.Context, now time.Time) {
-	if o.caps == nil || o.caps.moving {
+// transferCaps stores the shares of customers' caps that the pool should have. At most one
+// transaction is in flight.
+func (o *Owner) transferCaps(ctx context.Context, now time.Time) {
+	if o.caps == nil || o.caps.transferring {
 		return
 	}
-	o.book.Uses(func(u schedule.CustomerUse) {
+	o.scheduler.Uses(func(u schedule.CustomerUse) {
 		o.caps.ledger.SetUse(u.Customer, quota.Use{Used: u.Used, Wanted: u.HeldBack})
 	})
-	changes := o.caps.ledger.Changes(now, capsAtOnce)
+	changes := o.caps.ledger.Changes(now, accountsPerTxn)
 	if len(changes) == 0 {
 		return
 	}
-	o.caps.moving = true
-	txn := pointport.Txn{If: []pointport.Condition{{Key: member.OwnerKey(o.own.Pool), Revision: o.own.Revision}}}
+	o.caps.transferring = true
+	txn := pointport.Txn{If: []pointport.Condition{{Key: member.OwnerKey(o.ownership.Pool), Revision: o.ownership.Revision}}}
 	for _, c := range changes {
 		txn.If = append(txn.If, pointport.Condition{Key: c.Key, Revision: c.Revision})
 		txn.Put = append(txn.Put, pointport.Put{Key: c.Key, Value: c.Value})
 	}
 	go func() {
 		at, err := o.kv.Commit(ctx, txn)
-		o.do(func(done time.Time) {
-			o.caps.moving = false
-			o.capsMoved(changes, at, err, done.Sub(now))
+		o.enqueue(func(done time.Time) {
+			o.caps.transferring = false
+			o.transferDone(changes, at, err, done.Sub(now))
 		})
 	}()
 }
 
-// capsMoved takes in what became of a change of accounts.
-func (o *Owner) capsMoved(changes []quota.Change, at pointport.Revision, err error, took time.Duration) {
+// transferDone handles the result of a transaction that changes accounts.
+func (o *Owner) transferDone(changes []quota.Change, at pointport.Revision, err error, took time.Duration) {
 	var conflict *pointport.TxnConflictError
 	if errors.As(err, &conflict) {
-		o.noteAccounts(o.caps.ledger.Apply(conflict.Entries))
+		o.logUnreadableAccount(o.caps.ledger.Apply(conflict.Entries))
 	}
 	for _, c := range changes {
 		o.caps.ledger.Changed(c, at, outcomeOf(err))
@@ -117,7 +118,7 @@
 	}
 }
 
-// outcomeOf says what an error tells of a change.
+// outcomeOf returns what the error of a transaction implies about its effect.
 func outcomeOf(err error) quota.Outcome {
 	var conflict *pointport.TxnConflictError
 	var unavailable *pointport.UnavailableError
--- a/shard/delegate.go
+++ b/shard/delegate.go
@@ -7,22 +7,22 @@
 	"github.com/pointport/pointport/event"
 )
 
-// This file defines when an owner sends its orders through peers.
+// This file defines when an owner sends all orders through peers.
 
-// delegateFor is for how long orders go through peers after the window of starts was
-// last narrowed. Going back costs some tenths of a second in which the link is full
-// again, if the load has not ended.
+// delegateFor is for how long orders go through peers after the window of starts was last
+// narrowed. If the load persists, switching back fills the link again for some tenths of a
+// second.
 const delegateFor = 30 * time.Second
 
-// delegate decides which way orders go from now on.
-func (o *Owner) delegate(now time.Time) {
+// updateDelegating decides whether orders go through peers from now on.
+func (o *Owner) updateDelegating(now time.Time) {
 	if o.delegates == nil {
 		return
 	}
-	next := !o.window.narrowed.IsZero() && now.Sub(o.window.narrowed) < delegateFor
+	next := !o.window.narrowedAt.IsZero() && now.Sub(o.window.narrowedAt) < delegateFor
 	if next == o.delegating {
 		return
 	}
 	o.delegating = next
-	event.OrdersDelegated.Log(o.logger, slog.Bool("through", next), slog.Int("workers", o.book.WorkerCount()), slog.Int("window", int(o.window.size)))
+	event.OrdersDelegated.Log(o.logger, slog.Bool("through", next), slog.Int("workers", o.scheduler.WorkerCount()), slog.Int("window", int(o.window.size)))
 }
--- a/shard/excess.go
+++ b/shard/excess.go
@@ -8,19 +8,20 @@
 	"github.com/pointport/pointport/schedule"
 )
 
-// This file defines how an owner says of whom no more jobs are wanted.
+// This file defines how an owner publishes for which customers further jobs are refused.
 
-// excessEvery is how often that is reckoned anew. Members keep to it for a second and more.
-const excessEvery = 100 * time.Millisecond
+// excessInterval is the time between two updates. Members apply a result for a second or
+// longer.
+const excessInterval = 100 * time.Millisecond
 
-// reckonExcess reckons of whom no more jobs are wanted.
-func (o *Owner) reckonExcess(now time.Time) {
-	if now.Sub(o.reckoned) < excessEvery {
+// updateExcess computes for which customers further jobs are refused.
+func (o *Owner) updateExcess(now time.Time) {
+	if now.Sub(o.excessAt) < excessInterval {
 		return
 	}
-	o.reckoned = now
-	o.showUses()
-	next := o.book.Excess(now)
+	o.excessAt = now
+	o.publishUses()
+	next := o.scheduler.Excess(now)
 	before := o.excess.Swap(&next)
 	for name, d := range next {
 		if before == nil || (*before)[name] == 0 {
@@ -37,14 +38,14 @@
 	}
 }
 
-// showUses makes known what customers use.
-func (o *Owner) showUses() {
+// publishUses publishes what each customer uses.
+func (o *Owner) publishUses() {
 	var uses []schedule.CustomerUse
-	o.book.Uses(func(u schedule.CustomerUse) { uses = append(uses, u) })
+	o.scheduler.Uses(func(u schedule.CustomerUse) { uses = append(uses, u) })
 	o.uses.Store(&uses)
 }
 
-// Uses returns what each customer uses of the pool, as of a moment ago.
+// Uses returns what each customer uses of the pool, at most about excessInterval ago.
 func (o *Owner) Uses() []schedule.CustomerUse {
 	if all := o.uses.Load(); all != nil {
 		return *all
@@ -52,7 +53,8 @@
 	return nil
 }
 
-// Excess returns for how long no more jobs of a customer are wanted, zero if they are.
+// Excess returns for how long further jobs of a customer are to be refused, zero if they are
+// accepted.
 func (o *Owner) Excess(customer string) time.Duration {
 	all := o.excess.Load()
 	if all == nil {
--- a/shard/orders.go
+++ b/shard/orders.go
@@ -14,184 +14,186 @@
 
 // This file defines how orders are sent to instances.
 
-// A lane is the orders that wait for one worker. Few go at once: each one beside
-// another takes a connection of its own.
-type lane struct {
+// A workerQueue holds the orders that wait for one worker. Only a few are in flight at once,
+// because each concurrent order takes a connection of its own.
+type workerQueue struct {
 	worker   *schedule.Worker
-	queue    []schedule.Order
+	orders   []schedule.Order
 	inFlight int
-	// held says that it holds only starts, and none may be sent.
-	held bool
+	// blocked reports whether the queue has only starts and the window is full.
+	blocked bool
 }
 
-// laneWidth is how many orders go to one worker at once, so that one without an
-// answer does not hold up the rest.
-const laneWidth = 2
+// maxOrdersInFlight is how many orders to one worker may be in flight at once. With two, an
+// order without an answer does not delay the rest.
+const maxOrdersInFlight = 2
 
-// send sends the orders that are due, and what waits although nothing that is under way
-// will let it go: while the owner could not prove its ownership, answers sent nothing.
+// send sends the orders that are due. It also sends from queues that have no order in flight:
+// usually an answer triggers the next order of a queue, but not if it arrives while the owner
+// cannot prove its ownership.
 //
-// Here and below, now is a time before the ownership was last found proven. The time of
-// tasks is extended from then, and not from when an order goes out: whatever the process is
-// kept from doing in between, nothing lasts longer than the next owner reckons with.
+// Here and below, now is a time before the ownership was last found proven. Execution leases
+// are extended from that time and not from when the order is sent. So even if the process is
+// suspended in between, no lease lasts longer than the next owner assumes.
 func (o *Owner) send(ctx context.Context, now time.Time) {
-	for _, l := range o.lanes {
-		if l.inFlight == 0 && !l.held {
-			o.pump(ctx, now, l)
+	for _, q := range o.queues {
+		if q.inFlight == 0 && !q.blocked {
+			o.sendQueued(ctx, now, q)
 		}
 	}
-	o.pumpHeld(ctx, now)
-	for _, order := range o.book.TakeOrders() {
-		l := o.lanes[order.Worker]
-		if l == nil {
-			l = &lane{worker: order.Worker}
-			o.lanes[order.Worker] = l
+	o.sendBlocked(ctx, now)
+	for _, order := range o.scheduler.TakeOrders() {
+		q := o.queues[order.Worker]
+		if q == nil {
+			q = &workerQueue{worker: order.Worker}
+			o.queues[order.Worker] = q
 		}
-		l.queue = append(l.queue, order)
+		q.orders = append(q.orders, order)
 		if order.Kind == schedule.OrderStart {
 			o.starts.queued++
 		}
-		o.pump(ctx, now, l)
+		o.sendQueued(ctx, now, q)
 	}
 }
 
-// starts counts the starts of an owner that are not answered.
+// starts counts the starts of an owner that are not answered yet.
 type starts struct {
-	queued   int // wait in lanes
-	underWay int // sent
+	queued   int // waiting in queues
+	inFlight int // sent
 }
 
-// unsentShare is how many starts may wait to be stored or sent beside those that the
-// window lets go at once, as a share of these: enough to fill it again while a batch
-// is written. Others would hold room on instances and do nothing there.
-const unsentShare = 1.0
+// unsentStartRatio is how many starts may wait to be stored or sent, relative to the starts
+// that the window allows in flight. A ratio of 1 suffices to fill the window again while a
+// batch is written. More starts would reserve capacity of instances without using it.
+const unsentStartRatio = 1.0
 
-// unsentMost returns how many more tasks may be placed now.
-func (o *Owner) unsentMost() int {
-	waiting := o.starts.queued + o.starts.underWay + o.storing
-	return int((1+unsentShare)*o.mostStarts()) - waiting
+// maxNewStarts returns how many more tasks may be placed now.
+func (o *Owner) maxNewStarts() int {
+	waiting := o.starts.queued + o.starts.inFlight + o.startsBeingStored
+	return int((1+unsentStartRatio)*o.startLimit()) - waiting
 }
 
-// pump sends what waits in a lane, as far as its width and the window allow.
-func (o *Owner) pump(ctx context.Context, now time.Time, l *lane) {
-	for len(l.queue) > 0 && l.inFlight < laneWidth {
-		order, ok := o.next(l, o.mayStart() && !l.worker.Acknowledging(o.clock.Now()))
+// sendQueued sends orders of a queue until maxOrdersInFlight or the window is reached.
+func (o *Owner) sendQueued(ctx context.Context, now time.Time, q *workerQueue) {
+	for len(q.orders) > 0 && q.inFlight < maxOrdersInFlight {
+		order, ok := o.nextOrder(q, o.mayStart() && !q.worker.Acknowledging(o.clock.Now()))
 		switch {
 		case !ok && o.mayStart():
-			return // it goes on once the instance has answered
+			return // continues when the instance has answered
 		case !ok:
-			o.hold(l)
+			o.block(q)
 			return
 		}
-		if o.book.Forgo(o.clock.Now(), order) {
+		if o.scheduler.Forgo(o.clock.Now(), order) {
 			continue
 		}
-		o.sendOne(ctx, now, l, order)
+		o.sendOrder(ctx, now, q, order)
 	}
-	if len(l.queue) == 0 && l.inFlight == 0 {
-		delete(o.lanes, l.worker)
+	if len(q.orders) == 0 && q.inFlight == 0 {
+		delete(o.queues, q.worker)
 	}
 }
 
-// next takes the next order from a lane; false if it holds only starts and none may be sent.
-// Other orders do not wait behind a start that may not.
-func (o *Owner) next(l *lane, mayStart bool) (schedule.Order, bool) {
+// nextOrder removes the next order from a queue. It returns false if the queue has only starts
+// and none may be sent. Other orders pass starts that may not be sent.
+func (o *Owner) nextOrder(q *workerQueue, mayStart bool) (schedule.Order, bool) {
 	n := 0
 	if !mayStart {
-		n = slices.IndexFunc(l.queue, func(order schedule.Order) bool { return order.Kind != schedule.OrderStart })
+		n = slices.IndexFunc(q.orders, func(order schedule.Order) bool { return order.Kind != schedule.OrderStart })
 	}
 	if n < 0 {
 		return schedule.Order{}, false
 	}
-	order := l.queue[n]
-	l.queue = slices.Delete(l.queue, n, n+1)
+	order := q.orders[n]
+	q.orders = slices.Delete(q.orders, n, n+1)
 	if order.Kind == schedule.OrderStart {
 		o.starts.queued--
 	}
 	return order, true
 }
 
-// startsInDoubt is how many starts may be under way while the owner doubts itself. Those
-// that go unanswered are ten a second then, and looks have the rest; an owner that is cut off
-// with its zone can order all that the instances of its zone hold, which answer in 2 to 6 ms.
-const startsInDoubt = 4
+// isolatedStartLimit is how many starts may be in flight while the owner suspects that it is
+// cut off. At most ten starts a second then go unanswered, which leaves the owner's capacity to
+// polls. An owner that is cut off together with its availability zone can still send every
+// start that the instances of the zone have capacity for, as these answer in 2 to 6 ms.
+const isolatedStartLimit = 4
 
-// mostStarts returns how many starts may be under way.
-func (o *Owner) mostStarts() float64 {
-	if o.book.Doubts() {
-		return startsInDoubt
+// startLimit returns how many starts may be in flight.
+func (o *Owner) startLimit() float64 {
+	if o.scheduler.Doubts() {
+		return isolatedStartLimit
 	}
 	return o.window.size
 }
 
 // mayStart reports whether one more start may be sent.
-func (o *Owner) mayStart() bool { return float64(o.starts.underWay) < o.mostStarts() }
+func (o *Owner) mayStart() bool { return float64(o.starts.inFlight) < o.startLimit() }
 
-// hold notes that a lane waits for room in the window.
-func (o *Owner) hold(l *lane) {
-	if !l.held {
-		l.held = true
-		o.held = append(o.held, l)
+// block records that a queue waits for room in the window.
+func (o *Owner) block(q *workerQueue) {
+	if !q.blocked {
+		q.blocked = true
+		o.blocked = append(o.blocked, q)
 	}
 }
 
-// pumpHeld sends what the window has room for again, the longest held first.
-func (o *Owner) pumpHeld(ctx context.Context, now time.Time) {
-	for len(o.held) > 0 && o.mayStart() {
-		l := o.held[0]
-		o.held = o.held[1:]
-		l.held = false
-		o.pump(ctx, now, l)
+// sendBlocked sends from blocked queues while the window has room, the longest blocked first.
+func (o *Owner) sendBlocked(ctx context.Context, now time.Time) {
+	for len(o.blocked) > 0 && o.mayStart() {
+		q := o.blocked[0]
+		o.blocked = o.blocked[1:]
+		q.blocked = false
+		o.sendQueued(ctx, now, q)
 	}
 }
 
-// sendOne sends an order of a lane and has the answer taken in.
-func (o *Owner) sendOne(ctx context.Context, now time.Time, l *lane, order schedule.Order) {
-	l.inFlight++
+// sendOrder sends an order of a queue and handles its answer on the loop.
+func (o *Owner) sendOrder(ctx context.Context, now time.Time, q *workerQueue, order schedule.Order) {
+	q.inFlight++
 	start := order.Kind == schedule.OrderStart
 	if start {
-		o.starts.underWay++
+		o.starts.inFlight++
 	}
-	o.book.Sending(order)
+	o.scheduler.Sending(order)
 	sent := o.clock.Now()
-	at, until := l.worker.Endpoint(), l.worker.Until(now, o.lease) // the loop alone may read the worker
-	way := o.wayTo(now, l.worker)
+	at, until := q.worker.Endpoint(), q.worker.Until(now, o.lease) // only the loop may access the worker
+	executor := o.executorFor(now, q.worker)
 	go func() {
-		clock, err := o.carryOut(ctx, way, at, order, until)
+		clock, err := o.execute(ctx, executor, at, order, until)
 		answered := o.clock.Now()
-		o.do(func(now time.Time) {
-			l.inFlight--
+		o.enqueue(func(now time.Time) {
+			q.inFlight--
 			if start {
 				o.startAnswered(now, answered.Sub(sent), err)
 			}
-			o.book.Answered(order, now, clock, err)
-			if o.own.Proven() {
-				o.pump(ctx, now, l)
-				o.pumpHeld(ctx, now)
+			o.scheduler.Answered(order, now, clock, err)
+			if o.ownership.Proven() {
+				o.sendQueued(ctx, now, q)
+				o.sendBlocked(ctx, now)
 			}
 		})
 	}()
 }
 
-// startAnswered takes in how a start was answered after it had taken so long.
+// startAnswered records the result of a start and the time that it took.
 func (o *Owner) startAnswered(now time.Time, took time.Duration, err error) {
 	var unavailable *pointport.UnavailableError
-	if !errors.As(err, &unavailable) && o.window.answered(now, took, o.starts.underWay) {
+	if !errors.As(err, &unavailable) && o.window.answered(now, took, o.starts.inFlight) {
 		event.StartsHeldBack.Log(o.logger, slog.Int("window", int(o.window.size)), slog.Duration("took", took),
-			slog.Int("underWay", o.starts.underWay), slog.Int("queued", o.starts.queued))
+			slog.Int("underWay", o.starts.inFlight), slog.Int("queued", o.starts.queued))
 	}
-	o.starts.underWay--
+	o.starts.inFlight--
 }
 
-func (o *Owner) carryOut(ctx context.Context, way pointport.Executor, at pointport.Endpoint, order schedule.Order, until pointport.InstanceClock) (pointport.InstanceClock, error) {
+func (o *Owner) execute(ctx context.Context, executor pointport.Executor, at pointport.Endpoint, order schedule.Order, until pointport.InstanceClock) (pointport.InstanceClock, error) {
 	switch order.Kind {
 	case schedule.OrderStop:
-		return way.Stop(ctx, at, pointport.StopOrder{TaskRun: order.TaskRun, Fence: o.own.Fence})
+		return executor.Stop(ctx, at, pointport.StopOrder{TaskRun: order.TaskRun, Fence: o.ownership.Fence})
 	case schedule.OrderPace:
-		return 0, way.Pace(ctx, at, pointport.PaceOrder{TaskRun: order.TaskRun, Percent: order.Percent, Fence: o.own.Fence})
+		return 0, executor.Pace(ctx, at, pointport.PaceOrder{TaskRun: order.TaskRun, Percent: order.Percent, Fence: o.ownership.Fence})
 	}
-	return way.Start(ctx, at, pointport.StartOrder{
+	return executor.Start(ctx, at, pointport.StartOrder{
 		TaskRun: order.TaskRun, Payload: order.Payload, Checkpoint: order.Checkpoint,
-		Ticket: order.Ticket, Fence: o.own.Fence, Until: until,
+		Ticket: order.Ticket, Fence: o.ownership.Fence, Until: until,
 	})
 }
--- a/shard/owner.go
+++ b/shard/owner.go
@@ -1,17 +1,19 @@
-// Package shard carries out what package schedule decides for one pool: it keeps
-// the pool's book, writes it to the store, sends orders to the pool's instances
-// and looks at what they report.
+// Package shard runs the scheduler of one pool: it feeds events to the
+// [schedule] package, writes the resulting state to the store, sends orders to
+// the pool's instances and polls them for reports.
 //
 // The model: an Owner works for as long as its member owns the pool. One
-// goroutine keeps the book; everything that happens reaches it as a message.
-// Calls to the store and to instances run beside it and answer by a message. At
-// most one batch is being written and one look at each instance is under way.
+// goroutine, the loop, has the scheduler to itself; every event reaches it as a
+// message. Calls to the store and to instances run in other goroutines and
+// deliver their result as a message. At most one batch is being written and one
+// poll of each instance is in flight.
 //
 // Invariants:
 //
-//   - No start is sent before the batch that names it is stored.
+//   - A start is sent only after the batch that records it is stored.
 //   - Nothing is sent while this member cannot prove its lease.
-//   - Whatever the store refuses because of another owner ends the Owner.
+//   - A write that the store refuses because another member owns the pool ends
+//     the Owner.
 package shard
 
 import (
@@ -30,181 +32,190 @@
 // This file defines the owner of a pool and its loop.
 
 const (
-	// DefaultLease is how far ahead the tasks on an instance are extended. It
-	// must outlast the time in which a new owner takes over, and everything on
-	// an instance that falls silent waits for it to pass.
+	// DefaultLease is how far ahead the execution leases of the tasks on an
+	// instance are extended. It must exceed the time that a new owner needs to
+	// take over. When an instance stops answering, its tasks can be moved only
+	// after this time has passed.
 	DefaultLease = 4 * time.Second
-	// lookWait is how long a look waits for a task to end.
-	lookWait = time.Second
-	// lookRetry is how long to wait after a look without an answer.
-	lookRetry = 150 * time.Millisecond
-	// ackWait bounds how long the next look waits for the ends of the last one
-	// to be stored.
+	// pollWait is how long an instance may hold a poll open until a task ends.
+	pollWait = time.Second
+	// pollRetry is the delay before the next poll after one without an answer.
+	pollRetry = 150 * time.Millisecond
+	// ackWait bounds the delay of the next poll after a report with ended runs,
+	// so that these are stored and the poll can acknowledge them.
 	ackWait = 120 * time.Millisecond
-	// turnGap is the least time between two plans, so that what happens at once
-	// is decided at once, and turnGapMost the most: a plan that takes long is made
-	// so much less often that plans take a fifth of the time.
-	turnGap     = 8 * time.Millisecond
-	turnGapMost = 60 * time.Millisecond
-	turnShare   = 5
-	// writeGap is the least time between two batches when something waits for
-	// the next, lazyGap when nothing does. Each batch is a priced call.
-	writeGap = 25 * time.Millisecond
-	lazyGap  = 60 * time.Millisecond
-	// idleTurn is how often the owner looks at its book when nothing happens.
-	idleTurn = 250 * time.Millisecond
-	// keepEnded is how long the end of a job is remembered by the owner; the
-	// store has it longer.
-	keepEnded = 3 * time.Minute
-	// early is how much before its time an occurrence may begin.
+	// minPlanInterval is the least time between two plans, so that events that
+	// arrive together are planned together. The interval grows to
+	// planIntervalFactor times the duration of the last plan, which limits
+	// planning to a fifth of the loop's time, but not beyond maxPlanInterval.
+	minPlanInterval    = 8 * time.Millisecond
+	maxPlanInterval    = 60 * time.Millisecond
+	planIntervalFactor = 5
+	// urgentWriteInterval is the least time between two batches while something
+	// waits for the next one, and lazyWriteInterval while nothing does. Each
+	// batch is a call that is paid for.
+	urgentWriteInterval = 25 * time.Millisecond
+	lazyWriteInterval   = 60 * time.Millisecond
+	// idleInterval is the longest time between two ticks of the loop.
+	idleInterval = 250 * time.Millisecond
+	// endedRetention is how long the owner remembers an ended job. The store
+	// keeps its record for longer.
+	endedRetention = 3 * time.Minute
+	// early is how long before its due time an occurrence may begin.
 	early = 0
-	// inboxSize is how many messages may wait for the owner.
+	// inboxSize is how many messages may be queued for the loop.
 	inboxSize = 256
 )
 
-// Incarnations tells which incarnations a pool has.
+// Incarnations provides the registered incarnations of a pool.
 type Incarnations interface {
 	// Of returns the registrations of the pool's instances, and a channel that
 	// is closed when any registration changes.
 	Of(pool string) ([]pointport.Incarnation, <-chan struct{})
-	// Sight returns how well the registrations are known. Whatever was known at its end
-	// has closed the channel that Of returned before it.
+	// Sight returns during which time the registrations were read without
+	// failure. Each change known at the end of that time has already closed
+	// the channel that an earlier call of Of returned.
 	Sight() schedule.Sight
 }
 
-// Services are what an owner stands on.
+// Services are the external services that an owner uses.
 type Services struct {
 	KV       pointport.KV
 	Executor pointport.Executor
-	// Advisor knows where steps may run whose queue asks for that; nil if there
-	// is none.
+	// Advisor returns the instances on which the steps of queues that require
+	// advice may run; nil if there is no advisor.
 	Advisor pointport.Advisor
 	Clock   pointport.Clock
 	Session *member.Session
 	Fleet   Incarnations
-	// Quotas returns what the configuration says of customers' caps, and whether that is
-	// surely not out of date; nil if nobody has a cap.
+	// Quotas returns the customers' caps as configured, and whether that
+	// configuration is known to be current; nil if no customer has a cap.
 	Quotas func() (policy *quota.Policy, fresh bool)
-	// Evacuations returns what is known of evacuated availability zones; nil if none ever is.
+	// Evacuations returns the known evacuations of availability zones; nil if there are
+	// never any.
 	Evacuations func() evacuation.Zones
-	// Delegates returns a way to the instances of a pool through peers, until ctx ends;
-	// nil if there is none.
+	// Delegates returns an executor that sends orders to the instances of a pool
+	// through peers until ctx ends; nil if there is none.
 	Delegates func(ctx context.Context, pool string) Delegates
 }
 
-// Delegates are a way to instances through peers. What no peer takes goes directly.
+// Delegates is an executor that sends orders to instances through peers. An order that no
+// peer accepts is sent directly.
 type Delegates interface {
 	pointport.Executor
-	// Carries reports whether a peer takes orders to an incarnation now. If none does, one
-	// is asked to.
+	// Carries reports whether a peer currently forwards orders to an incarnation. If none
+	// does, it starts connecting to one.
 	Carries(at pointport.IncarnationID) bool
 }
 
-// An Owner keeps one pool. Its methods are safe for concurrent use.
+// An Owner schedules and runs the jobs of one pool. Its methods are safe for concurrent use.
 type Owner struct {
 	kv       pointport.KV
 	executor pointport.Executor
-	// delegates sends orders through peers, nil if there are none; delegating says that
-	// it does now.
-	delegates  Delegates
-	delegating bool
-	advisor    pointport.Advisor
-	clock      pointport.Clock
-	session    *member.Session
-	fleet      Incarnations
-	quotas     func() (*quota.Policy, bool)
-	evacuated  func() evacuation.Zones
-	logger     *slog.Logger
-	own        member.Ownership
-	lease      time.Duration
-	maxHold    time.Duration
-	gangTime   time.Duration
-	far        float64
+	// delegates sends orders through peers; nil if there are none. delegating reports
+	// whether all orders currently go through it.
+	delegates          Delegates
+	delegating         bool
+	advisor            pointport.Advisor
+	clock              pointport.Clock
+	session            *member.Session
+	fleet              Incarnations
+	quotas             func() (*quota.Policy, bool)
+	evacuations        func() evacuation.Zones
+	logger             *slog.Logger
+	ownership          member.Ownership
+	lease              time.Duration
+	maxHold            time.Duration
+	gangTimeout        time.Duration
+	remoteDataSlowdown float64
 
-	shownWindow     atomic.Int64
-	shownDelegating atomic.Bool
-	shownUnfit      atomic.Bool
+	publishedWindow     atomic.Int64
+	publishedDelegating atomic.Bool
+	publishedUnfit      atomic.Bool
 
 	inbox chan func(now time.Time)
-	ready chan struct{} // closed once the book is loaded
+	ready chan struct{} // closed once the scheduler has the stored jobs
 	done  chan struct{} // closed when the owner has ended
 	err   error
 
-	// What follows belongs to the loop.
-	book   *schedule.Book
-	loaded pointport.Revision // as of which the pool's open jobs were read
-	// unreadable holds the jobs whose stored progress cannot be read.
-	unreadable map[string]bool
-	writer     *member.Writer
-	writing    bool
-	wrote      time.Time
-	took       time.Duration // for each transaction of the last write
-	planned    time.Time
-	turnGap    time.Duration // the least time until the next plan
-	looking    map[*schedule.Worker]*look
-	lanes      map[*schedule.Worker]*lane
-	held       []*lane // those that wait for room in the window
-	window     window
-	starts     starts
-	storing    int // starts in the batch that is being written
-	lag        lag
-	waiters    []waiter
-	removals   []string
-	caps       *caps
-	// excess holds for how long no more jobs of customers are wanted, as of reckoned.
+	// The fields below are accessed only by the loop.
+	scheduler *schedule.Book
+	loadedAt  pointport.Revision // revision at which the pool's open jobs were read
+	// unreadable contains the jobs whose stored progress cannot be decoded.
+	unreadable        map[string]bool
+	writer            *member.Writer
+	writing           bool
+	lastWrite         time.Time
+	writeTime         time.Duration // of each transaction in the last write, on average
+	lastPlan          time.Time
+	planInterval      time.Duration // least time between the last plan and the next
+	polls             map[*schedule.Worker]*pollState
+	queues            map[*schedule.Worker]*workerQueue
+	blocked           []*workerQueue // queues that wait for room in the window
+	window            window
+	starts            starts
+	startsBeingStored int // in the batch that is being written
+	lag               lagMeter
+	waiters           []waiter
+	removals          []string
+	caps              *caps
+	// excess is for how long to refuse further jobs, by customer, computed at excessAt.
 	excess atomic.Pointer[map[string]time.Duration]
-	// uses is what customers use, as of the same time.
+	// uses contains the resources that each customer uses, computed at the same time.
 	uses     atomic.Pointer[[]schedule.CustomerUse]
-	reckoned time.Time
+	excessAt time.Time
 	cancel   context.CancelFunc
 }
 
-// An Option changes an Owner.
+// An Option configures an Owner.
 type Option func(*Owner)
 
-// WithLease sets how far ahead tasks are extended.
+// WithLease sets how far ahead the execution leases of tasks are extended.
 func WithLease(d time.Duration) Option { return func(o *Owner) { o.lease = d } }
 
-// WithMaxHold sets for how long an instance runs anything without a further order.
+// WithMaxHold sets for how long an instance keeps running a task after the last order that
+// extended it.
 func WithMaxHold(d time.Duration) Option { return func(o *Owner) { o.maxHold = d } }
 
-// WithGangTime sets how long an instance waits for the others of a gang.
-func WithGangTime(d time.Duration) Option { return func(o *Owner) { o.gangTime = d } }
+// WithGangTime sets how long an instance waits for the other tasks of a gang to start.
+func WithGangTime(d time.Duration) Option { return func(o *Owner) { o.gangTimeout = d } }
 
-// WithFarFactor sets how many times as long a task takes away from its data.
-func WithFarFactor(f float64) Option { return func(o *Owner) { o.far = f } }
+// WithFarFactor sets by which factor a task runs longer when it is not in the rack of its
+// data.
+func WithFarFactor(f float64) Option { return func(o *Owner) { o.remoteDataSlowdown = f } }
 
 const (
-	// defaultMaxHold, defaultGangTime and defaultFar stand where the platform does not
-	// tell how long an instance runs anything without a further order, how long a gang
-	// may take to gather and how much slower a task is away from its data.
-	defaultMaxHold  = 10 * time.Second
-	defaultGangTime = 3 * time.Second
-	defaultFar      = 2.0
+	// defaultMaxHold, defaultGangTimeout and defaultRemoteDataSlowdown apply if the
+	// platform does not specify for how long an instance keeps running a task without a
+	// further order, how long a gang may take to start and how much longer a task runs
+	// when it is not in the rack of its data.
+	defaultMaxHold            = 10 * time.Second
+	defaultGangTimeout        = 3 * time.Second
+	defaultRemoteDataSlowdown = 2.0
 )
 
-// Start returns an owner that works until ctx ends or another member owns the
+// Start starts an owner, which works until ctx ends or another member owns the
 // pool.
-func Start(ctx context.Context, s Services, own member.Ownership, logger *slog.Logger, options ...Option) *Owner {
+func Start(ctx context.Context, s Services, ownership member.Ownership, logger *slog.Logger, options ...Option) *Owner {
 	ctx, cancel := context.WithCancel(ctx)
 	o := &Owner{
-		kv: s.KV, executor: s.Executor, advisor: s.Advisor, clock: s.Clock, session: s.Session, fleet: s.Fleet, quotas: s.Quotas, evacuated: s.Evacuations, own: own,
-		logger: logger.With(slog.String("pool", own.Pool), slog.Int64("fence", int64(own.Fence))),
-		lease:  DefaultLease, maxHold: defaultMaxHold, gangTime: defaultGangTime, far: defaultFar,
+		kv: s.KV, executor: s.Executor, advisor: s.Advisor, clock: s.Clock, session: s.Session, fleet: s.Fleet, quotas: s.Quotas, evacuations: s.Evacuations, ownership: ownership,
+		logger: logger.With(slog.String("pool", ownership.Pool), slog.Int64("fence", int64(ownership.Fence))),
+		lease:  DefaultLease, maxHold: defaultMaxHold, gangTimeout: defaultGangTimeout, remoteDataSlowdown: defaultRemoteDataSlowdown,
 		inbox: make(chan func(time.Time), inboxSize), ready: make(chan struct{}), done: make(chan struct{}),
-		looking: make(map[*schedule.Worker]*look), lanes: make(map[*schedule.Worker]*lane), window: newWindow(), cancel: cancel,
+		polls: make(map[*schedule.Worker]*pollState), queues: make(map[*schedule.Worker]*workerQueue), window: newWindow(), cancel: cancel,
 		unreadable: make(map[string]bool),
 	}
 	for _, option := range options {
 		option(o)
 	}
 	if s.Delegates != nil {
-		o.delegates = s.Delegates(ctx, own.Pool)
+		o.delegates = s.Delegates(ctx, ownership.Pool)
 	}
 	go func() {
 		defer close(o.done)
 		if err := o.run(ctx); o.err == nil {
-			o.err = err // else the context has ended because of what is there
+			o.err = err // otherwise o.fail set the error and cancelled ctx
 		}
 		cancel()
 	}()
@@ -214,16 +225,16 @@
 // Done returns a channel that is closed when the owner has ended.
 func (o *Owner) Done() <-chan struct{} { return o.done }
 
-// Err returns why the owner has ended.
+// Err waits for the owner to end and returns the reason.
 func (o *Owner) Err() error {
 	<-o.done
 	return o.err
 }
 
-// Ownership returns what the owner owns.
-func (o *Owner) Ownership() member.Ownership { return o.own }
+// Ownership returns the proof that this member owns the pool.
+func (o *Owner) Ownership() member.Ownership { return o.ownership }
 
-// Stop ends the owner.
+// Stop makes the owner end. It does not wait for that.
 func (o *Owner) Stop() { o.cancel() }
 
 func (o *Owner) run(ctx context.Context) error {
@@ -232,31 +243,31 @@
 		return err
 	}
 	close(o.ready)
-	go o.follow(ctx, at)
+	go o.watchOpenJobs(ctx, at)
 	wake := o.clock.After(0)
-	_, moved := o.fleet.Of(o.own.Pool)
-	o.refresh()
+	_, changed := o.fleet.Of(o.ownership.Pool)
+	o.refreshIncarnations()
 	for {
 		select {
 		case f := <-o.inbox:
 			f(o.clock.Now())
-			o.drain()
-		case <-moved:
-			moved = o.refresh()
+			o.handleQueued()
+		case <-changed:
+			changed = o.refreshIncarnations()
 		case <-wake:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		moved = o.see(moved)
-		if o.book.Deposed() {
+		changed = o.updateRegistryCoverage(changed)
+		if o.scheduler.Deposed() {
 			return member.ErrLost
 		}
-		wake = o.clock.After(o.turn(ctx))
+		wake = o.clock.After(o.tick(ctx))
 	}
 }
 
-// drain handles the messages that wait already.
-func (o *Owner) drain() {
+// handleQueued handles the messages that are already queued.
+func (o *Owner) handleQueued() {
 	for {
 		select {
 		case f := <-o.inbox:
@@ -267,37 +278,38 @@
 	}
 }
 
-// see tells the book how well the registrations are known, once it has been told all that
-// was known of them by then. It returns the channel that is closed when any changes.
-func (o *Owner) see(moved <-chan struct{}) <-chan struct{} {
-	sight := o.fleet.Sight()
+// updateRegistryCoverage passes on to the scheduler until when the registrations are known.
+// The scheduler first gets every registration known by then. It returns the channel that is
+// closed at the next change.
+func (o *Owner) updateRegistryCoverage(changed <-chan struct{}) <-chan struct{} {
+	coverage := o.fleet.Sight()
 	select {
-	case <-moved:
-		moved = o.refresh()
+	case <-changed:
+		changed = o.refreshIncarnations()
 	default:
 	}
-	o.book.See(sight)
-	return moved
+	o.scheduler.See(coverage)
+	return changed
 }
 
-// evacuate tells the book what is known now of evacuated availability zones.
-func (o *Owner) evacuate() {
-	if o.evacuated != nil {
-		o.book.Evacuate(o.evacuated())
+// updateEvacuations passes the known evacuations of availability zones to the scheduler.
+func (o *Owner) updateEvacuations() {
+	if o.evacuations != nil {
+		o.scheduler.Evacuate(o.evacuations())
 	}
 }
 
-func (o *Owner) refresh() <-chan struct{} {
-	all, moved := o.fleet.Of(o.own.Pool)
-	o.book.SetIncarnations(o.clock.Now(), all)
-	return moved
+func (o *Owner) refreshIncarnations() <-chan struct{} {
+	all, changed := o.fleet.Of(o.ownership.Pool)
+	o.scheduler.SetIncarnations(o.clock.Now(), all)
+	return changed
 }
 
-// do hands a message to the loop; false if the owner has ended.
-func (o *Owner) do(f func(now time.Time)) bool {
+// enqueue passes a message to the loop. It returns false if the owner has ended.
+func (o *Owner) enqueue(f func(now time.Time)) bool {
 	sent := o.clock.Now()
 	handle := func(now time.Time) {
-		o.lag.note(now, now.Sub(sent))
+		o.lag.observe(now, now.Sub(sent))
 		f(now)
 	}
 	select {
@@ -308,45 +320,45 @@
 	}
 }
 
-// turn plans, writes and sends what is due, and returns when to look again.
-func (o *Owner) turn(ctx context.Context) time.Duration {
+// tick plans, writes and sends whatever is due, and returns the time until the next tick.
+func (o *Owner) tick(ctx context.Context) time.Duration {
 	now := o.clock.Now()
-	if since := now.Sub(o.planned); since < o.turnGap {
-		return o.turnGap - since
+	if since := now.Sub(o.lastPlan); since < o.planInterval {
+		return o.planInterval - since
 	}
-	o.planned = now
-	o.evacuate()
-	if o.own.Proven() {
-		o.book.LimitUnsent(o.unsentMost())
+	o.lastPlan = now
+	o.updateEvacuations()
+	if o.ownership.Proven() {
+		o.scheduler.LimitUnsent(o.maxNewStarts())
 		o.applyCaps(ctx)
-		o.book.Plan(now)
-		o.reckonExcess(now)
+		o.scheduler.Plan(now)
+		o.updateExcess(now)
 		cost := o.clock.Now().Sub(now)
-		o.turnGap = min(max(turnGap, turnShare*cost), turnGapMost)
-		o.consult(ctx, now)
+		o.planInterval = min(max(minPlanInterval, planIntervalFactor*cost), maxPlanInterval)
+		o.requestAdvice(ctx, now)
 		o.write(ctx, now)
-		o.moveCaps(ctx, now)
-		o.delegate(now)
+		o.transferCaps(ctx, now)
+		o.updateDelegating(now)
 		o.send(ctx, now)
 	}
-	o.lookAround(ctx, now)
-	o.show(now)
-	return o.pause(now)
+	o.pollWorkers(ctx, now)
+	o.publishLoad(now)
+	return o.sleepTime(now)
 }
 
-// pause returns how long the loop may sleep if nothing happens.
-func (o *Owner) pause(now time.Time) time.Duration {
-	d := idleTurn
-	if o.book.Pending() && !o.writing {
-		d = min(d, o.gap()-now.Sub(o.wrote))
+// sleepTime returns how long the loop may sleep if no message arrives.
+func (o *Owner) sleepTime(now time.Time) time.Duration {
+	d := idleInterval
+	if o.scheduler.Pending() && !o.writing {
+		d = min(d, o.writeInterval()-now.Sub(o.lastWrite))
 	}
-	if due, ok := o.book.NextDue(); ok {
+	if due, ok := o.scheduler.NextDue(); ok {
 		d = min(d, due.Sub(now))
 	}
-	for _, l := range o.looking {
-		if l.inFlight == 0 {
-			d = min(d, l.next.Sub(now))
+	for _, s := range o.polls {
+		if s.inFlight == 0 {
+			d = min(d, s.next.Sub(now))
 		}
 	}
-	return max(d, o.turnGap)
+	return max(d, o.planInterval)
 }
--- a/shard/log.go
+++ b/shard/records.go
@@ -12,20 +12,18 @@
 
 // This file defines how the records of a batch are written.
 
-// maxEntries is how many entries of its own a transaction may have.
+// maxEntries is the most entries of one transaction that are available to records.
 const maxEntries = pointport.MaxTxnEntries - member.HeadEntries
 
-// quickEntries is how many a batch may have while the store is quick: ten
-// transactions' worth.
-const quickEntries = 10 * maxEntries
+// fastBatchEntries is the most entries of a batch while the store is fast: ten transactions.
+const fastBatchEntries = 10 * maxEntries
 
-// maxRemovals is how many of them may remove keys of cancellations, so that there is
-// room for jobs beside them.
+// maxRemovals is how many of them may delete cancellation keys, so that room for records
+// remains.
 const maxRemovals = maxEntries / 2
 
-// store stores records and removes the keys named, in as many transactions as it
-// takes.
-func (o *Owner) store(ctx context.Context, records []schedule.Record, remove []string) error {
+// storeRecords stores records and deletes the given keys, in as many transactions as needed.
+func (o *Owner) storeRecords(ctx context.Context, records []schedule.Record, remove []string) error {
 	txn := pointport.Txn{Delete: slices.Clone(remove)}
 	for _, r := range records {
 		if txn.Entries()+r.Entries() > maxEntries {
@@ -45,7 +43,7 @@
 }
 
 func (o *Owner) addRecord(txn *pointport.Txn, r schedule.Record) error {
-	pool := o.own.Pool
+	pool := o.ownership.Pool
 	if r.Ended == "" {
 		txn.Put = append(txn.Put, pointport.Put{Key: workload.ProgressKey(pool, r.ID), Value: r.Progress})
 		return nil
--- a/shard/window.go
+++ b/shard/window.go
@@ -2,71 +2,70 @@
 
 import "time"
 
-// This file defines how many starts may be under way at once.
+// This file defines how many starts may be in flight at once.
 
 const (
-	// startsFirst is how many starts an owner that has just begun may have under way.
-	// A link of 2 Mbit/s carries them in 0.4 s, at 0.8 KB each.
-	startsFirst = 128
-	// startsLeast bounds how far the window is narrowed: a link of 2 Mbit/s carries so
-	// many in 0.1 s, and where answers are late for another reason, such as a processor
-	// share of a few milliseconds in each tenth of a second, a narrower window only
-	// starts less. startsMost bounds how far it opens: one for each place of 150
+	// initialWindow is how many starts a new owner may have in flight. A link of 2 Mbit/s
+	// carries them in 0.4 s, at 0.8 KB each.
+	initialWindow = 128
+	// minWindow is the lower bound of the window. A link of 2 Mbit/s carries this many
+	// starts in 0.1 s. If answers are late for another reason, such as a processor quota of
+	// a few milliseconds per tenth of a second, a narrower window would only reduce the
+	// rate of starts. maxWindow is the upper bound: one start for each task slot of 150
 	// instances of 16 cores.
-	startsLeast = 32
-	startsMost  = 1024
-	// startQuick is within what time a start is answered while the owner keeps up with
-	// its orders. Instances answer in 2 to 6 ms; at peaks of 470 starts a second, on
-	// entry instances of 0.8 of a core, 99 of 100 starts were answered within 0.1 s of
-	// their placing, the writing of it included.
-	startQuick = 120 * time.Millisecond
-	// narrowEvery is the least time between two narrowings: until then the answers
-	// are to starts that were sent before the first.
-	narrowEvery = 200 * time.Millisecond
+	minWindow = 32
+	maxWindow = 1024
+	// fastAnswer is the time within which a start is answered while the owner keeps up with
+	// its orders. Instances answer in 2 to 6 ms. At peaks of 470 starts a second, on entry
+	// instances with 0.8 of a core, 99 of 100 starts were answered within 0.1 s of their
+	// placement, including the write to the store.
+	fastAnswer = 120 * time.Millisecond
+	// narrowInterval is the least time between two reductions of the window. Answers that
+	// arrive sooner belong to starts that were sent before the first reduction.
+	narrowInterval = 200 * time.Millisecond
 )
 
-// A window bounds the starts that are under way at once by how soon they are
-// answered, so that an owner that is short of processor time, or whose link is thin,
-// orders no more than it can follow. Without it the orders to a pool of 90 instances
-// filled a link of 2 Mbit/s: each took longer than the 0.4 s after which it counts as
-// unanswered, was sent again, and instances that answered counted as silent, so that
-// what ran there lapsed.
+// A window limits the starts in flight according to how fast they are answered, so that an
+// owner that is short of processor time or bandwidth sends no more orders than it can process.
+// Without a limit, the orders to a pool of 90 instances filled a link of 2 Mbit/s. Each order
+// then took longer than its timeout of 0.4 s and was sent again. Instances that did answer
+// were considered silent, so the execution leases of their tasks expired.
 //
-// Only late answers narrow the window. A start without any tells of its instance.
+// Only late answers narrow the window. A start without an answer indicates a failure of its
+// instance, not of the owner's link.
 type window struct {
-	size     float64
-	narrowed time.Time // when it was last narrowed, zero if it never was
+	size       float64
+	narrowedAt time.Time // when it was last narrowed, zero if it never was
 }
 
-func newWindow() window { return window{size: startsFirst} }
+func newWindow() window { return window{size: initialWindow} }
 
-// answered takes in that a start was answered at now after it had taken so long,
-// while so many were under way, itself among them. It reports whether that narrows
-// the window.
-func (w *window) answered(now time.Time, took time.Duration, underWay int) bool {
-	if took > startQuick {
+// answered records that a start was answered at now after the time took, with inFlight starts
+// in flight including this one. It reports whether that narrows the window.
+func (w *window) answered(now time.Time, took time.Duration, inFlight int) bool {
+	if took > fastAnswer {
 		return w.narrow(now)
 	}
-	if float64(underWay) >= w.size/2 { // else the answer says nothing of a wider window
+	if float64(inFlight) >= w.size/2 { // a window that is not used says nothing about a wider one
 		w.widen()
 	}
 	return false
 }
 
-// widen opens the window: to twice its size with as many answers until it was first
-// narrowed, by one with as many after that.
+// widen widens the window. Until the window is first narrowed, it doubles with as many answers
+// as its size. After that it grows by one with as many.
 func (w *window) widen() {
 	step := 1.0
-	if !w.narrowed.IsZero() {
+	if !w.narrowedAt.IsZero() {
 		step = 1 / w.size
 	}
-	w.size = min(w.size+step, startsMost)
+	w.size = min(w.size+step, maxWindow)
 }
 
 func (w *window) narrow(now time.Time) bool {
-	if now.Sub(w.narrowed) < narrowEvery {
+	if now.Sub(w.narrowedAt) < narrowInterval {
 		return false
 	}
-	w.size, w.narrowed = max(w.size/2, startsLeast), now
+	w.size, w.narrowedAt = max(w.size/2, minWindow), now
 	return true
 }
--- a/shard/write.go
+++ b/shard/write.go
@@ -12,66 +12,66 @@
 	"github.com/pointport/pointport/schedule"
 )
 
-// This file defines when what has changed is written, and who is told of it.
+// This file defines when changed state is written, and who is notified of it.
 
-// A waiter is told once what has changed of a job is stored.
+// A waiter is notified once the change of its job is stored.
 type waiter struct {
-	job  string
-	tell func()
+	job    string
+	notify func()
 }
 
-func (o *Owner) gap() time.Duration {
-	if o.book.Urgent() || len(o.waiters) > 0 {
-		return writeGap
+func (o *Owner) writeInterval() time.Duration {
+	if o.scheduler.Urgent() || len(o.waiters) > 0 {
+		return urgentWriteInterval
 	}
-	return lazyGap
+	return lazyWriteInterval
 }
 
-// write stores what has changed, one batch at a time.
+// write stores changed state. At most one batch is being written.
 func (o *Owner) write(ctx context.Context, now time.Time) {
-	if o.writing || !o.book.Pending() && len(o.waiters) == 0 && len(o.removals) == 0 || now.Sub(o.wrote) < o.gap() {
+	if o.writing || !o.scheduler.Pending() && len(o.waiters) == 0 && len(o.removals) == 0 || now.Sub(o.lastWrite) < o.writeInterval() {
 		return
 	}
 	removals := o.removals[:min(len(o.removals), maxRemovals)]
-	batch := o.book.TakeBatch(o.batchEntries() - len(removals))
+	batch := o.scheduler.TakeBatch(o.maxBatchEntries() - len(removals))
 	if batch.Whole {
 		o.removals = o.removals[len(removals):]
 	} else {
-		removals = nil // what they stand for may be left for the next batch
+		removals = nil // the changes that a removed key asks for may be left for the next batch
 	}
 	waiters := o.takeWaiters(batch)
 	transactions := 1 + batch.Entries()/maxEntries
-	o.writing, o.wrote, o.storing = true, now, batch.Starts()
+	o.writing, o.lastWrite, o.startsBeingStored = true, now, batch.Starts()
 	go func() {
-		err := o.store(ctx, batch.Records, removals)
-		o.do(func(now time.Time) {
-			o.writing, o.storing, o.took = false, 0, now.Sub(o.wrote)/time.Duration(transactions)
+		err := o.storeRecords(ctx, batch.Records, removals)
+		o.enqueue(func(now time.Time) {
+			o.writing, o.startsBeingStored, o.writeTime = false, 0, now.Sub(o.lastWrite)/time.Duration(transactions)
 			if err != nil {
-				o.lost(err)
+				o.fail(err)
 				return
 			}
-			o.book.Stored(batch, now)
+			o.scheduler.Stored(batch, now)
 			for _, w := range waiters {
-				w.tell()
+				w.notify()
 			}
 		})
 	}()
 }
 
-// quickWrite is within how long a transaction is made for the next batch to take all
-// that has changed, in several transactions if need be: at a peak of 145 jobs a second no batch
-// of one transaction is whole, and ends are acknowledged only once one is.
-const quickWrite = 60 * time.Millisecond
+// fastWrite is the time for one transaction up to which the next batch takes all changes, in
+// several transactions if necessary. At a peak of 145 jobs a second, a batch of one transaction
+// never holds all changes, and ended runs are acknowledged only after a batch that does.
+const fastWrite = 60 * time.Millisecond
 
-// batchEntries returns how many entries the next batch may have.
-func (o *Owner) batchEntries() int {
-	if o.took <= quickWrite {
-		return quickEntries
+// maxBatchEntries returns how many entries the next batch may have.
+func (o *Owner) maxBatchEntries() int {
+	if o.writeTime <= fastWrite {
+		return fastBatchEntries
 	}
 	return maxEntries
 }
 
-// takeWaiters returns those who wait for what a batch stores.
+// takeWaiters removes and returns the waiters whose change a batch stores.
 func (o *Owner) takeWaiters(batch schedule.Batch) []waiter {
 	stored := make(map[string]bool, len(batch.Records))
 	for _, r := range batch.Records {
@@ -88,8 +88,8 @@
 	return taken
 }
 
-// lost ends the owner.
-func (o *Owner) lost(err error) {
+// fail ends the owner because of an error of the store.
+func (o *Owner) fail(err error) {
 	if errors.Is(err, context.Canceled) {
 		return
 	}
@@ -98,9 +98,9 @@
 	o.cancel()
 }
 
-// consult puts the questions that are due to the advisor.
-func (o *Owner) consult(ctx context.Context, asked time.Time) {
-	for _, q := range o.book.TakeQuestions() {
+// requestAdvice sends the pending requests for advice to the advisor.
+func (o *Owner) requestAdvice(ctx context.Context, asked time.Time) {
+	for _, q := range o.scheduler.TakeQuestions() {
 		go func() {
 			var tickets map[pointport.IncarnationID]string
 			var valid time.Duration
@@ -108,10 +108,10 @@
 			if o.advisor != nil {
 				tickets, valid, err = o.advisor.Advise(ctx, q.Step, q.Incarnations)
 			}
-			o.do(func(now time.Time) { o.book.Advised(q, asked, now, tickets, valid, err) })
+			o.enqueue(func(now time.Time) { o.scheduler.Advised(q, asked, now, tickets, valid, err) })
 		}()
 	}
 }
 
-// errNoAdvisor says that a queue asks for advice and there is nobody to give it.
-var errNoAdvisor = errors.New("there is no advisor")
+// errNoAdvisor is the result of a request for advice if there is no advisor.
+var errNoAdvisor = errors.New("the queue requires advice, but no advisor is configured")
