--- a/delegate/executor.go
+++ b/delegate/executor.go
@@ -185,9 +185,9 @@
 	return nil
 }
 
-// Carries reports whether a stream to the delegate of an incarnation stands. If there is
+// Connected reports whether a stream to the delegate of an incarnation stands. If there is
 // none, it is opened.
-func (e *Executor) Carries(at pointport.IncarnationID) bool { return e.streamFor(at) != nil }
+func (e *Executor) Connected(at pointport.IncarnationID) bool { return e.streamFor(at) != nil }
 
 // open opens a stream to a delegate. Until it stands, orders are sent directly.
 func (e *Executor) open(m member.Member) {
--- a/shard/owner.go
+++ b/shard/owner.go
@@ -103,9 +103,9 @@
 // peer accepts is sent directly.
 type Delegates interface {
 	pointport.Executor
-	// Carries reports whether a peer currently forwards orders to an incarnation. If none
+	// Connected reports whether a peer currently forwards orders to an incarnation. If none
 	// does, it starts connecting to one.
-	Carries(at pointport.IncarnationID) bool
+	Connected(at pointport.IncarnationID) bool
 }
 
 // An Owner schedules and runs the jobs of one pool. Its methods are safe for concurrent use.
--- a/shard/peer_poll.go
+++ b/shard/peer_poll.go
@@ -36,7 +36,7 @@
 	}
 	s.peerPolledAt = now
 	at := w.Endpoint()
-	if !o.delegates.Carries(at.Incarnation) {
+	if !o.delegates.Connected(at.Incarnation) {
 		return // without a peer, this would be one more direct poll
 	}
 	s.peerPolling = true
