--- a/workload/catalog.go
+++ b/workload/catalog.go
@@ -7,43 +7,44 @@
 	"github.com/pointport/pointport/customer"
 )
 
-// This file defines the catalog: the operators' configuration of queues and
-// pools, as far as jobs are concerned.
+// This file defines the catalog: the part of the operators' configuration that
+// concerns jobs, which is its queues and pools.
 
-// A Queue takes jobs for a pool. It is chosen by host and path.
+// A Queue accepts jobs for a pool. It is selected by the host and path of a request.
 type Queue struct {
 	Name string
 	Host string
-	Path string // prefix of the path; what follows is the job's identity
+	Path string // path prefix; the rest of the path is the job's ID
 	Pool string
-	// Timeout is how long an answer to a customer may take.
+	// Timeout is the time within which a customer's request must be answered.
 	Timeout time.Duration
 	Policy  Policy
-	// AllowAnonymous says that callers need show no key. A key that one shows must be good all
-	// the same.
+	// AllowAnonymous reports whether callers may omit the API key. A key that is given must
+	// be valid in any case.
 	AllowAnonymous bool
-	// Advice says how the advisor behaves for the queue; it is zero if the queue
-	// needs none.
+	// Advice is how the advisor behaves for the queue. It is zero if the queue needs
+	// no advice.
 	Advice Advice
 }
 
-// Advice says how the advisor answers for a queue.
+// Advice defines how the advisor behaves for a queue.
 type Advice struct {
-	Base        time.Duration // for each question
-	PerInstance time.Duration // for each instance that is asked about
-	ValidFor    time.Duration // how long an answer holds
+	Base        time.Duration // answer time of a request, without its instances
+	PerInstance time.Duration // additional answer time for each instance asked about
+	ValidFor    time.Duration // how long an answer is valid
 }
 
-// A PoolInfo is what the configuration says of a pool.
+// A PoolInfo is the configuration of a pool.
 type PoolInfo struct {
 	Name string
-	// Spare says that the pool's instances are switched off and cost nothing.
+	// Spare reports whether the pool's instances are switched off and cost nothing.
 	Spare bool
-	// EnforcesCapacity says that the pool's instances refuse what does not fit.
+	// EnforcesCapacity reports whether the pool's instances reject tasks that exceed their
+	// capacity.
 	EnforcesCapacity bool
 }
 
-// Limits bound what a client may send.
+// Limits are the limits on a client's requests.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -51,19 +52,19 @@
 	IdleTimeout   time.Duration
 }
 
-// A Catalog is one version of the configuration. It is never changed.
+// A Catalog is one version of the configuration. It is immutable.
 type Catalog struct {
 	Version int64
 	Queues  []Queue
 	Pools   []PoolInfo
 	Limits  Limits
-	// Customers are those whose requests are served; nil where no customers are told
-	// apart and nobody needs a key.
+	// Customers contains the customers whose requests are served. It is nil if customers are
+	// not distinguished and no caller needs a key.
 	Customers *customer.Directory
 }
 
-// Match returns the queue whose host and longest path prefix fit; false if none
-// does. A port in host is ignored.
+// Match returns the queue with the given host and the longest matching path prefix;
+// false if there is none. A port in host is ignored.
 func (c *Catalog) Match(host, path string) (*Queue, bool) {
 	if n := strings.LastIndexByte(host, ':'); n >= 0 {
 		host = host[:n]
@@ -78,7 +79,7 @@
 	return best, best != nil
 }
 
-// WorkPools returns the names of the pools that may run tasks.
+// WorkPools returns the names of the pools that run tasks, which are all but the spare ones.
 func (c *Catalog) WorkPools() []string {
 	var out []string
 	for _, p := range c.Pools {
--- a/workload/codec.go
+++ b/workload/codec.go
@@ -11,10 +11,10 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines the forms in which a job is stored: what was accepted,
-// written once, and its progress, written again and again and therefore short.
+// This file defines the stored forms of a job: the accepted job, which is written
+// once, and its progress, which is written often and is therefore short.
 
-// acceptedDocument is the stored form of what was accepted.
+// acceptedDocument is the stored form of an accepted job.
 type acceptedDocument struct {
 	Queue     string    `json:"queue"`
 	Customer  string    `json:"customer,omitempty"`
@@ -23,19 +23,20 @@
 	Submitted time.Time `json:"submitted"`
 }
 
-// EncodeAccepted returns the stored form of what was accepted.
+// EncodeAccepted returns the stored form of the job as it was accepted.
 func (j *Job) EncodeAccepted() ([]byte, error) {
 	return json.Marshal(acceptedDocument{j.queue, j.customer, j.policy, j.spec, j.submitted})
 }
 
-// DecodeAccepted returns the job called id from its stored form.
+// DecodeAccepted decodes the stored form of the job called id. It fails if no customer
+// could have submitted the job.
 func DecodeAccepted(id string, data []byte) (*Job, error) {
 	var d acceptedDocument
 	if err := json.Unmarshal(data, &d); err != nil {
 		return nil, fmt.Errorf("stored job %s: %w", id, err)
 	}
 	if d.Spec == nil {
-		return nil, fmt.Errorf("stored job %s has no steps", id)
+		return nil, fmt.Errorf("stored job %s has no spec", id)
 	}
 	if err := d.Spec.Check(); err != nil {
 		// Each owner in turn would run out of memory for a step of a billion tasks.
@@ -44,8 +45,8 @@
 	return New(id, d.Queue, d.Policy, d.Spec, d.Submitted, WithCustomer(d.Customer)), nil
 }
 
-// progressDocument is the stored form of a job's progress. The rows of an
-// occurrence are its steps, and their cells are tasks.
+// progressDocument is the stored form of a job's progress. An occurrence has one row for each
+// of its steps, and a row has one array of cells for each task.
 type progressDocument struct {
 	Cancelled   bool            `json:"c,omitempty"`
 	Failed      bool            `json:"f,omitempty"`
@@ -57,36 +58,36 @@
 type occurrenceDoc struct {
 	K     int         `json:"k"`
 	Steps [][]taskDoc `json:"s"`
-	// Crashes holds the few tasks under which instances have crashed. They stand
-	// beside the tasks so that an earlier version of the program, which may own the
-	// pool during a roll-out, reads the rest.
+	// Crashes contains the few tasks under which instances have crashed. They are stored
+	// beside the tasks so that an earlier version of the program, which may own the pool
+	// during a roll-out, can still decode the tasks.
 	Crashes []crashDoc `json:"x,omitempty"`
-	// Failed holds the numbers of the failed runs of the tasks that have any.
+	// Failed contains the numbers of failed runs, for the tasks that have any.
 	Failed []failedDoc `json:"r,omitempty"`
-	// Settled holds the tasks under which instances have crashed whose present run has run for
-	// a while.
+	// Settled contains the tasks under which instances have crashed and whose current run
+	// has been running for a while.
 	Settled []settledDoc `json:"w,omitempty"`
-	// Born holds when the lives began that tasks were given to, where their addressees do not
-	// tell that. An earlier version of the program, to which an incarnation is its addressee,
-	// reads that from the task.
+	// Born contains when the incarnations that tasks were given to began, if their addressee
+	// does not imply it. An earlier version of the program identifies an incarnation by its
+	// addressee alone, which it decodes from the task.
 	Born []bornDoc `json:"b,omitempty"`
 }
 
-// bornDoc is a task that was given to a life that shares its addressee: step, index, when the
-// life began in Unix milliseconds.
+// bornDoc is a task that was given to an incarnation that shares its addressee with others:
+// step, index, and when the incarnation began in Unix milliseconds.
 type bornDoc [3]int64
 
-// settledDoc is a task with a run that has run for a while: step, index, number of the run.
+// settledDoc is a task whose run has been running for a while: step, index, run number.
 type settledDoc [3]int
 
-// failedDoc is a task with failed runs: step, index, the numbers of the runs.
+// failedDoc is a task with failed runs: step, index, and the numbers of the runs.
 type failedDoc []int
 
-// crashDoc is a task under which instances have crashed: step, index, how many.
+// crashDoc is a task under which instances have crashed: step, index, number of crashes.
 type crashDoc [3]int
 
-// taskDoc is a task as an array: phase, run, failures, addressee of its incarnation, checkpoint.
-// Cells at the end that are zero or empty are left out.
+// taskDoc is a task as an array with the cells phase, run, failures, addressee of its
+// incarnation, and checkpoint. Trailing cells that are zero or empty are omitted.
 type taskDoc struct {
 	Task
 }
@@ -119,7 +120,7 @@
 	return append(b, ']')
 }
 
-// UnmarshalJSON reads the short form.
+// UnmarshalJSON decodes the array.
 func (t *taskDoc) UnmarshalJSON(data []byte) error {
 	var cells []json.RawMessage
 	if err := json.Unmarshal(data, &cells); err != nil {
@@ -137,27 +138,27 @@
 	return nil
 }
 
-// wrong says what no task can be, empty if it can.
-func (t taskDoc) wrong() string {
+// invalidReason returns why no task can have this state, or an empty string if one can.
+func (t taskDoc) invalidReason() string {
 	switch {
 	case t.Phase > GivenUp:
-		return "has no such phase"
+		return "the phase is unknown"
 	case t.Run < 0 || t.Failures < 0:
-		return "counts must not be below zero"
+		return "run and failures must not be negative"
 	case t.Phase == Placed && (t.On == "" || t.Run == 0):
-		return "is placed nowhere"
+		return "a placed task must have an incarnation and a run"
 	}
 	return ""
 }
 
-// EncodeProgress returns the stored form of the job's progress. It is written
-// many times for each job, so it is put together by hand; RestoreProgress reads
-// it as JSON.
+// EncodeProgress returns the stored form of the job's progress. It is called many
+// times for each job, so it builds the JSON by hand; RestoreProgress decodes it with
+// encoding/json.
 func (j *Job) EncodeProgress() []byte {
 	b := append(make([]byte, 0, progressBytes), `{"n":`...)
 	b = strconv.AppendInt(b, int64(j.next), 10)
-	if j.over > 0 {
-		b = strconv.AppendInt(append(b, `,"o":`...), int64(j.over), 10)
+	if j.completed > 0 {
+		b = strconv.AppendInt(append(b, `,"o":`...), int64(j.completed), 10)
 	}
 	if j.cancelled {
 		b = append(b, `,"c":true`...)
@@ -175,7 +176,7 @@
 	return append(b, `]}`...)
 }
 
-// progressBytes is the usual length of a job's progress.
+// progressBytes is the typical length of a job's progress.
 const progressBytes = 512
 
 func (o *Occurrence) append(b []byte) []byte {
@@ -195,49 +196,49 @@
 		b = append(b, ']')
 	}
 	b = append(b, ']')
-	b = o.appendRows(b, "x", crashesTold)
-	b = o.appendRows(b, "r", failedTold)
-	b = o.appendRows(b, "w", settledTold)
-	b = o.appendRows(b, "b", bornTold)
+	b = o.appendRows(b, "x", extraCrashes)
+	b = o.appendRows(b, "r", extraFailedRuns)
+	b = o.appendRows(b, "w", extraSettled)
+	b = o.appendRows(b, "b", extraBorn)
 	return append(b, '}')
 }
 
-// appendRows appends, under a name, a row for each of the few tasks that have something to
-// be told beside their cells: step, index, and what of returns. Nothing is appended if there is
-// none.
-func (o *Occurrence) appendRows(b []byte, name string, of func(*Task) []int) []byte {
-	begun := false
+// appendRows appends an array called name with a row for each task that has values to store
+// beside its cells: step, index, and the values that extra returns. Only a few tasks have any.
+// Nothing is appended if there is no such task.
+func (o *Occurrence) appendRows(b []byte, name string, extra func(*Task) []int) []byte {
+	started := false
 	for n, step := range o.Steps {
 		for i := range step {
-			told := of(&step[i])
-			if len(told) == 0 {
+			values := extra(&step[i])
+			if len(values) == 0 {
 				continue
 			}
-			if !begun {
+			if !started {
 				b = fmt.Appendf(b, `,"%s":[`, name)
 			} else {
 				b = append(b, ',')
 			}
-			begun = true
+			started = true
 			b = fmt.Appendf(b, "[%d,%d", n, i)
-			for _, v := range told {
+			for _, v := range values {
 				b = strconv.AppendInt(append(b, ','), int64(v), 10)
 			}
 			b = append(b, ']')
 		}
 	}
-	if !begun {
+	if !started {
 		return b
 	}
 	return append(b, ']')
 }
 
-// crashesTold, failedTold and settledTold return what stands beside a task's cells.
-func crashesTold(t *Task) []int { return unlessZero(t.Crashes) }
-func failedTold(t *Task) []int  { return t.FailedRuns }
-func settledTold(t *Task) []int { return unlessZero(t.Settled) }
+// extraCrashes, extraFailedRuns and extraSettled return the values stored beside a task's cells.
+func extraCrashes(t *Task) []int    { return unlessZero(t.Crashes) }
+func extraFailedRuns(t *Task) []int { return t.FailedRuns }
+func extraSettled(t *Task) []int    { return unlessZero(t.Settled) }
 
-func bornTold(t *Task) []int {
+func extraBorn(t *Task) []int {
 	born, ok := t.On.Born()
 	if !ok {
 		return nil
@@ -252,19 +253,20 @@
 	return []int{v}
 }
 
-// RestoreProgress sets the job's progress from its stored form.
+// RestoreProgress sets the job's progress from its stored form. It fails, with a
+// *ProgressError if the form is valid JSON, if the progress does not fit the job.
 func (j *Job) RestoreProgress(data []byte) error {
 	var d progressDocument
 	if err := json.Unmarshal(data, &d); err != nil {
 		return fmt.Errorf("stored progress of job %s: %w", j.id, err)
 	}
 	if d.Next < 0 || d.Next > j.spec.Occurrences() || d.Over < 0 || d.Over+len(d.Occurrences) != d.Next {
-		return &ProgressError{Job: j.id, Field: "n", Value: d.Next, Reason: fmt.Sprintf("of %d occurrences, %d over and %d under way", j.spec.Occurrences(), d.Over, len(d.Occurrences))}
+		return &ProgressError{Job: j.id, Field: "n", Value: d.Next, Reason: fmt.Sprintf("of %d occurrences, %d are completed and %d in progress", j.spec.Occurrences(), d.Over, len(d.Occurrences))}
 	}
 	occurrences := make(map[int]*Occurrence, len(d.Occurrences))
 	for _, doc := range d.Occurrences {
 		if doc.K < 0 || doc.K >= d.Next || occurrences[doc.K] != nil {
-			return &ProgressError{Job: j.id, Field: "k", Value: doc.K, Reason: "must have begun, and stand there once"}
+			return &ProgressError{Job: j.id, Field: "k", Value: doc.K, Reason: "must be an occurrence that has begun, and must occur once"}
 		}
 		o, err := j.restore(doc)
 		if err != nil {
@@ -272,14 +274,14 @@
 		}
 		occurrences[doc.K] = o
 	}
-	j.cancelled, j.failed, j.next, j.over, j.occurrences = d.Cancelled, d.Failed, d.Next, d.Over, occurrences
+	j.cancelled, j.failed, j.next, j.completed, j.occurrences = d.Cancelled, d.Failed, d.Next, d.Over, occurrences
 	return nil
 }
 
-// A ProgressError says what of a job's stored progress does not fit the job.
+// A ProgressError describes which part of a job's stored progress does not fit the job.
 type ProgressError struct {
 	Job    string
-	Field  string // as it is stored, such as s[2][7]
+	Field  string // name in the stored form, such as s[2][7]
 	Value  any
 	Reason string
 }
@@ -298,7 +300,7 @@
 			return nil, &ProgressError{Job: j.id, Field: fmt.Sprintf("s[%d]", n), Value: len(row), Reason: fmt.Sprintf("must have %d tasks", len(o.Steps[n]))}
 		}
 		for i := range row {
-			if reason := row[i].wrong(); reason != "" {
+			if reason := row[i].invalidReason(); reason != "" {
 				return nil, &ProgressError{Job: j.id, Field: fmt.Sprintf("s[%d][%d]", n, i), Value: row[i].Task, Reason: reason}
 			}
 			o.Steps[n][i] = row[i].Task
@@ -310,38 +312,39 @@
 	for _, c := range doc.Crashes {
 		step, index, crashes := c[0], c[1], c[2]
 		if step < 0 || step >= len(o.Steps) || index < 0 || index >= len(o.Steps[step]) || crashes < 0 {
-			return nil, &ProgressError{Job: j.id, Field: "x", Value: c, Reason: "must be a task that it has, and not a number below zero"}
+			return nil, &ProgressError{Job: j.id, Field: "x", Value: c, Reason: "must name a task of the job and a number that is not negative"}
 		}
 		o.Steps[step][index].Crashes = crashes
 	}
 	for _, d := range doc.Settled {
 		step, index, run := d[0], d[1], d[2]
 		if step < 0 || step >= len(o.Steps) || index < 0 || index >= len(o.Steps[step]) || run < 0 {
-			return nil, &ProgressError{Job: j.id, Field: "w", Value: d, Reason: "must be a task that it has, and not a number below zero"}
+			return nil, &ProgressError{Job: j.id, Field: "w", Value: d, Reason: "must name a task of the job and a number that is not negative"}
 		}
 		o.Steps[step][index].Settled = run
 	}
 	for _, d := range doc.Born {
 		step, index, born := d[0], d[1], d[2]
 		if step < 0 || step >= int64(len(o.Steps)) || index < 0 || index >= int64(len(o.Steps[step])) || born < 0 || o.Steps[step][index].On == "" {
-			return nil, &ProgressError{Job: j.id, Field: "b", Value: d, Reason: "must be a task that was given to an incarnation, and a time"}
+			return nil, &ProgressError{Job: j.id, Field: "b", Value: d, Reason: "must name a task that was given to an incarnation, and a time"}
 		}
 		t := &o.Steps[step][index]
 		t.On = pointport.NewIncarnationID(t.On.Addressee(), time.UnixMilli(born))
 	}
 	for _, f := range doc.Failed {
 		if len(f) < failedCells || f[0] < 0 || f[0] >= len(o.Steps) || f[1] < 0 || f[1] >= len(o.Steps[f[0]]) {
-			return nil, &ProgressError{Job: j.id, Field: "r", Value: f, Reason: "must be a task that it has and its runs"}
+			return nil, &ProgressError{Job: j.id, Field: "r", Value: f, Reason: "must name a task of the job and its failed runs"}
 		}
 		o.Steps[f[0]][f[1]].FailedRuns = f[failedCells-1:]
 	}
 	return o, nil
 }
 
-// failedCells is the least that a row of failed runs has: step, index, one run.
+// failedCells is the least number of cells in a row of failed runs: step, index, one run.
 const failedCells = 3
 
-// Incarnations returns the incarnations that placed tasks were given to.
+// Incarnations returns the incarnations that placed tasks were given to. It has one element
+// for each placed task.
 func (j *Job) Incarnations() []pointport.IncarnationID {
 	var out []pointport.IncarnationID
 	for _, o := range j.occurrences {
--- a/workload/document.go
+++ b/workload/document.go
@@ -12,25 +12,25 @@
 	"github.com/pointport/pointport/config"
 )
 
-// This file defines the document in which a person writes a job.
+// This file defines the document format in which users write jobs.
 
-// A Document is a job as a person writes it, in YAML or JSON. Its fields are
-// exported because a codec reads and writes them; they mean what those of a Spec
-// do, and steps have names by which others refer to them.
+// A Document is a job as a user writes it, in YAML or JSON. Its fields are
+// exported because a codec reads and writes them. They have the meaning of the
+// fields of a Spec, except that steps have names by which others refer to them.
 type Document struct {
 	Payload string              `json:"payload,omitempty"`
 	Steps   []DocumentStep      `json:"steps"`
 	Recur   *DocumentRecurrence `json:"recur,omitempty"`
 }
 
-// A DocumentRecurrence makes the steps run several times.
+// A DocumentRecurrence makes the steps run several times. See Recurrence.
 type DocumentRecurrence struct {
 	Times int             `json:"times"`
 	First time.Time       `json:"first"`
 	Every config.Duration `json:"every"`
 }
 
-// A DocumentStep is a step of a Document.
+// A DocumentStep is a step of a Document. See Step for the meaning of its fields.
 type DocumentStep struct {
 	Name           string          `json:"name"`
 	Count          int             `json:"count"`
@@ -51,7 +51,7 @@
 	MayMiss        int             `json:"mayMiss,omitempty"`
 }
 
-// ParseDocument reads a document. Fields that it does not know are errors.
+// ParseDocument decodes a document. Unknown fields are errors.
 func ParseDocument(data []byte) (*Document, error) {
 	asJSON, err := yaml.YAMLToJSONStrict(data)
 	if err != nil {
@@ -67,7 +67,7 @@
 }
 
 // Spec returns the job that the document describes. It fails with a *SpecError if
-// a field cannot be used.
+// a field is invalid.
 func (d *Document) Spec() (*Spec, error) {
 	s := &Spec{Payload: d.Payload}
 	index := make(map[string]int)
@@ -91,11 +91,11 @@
 	return s, s.Check()
 }
 
-// step returns a step of the document; index holds the steps before it by name.
+// step returns the n-th step of the document; index contains the earlier steps by name.
 func (d *DocumentStep) step(n int, index map[string]int) (Step, error) {
 	field := func(name string) string { return fmt.Sprintf("steps[%d].%s", n, name) }
 	if _, ok := index[d.Name]; ok {
-		return Step{}, &SpecError{field("name"), d.Name, "is the name of an earlier step too"}
+		return Step{}, &SpecError{field("name"), d.Name, "is also the name of an earlier step"}
 	}
 	estimate, err := durationOf(field("estimate"), d.Estimate)
 	if err != nil {
@@ -120,7 +120,7 @@
 	return step, nil
 }
 
-// durationOf returns a duration of a document.
+// durationOf returns the duration of a field. It fails with a *SpecError if it is invalid.
 func durationOf(field string, d config.Duration) (time.Duration, error) {
 	if !d.Valid() {
 		return 0, &SpecError{field, d.String(), "must be a duration with its unit, such as 250ms"}
--- a/workload/job.go
+++ b/workload/job.go
@@ -12,62 +12,65 @@
 
 // This file defines an accepted job and the progress of its tasks.
 
-// A Policy is what the operator's configuration says of the jobs of a queue.
+// A Policy is the operator's configuration for the jobs of a queue.
 type Policy struct {
-	// Priority 0 comes first and may preempt others.
+	// Priority 0 is the highest. Its jobs are scheduled first and may preempt others.
 	Priority int `json:"priority,omitempty"`
-	// MaxAttempts is how often a task may fail.
+	// MaxAttempts is how many runs of a task may fail before its job fails.
 	MaxAttempts int `json:"maxAttempts"`
-	// Stretch times the longest chain of a job's work, plus Target, is how long
-	// the job should take at most.
+	// A job should take at most Stretch times the duration of its critical path, plus
+	// Target.
 	Stretch float64       `json:"stretch"`
 	Target  time.Duration `json:"target"`
-	// Advised says that the queue's tasks may run only where the advisor says.
+	// Advised reports whether the queue's tasks may run only on instances that the
+	// advisor allows.
 	Advised bool `json:"advised,omitempty"`
 }
 
-// A Phase says how far a task has come.
+// A Phase is the state of a task.
 type Phase uint8
 
 // The phases of a task.
 const (
-	Pending Phase = iota // waits for its turn, for room, or for another try
-	Placed               // was given to an incarnation, which may run it
-	Done                 // has ended well
+	Pending Phase = iota // waits for its turn, for free capacity, or for a retry
+	Placed               // was given to an incarnation, which may be running it
+	Done                 // has ended successfully
 	GivenUp              // is not started again, because instances crash under it
 )
 
-// A Task is one task of a step.
+// A Task is the state of one task of a step.
 type Task struct {
 	Phase Phase
-	// Run is the number of the last start, zero before the first.
+	// Run is the number of the last start, zero before the first one.
 	Run int
 	// On is the incarnation that a placed task was given to, or on which a pending
-	// one has failed last.
+	// task failed last.
 	On pointport.IncarnationID
-	// Failures counts the runs that have failed, and FailedRuns has their numbers, so that
-	// none counts twice. Serving tasks may fail as often as they do and have none. Progress
-	// that an earlier version has stored counts failures and does not number them.
+	// Failures is the number of failed runs, and FailedRuns contains their numbers, so that
+	// no run is counted twice. FailedRuns is empty for serving tasks, which may fail any
+	// number of times. It is also empty in progress stored by an earlier version of the
+	// program, which counted failures but did not record their run numbers.
 	Failures   int
 	FailedRuns []int
-	// Crashes counts the instances that have crashed while a run of the task was there.
+	// Crashes is the number of instances that crashed while they had a run of the task.
 	Crashes int
-	// Settled is the number of a run that has run for a while, of a task under which an
-	// instance has crashed: if its instance crashes, too, that run had not just been started.
+	// Settled is the number of a run that has been running for a while. It is set only for a
+	// task under which an instance has crashed. If the instance of the settled run crashes as
+	// well, that crash did not follow the start of the run.
 	Settled int
-	// Checkpoint is the last saved progress, empty for none.
+	// Checkpoint is the last saved progress, empty if there is none.
 	Checkpoint string
 }
 
-// An Occurrence is the progress of one run of all steps.
+// An Occurrence is the progress of one execution of all steps.
 type Occurrence struct {
 	Index int
 	Steps [][]Task
-	// left counts the tasks of each step that are not done.
+	// left is the number of tasks of each step that are not done.
 	left []int
 }
 
-// A Job is an accepted job.
+// A Job is an accepted job with its progress.
 type Job struct {
 	id        string
 	queue     string
@@ -77,21 +80,21 @@
 	submitted time.Time
 	cancelled bool
 	failed    bool
-	// occurrences holds those that have begun and are not over.
+	// occurrences contains those that have begun and are not completed.
 	occurrences map[int]*Occurrence
-	// next is the first occurrence that has not begun.
+	// next is the index of the first occurrence that has not begun.
 	next int
-	// over counts the occurrences that are done.
-	over int
+	// completed is the number of completed occurrences.
+	completed int
 }
 
-// An Option changes a Job that is made.
+// An Option configures a new Job.
 type Option func(*Job)
 
-// WithCustomer names the customer whose the job is.
+// WithCustomer sets the customer to which the job belongs.
 func WithCustomer(customer string) Option { return func(j *Job) { j.customer = customer } }
 
-// New returns a job none of whose tasks has begun.
+// New returns a job that has not begun.
 func New(id, queue string, policy Policy, spec *Spec, submitted time.Time, options ...Option) *Job {
 	j := &Job{
 		id: id, queue: queue, policy: policy, spec: spec, submitted: submitted,
@@ -103,19 +106,19 @@
 	return j
 }
 
-// ID returns the job's identity, which its customer chose.
+// ID returns the job's ID, which its customer chose.
 func (j *Job) ID() string { return j.id }
 
-// Queue returns the name of the queue that the job came by.
+// Queue returns the name of the queue to which the job was submitted.
 func (j *Job) Queue() string { return j.queue }
 
-// Customer returns the name of whose the job is, empty if its caller showed no key.
+// Customer returns the name of the job's customer, empty if its caller gave no API key.
 func (j *Job) Customer() string { return j.customer }
 
-// Policy returns what held for the queue when the job was accepted.
+// Policy returns the queue's policy at the time when the job was accepted.
 func (j *Job) Policy() Policy { return j.policy }
 
-// Spec returns what was submitted. It must not be changed.
+// Spec returns the submitted job. It must not be changed.
 func (j *Job) Spec() *Spec { return j.spec }
 
 // Submitted returns when the job was accepted.
@@ -124,44 +127,46 @@
 // Cancelled reports whether the customer has cancelled the job.
 func (j *Job) Cancelled() bool { return j.cancelled }
 
-// Cancel notes that the customer does not want the job any more.
+// Cancel records that the customer has cancelled the job. Its placed tasks stay placed.
 func (j *Job) Cancel() { j.cancelled = true }
 
-// Failed reports whether a task has failed as often as it may.
+// Failed reports whether the job has failed, because a task has failed or crashed instances as
+// often as it may.
 func (j *Job) Failed() bool { return j.failed }
 
-// Stopping reports whether no task of the job may start any more.
+// Stopping reports whether the job was cancelled or has failed, so that none of its tasks may
+// start any more.
 func (j *Job) Stopping() bool { return j.cancelled || j.failed }
 
-// mostOpenTasks bounds the tasks of the occurrences of a job that are under way at once;
-// the next one begins when an earlier one is over. It is four times what one occurrence
-// may have. A job that repeats a thousand million times without a pause would fill the
-// memory of its owner, and of the next one, before its first task has run.
-const mostOpenTasks = 4 * MaxTasks
+// maxOpenTasks limits the tasks of a job's occurrences that are in progress at the same time.
+// The next occurrence begins when an earlier one is completed. The limit is four times that of
+// one occurrence. Without it, a job that repeats a thousand million times without a pause would
+// exhaust the memory of its owner, and of the next owner, before its first task has run.
+const maxOpenTasks = 4 * MaxTasks
 
-// full reports whether no further occurrence may begin.
-func (j *Job) full() bool {
-	return len(j.occurrences) > 0 && (len(j.occurrences)+1)*j.spec.tasks() > mostOpenTasks
+// atTaskLimit reports whether no further occurrence may begin because of maxOpenTasks.
+func (j *Job) atTaskLimit() bool {
+	return len(j.occurrences) > 0 && (len(j.occurrences)+1)*j.spec.tasks() > maxOpenTasks
 }
 
-// BeginDue makes the tasks of the occurrences that are due by now. It reports
+// BeginDue creates the tasks of the occurrences that are due at now. It reports
 // whether there were any.
 func (j *Job) BeginDue(now time.Time) bool {
-	begun := false
-	for j.next < j.spec.Occurrences() && !j.Stopping() && !j.full() {
+	started := false
+	for j.next < j.spec.Occurrences() && !j.Stopping() && !j.atTaskLimit() {
 		if due := j.spec.Due(j.next); due.After(now) {
 			break
 		}
 		j.occurrences[j.next] = newOccurrence(j.next, j.spec)
 		j.next++
-		begun = true
+		started = true
 	}
-	return begun
+	return started
 }
 
-// NextDue returns when the next occurrence is due; false if there is none.
+// NextDue returns when the next occurrence is due; false if none can begin now.
 func (j *Job) NextDue() (time.Time, bool) {
-	if j.next >= j.spec.Occurrences() || j.Stopping() || j.full() {
+	if j.next >= j.spec.Occurrences() || j.Stopping() || j.atTaskLimit() {
 		return time.Time{}, false
 	}
 	return j.spec.Due(j.next), true
@@ -176,17 +181,17 @@
 	return o
 }
 
-// Occurrences calls visit for each occurrence under way.
+// Occurrences calls visit for each occurrence in progress, in no particular order.
 func (j *Job) Occurrences(visit func(*Occurrence)) {
 	for _, o := range j.occurrences {
 		visit(o)
 	}
 }
 
-// Occurrence returns an occurrence under way, or nil.
+// Occurrence returns the occurrence with index k, or nil if it is not in progress.
 func (j *Job) Occurrence(k int) *Occurrence { return j.occurrences[k] }
 
-// Ready reports whether every step before step n of o is done.
+// Ready reports whether every step on which step n of o depends is done.
 func (j *Job) Ready(o *Occurrence, n int) bool {
 	for _, a := range j.spec.Steps[n].After {
 		if o.left[a] > 0 {
@@ -196,11 +201,11 @@
 	return true
 }
 
-// Remaining returns how many tasks of step n are not done.
+// Remaining returns the number of tasks of step n that are not done.
 func (o *Occurrence) Remaining(n int) int { return o.left[n] }
 
-// Task returns the task that ref names, or nil if its occurrence is not under
-// way.
+// Task returns the task that ref identifies, or nil if its occurrence is not in
+// progress.
 func (j *Job) Task(ref TaskRef) *Task {
 	o := j.occurrences[ref.Occurrence]
 	if o == nil || ref.Step >= len(o.Steps) || ref.Index >= len(o.Steps[ref.Step]) {
@@ -209,20 +214,19 @@
 	return &o.Steps[ref.Step][ref.Index]
 }
 
-// Place gives a task to an incarnation under its next run number, which it
-// returns.
+// Place records that a task was given to an incarnation under a run number.
 func (j *Job) Place(ref TaskRef, on pointport.IncarnationID, run int) {
 	t := j.Task(ref)
 	t.Phase, t.On, t.Run = Placed, on, run
 }
 
-// Requeue puts a placed task back to wait.
+// Requeue makes a placed task pending again.
 func (j *Job) Requeue(ref TaskRef) {
 	t := j.Task(ref)
 	t.Phase, t.On = Pending, ""
 }
 
-// Finish notes that a task is done, and reports whether its step is too.
+// Finish records that a task is done, and reports whether its step is done as well.
 func (j *Job) Finish(ref TaskRef) (stepDone bool) {
 	t := j.Task(ref)
 	t.Phase, t.On, t.Checkpoint, t.Crashes = Done, "", "", 0
@@ -233,7 +237,7 @@
 	}
 	if o.done() {
 		delete(j.occurrences, ref.Occurrence)
-		j.over++
+		j.completed++
 	}
 	return true
 }
@@ -247,24 +251,24 @@
 	return true
 }
 
-// Fail notes that a run of a task has failed and puts the task back to wait. It
-// reports whether the job has failed with it.
+// Fail records that a run of a task has failed, and makes the task pending again. It
+// reports whether the job has now failed.
 func (j *Job) Fail(ref TaskRef, run int) bool {
-	j.Task(ref).Phase = Pending // and On says where it has failed
+	j.Task(ref).Phase = Pending // On keeps the incarnation on which it failed
 	return j.countFailure(ref, run)
 }
 
-// FailReplacedRun notes that a run of a task has failed that was given up before its end was
-// known; the task stays where it is. It reports whether the job has failed with it.
+// FailReplacedRun records that a run of a task has failed that was replaced by a later run before
+// its end was known. The task's phase does not change. It reports whether the job has now failed.
 func (j *Job) FailReplacedRun(ref TaskRef, run int) bool {
 	t := j.Task(ref)
 	if len(t.FailedRuns) != t.Failures || run > t.Run {
-		return false // which runs were counted is not known, or it is none of ours
+		return false // the numbers of the counted runs are not known, or the run is not one of this job
 	}
 	return j.countFailure(ref, run)
 }
 
-// countFailure counts a failed run once, and reports whether the job has failed with it.
+// countFailure counts a failed run at most once, and reports whether the job has now failed.
 func (j *Job) countFailure(ref TaskRef, run int) bool {
 	t, step := j.Task(ref), &j.spec.Steps[ref.Step]
 	if step.Service {
@@ -277,10 +281,10 @@
 	t.Failures++
 	t.FailedRuns = append(t.FailedRuns, run)
 	if step.Gang {
-		// A gang fails as one.
-		mates := j.occurrences[ref.Occurrence].Steps[ref.Step]
-		for i := range mates {
-			mates[i].Failures, mates[i].FailedRuns = t.Failures, slices.Clone(t.FailedRuns)
+		// All tasks of a gang fail together.
+		members := j.occurrences[ref.Occurrence].Steps[ref.Step]
+		for i := range members {
+			members[i].Failures, members[i].FailedRuns = t.Failures, slices.Clone(t.FailedRuns)
 		}
 	}
 	if t.Failures < j.policy.MaxAttempts {
@@ -291,60 +295,62 @@
 }
 
 const (
-	// crashesAlone is after how many crashes a task is given up of which the last one
-	// hit an instance where nothing else ran. Two may be chance, or the doing of other
-	// tasks; a third one alone is neither: where 83 of 16,000 instances crash a day,
-	// chance hits one in 10^11 runs of an hour three times in a row.
-	crashesAlone = 3
-	// crashesMost is after how many crashes a task is given up of which the last one came
-	// soon after its start. While a crash is not proven, one more start may be under way,
-	// and after the third crash the platform allows two.
-	crashesMost = 4
+	// maxCrashesAlone is the number of crashes after which a task is given up if the last
+	// crash hit an instance on which nothing else ran. Two crashes may be chance, or caused
+	// by other tasks. A third one without other tasks is neither: if 83 of 16,000 instances
+	// crash a day, only one in 10^11 runs of an hour is hit three times in a row by chance.
+	maxCrashesAlone = 3
+	// maxCrashesAtStart is the number of crashes after which a task is given up if the last
+	// crash came soon after the task's start. While a crash is not proven, one more start may
+	// be in flight, and the platform allows two starts after the third crash.
+	maxCrashesAtStart = 4
 )
 
-// A CrashCase says how an instance crashed under a task.
+// A CrashCase describes how an instance crashed while it had a run of a task.
 type CrashCase uint8
 
-// The cases, in the order of what they say against the task.
+// The cases, ordered by how strongly they suggest that the task caused the crash.
 const (
-	// CrashShared: other tasks ran there, and this one had for a while.
+	// CrashShared means that other tasks ran there, and this one had been running for a while.
 	CrashShared CrashCase = iota
-	// CrashAtStart: other tasks ran there, and this one had just been started.
+	// CrashAtStart means that other tasks ran there, and this one had just been started.
 	CrashAtStart
-	// CrashAlone: nothing else ran there.
+	// CrashAlone means that nothing else ran there.
 	CrashAlone
 )
 
-// A CrashOutcome says what follows from a crash for the task that had a run there.
+// A CrashOutcome is the consequence of a crash for a task that had a run on the instance.
 type CrashOutcome uint8
 
-// The verdicts on a task under which an instance has crashed.
+// The possible consequences of a crash.
 const (
-	CrashRetried CrashOutcome = iota // it is started again, or runs elsewhere already
-	CrashGivenUp                     // it is not started again; its job goes on without it
-	CrashFailed                      // its job has failed with it
+	CrashRetried CrashOutcome = iota // the task is started again, or already runs elsewhere
+	CrashGivenUp                     // the task is not started again; its job continues without it
+	CrashFailed                      // the job has failed
 )
 
-// Crash notes that an instance has crashed while a run of a task was there.
+// Crash records that an instance has crashed while it had a run of a task.
 //
-// An instance that crashes lists no end of the run that crashed it, so a budget of
-// listed failures alone lets a task crash instances for ever: 209 in two minutes, and
-// with each all that ran beside it. A serving task is given up alone: the others of its
-// job serve users, and stopping them would take more away than the crashes did.
+// An instance that crashes does not report the end of the run that crashed it. With a limit on
+// reported failures alone, a task could therefore crash instances without end: one crashed 209
+// in two minutes, along with everything else that ran on them. A serving task is given up on its
+// own, because the other tasks of its job serve users, and stopping them would do more harm than
+// the crashes did.
 //
-// What ran for a while and was hit beside others decides nothing: of 11 tasks that were
-// given up in a fleet of twelve instances with nine that crash theirs, two were serving
-// tasks that had been at work for 5 s each time.
+// A crash of a shared instance on which the task had been running for a while never leads to
+// giving it up. In a fleet of twelve instances, with nine tasks that crash theirs, 11 tasks were
+// given up while such crashes counted, and two of these were serving tasks that had been running
+// for 5 s each time.
 func (j *Job) Crash(ref TaskRef, how CrashCase) CrashOutcome {
 	t := j.Task(ref)
 	t.Crashes++
-	decided := how == CrashAlone && t.Crashes >= crashesAlone || how == CrashAtStart && t.Crashes >= crashesMost
+	decided := how == CrashAlone && t.Crashes >= maxCrashesAlone || how == CrashAtStart && t.Crashes >= maxCrashesAtStart
 	if !decided || t.Phase != Pending {
 		return CrashRetried
 	}
 	if j.spec.Steps[ref.Step].Service {
 		t.Phase = GivenUp
-		if j.goesOn() {
+		if j.canContinue() {
 			return CrashGivenUp
 		}
 	}
@@ -352,8 +358,8 @@
 	return CrashFailed
 }
 
-// goesOn reports whether any task of the occurrences under way may still run.
-func (j *Job) goesOn() bool {
+// canContinue reports whether any task of the occurrences in progress may still run.
+func (j *Job) canContinue() bool {
 	for _, o := range j.occurrences {
 		for _, step := range o.Steps {
 			for i := range step {
@@ -366,10 +372,10 @@
 	return false
 }
 
-// ResetCrashes forgets the crashes of a task that has shown that it does not cause them.
+// ResetCrashes sets the crashes of a task to zero, after it has been shown not to cause them.
 func (j *Job) ResetCrashes(ref TaskRef) { j.Task(ref).Crashes = 0 }
 
-// PlacedTasks returns how many tasks are placed.
+// PlacedTasks returns the number of placed tasks.
 func (j *Job) PlacedTasks() int {
 	n := 0
 	for _, o := range j.occurrences {
@@ -384,7 +390,7 @@
 	return n
 }
 
-// A Status is what a customer is told of a job.
+// A Status is the state of a job as its customer sees it.
 type Status string
 
 // The states of a job.
@@ -396,14 +402,14 @@
 	Cancelled Status = "cancelled"
 )
 
-// Ended reports whether a job in this state is over.
+// Ended reports whether the status is final.
 func (s Status) Ended() bool { return s == Completed || s == Failed || s == Cancelled }
 
-// Status returns what a customer is told of the job. A cancelled or failed job
-// is over once none of its tasks is placed any more; until then it runs.
+// Status returns the state of the job as its customer sees it. A cancelled or failed
+// job is running until none of its tasks is placed any more.
 func (j *Job) Status() Status {
 	switch {
-	case j.over == j.spec.Occurrences():
+	case j.completed == j.spec.Occurrences():
 		return Completed
 	case j.Stopping() && j.PlacedTasks() > 0:
 		return Running
@@ -417,9 +423,9 @@
 	return Queued
 }
 
-// Begun reports whether any task has been given to an instance.
+// Begun reports whether any task has ever been given to an instance.
 func (j *Job) Begun() bool {
-	if j.over > 0 {
+	if j.completed > 0 {
 		return true
 	}
 	for _, o := range j.occurrences {
@@ -434,25 +440,25 @@
 	return false
 }
 
-// A TaskRef names a task within its job.
+// A TaskRef identifies a task within its job.
 type TaskRef struct {
 	Occurrence, Step, Index int
 }
 
-// TaskName returns the name under which instances know a task.
+// TaskName returns the name by which instances know a task.
 func TaskName(job string, ref TaskRef) string {
 	return job + "." + strconv.Itoa(ref.Occurrence) + "." + strconv.Itoa(ref.Step) + "." + strconv.Itoa(ref.Index)
 }
 
-// StepName returns the name under which the advisor knows a step.
+// StepName returns the name by which the advisor knows a step.
 func StepName(job string, ref TaskRef) string {
 	return job + "." + strconv.Itoa(ref.Occurrence) + "." + strconv.Itoa(ref.Step)
 }
 
-// taskNameParts is a job and three numbers.
+// taskNameParts is the number of parts of a task name: a job ID and three numbers.
 const taskNameParts = 4
 
-// ParseTaskName returns the job and the task that a name stands for.
+// ParseTaskName returns the job ID and the task that a name identifies.
 func ParseTaskName(name string) (string, TaskRef, error) {
 	parts := strings.Split(name, ".")
 	if len(parts) != taskNameParts {
@@ -462,7 +468,7 @@
 	for n, part := range parts[1:] {
 		v, err := strconv.Atoi(part)
 		if err != nil || v < 0 {
-			return "", TaskRef{}, fmt.Errorf("task name %q: %q is no number", name, part)
+			return "", TaskRef{}, fmt.Errorf("task name %q: %q is not a non-negative integer", name, part)
 		}
 		numbers[n] = v
 	}
--- a/workload/spec.go
+++ b/workload/spec.go
@@ -8,22 +8,22 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines what a customer submits.
+// This file defines the jobs that customers submit.
 
 const (
-	// MaxSteps is the most steps that a job may have.
+	// MaxSteps is the largest number of steps of a job.
 	MaxSteps = 64
-	// MaxTasks is the most tasks that one occurrence of a job may have.
+	// MaxTasks is the largest number of tasks of one occurrence of a job.
 	MaxTasks = 4096
-	// MaxPayload is the longest text that a job may carry for its tasks, in
-	// bytes; the platform sets it.
+	// MaxPayload is the greatest length of a job's payload, in bytes. The platform
+	// defines it.
 	MaxPayload = 4000
 )
 
-// IDDigits is how many hexadecimal digits name a job.
+// IDDigits is the number of hexadecimal digits of a job ID.
 const IDDigits = 16
 
-// ValidID reports whether a customer may name a job so.
+// ValidID reports whether a customer may use id as the ID of a job.
 func ValidID(id string) bool {
 	if len(id) != IDDigits {
 		return false
@@ -36,62 +36,63 @@
 	return true
 }
 
-// A Spec says what a job consists of. Its fields are exported because a codec
+// A Spec describes what a job consists of. Its fields are exported because a codec
 // reads and writes them.
 type Spec struct {
-	// Payload is handed to every task as it is.
+	// Payload is passed unchanged to every task.
 	Payload string     `json:"payload,omitempty"`
 	Steps   []Step     `json:"steps"`
 	Recur   Recurrence `json:"recur,omitzero"`
 }
 
-// A Recurrence makes the steps of a job run several times. Occurrence K is due
-// at First + K x Every; occurrences may overlap.
+// A Recurrence makes the steps of a job run several times. Occurrence k is due
+// at First + k x Every. Occurrences may overlap.
 type Recurrence struct {
 	Times int           `json:"times"`
 	First time.Time     `json:"first"`
-	Every time.Duration `json:"every"` // nanoseconds
+	Every time.Duration `json:"every"` // in nanoseconds when encoded
 }
 
-// A Step is a number of like tasks.
+// A Step is a number of tasks of the same kind.
 type Step struct {
 	Count int             `json:"count"`
-	Need  pointport.Shape `json:"need"` // of each task, as declared
-	// Estimate is a rough guess of how long a task takes. It may be off by far.
+	Need  pointport.Shape `json:"need"` // of each task, as the customer declares it
+	// Estimate is a rough estimate of a task's duration. It may be far off.
 	Estimate time.Duration `json:"estimate,omitempty"`
-	// After lists the steps whose tasks must all be done first.
+	// After contains the indexes of the steps whose tasks must all be done first.
 	After []int `json:"after,omitempty"`
-	// Checkpoints says that the tasks save their progress and can resume.
+	// Checkpoints reports whether the tasks save their progress and can resume from it.
 	Checkpoints bool `json:"checkpoints,omitempty"`
-	// Gang says that the tasks work only together, and all share one run.
+	// Gang reports whether the tasks work only while all of them run. They share one
+	// run number.
 	Gang bool `json:"gang,omitempty"`
-	// SameRack says that a gang is slower if it is spread over racks.
+	// SameRack reports whether a gang is slower if it is spread over several racks.
 	SameRack bool `json:"sameRack,omitempty"`
-	// Label must be one of the labels of the instance, unless it is empty.
+	// Label is a label that the instance must have, empty if any instance will do.
 	Label string `json:"label,omitempty"`
-	// DataRack is the rack near which the tasks are fast, empty for any.
+	// DataRack is the rack near which the tasks are fast, empty if there is none.
 	DataRack string `json:"dataRack,omitempty"`
-	// MaxPerInstance bounds the tasks of the step (and occurrence) on one
-	// instance, zero for no bound.
+	// MaxPerInstance limits the tasks of the same step and occurrence on one
+	// instance, zero for no limit.
 	MaxPerInstance int `json:"maxPerInstance,omitempty"`
-	// Copies says that a task may run more than once at a time; the first to
+	// Copies reports whether a task may have several runs at a time. The first run to
 	// end counts.
 	Copies bool `json:"copies,omitempty"`
-	// Service says that the tasks run until the job is cancelled.
+	// Service reports whether the tasks run until the job is cancelled.
 	Service bool `json:"service,omitempty"`
-	// Image names what the tasks run. Tasks of one image behave alike.
+	// Image names what the tasks run. Tasks with the same image behave alike.
 	Image string `json:"image,omitempty"`
-	// TailTarget is what the tail of a serving task's response times should
-	// stay under, zero for none.
+	// TailTarget is the target for the tail of a serving task's response times, zero
+	// for none.
 	TailTarget time.Duration `json:"tailTarget,omitempty"`
-	// Fills says that the tasks use what others leave and take no processor of
-	// their own.
+	// Fills reports whether the tasks use only processor time that other tasks leave idle,
+	// so that none is reserved for them.
 	Fills bool `json:"fills,omitempty"`
-	// MayMiss is how many serving tasks may be away at once by our doing.
+	// MayMiss is how many serving tasks the scheduler may take out of service at once.
 	MayMiss int `json:"mayMiss,omitempty"`
 }
 
-// Reservation returns what a task of the step takes of an instance's capacity.
+// Reservation returns how much of an instance's capacity is reserved for a task of the step.
 func (s *Step) Reservation() pointport.Shape {
 	need := s.Need
 	if s.Fills {
@@ -100,8 +101,8 @@
 	return need
 }
 
-// ConcurrentNeed returns what tasks of the step declare that have to run at the same time: all of a
-// gang, else one.
+// ConcurrentNeed returns the declared need of the tasks of the step that must run at the same
+// time: all tasks of a gang, otherwise one.
 func (s *Step) ConcurrentNeed() pointport.Shape {
 	if !s.Gang {
 		return s.Need
@@ -109,11 +110,11 @@
 	return s.Need.Times(s.Count)
 }
 
-// Occurrences returns how many times the steps run.
+// Occurrences returns how many times the steps run, at least once.
 func (s *Spec) Occurrences() int { return max(1, s.Recur.Times) }
 
-// Due returns when occurrence k may begin. It is zero for a job that does not
-// recur.
+// Due returns the time from which occurrence k may begin. It is zero for a job that
+// does not recur.
 func (s *Spec) Due(k int) time.Time {
 	if s.Recur.Times == 0 {
 		return time.Time{}
@@ -121,7 +122,8 @@
 	return s.Recur.First.Add(time.Duration(k) * s.Recur.Every)
 }
 
-// tasks returns how many tasks an occurrence has, at most a little more than MaxTasks.
+// tasks returns the number of tasks of an occurrence. It stops counting once there are
+// more than MaxTasks.
 func (s *Spec) tasks() int {
 	n := 0
 	for i := range s.Steps {
@@ -132,7 +134,8 @@
 	return n
 }
 
-// RunsUntilCancelled reports whether the job runs until it is cancelled.
+// RunsUntilCancelled reports whether the job has a serving step, so that it runs until it is
+// cancelled.
 func (s *Spec) RunsUntilCancelled() bool {
 	for n := range s.Steps {
 		if s.Steps[n].Service {
@@ -142,7 +145,7 @@
 	return false
 }
 
-// A SpecError says which field of a submitted job is wrong.
+// A SpecError describes an invalid field of a submitted job.
 type SpecError struct {
 	Field  string // such as steps[2].count
 	Value  any
@@ -151,7 +154,7 @@
 
 func (e *SpecError) Error() string { return fmt.Sprintf("%s is %v: %s", e.Field, e.Value, e.Reason) }
 
-// Check returns a *SpecError if the job could not be run as it is.
+// Check returns a *SpecError if the job cannot be run as specified.
 func (s *Spec) Check() error {
 	if len(s.Payload) > MaxPayload {
 		return &SpecError{"payload", len(s.Payload), fmt.Sprintf("has more than %d bytes", MaxPayload)}
@@ -166,7 +169,7 @@
 		return &SpecError{"recur.every", s.Recur.Every, "must not be negative"}
 	}
 	if s.Recur.Every > 0 && s.Recur.Times > int(math.MaxInt64/s.Recur.Every) {
-		return &SpecError{"recur.times", s.Recur.Times, "the last time is beyond all dates"}
+		return &SpecError{"recur.times", s.Recur.Times, "the last occurrence is beyond the range of dates"}
 	}
 	for n := range s.Steps {
 		if err := s.Steps[n].check(n); err != nil {
--- a/workload/workload_test.go
+++ b/workload/workload_test.go
@@ -33,7 +33,7 @@
 	return spec
 }
 
-// refs returns the tasks of a job that are in a phase.
+// refs returns the tasks of a job that are in the given phase.
 func refs(j *workload.Job, phase workload.Phase) []workload.TaskRef {
 	var out []workload.TaskRef
 	j.Occurrences(func(o *workload.Occurrence) {
@@ -48,12 +48,12 @@
 	return out
 }
 
-// lives are incarnations, some of which share an addressee.
-var lives = []pointport.IncarnationID{
+// incarnations contains incarnations, two of which share an addressee.
+var incarnations = []pointport.IncarnationID{
 	"i-1", pointport.NewIncarnationID("i-2", time.UnixMilli(0)), pointport.NewIncarnationID("i-2", time.UnixMilli(1796284627123)),
 }
 
-// drawProgress does things to a job at random.
+// drawProgress applies random state changes to a job.
 func drawProgress(t *rapid.T, j *workload.Job) {
 	now := time.Unix(1000, 0)
 	for range rapid.IntRange(0, 30).Draw(t, "actions") {
@@ -63,7 +63,7 @@
 		switch action := rapid.IntRange(0, 6).Draw(t, "action"); {
 		case action <= 2 && len(pending) > 0:
 			ref := rapid.SampledFrom(pending).Draw(t, "placed")
-			j.Place(ref, rapid.SampledFrom(lives).Draw(t, "on"), j.Task(ref).Run+1)
+			j.Place(ref, rapid.SampledFrom(incarnations).Draw(t, "on"), j.Task(ref).Run+1)
 		case action == 3 && len(placed) > 0:
 			j.Finish(rapid.SampledFrom(placed).Draw(t, "finished"))
 		case action == 4 && len(placed) > 0:
@@ -81,7 +81,7 @@
 	}
 }
 
-// What is stored of a job, and read again, is the same job.
+// Encoding a job and its progress and decoding them again must lose nothing.
 func TestStoredFormsKeepEverything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := workload.Policy{Priority: 1, MaxAttempts: 2, Stretch: 1.6, Target: time.Second}
@@ -91,31 +91,31 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := workload.DecodeAccepted(j.ID(), accepted)
+		decoded, err := workload.DecodeAccepted(j.ID(), accepted)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := again.RestoreProgress(j.EncodeProgress()); err != nil {
+		if err := decoded.RestoreProgress(j.EncodeProgress()); err != nil {
 			t.Fatal(err)
 		}
-		if got, want := string(again.EncodeProgress()), string(j.EncodeProgress()); got != want {
-			t.Fatalf("progress is %s, want %s", got, want)
+		if got, want := string(decoded.EncodeProgress()), string(j.EncodeProgress()); got != want {
+			t.Fatalf("decoded progress is %s, want %s", got, want)
 		}
 		for _, phase := range []workload.Phase{workload.Pending, workload.Placed} {
 			for _, ref := range refs(j, phase) {
-				if got, want := again.Task(ref).On, j.Task(ref).On; got != want {
-					t.Fatalf("task %+v is on %q, want %q", ref, got, want)
+				if got, want := decoded.Task(ref).On, j.Task(ref).On; got != want {
+					t.Fatalf("decoded task %+v is on %q, want %q", ref, got, want)
 				}
 			}
 		}
-		if again.Status() != j.Status() || again.Policy() != j.Policy() || again.Queue() != j.Queue() {
-			t.Fatalf("job is %v %v, want %v %v", again.Status(), again.Policy(), j.Status(), j.Policy())
+		if decoded.Status() != j.Status() || decoded.Policy() != j.Policy() || decoded.Queue() != j.Queue() {
+			t.Fatalf("decoded job is %v %v, want %v %v", decoded.Status(), decoded.Policy(), j.Status(), j.Policy())
 		}
 	})
 }
 
-// A step's tasks are ready only when the steps before are done, and a job is
-// completed only when all its tasks are.
+// Guards against steps that start early and jobs that complete early: a step is ready only when
+// the steps before it are done, and a job is completed only when all of its tasks are done.
 func TestStepsComeInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := drawSpec(t)
@@ -125,7 +125,7 @@
 			for n := range o.Steps {
 				for _, before := range spec.Steps[n].After {
 					if j.Ready(o, n) && o.Remaining(before) > 0 {
-						t.Fatalf("step %d is ready and step %d before it is not done", n, before)
+						t.Fatalf("step %d is ready although step %d before it is not done", n, before)
 					}
 				}
 			}
@@ -136,20 +136,23 @@
 	})
 }
 
+// A task name must parse into the job and task that it was made of, and malformed names must be
+// rejected.
 func TestTaskNames(t *testing.T) {
 	ref := workload.TaskRef{Occurrence: 3, Step: 1, Index: 17}
 	id, got, err := workload.ParseTaskName(workload.TaskName("5c0e7a21d94b36f8", ref))
 	if err != nil || id != "5c0e7a21d94b36f8" || got != ref {
-		t.Errorf("parsed %s %+v %v", id, got, err)
+		t.Errorf("parsed %s %+v %v, want %+v of the same job", id, got, err, ref)
 	}
 	for _, bad := range []string{"", "a.1.2", "a.1.2.x", "a.1.2.-3", "a.1.2.3.4"} {
 		if _, _, err := workload.ParseTaskName(bad); err == nil {
-			t.Errorf("name %q is taken", bad)
+			t.Errorf("name %q is accepted", bad)
 		}
 	}
 }
 
-func TestBadSpecsNameFieldAndValue(t *testing.T) {
+// The error for an invalid spec must name the field that is wrong.
+func TestSpecErrorsNameTheField(t *testing.T) {
 	cases := []struct {
 		spec  workload.Spec
 		field string
@@ -165,11 +168,12 @@
 	for _, c := range cases {
 		var bad *workload.SpecError
 		if err := c.spec.Check(); !errors.As(err, &bad) || bad.Field != c.field {
-			t.Errorf("%+v: error %v, want one about %s", c.spec, err, c.field)
+			t.Errorf("%+v: error is %v, want one about %s", c.spec, err, c.field)
 		}
 	}
 }
 
+// Of the queues of a host, the one with the longest matching path prefix gets the request.
 func TestQueueIsChosenByHostAndLongestPath(t *testing.T) {
 	c := &workload.Catalog{Queues: []workload.Queue{
 		{Name: "short", Host: "a.example", Path: "/x/"},
@@ -182,27 +186,28 @@
 	} {
 		q, ok := c.Match(x.host, x.path)
 		if ok != (x.want != "") || ok && q.Name != x.want {
-			t.Errorf("%s%s goes to %v, want %q", x.host, x.path, q, x.want)
+			t.Errorf("%s%s matches queue %v, want %q", x.host, x.path, q, x.want)
 		}
 	}
 }
 
-// Two crashes decide nothing; a third does if the task was alone on the instance, and a
-// fourth if it had just been started. One beside others that it had run with for a while
-// decides nothing, however many there are.
+// Guards against jobs that fail because of crashes that they did not cause. Two crashes are never
+// enough. The third one is if the task was alone on the instance, and the fourth if the task had
+// just been started. Any number of crashes of a shared instance on which the task had been running
+// for a while is not.
 func TestCrashesAreCounted(t *testing.T) {
-	const beside, atStart, alone = workload.CrashShared, workload.CrashAtStart, workload.CrashAlone
+	const shared, atStart, alone = workload.CrashShared, workload.CrashAtStart, workload.CrashAlone
 	cases := []struct {
 		name  string
 		how   []workload.CrashCase // of each crash
 		fails bool
 	}{
 		{"two alone", []workload.CrashCase{alone, alone}, false},
-		{"the third at its start", []workload.CrashCase{alone, alone, atStart}, false},
-		{"the third alone", []workload.CrashCase{beside, atStart, alone}, true},
-		{"a fourth at its start", []workload.CrashCase{atStart, atStart, atStart, atStart}, true},
-		{"many beside others", []workload.CrashCase{beside, beside, beside, beside, beside, beside}, false},
-		{"many beside others, then one alone", []workload.CrashCase{beside, beside, beside, beside, alone}, true},
+		{"third at start", []workload.CrashCase{alone, alone, atStart}, false},
+		{"third alone", []workload.CrashCase{shared, atStart, alone}, true},
+		{"fourth at start", []workload.CrashCase{atStart, atStart, atStart, atStart}, true},
+		{"many shared", []workload.CrashCase{shared, shared, shared, shared, shared, shared}, false},
+		{"many shared, then one alone", []workload.CrashCase{shared, shared, shared, shared, alone}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -212,17 +217,18 @@
 			for n, how := range c.how {
 				last := n == len(c.how)-1
 				if got := j.Crash(ref, how); (got == workload.CrashFailed) != (last && c.fails) {
-					t.Errorf("the verdict on crash %d is %d", n+1, got)
+					t.Errorf("the outcome of crash %d is %d", n+1, got)
 				}
 			}
 			if j.Failed() != c.fails {
-				t.Errorf("job failed: %v, want %v", j.Failed(), c.fails)
+				t.Errorf("Failed() is %v, want %v", j.Failed(), c.fails)
 			}
 		})
 	}
 }
 
-// A serving task is given up alone, and its job fails with the last one.
+// Guards against a job whose serving tasks are all stopped because one of them crashes instances.
+// Each serving task is given up on its own, and the job fails only with the last one.
 func TestServingTasksAreGivenUpOneByOne(t *testing.T) {
 	j := workload.New("00112233445566aa", "q", workload.Policy{MaxAttempts: 3}, &workload.Spec{Steps: []workload.Step{{Count: 2, Service: true}}}, time.Unix(1000, 0))
 	j.BeginDue(time.Unix(1000, 0))
@@ -232,25 +238,25 @@
 		j.Crash(ref, workload.CrashAlone)
 		j.Crash(ref, workload.CrashAlone)
 		if got := j.Crash(ref, workload.CrashAlone); got != workload.CrashRetried {
-			t.Errorf("the verdict on task %d is %d while another run of it is placed", index, got)
+			t.Errorf("the outcome for task %d is %d while another run of it is placed", index, got)
 		}
 		j.Requeue(ref)
 		if got := j.Crash(ref, workload.CrashAlone); got != want {
-			t.Errorf("the verdict on task %d is %d, want %d", index, got, want)
+			t.Errorf("the outcome for task %d is %d, want %d", index, got, want)
 		}
 	}
-	again := workload.New(j.ID(), j.Queue(), j.Policy(), j.Spec(), j.Submitted())
-	if err := again.RestoreProgress(j.EncodeProgress()); err != nil {
+	decoded := workload.New(j.ID(), j.Queue(), j.Policy(), j.Spec(), j.Submitted())
+	if err := decoded.RestoreProgress(j.EncodeProgress()); err != nil {
 		t.Fatal(err)
 	}
-	if got := refs(again, workload.GivenUp); len(got) != 2 || again.Status() != workload.Failed {
-		t.Errorf("read again, %v are given up and the job is %q", got, again.Status())
+	if got := refs(decoded, workload.GivenUp); len(got) != 2 || decoded.Status() != workload.Failed {
+		t.Errorf("after decoding, tasks %v are given up and the job is %q", got, decoded.Status())
 	}
 }
 
-// What is told of a task beside its cells is read again: its crashes, its failed runs, and the
-// run that has run for a while.
-func TestWhatFewTasksHaveIsReadAgain(t *testing.T) {
+// The values stored beside a task's cells must be decoded: its crashes, its failed runs, and the
+// run that has been running for a while. Only a few tasks have any of them.
+func TestExtraValuesOfTasksAreDecoded(t *testing.T) {
 	j := workload.New("00112233445566aa", "q", workload.Policy{MaxAttempts: 9}, &workload.Spec{Steps: []workload.Step{{Count: 3}, {Count: 2}}}, time.Unix(1000, 0))
 	j.BeginDue(time.Unix(1000, 0))
 	crashed, failed := workload.TaskRef{Index: 2}, workload.TaskRef{Step: 1, Index: 1}
@@ -261,21 +267,22 @@
 	j.Fail(failed, 1)
 	j.Place(failed, "i-2", 3)
 	j.Fail(failed, 3)
-	again := workload.New(j.ID(), j.Queue(), j.Policy(), j.Spec(), j.Submitted())
-	if err := again.RestoreProgress(j.EncodeProgress()); err != nil {
+	decoded := workload.New(j.ID(), j.Queue(), j.Policy(), j.Spec(), j.Submitted())
+	if err := decoded.RestoreProgress(j.EncodeProgress()); err != nil {
 		t.Fatal(err)
 	}
-	if got := again.Task(crashed); got.Crashes != 1 || got.Settled != 4 {
-		t.Errorf("read again, the task has %d crashes and run %d has run for a while, want 1 and 4", got.Crashes, got.Settled)
+	if got := decoded.Task(crashed); got.Crashes != 1 || got.Settled != 4 {
+		t.Errorf("decoded task has %d crashes and settled run %d, want 1 and 4", got.Crashes, got.Settled)
 	}
-	if got := again.Task(failed); got.Failures != 2 || !slices.Equal(got.FailedRuns, []int{1, 3}) {
-		t.Errorf("read again, runs %v have failed, want 1 and 3", got.FailedRuns)
+	if got := decoded.Task(failed); got.Failures != 2 || !slices.Equal(got.FailedRuns, []int{1, 3}) {
+		t.Errorf("decoded task has failed runs %v, want 1 and 3", got.FailedRuns)
 	}
 }
 
-// To an earlier version of the program an incarnation is its addressee: it reads that from where it
-// stands, and passes over when the life began.
-func TestEarlierVersionsReadTheAddressee(t *testing.T) {
+// An earlier version of the program identifies an incarnation by its addressee alone. It must find
+// the addressee in the task's cells and ignore when the incarnation began. What it stores must be
+// decodable as well.
+func TestEarlierVersionsDecodeTheAddressee(t *testing.T) {
 	j := workload.New("00112233445566aa", "q", workload.Policy{}, &workload.Spec{Steps: []workload.Step{{Count: 1}}}, time.Unix(1000, 0))
 	j.BeginDue(time.Unix(1000, 0))
 	j.Place(workload.TaskRef{}, pointport.NewIncarnationID("i-2", time.UnixMilli(1796284627123)), 1)
@@ -283,14 +290,15 @@
 	if got := string(j.EncodeProgress()); got != want {
 		t.Errorf("stored as %s, want %s", got, want)
 	}
-	again := workload.New(j.ID(), j.Queue(), j.Policy(), j.Spec(), j.Submitted())
-	if err := again.RestoreProgress([]byte(`{"n":1,"k":[{"k":0,"s":[[[1,1,0,"i-2"]]]}]}`)); err != nil || again.Task(workload.TaskRef{}).On != "i-2" {
-		t.Errorf("what an earlier version stores is on %q (%v)", again.Task(workload.TaskRef{}).On, err)
+	decoded := workload.New(j.ID(), j.Queue(), j.Policy(), j.Spec(), j.Submitted())
+	if err := decoded.RestoreProgress([]byte(`{"n":1,"k":[{"k":0,"s":[[[1,1,0,"i-2"]]]}]}`)); err != nil || decoded.Task(workload.TaskRef{}).On != "i-2" {
+		t.Errorf("a task stored by an earlier version is on %q (%v), want i-2", decoded.Task(workload.TaskRef{}).On, err)
 	}
 }
 
-// Progress that counts crashes of a task that the job does not have is an error.
-func TestCrashesOfUnknownTaskAreRefused(t *testing.T) {
+// Progress with extra values for a task that the job does not have, or with negative ones, must be
+// rejected.
+func TestExtraValuesOfUnknownTasksAreRejected(t *testing.T) {
 	for _, progress := range []string{
 		`{"n":1,"k":[{"k":0,"s":[[[0]]],"x":[[1,0,2]]}]}`,
 		`{"n":1,"k":[{"k":0,"s":[[[0]]],"x":[[0,1,2]]}]}`,
@@ -300,14 +308,14 @@
 	} {
 		j := workload.New("00112233445566aa", "q", workload.Policy{}, &workload.Spec{Steps: []workload.Step{{Count: 1}}}, time.Unix(1000, 0))
 		if err := j.RestoreProgress([]byte(progress)); err == nil {
-			t.Errorf("%s is taken", progress)
+			t.Errorf("%s is accepted", progress)
 		}
 	}
 }
 
-// A stored job that no customer could have submitted is refused: an owner that took it in
-// would run out of memory or order nonsense, and so would each of its successors.
-func TestStoredJobsThatCannotBeAreRefused(t *testing.T) {
+// A stored job that no customer could have submitted must be rejected. An owner that accepted it
+// would run out of memory or send meaningless orders, and so would each of its successors.
+func TestInvalidStoredJobsAreRejected(t *testing.T) {
 	for _, stored := range []string{
 		`{"queue":"q","spec":{"steps":[{"count":1000000000}]}}`,
 		`{"queue":"q","spec":{"steps":[]}}`,
@@ -319,13 +327,13 @@
 		``,
 	} {
 		if j, err := workload.DecodeAccepted("00112233445566aa", []byte(stored)); err == nil {
-			t.Errorf("%s is taken as %+v", stored, j)
+			t.Errorf("%s is accepted as %+v", stored, j)
 		}
 	}
 }
 
-// Progress that does not fit its job is refused.
-func TestProgressThatCannotBeIsRefused(t *testing.T) {
+// Stored progress that does not fit its job must be rejected.
+func TestInvalidProgressIsRejected(t *testing.T) {
 	for _, stored := range []string{
 		`{"n":-1}`,
 		`{"n":9}`,
@@ -347,13 +355,13 @@
 	} {
 		j := workload.New("00112233445566aa", "q", workload.Policy{}, &workload.Spec{Steps: []workload.Step{{Count: 2}}}, time.Unix(1000, 0))
 		if err := j.RestoreProgress([]byte(stored)); err == nil {
-			t.Errorf("%s is taken", stored)
+			t.Errorf("%s is accepted", stored)
 		}
 	}
 }
 
-// FuzzRestoreProgress: whatever is stored, the job can be worked on or its progress is
-// refused.
+// FuzzRestoreProgress checks that any stored progress either is rejected or leaves a job that all
+// operations work on.
 func FuzzRestoreProgress(f *testing.F) {
 	f.Add([]byte(`{"n":1,"k":[{"k":0,"s":[[[1,3,1,"i-1","c"],[2]],[[0]]],"x":[[0,0,2]]}]}`))
 	f.Add([]byte(`{"n":2,"o":1,"c":true,"f":true}`))
@@ -376,12 +384,12 @@
 			j.Fail(ref, j.Task(ref).Run)
 		}
 		if err := j.RestoreProgress(j.EncodeProgress()); err != nil {
-			t.Errorf("what it became cannot be read again: %v", err)
+			t.Errorf("the resulting progress cannot be decoded: %v", err)
 		}
 	})
 }
 
-// FuzzDecodeAccepted: a stored job is one that a customer could have submitted, or an error.
+// FuzzDecodeAccepted checks that a decoded job is one that a customer could have submitted.
 func FuzzDecodeAccepted(f *testing.F) {
 	f.Add([]byte(`{"queue":"q","policy":{"maxAttempts":3},"spec":{"steps":[{"count":2}]},"submitted":"2026-01-02T03:04:05Z"}`))
 	f.Add([]byte(`{"queue":"q","spec":{"steps":[{"count":1000000000}]}}`))
@@ -391,22 +399,23 @@
 			return
 		}
 		if err := j.Spec().Check(); err != nil {
-			t.Errorf("it is taken although %v", err)
+			t.Errorf("the job is accepted although %v", err)
 		}
 		j.BeginDue(time.Unix(2000, 0))
 		j.EncodeProgress()
 	})
 }
 
-// A job that repeats a thousand million times at once takes no more memory than a wide one,
-// and goes on as its occurrences end.
-func TestOccurrencesUnderWayAreBounded(t *testing.T) {
+// Guards against a job that exhausts its owner's memory: if it repeats a thousand million times
+// without a pause, only a limited number of its tasks may be in progress. The next occurrence must
+// begin when one is completed.
+func TestOccurrencesInProgressAreLimited(t *testing.T) {
 	spec := &workload.Spec{Steps: []workload.Step{{Count: 100}}, Recur: workload.Recurrence{Times: 1_000_000_000, First: time.Unix(1000, 0)}}
 	j := workload.New("00112233445566aa", "q", workload.Policy{MaxAttempts: 2}, spec, time.Unix(1000, 0))
 	j.BeginDue(time.Unix(2000, 0))
 	open := len(refs(j, workload.Pending))
 	if open == 0 || open > 4*workload.MaxTasks {
-		t.Fatalf("%d tasks are open", open)
+		t.Fatalf("%d tasks are in progress, want 1 to %d", open, 4*workload.MaxTasks)
 	}
 	for i := range 100 {
 		ref := workload.TaskRef{Occurrence: 0, Index: i}
@@ -414,6 +423,6 @@
 		j.Finish(ref)
 	}
 	if !j.BeginDue(time.Unix(2000, 0)) || len(refs(j, workload.Pending)) != open {
-		t.Errorf("%d tasks are open once an occurrence is over, want %d again", len(refs(j, workload.Pending)), open)
+		t.Errorf("%d tasks are in progress after an occurrence is completed, want %d again", len(refs(j, workload.Pending)), open)
 	}
 }
