--- a/delegate/delegate_test.go
+++ b/delegate/delegate_test.go
@@ -24,14 +24,14 @@
 
 // This file tests orders that go through a delegate over loopback connections.
 
-// A recorder is an Executor that notes what it is told and answers as it is set to.
+// A recorder is an Executor that records orders and returns configured answers.
 type recorder struct {
 	mu     sync.Mutex
 	starts []pointport.StartOrder
 	holds  []pointport.HoldOrder
 	report pointport.Report
 	err    error
-	block  chan struct{} // if set, orders wait until it is closed
+	block  chan struct{} // if not nil, orders wait until it is closed
 }
 
 func (r *recorder) answer(ctx context.Context) error {
@@ -47,7 +47,7 @@
 	return err
 }
 
-// Start notes a start.
+// Start records the order.
 func (r *recorder) Start(ctx context.Context, _ pointport.Endpoint, o pointport.StartOrder) (pointport.InstanceClock, error) {
 	r.mu.Lock()
 	r.starts = append(r.starts, o)
@@ -55,17 +55,17 @@
 	return 42, r.answer(ctx)
 }
 
-// Stop does nothing.
+// Stop only answers.
 func (r *recorder) Stop(ctx context.Context, _ pointport.Endpoint, _ pointport.StopOrder) (pointport.InstanceClock, error) {
 	return 43, r.answer(ctx)
 }
 
-// Pace does nothing.
+// Pace only answers.
 func (r *recorder) Pace(ctx context.Context, _ pointport.Endpoint, _ pointport.PaceOrder) error {
 	return r.answer(ctx)
 }
 
-// Hold answers the report that is set.
+// Hold records the order and returns the configured report.
 func (r *recorder) Hold(ctx context.Context, _ pointport.Endpoint, o pointport.HoldOrder) (pointport.Report, error) {
 	r.mu.Lock()
 	r.holds = append(r.holds, o)
@@ -79,7 +79,7 @@
 	return append([]pointport.StartOrder(nil), r.starts...)
 }
 
-// A pair is an owner's Executor and its one delegate.
+// A pair is an owner's Executor and its only delegate.
 type pair struct {
 	owner            *Executor
 	direct, delegate *recorder
@@ -87,7 +87,7 @@
 	sent             atomic.Int64 // bytes that the owner has sent to the delegate
 }
 
-var somewhere = pointport.Endpoint{Incarnation: "i-1", Address: "10.0.0.1:1"}
+var endpoint = pointport.Endpoint{Incarnation: "i-1", Address: "10.0.0.1:1"}
 
 func newPair(t *testing.T) *pair {
 	t.Helper()
@@ -105,12 +105,12 @@
 		p.server.Close()
 	})
 	m := member.Member{Name: "peer", Peer: strings.TrimPrefix(p.server.URL, "http://")}
-	helpers := func(int) []member.Member { return []member.Member{m} }
-	p.owner = New(ctx, p.direct, helpers, &http.Client{Transport: &http.Transport{}}, clock.System{}, logger)
+	listCandidates := func(int) []member.Member { return []member.Member{m} }
+	p.owner = New(ctx, p.direct, listCandidates, &http.Client{Transport: &http.Transport{}}, clock.System{}, logger)
 	return p
 }
 
-// A countedBody counts what is read of it.
+// A countedBody counts the bytes read from it.
 type countedBody struct {
 	io.ReadCloser
 	count *atomic.Int64
@@ -127,7 +127,7 @@
 func (p *pair) connect(t *testing.T) {
 	t.Helper()
 	for range 200 {
-		if _, err := p.owner.Stop(t.Context(), somewhere, pointport.StopOrder{}); err != nil {
+		if _, err := p.owner.Stop(t.Context(), endpoint, pointport.StopOrder{}); err != nil {
 			t.Fatal(err)
 		}
 		p.owner.mu.Lock()
@@ -138,32 +138,32 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatal("no stream to the delegate")
+	t.Fatal("no stream to the delegate was opened")
 }
 
-// Orders go directly until a delegate has taken the stream, and through it after that.
-func TestOrdersGoDirectlyUntilDelegateIsThere(t *testing.T) {
+// Orders must go directly until the delegate has accepted the stream, and through it after that.
+func TestOrdersGoDirectlyUntilStreamIsOpen(t *testing.T) {
 	p := newPair(t)
 	order := pointport.StartOrder{TaskRun: pointport.TaskRun{Task: "a.0.0.0", Run: 1}, Payload: "x", Fence: 7, Until: 99, Checkpoint: "c", Ticket: "t"}
-	if _, err := p.owner.Start(t.Context(), somewhere, order); err != nil {
+	if _, err := p.owner.Start(t.Context(), endpoint, order); err != nil {
 		t.Fatal(err)
 	}
 	if n := len(p.direct.started()); n != 1 {
-		t.Fatalf("%d direct starts before there is a stream, want 1", n)
+		t.Fatalf("%d direct starts before the stream is open, want 1", n)
 	}
 	p.connect(t)
-	at, err := p.owner.Start(t.Context(), somewhere, order)
+	at, err := p.owner.Start(t.Context(), endpoint, order)
 	if err != nil || at != 42 {
-		t.Fatalf("start answered %v, %v", at, err)
+		t.Fatalf("the start is answered with %v, %v, want 42 and no error", at, err)
 	}
 	got := p.delegate.started()
 	if len(got) != 1 || got[0] != order {
-		t.Errorf("the delegate was told to start %+v, want %+v", got, order)
+		t.Errorf("the delegate received the starts %+v, want %+v", got, order)
 	}
 }
 
-// What an instance reports comes back whole.
-func TestReportsComeBackWhole(t *testing.T) {
+// A report that an instance returns to the delegate must reach the owner unchanged.
+func TestReportsReachTheOwnerUnchanged(t *testing.T) {
 	p := newPair(t)
 	p.connect(t)
 	want := pointport.Report{
@@ -172,22 +172,23 @@
 		Ended:   []pointport.TaskEnd{{Number: 3, TaskRun: pointport.TaskRun{Task: "a.0.0.0", Run: 1}, Kind: pointport.EndDone}},
 	}
 	p.delegate.report = want
-	got, err := p.owner.Hold(t.Context(), somewhere, pointport.HoldOrder{Fence: 7, Until: 9, Acknowledged: 2, Wait: time.Second})
+	got, err := p.owner.Hold(t.Context(), endpoint, pointport.HoldOrder{Fence: 7, Until: 9, Acknowledged: 2, Wait: time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
 	a, _ := json.Marshal(want)
 	b, _ := json.Marshal(got)
 	if string(a) != string(b) {
-		t.Errorf("report %s, want %s", b, a)
+		t.Errorf("report is %s, want %s", b, a)
 	}
 }
 
-// Every way in which an order fails is told as it is, above all whether it may have been
-// carried out.
-func TestFailuresComeBackAsTheyAre(t *testing.T) {
+// Guards against a failure that reaches the owner as a different one. Whether the order may have
+// been executed matters most: the owner would repeat an order that was executed, or wait for one
+// that was not.
+func TestFailuresReachTheOwnerUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := newLine(opStop, somewhere, pointport.TaskRun{Task: "a.0.0.0", Run: 1}, 7)
+		o := newOrderLine(opStop, endpoint, pointport.TaskRun{Task: "a.0.0.0", Run: 1}, 7)
 		cause := errors.New(rapid.String().Draw(t, "cause"))
 		err := rapid.SampledFrom([]error{
 			nil,
@@ -208,20 +209,20 @@
 		switch {
 		case err == nil:
 			if got != nil {
-				t.Fatalf("%v comes back for no error", got)
+				t.Fatalf("no error is decoded as %v", got)
 			}
 		case errors.As(err, &unavailable):
 			if !errors.As(got, &gotUnavailable) || gotUnavailable.Ambiguous != unavailable.Ambiguous {
-				t.Fatalf("%v comes back as %v", err, got)
+				t.Fatalf("%v is decoded as %v", err, got)
 			}
 		case got == nil || got.Error() != err.Error():
-			t.Fatalf("%v comes back as %v", err, got)
+			t.Fatalf("%v is decoded as %v", err, got)
 		}
 	})
 }
 
-// The payload of a job goes to a delegate once, so a start takes a fifth of the bytes that
-// it takes directly.
+// The payload of a job must be sent to a delegate only once, so that a start takes a fifth of the
+// bytes that a direct start takes.
 func TestPayloadIsSentOnce(t *testing.T) {
 	p := newPair(t)
 	p.connect(t)
@@ -230,7 +231,7 @@
 	before := p.sent.Load()
 	for n := range tasks {
 		o := pointport.StartOrder{TaskRun: pointport.TaskRun{Task: "5c0e7a21d94b36f8.0.1.17", Run: n}, Payload: text, Fence: 12345, Until: 1e12}
-		if _, err := p.owner.Start(t.Context(), somewhere, o); err != nil {
+		if _, err := p.owner.Start(t.Context(), endpoint, o); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -239,19 +240,20 @@
 			t.Errorf("start %d has a payload of %d bytes, want %d", n, len(o.Payload), payload)
 		}
 	}
-	const most = 200 // bytes, of 970 that a direct start takes
+	const most = 200 // bytes, of the 970 of a direct start
 	if each := (p.sent.Load() - before) / tasks; each > most {
-		t.Errorf("%d bytes for a start, want %d at most", each, most)
+		t.Errorf("a start takes %d bytes, want at most %d", each, most)
 	}
 }
 
-// However many payloads there are, each start gets its own.
-func TestPayloadsKeepApart(t *testing.T) {
+// Each start must get its own payload, also if there are more payloads than slots and slots are
+// reused.
+func TestStartsGetTheirOwnPayloads(t *testing.T) {
 	p := newPair(t)
 	p.connect(t)
 	for n := range 3 * payloadSlots {
 		text := strings.Repeat("x", n%(payloadSlots+7))
-		if _, err := p.owner.Start(t.Context(), somewhere, pointport.StartOrder{TaskRun: pointport.TaskRun{Run: len(text)}, Payload: text}); err != nil {
+		if _, err := p.owner.Start(t.Context(), endpoint, pointport.StartOrder{TaskRun: pointport.TaskRun{Run: len(text)}, Payload: text}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -262,7 +264,8 @@
 	}
 }
 
-// A delegate that is gone leaves unknown what has no result, and what follows goes directly.
+// After a delegate is lost, orders without a result must have an unknown effect and must not be
+// sent directly as well. Later orders must be sent directly.
 func TestLostDelegateLeavesEffectUnknown(t *testing.T) {
 	for name, lose := range map[string]func(*pair){
 		"connection reset": func(p *pair) { p.server.CloseClientConnections() },
@@ -278,34 +281,34 @@
 			defer close(block)
 			failed := make(chan error, 1)
 			go func() {
-				_, err := p.owner.Start(t.Context(), somewhere, pointport.StartOrder{Payload: "x"})
+				_, err := p.owner.Start(t.Context(), endpoint, pointport.StartOrder{Payload: "x"})
 				failed <- err
 			}()
 			time.Sleep(50 * time.Millisecond)
 			lose(p)
 			var unavailable *pointport.UnavailableError
 			if err := <-failed; !errors.As(err, &unavailable) || !unavailable.Ambiguous {
-				t.Fatalf("the start ended with %v, want an unknown effect", err)
+				t.Fatalf("the start ended with %v, want an unavailable error with an unknown effect", err)
 			}
 			if n := len(p.direct.started()); n != 0 {
-				t.Fatalf("%d starts were sent directly too", n)
+				t.Fatalf("%d starts were also sent directly, want 0", n)
 			}
-			if _, err := p.owner.Start(t.Context(), somewhere, pointport.StartOrder{Payload: "y"}); err != nil {
+			if _, err := p.owner.Start(t.Context(), endpoint, pointport.StartOrder{Payload: "y"}); err != nil {
 				t.Fatal(err)
 			}
 			if n := len(p.direct.started()); n != 1 {
-				t.Errorf("%d of the starts after it went directly, want 1", n)
+				t.Errorf("%d of the starts after it were sent directly, want 1", n)
 			}
 		})
 	}
 }
 
-// A delegate that cannot be reached costs nothing.
-func TestUnreachableDelegateIsLeftAlone(t *testing.T) {
+// An unreachable delegate must not delay or fail any order: all are sent directly.
+func TestUnreachableDelegateIsNotUsed(t *testing.T) {
 	p := newPair(t)
 	p.server.Close()
 	for range 20 {
-		if _, err := p.owner.Start(t.Context(), somewhere, pointport.StartOrder{Payload: "x"}); err != nil {
+		if _, err := p.owner.Start(t.Context(), endpoint, pointport.StartOrder{Payload: "x"}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Millisecond)
@@ -315,46 +318,48 @@
 	}
 }
 
-// Members are not ranked anew for each order.
-func TestHelpersAreAskedForSeldom(t *testing.T) {
+// Guards against an owner that spends its processor time on ranking members: it must not rank them
+// for each order.
+func TestCandidatesAreCached(t *testing.T) {
 	p := newPair(t)
 	var asked atomic.Int64
-	helpers := p.owner.helpers
-	p.owner.helpers = func(most int) []member.Member {
+	listCandidates := p.owner.listCandidates
+	p.owner.listCandidates = func(most int) []member.Member {
 		asked.Add(1)
-		return helpers(most)
+		return listCandidates(most)
 	}
 	from := time.Now()
 	for range 200 {
-		if _, err := p.owner.Start(t.Context(), somewhere, pointport.StartOrder{Payload: "x"}); err != nil {
+		if _, err := p.owner.Start(t.Context(), endpoint, pointport.StartOrder{Payload: "x"}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if most := int64(time.Since(from)/helpersEvery) + 1; asked.Load() > most {
-		t.Errorf("members are ranked %d times for 200 orders in %v, want %d at most", asked.Load(), time.Since(from), most)
+	if most := int64(time.Since(from)/candidatesInterval) + 1; asked.Load() > most {
+		t.Errorf("members are ranked %d times for 200 orders in %v, want at most %d", asked.Load(), time.Since(from), most)
 	}
 }
 
-// An instance that answers its owner does not count as silent because its delegate cannot
-// reach it, and that delegate carries nothing for a while.
-func TestDelegateThatIsCutOffIsLeftAlone(t *testing.T) {
+// Guards against an instance that is considered silent because its delegate is cut off. The
+// instance answers the owner's direct poll, and the delegate must not be used for a while.
+func TestDelegateThatIsCutOffIsAvoided(t *testing.T) {
 	p := newPair(t)
 	p.connect(t)
 	p.delegate.mu.Lock()
 	p.delegate.err = &pointport.UnavailableError{Op: "hold", Ambiguous: true, Err: errors.New("no route")}
 	p.delegate.mu.Unlock()
 	p.direct.report = pointport.Report{Clock: 8}
-	report, err := p.owner.Hold(t.Context(), somewhere, pointport.HoldOrder{Wait: time.Second})
+	report, err := p.owner.Hold(t.Context(), endpoint, pointport.HoldOrder{Wait: time.Second})
 	if err != nil || report.Clock != 8 {
-		t.Fatalf("the look brings %+v, %v", report, err)
+		t.Fatalf("the poll returned %+v, %v, want a report with clock 8", report, err)
 	}
-	if _, err := p.owner.Start(t.Context(), somewhere, pointport.StartOrder{}); err != nil || len(p.direct.started()) != 1 {
-		t.Errorf("the next start ended with %v, %d direct ones", err, len(p.direct.started()))
+	if _, err := p.owner.Start(t.Context(), endpoint, pointport.StartOrder{}); err != nil || len(p.direct.started()) != 1 {
+		t.Errorf("the next start ended with %v, and %d starts were sent directly, want 1", err, len(p.direct.started()))
 	}
 }
 
-// An instance that answers nobody is silent, whoever asks, and its delegate stays.
-func TestSilentInstanceDoesNotCostItsDelegate(t *testing.T) {
+// If an instance answers neither the delegate nor the owner, the instance is silent, and the stream
+// to the delegate must stay open.
+func TestSilentInstanceDoesNotCloseTheStream(t *testing.T) {
 	p := newPair(t)
 	p.connect(t)
 	silent := &pointport.UnavailableError{Op: "hold", Ambiguous: true, Err: errors.New("no answer")}
@@ -365,12 +370,12 @@
 	p.direct.err = silent
 	p.direct.mu.Unlock()
 	var unavailable *pointport.UnavailableError
-	if _, err := p.owner.Hold(t.Context(), somewhere, pointport.HoldOrder{}); !errors.As(err, &unavailable) {
-		t.Fatalf("the look ended with %v, want no answer", err)
+	if _, err := p.owner.Hold(t.Context(), endpoint, pointport.HoldOrder{}); !errors.As(err, &unavailable) {
+		t.Fatalf("the poll ended with %v, want an unavailable error", err)
 	}
 	p.owner.mu.Lock()
 	defer p.owner.mu.Unlock()
 	if len(p.owner.streams) != 1 {
-		t.Error("the delegate is left alone although it is not at fault")
+		t.Error("the stream to the delegate is closed although the instance is at fault")
 	}
 }
--- a/delegate/serve.go
+++ b/delegate/serve.go
@@ -13,17 +13,17 @@
 	"github.com/pointport/pointport/event"
 )
 
-// This file defines what a delegate does with the orders of an owner.
+// This file defines how a delegate executes the orders of an owner.
 
 const (
-	// ordersMost is how many orders of one stream are under way at once: a look at each
-	// of 500 instances, and as many starts. Further ones wait in the connection.
-	ordersMost = 1024
-	// streamBuffer is how much of a stream is read and written at once, in bytes.
+	// maxOrdersInFlight is how many orders of one stream may be in flight: a poll of each of
+	// 500 instances, and as many starts. Further orders wait in the connection.
+	maxOrdersInFlight = 1024
+	// streamBuffer is the size of the read and write buffers of a stream, in bytes.
 	streamBuffer = 16 << 10
 )
 
-// Handler takes the orders of owners and sends them on by executor.
+// Handler serves the streams of owners and sends their orders to instances through executor.
 func Handler(executor pointport.Executor, logger *slog.Logger) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		control := http.NewResponseController(w)
@@ -31,7 +31,7 @@
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
 		}
-		s := &serving{executor: executor, results: make(chan resultLine, ordersMost)}
+		s := &serving{executor: executor, results: make(chan resultLine, maxOrdersInFlight)}
 		err := s.serve(r.Context(), r.Body, w, control.Flush)
 		if err != nil && !errors.Is(err, io.EOF) && r.Context().Err() == nil {
 			event.DelegateLost.Log(logger, slog.String("owner", r.RemoteAddr), slog.Any("error", err))
@@ -39,27 +39,27 @@
 	})
 }
 
-// serving is one stream of an owner, as its delegate has it.
+// serving is a delegate's side of one stream.
 type serving struct {
 	executor pointport.Executor
 	payloads [payloadSlots]string
 	results  chan resultLine
 }
 
-// serve carries out orders until the stream ends.
+// serve executes orders until the stream ends.
 func (s *serving) serve(ctx context.Context, in io.Reader, out io.Writer, flush func() error) error {
 	ctx, cancel := context.WithCancel(ctx)
-	told := make(chan struct{})
+	written := make(chan struct{})
 	go func() {
-		defer close(told)
-		defer cancel() // no order is of use whose result cannot be told
-		s.tell(ctx, out, flush)
+		defer close(written)
+		defer cancel() // without their results, orders are of no use
+		s.writeResults(ctx, out, flush)
 	}()
 	defer func() {
 		cancel()
-		<-told // the answer may not be written once the stream has ended
+		<-written // the response must not be written after the handler returns
 	}()
-	slots := make(chan struct{}, ordersMost)
+	slots := make(chan struct{}, maxOrdersInFlight)
 	lines := json.NewDecoder(bufio.NewReaderSize(in, streamBuffer))
 	for {
 		var line orderLine
@@ -76,7 +76,7 @@
 			return ctx.Err()
 		}
 		go func() {
-			result := carryOut(ctx, s.executor, line, payload)
+			result := execute(ctx, s.executor, line, payload)
 			<-slots
 			select {
 			case s.results <- result:
@@ -86,19 +86,19 @@
 	}
 }
 
-// errNotWhole says that an order lacks what its kind needs.
-var errNotWhole = errors.New("the order is not whole")
+// errIncomplete is the error of an order without the parameters that its kind requires.
+var errIncomplete = errors.New("the order lacks parameters that its kind requires")
 
-// errNoSlot says that an owner names a payload that there is no room for.
-var errNoSlot = errors.New("an order names a payload out of range")
+// errSlotOutOfRange is the error of a start whose payload slot does not exist.
+var errSlotOutOfRange = errors.New("the payload slot of a start is out of range")
 
-// payload returns the payload of a start, and remembers it if it is new.
+// payload returns the payload of a start, and stores it in its slot if it is new.
 func (s *serving) payload(start *startLine) (string, error) {
 	if start == nil {
 		return "", nil
 	}
 	if start.Slot < 0 || start.Slot >= payloadSlots {
-		return "", errNoSlot
+		return "", errSlotOutOfRange
 	}
 	if start.Payload != nil {
 		s.payloads[start.Slot] = *start.Payload
@@ -106,15 +106,15 @@
 	return s.payloads[start.Slot], nil
 }
 
-// tell writes results as they come, those that are there already at once.
-func (s *serving) tell(ctx context.Context, out io.Writer, flush func() error) {
+// writeResults writes results as they arrive. It flushes once no further result is queued.
+func (s *serving) writeResults(ctx context.Context, out io.Writer, flush func() error) {
 	buffer := bufio.NewWriterSize(out, streamBuffer)
 	lines := json.NewEncoder(buffer)
 	for {
 		select {
 		case result := <-s.results:
 			if lines.Encode(result) != nil {
-				return // the owner is gone and takes what it has no result of for unknown
+				return // the owner is gone; it treats orders without a result as having an unknown effect
 			}
 		case <-ctx.Done():
 			return
@@ -125,8 +125,8 @@
 	}
 }
 
-// carryOut sends an order to its instance.
-func carryOut(ctx context.Context, e pointport.Executor, o orderLine, payload string) resultLine {
+// execute sends an order to its instance and returns the result.
+func execute(ctx context.Context, e pointport.Executor, o orderLine, payload string) resultLine {
 	result := resultLine{Number: o.Number}
 	var err error
 	switch {
@@ -144,9 +144,9 @@
 		report, err = e.Hold(ctx, o.at(), pointport.HoldOrder{
 			Fence: o.Fence, Until: o.Hold.Until, Acknowledged: o.Hold.Acknowledged, Wait: o.Hold.Wait, Patience: o.Hold.Patience,
 		})
-		result.Clock, result.Report = report.Clock, lineOf(report)
+		result.Clock, result.Report = report.Clock, reportLineOf(report)
 	default:
-		err = o.unavailable(false, errNotWhole)
+		err = o.unavailable(false, errIncomplete)
 	}
 	result.Failed = failureOf(err)
 	return result
--- a/delegate/stream.go
+++ b/delegate/stream.go
@@ -14,45 +14,46 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines an owner's stream of orders to one delegate.
+// This file defines an owner's side of a stream of orders to one delegate.
 
 const (
-	// linesMost is how many orders may wait to be written to a stream. Where more
-	// would, the delegate takes too little, and the order is sent directly.
-	linesMost = 512
-	// openTimeout is within what time a delegate takes a stream. Peers are a
-	// millisecond away; a busy one takes some tens.
+	// maxQueuedOrders is how many orders may wait to be written to a stream. If the queue is
+	// full, the delegate reads too slowly, and the order is sent directly.
+	maxQueuedOrders = 512
+	// openTimeout is the time within which a delegate must accept a stream. Peers are a
+	// millisecond away, and a busy peer takes some tens of milliseconds.
 	openTimeout = 300 * time.Millisecond
 )
 
 var (
 	errClosed = errors.New("the stream to the delegate has ended")
-	errFull   = errors.New("the delegate takes no more orders")
+	errFull   = errors.New("the queue of orders to the delegate is full")
 )
 
-// A stream carries orders to one delegate. It is safe for concurrent use.
+// A stream sends orders to one delegate and receives their results. It is safe for concurrent
+// use.
 type stream struct {
 	name   string // of the delegate
 	lines  chan orderLine
 	cancel context.CancelFunc
 	done   chan struct{} // closed when the stream has ended
 
-	mu       sync.Mutex
-	number   int64
-	pending  map[int64]chan resultLine
-	slots    [payloadSlots]string
-	slotOf   map[string]int
-	nextSlot int
-	heard    time.Time // when the last result came
-	err      error     // why the stream has ended
+	mu         sync.Mutex
+	number     int64
+	pending    map[int64]chan resultLine
+	slots      [payloadSlots]string
+	slotOf     map[string]int
+	nextSlot   int
+	lastResult time.Time // when the last result arrived, at first when the stream was created
+	err        error     // why the stream has ended
 }
 
-// open begins a stream to the member at url. It ends with ctx.
+// open opens a stream to the member at url. The stream ends with ctx.
 func open(ctx context.Context, client *http.Client, clock pointport.Clock, name, url string) (*stream, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	s := &stream{
-		name: name, lines: make(chan orderLine, linesMost), cancel: cancel, done: make(chan struct{}),
-		pending: make(map[int64]chan resultLine), slotOf: make(map[string]int), heard: clock.Now(),
+		name: name, lines: make(chan orderLine, maxQueuedOrders), cancel: cancel, done: make(chan struct{}),
+		pending: make(map[int64]chan resultLine), slotOf: make(map[string]int), lastResult: clock.Now(),
 	}
 	reader, writer := io.Pipe()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url+Path, reader)
@@ -72,8 +73,8 @@
 	select {
 	case a := <-answer:
 		if a.err == nil && a.res.StatusCode != http.StatusOK {
-			_ = a.res.Body.Close() // nothing of it is of use
-			a.err = fmt.Errorf("member %s answers %s", name, a.res.Status)
+			_ = a.res.Body.Close() // the body is not needed
+			a.err = fmt.Errorf("member %s rejected the stream: %s", name, a.res.Status)
 		}
 		if a.err != nil {
 			cancel()
@@ -84,11 +85,11 @@
 		return s, nil
 	case <-clock.After(openTimeout):
 		cancel()
-		return nil, fmt.Errorf("member %s takes no stream within %v", name, openTimeout)
+		return nil, fmt.Errorf("member %s did not accept the stream within %v", name, openTimeout)
 	}
 }
 
-// write writes orders as they come, those that are there already at once.
+// write writes orders as they arrive. It flushes once no further order is queued.
 func (s *stream) write(ctx context.Context, out *io.PipeWriter) {
 	buffer := bufio.NewWriterSize(out, streamBuffer)
 	lines := json.NewEncoder(buffer)
@@ -111,7 +112,7 @@
 	}
 }
 
-// read takes in results until the stream ends.
+// read delivers results until the stream ends.
 func (s *stream) read(body io.ReadCloser, clock pointport.Clock) {
 	defer body.Close()
 	lines := json.NewDecoder(bufio.NewReaderSize(body, streamBuffer))
@@ -122,7 +123,7 @@
 			return
 		}
 		s.mu.Lock()
-		s.heard = clock.Now()
+		s.lastResult = clock.Now()
 		answer := s.pending[result.Number]
 		delete(s.pending, result.Number)
 		s.mu.Unlock()
@@ -132,7 +133,7 @@
 	}
 }
 
-// end ends the stream. Whatever has no result has an unknown effect.
+// end ends the stream. Orders without a result have an unknown effect.
 func (s *stream) end(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,15 +152,16 @@
 	return s.err != nil
 }
 
-// silentSince reports whether no result has come since a time.
+// silentSince reports whether no result has arrived since t.
 func (s *stream) silentSince(t time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.heard.Before(t)
+	return s.lastResult.Before(t)
 }
 
-// put puts an order on the stream, the payload of a start in a slot.
-func (s *stream) put(o orderLine, payload string) (int64, chan resultLine, error) {
+// enqueue queues an order and returns its number and the channel for its result. It assigns the
+// payload of a start to a slot.
+func (s *stream) enqueue(o orderLine, payload string) (int64, chan resultLine, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.err != nil {
@@ -169,19 +171,19 @@
 		return 0, nil, errFull
 	}
 	if o.Start != nil {
-		s.place(o.Start, payload)
+		s.assignSlot(o.Start, payload)
 	}
 	s.number++
 	o.Number = s.number
 	answer := make(chan resultLine, 1)
 	s.pending[o.Number] = answer
-	s.lines <- o // there is room, and nobody else puts
+	s.lines <- o // does not block: the queue has room, and only the holder of the lock adds to it
 	return o.Number, answer, nil
 }
 
-// place names the slot of a payload, which is sent along if it is in none. The lock is
-// held.
-func (s *stream) place(start *startLine, payload string) {
+// assignSlot sets the payload slot of a start. If no slot has the payload, it is sent along and
+// replaces the payload that was sent first of those in slots. The caller holds the lock.
+func (s *stream) assignSlot(start *startLine, payload string) {
 	slot, ok := s.slotOf[payload]
 	if !ok {
 		slot = s.nextSlot
@@ -193,7 +195,7 @@
 	start.Slot = slot
 }
 
-// forget drops an order for which nobody waits any more.
+// forget removes an order whose caller no longer waits for the result.
 func (s *stream) forget(number int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/delegate/wire.go
+++ b/delegate/wire.go
@@ -9,16 +9,17 @@
 
 // This file defines the lines of a stream.
 
-// Path is where members take the orders of owners. Members of versions to which an incarnation is
-// its addressee take them elsewhere: they would find another life in the place of each.
+// Path is the path at which members accept streams of orders. Members of versions that identify
+// an incarnation by its addressee alone use another path: they would find a different incarnation
+// in place of each one that an order names.
 const Path = "/peer/orders/lives"
 
-// payloadSlots is how many payloads a delegate remembers for a stream: those of the jobs
-// that are being started. At 4 KB each, the most that the users' platform takes, they
-// hold a megabyte.
+// payloadSlots is how many payloads a delegate stores for a stream, which should be those of the
+// jobs whose tasks are being started. At 4 KB each, the most that the users' platform allows, they
+// take a megabyte.
 const payloadSlots = 256
 
-// An op says what an order does.
+// An op is the kind of an order.
 type op string
 
 const (
@@ -28,49 +29,50 @@
 	opPace  op = "pace"
 )
 
-// Lines are many and short, so their fields have names of a letter or two, and what is
-// zero is left out: a report in the words of the root package is twice as long.
+// Lines are many and short, so their fields have names of one or two letters, and zero values are
+// omitted. With the field names of the root package, a report is twice as long.
 
 // An orderLine is an order to an instance. Its fields are exported because a codec reads
 // and writes them, as are those of the other lines.
 type orderLine struct {
-	Number      int64                   `json:"n"` // within the stream
+	Number      int64                   `json:"n"` // unique within the stream
 	Op          op                      `json:"op"`
 	Incarnation pointport.IncarnationID `json:"i"`
 	Address     string                  `json:"a"`
 	Fence       pointport.Fence         `json:"f"`
 
-	Task    string     `json:"t,omitempty"` // of all but a look
+	Task    string     `json:"t,omitempty"` // of all orders but a poll
 	Run     int        `json:"r,omitempty"`
 	Start   *startLine `json:"s,omitempty"`
 	Hold    *holdLine  `json:"h,omitempty"`
-	Percent int        `json:"p,omitempty"` // of a pace
+	Percent int        `json:"p,omitempty"` // of a pace order
 }
 
-// at returns where the order goes.
+// at returns the endpoint to which the order goes.
 func (o *orderLine) at() pointport.Endpoint {
 	return pointport.Endpoint{Incarnation: o.Incarnation, Address: o.Address}
 }
 
-// run returns the run that the order is about.
+// run returns the run that the order concerns.
 func (o *orderLine) run() pointport.TaskRun { return pointport.TaskRun{Task: o.Task, Run: o.Run} }
 
-// newLine returns an order about a run on an incarnation.
-func newLine(op op, at pointport.Endpoint, run pointport.TaskRun, fence pointport.Fence) orderLine {
+// newOrderLine returns an order for a run on an incarnation.
+func newOrderLine(op op, at pointport.Endpoint, run pointport.TaskRun, fence pointport.Fence) orderLine {
 	return orderLine{Op: op, Incarnation: at.Incarnation, Address: at.Address, Fence: fence, Task: run.Task, Run: run.Run}
 }
 
-// A startLine is what else there is to a start. Its payload is in a slot of the stream.
+// A startLine contains the additional parameters of a start. Its payload is in a slot of the
+// stream.
 type startLine struct {
 	Checkpoint string                  `json:"c,omitempty"`
 	Ticket     string                  `json:"t,omitempty"`
 	Until      pointport.InstanceClock `json:"u"`
 	Slot       int                     `json:"k"`
-	// Payload is what the slot holds from now on, nil if it stays as it is.
+	// Payload is the new content of the slot, nil if the slot has the payload already.
 	Payload *string `json:"v,omitempty"`
 }
 
-// A holdLine is what else there is to a look.
+// A holdLine contains the additional parameters of a poll.
 type holdLine struct {
 	Until        pointport.InstanceClock `json:"u,omitempty"`
 	Acknowledged int64                   `json:"a,omitempty"`
@@ -78,21 +80,21 @@
 	Patience     time.Duration           `json:"p,omitempty"`
 }
 
-// A resultLine is what came of an order.
+// A resultLine is the result of an order.
 type resultLine struct {
 	Number int64                   `json:"n"`
 	Clock  pointport.InstanceClock `json:"c,omitempty"`
-	Report *reportLine             `json:"r,omitempty"` // of a look
+	Report *reportLine             `json:"r,omitempty"` // of a poll
 	Failed *failure                `json:"e,omitempty"`
 }
 
-// A reportLine is a report, the clock of which is the result's.
+// A reportLine is an instance's report without its clock, which is in the resultLine.
 type reportLine struct {
 	Running []runningLine `json:"r,omitempty"`
 	Ended   []endedLine   `json:"e,omitempty"`
 }
 
-// A runningLine is a run that an instance has.
+// A runningLine is a run that is on the instance.
 type runningLine struct {
 	Task       string `json:"t"`
 	Run        int    `json:"r"`
@@ -110,8 +112,8 @@
 	Checkpoint string            `json:"c,omitempty"`
 }
 
-// lineOf returns the line for a report.
-func lineOf(r pointport.Report) *reportLine {
+// reportLineOf returns the line for a report.
+func reportLineOf(r pointport.Report) *reportLine {
 	line := &reportLine{}
 	for _, t := range r.Running {
 		line.Running = append(line.Running, runningLine{t.Task, t.Run, t.Checkpoint, t.Progress, t.Load})
@@ -122,7 +124,7 @@
 	return line
 }
 
-// report returns the report that a result stands for.
+// report returns the report that the result contains.
 func (r *resultLine) report() pointport.Report {
 	out := pointport.Report{Clock: r.Clock}
 	if r.Report == nil {
@@ -141,17 +143,17 @@
 	return out
 }
 
-// A failure is an error of an Executor.
+// A failure is the encoded form of an error of an Executor.
 type failure struct {
 	Rejected pointport.RejectReason `json:"rejected,omitempty"`
 	Gone     bool                   `json:"gone,omitempty"`
-	// By is the life of the same addressee that has answered in place of one that is gone.
+	// By is the incarnation with the same addressee that answered in place of one that is gone.
 	By        pointport.IncarnationID `json:"by,omitempty"`
-	Ambiguous bool                    `json:"ambiguous,omitempty"` // whether the order may be carried out
+	Ambiguous bool                    `json:"ambiguous,omitempty"` // whether the order may have been executed
 	Cause     string                  `json:"cause,omitempty"`
 }
 
-// failureOf returns how an order has failed, nil if it has not.
+// failureOf returns the encoded form of err, nil if err is nil.
 func failureOf(err error) *failure {
 	var rejected *pointport.RejectedError
 	var gone *pointport.GoneError
@@ -169,7 +171,7 @@
 	return &failure{Ambiguous: true, Cause: err.Error()}
 }
 
-// err returns the error that f stands for, nil if f is.
+// err returns the error that f encodes, nil if f is nil.
 func (f *failure) err(o orderLine) error {
 	switch {
 	case f == nil:
@@ -182,7 +184,7 @@
 	return o.unavailable(f.Ambiguous, errors.New(f.Cause))
 }
 
-// unavailable returns the error that no usable answer came to an order.
+// unavailable returns the error of an order that got no usable answer.
 func (o orderLine) unavailable(ambiguous bool, cause error) error {
 	key := string(o.Incarnation)
 	if o.Task != "" {
