--- a/delegate/delegate_test.go
+++ b/delegate/delegate_test.go
@@ -183,9 +183,8 @@
 	}
 }
 
-// Guards against a failure that reaches the owner as a different one. Whether the order may have
-// been executed matters most: the owner would repeat an order that was executed, or wait for one
-// that was not.
+// Guards against a failure that reaches the owner as a different one. Above all, the owner must
+// learn whether the order may have been executed.
 func TestFailuresReachTheOwnerUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOrderLine(opStop, endpoint, pointport.TaskRun{Task: "a.0.0.0", Run: 1}, 7)
--- a/shard/caps.go
+++ b/shard/caps.go
@@ -62,12 +62,12 @@
 
 // watchAccounts follows the accounts until ctx ends.
 func (o *Owner) watchAccounts(ctx context.Context) {
-	take := func(how func(*quota.Ledger, []pointport.Entry) error) func([]pointport.Entry) {
+	handler := func(apply func(*quota.Ledger, []pointport.Entry) error) func([]pointport.Entry) {
 		return func(entries []pointport.Entry) {
-			o.enqueue(func(time.Time) { o.logUnreadableAccount(how(o.caps.ledger, entries)) })
+			o.enqueue(func(time.Time) { o.logUnreadableAccount(apply(o.caps.ledger, entries)) })
 		}
 	}
-	member.Follow(ctx, o.kv, o.clock, quota.Prefix, take((*quota.Ledger).Reset), take((*quota.Ledger).Apply))
+	member.Follow(ctx, o.kv, o.clock, quota.Prefix, handler((*quota.Ledger).Reset), handler((*quota.Ledger).Apply))
 }
 
 // logUnreadableAccount logs a non-nil error from decoding an account.
--- a/shard/jobs.go
+++ b/shard/jobs.go
@@ -123,10 +123,10 @@
 
 // watchOpenJobs watches for jobs and cancellations whose message was lost.
 func (o *Owner) watchOpenJobs(ctx context.Context, at pointport.Revision) {
-	take := func(entries []pointport.Entry) {
+	handle := func(entries []pointport.Entry) {
 		o.enqueue(func(time.Time) { o.applyOpenKeys(entries, nil) })
 	}
-	member.Follow(ctx, o.kv, o.clock, workload.OpenPrefix(o.ownership.Pool), take, take, member.From(at), member.Rest(openWatchInterval))
+	member.Follow(ctx, o.kv, o.clock, workload.OpenPrefix(o.ownership.Pool), handle, handle, member.From(at), member.Rest(openWatchInterval))
 }
 
 // Submitted passes on a job that was accepted at a revision; accepted is its
