--- a/node/follow.go
+++ b/node/follow.go
@@ -213,7 +213,7 @@
 	mu      sync.Mutex
 	entries *entries[pointport.Incarnation]
 	changed chan struct{} // closed and replaced at every change
-	sight   schedule.Sight
+	sight   schedule.RegistryCoverage
 }
 
 // newFleet returns a fleet that follows the registrations from the first
@@ -233,16 +233,16 @@
 	defer f.mu.Unlock()
 	switch {
 	case err != nil:
-		f.sight = schedule.Sight{}
+		f.sight = schedule.RegistryCoverage{}
 		return
-	case f.sight.From.IsZero():
-		f.sight.From = now
+	case f.sight.Since.IsZero():
+		f.sight.Since = now
 	}
 	f.sight.Until = now
 }
 
 // Sight returns how well the registrations are known.
-func (f *fleet) Sight() schedule.Sight {
+func (f *fleet) Sight() schedule.RegistryCoverage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.sight
--- a/schedule/advice.go
+++ b/schedule/advice.go
@@ -42,8 +42,8 @@
 	until time.Time
 }
 
-// A Question asks the advisor which of some incarnations may run a step.
-type Question struct {
+// A AdviceRequest asks the advisor which of some incarnations may run a step.
+type AdviceRequest struct {
 	Job          string
 	Step         string // the name under which the advisor knows it
 	Incarnations []pointport.IncarnationID
@@ -99,7 +99,7 @@
 		return
 	}
 	a.asking = true
-	b.questions = append(b.questions, Question{
+	b.questions = append(b.questions, AdviceRequest{
 		Job: t.entry.job.ID(), Step: workload.StepName(t.entry.job.ID(), t.ref), Incarnations: ids, key: key,
 	})
 }
@@ -124,16 +124,16 @@
 	return ids
 }
 
-// TakeQuestions returns the questions to put to the advisor now.
-func (b *Book) TakeQuestions() []Question {
+// TakeAdviceRequests returns the questions to put to the advisor now.
+func (b *Book) TakeAdviceRequests() []AdviceRequest {
 	questions := b.questions
 	b.questions = nil
 	return questions
 }
 
-// Advised takes in the advisor's answer to a question that was put at asked: the
+// AdviceAnswered takes in the advisor's answer to a question that was put at asked: the
 // tickets of the incarnations that may run the step, or an error.
-func (b *Book) Advised(q Question, asked, now time.Time, tickets map[pointport.IncarnationID]string, valid time.Duration, err error) {
+func (b *Book) AdviceAnswered(q AdviceRequest, asked, now time.Time, tickets map[pointport.IncarnationID]string, valid time.Duration, err error) {
 	e := b.jobs[q.Job]
 	if e == nil {
 		return
--- a/schedule/book.go
+++ b/schedule/book.go
@@ -60,7 +60,7 @@
 	// silent, and of which it is not known yet what became.
 	abandoned map[workload.TaskRef]int
 	// took is how long the tasks took that are done.
-	took map[stepKey]stepTook
+	took map[stepKey]stepDurations
 	// advice is what the advisor has said of the job's steps.
 	advice map[stepKey]*advice
 	// starved is since when the job has found no room, preempted when it last
@@ -113,7 +113,7 @@
 
 	learned  *estimates
 	arrivals arrivals
-	far      farRooms
+	far      rackDemand
 	// dirty holds the jobs that have changed since they were last taken to be stored,
 	// and whether something waits for that.
 	dirty map[*entry]bool
@@ -134,7 +134,7 @@
 	// gangs holds the gangs that are gathering.
 	gangs map[*gang]struct{}
 	// questions are to be put to the advisor.
-	questions []Question
+	questions []AdviceRequest
 	// lowRuns counts the runs of jobs that others may preempt.
 	lowRuns int
 	// scarce holds the labels that waiting tasks require.
@@ -144,8 +144,8 @@
 	// zones says in which availability zones tasks may be started; the workers share it.
 	zones *evacuation.Zones
 	// sight says how well the registrations are known.
-	sight   Sight
-	hearing hearing
+	sight   RegistryCoverage
+	hearing reachability
 	// deposed says that an instance has seen a higher fence.
 	deposed bool
 }
@@ -221,7 +221,7 @@
 			for i := range step {
 				ref := workload.TaskRef{Occurrence: o.Index, Step: n, Index: i}
 				if step[i].Phase == workload.Pending && step[i].On != "" {
-					e.beWary(ref, now)
+					e.avoidFailedWorker(ref, now)
 				}
 				if step[i].Phase != workload.Placed {
 					continue
@@ -238,7 +238,7 @@
 		entry: e, ref: ref, name: workload.TaskName(e.job.ID(), ref), number: number,
 		worker: w, state: s, placedAt: now, pace: fullPace,
 	}
-	r.suspected, r.quarantined, r.apartFor = e.suspected(ref), e.quarantines(ref), e.apartFor(ref)
+	r.suspected, r.quarantined, r.apartFor = e.suspected(ref), e.quarantines(ref), e.quarantineTime(ref)
 	e.runs[ref] = r
 	w.take(r)
 	e.account.started(r.step().Need)
@@ -257,8 +257,8 @@
 			inc:   pointport.NewIncarnation(id, "", ""),
 			runs:  make(map[string]*Run),
 			steps: make(map[stepOf]int),
-			life:  lifetime{inherited: b.taken.Add(b.predecessorBound(id)), foreign: b.foreign[id.Addressee()]},
-			burns: b.burnFor(id),
+			life:  executionLease{inherited: b.taken.Add(b.predecessorBound(id)), misdirectedUntil: b.foreign[id.Addressee()]},
+			burns: b.startsToRuleOut(id),
 			zones: b.zones,
 		}
 		b.workers[id] = w
@@ -388,7 +388,7 @@
 	if r.state != runDecided {
 		event.TaskReturned.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
 			slog.String("incarnation", string(r.worker.inc.ID())), slog.String("reason", reason),
-			slog.Int("unanswered", r.unanswered), slog.Duration("sinceHeard", r.worker.life.sinceHeard(now)))
+			slog.Int("unanswered", r.unanswered), slog.Duration("sinceHeard", r.worker.life.sinceLastAnswer(now)))
 	}
 	b.forget(now, r)
 	if t := r.task(); !detached && t != nil && t.Phase == workload.Placed && t.Run == r.number {
@@ -396,13 +396,13 @@
 		b.touch(r.entry, false)
 	}
 	if r.uncertainty != nil {
-		b.diedBefore(now, r)
+		b.recordEarlierLoss(now, r)
 	}
 	if detached {
 		return
 	}
 	if r.step().Gang {
-		b.breakGang(now, r, "another of its gang has ended")
+		b.stopRestOfGang(now, r, "another of its gang has ended")
 	}
 	b.settleJob(now, r.entry)
 }
@@ -445,7 +445,7 @@
 		listed[inc.ID()] = true
 		b.register(now, inc)
 	}
-	b.list(now, listed)
+	b.updateListed(now, listed)
 	b.sweep(now)
 }
 
@@ -454,7 +454,7 @@
 	if !w.registered {
 		w.registered = true
 		b.looks[w] = struct{}{}
-		b.comeBack(w, inc.Instance())
+		b.restoreHealth(w, inc.Instance())
 	}
 	b.resize(w, inc.Capacity())
 	leaving := inc.Draining() && !w.inc.Draining()
@@ -463,7 +463,7 @@
 	}
 	w.inc = inc
 	if leaving {
-		b.leaveWorker(now, w)
+		b.handleDraining(now, w)
 	}
 }
 
--- a/schedule/book_test.go
+++ b/schedule/book_test.go
@@ -248,8 +248,8 @@
 		silent := &pointport.UnavailableError{Op: "hold", Ambiguous: true}
 		var again time.Duration
 		for now := start; again == 0 && now.Before(start.Add(8*time.Second)); now = now.Add(50 * time.Millisecond) {
-			b.Silent(o.Worker, now, silent)
-			b.See(schedule.Sight{From: start, Until: now})
+			b.PollFailed(o.Worker, now, silent)
+			b.SetRegistryCoverage(schedule.RegistryCoverage{Since: start, Until: now})
 			if now.Sub(start) == time.Second {
 				b.SetIncarnations(now, []pointport.Incarnation{incarnation(1)})
 			}
@@ -282,11 +282,11 @@
 	if got := placed(orders(b, start)); len(got) != 0 {
 		t.Fatalf("starts %v without advice", got)
 	}
-	questions := b.TakeQuestions()
+	questions := b.TakeAdviceRequests()
 	if len(questions) != 1 || questions[0].Step != "a.0.0" || len(questions[0].Incarnations) != 3 {
 		t.Fatalf("questions %+v, want one about all instances", questions)
 	}
-	b.Advised(questions[0], start, start, map[pointport.IncarnationID]string{"i-2": "ticket"}, 3*time.Second, nil)
+	b.AdviceAnswered(questions[0], start, start, map[pointport.IncarnationID]string{"i-2": "ticket"}, 3*time.Second, nil)
 	got := orders(b, start)
 	if placed(got)["i-2"] != 2 || got[0].Ticket != "ticket" {
 		t.Errorf("orders %+v, want two starts with the ticket", got)
--- a/schedule/copies_test.go
+++ b/schedule/copies_test.go
@@ -30,7 +30,7 @@
 	started, stopped := 0, 0
 	for range 30 {
 		now = now.Add(100 * time.Millisecond)
-		b.Silent(first.Worker, now, silence)
+		b.PollFailed(first.Worker, now, silence)
 		for _, o := range orders(b, now) {
 			switch {
 			case o.Worker != first.Worker && o.Kind == schedule.OrderStart:
@@ -78,7 +78,7 @@
 				}
 			}
 			for _, o := range orders(b, now) {
-				b.Sending(o)
+				b.MarkSending(o)
 				if o.Kind == schedule.OrderStart {
 					b.Answered(o, now, 1, nil)
 					return o
@@ -95,8 +95,8 @@
 	third := next()
 	third.Worker.Until(now, settings.Lease)
 	silence := &pointport.UnavailableError{Op: "hold", Ambiguous: true}
-	b.Silent(third.Worker, now, silence)
-	b.Silent(third.Worker, now.Add(600*time.Millisecond), silence)
+	b.PollFailed(third.Worker, now, silence)
+	b.PollFailed(third.Worker, now.Add(600*time.Millisecond), silence)
 	now = now.Add(600 * time.Millisecond)
 	copied := next()
 	if copied.TaskRun.Run != policy.MaxAttempts+1 {
@@ -164,7 +164,7 @@
 	if b.Forgo(now, second) {
 		t.Fatal("the copy is not sent")
 	}
-	b.Sending(second)
+	b.MarkSending(second)
 	b.EndIncarnation(now, second.Worker.Incarnation().ID())
 	now = now.Add(2 * time.Second) // its quarantine is over
 	b.Report(first.Worker, now, now, pointport.Report{Clock: clockAt(now), Running: []pointport.RunningTask{{TaskRun: first.TaskRun, Progress: 10}}})
--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -82,18 +82,18 @@
 // its life gone. If it has answered since, also that it is not well, its own word counts.
 func (b *Book) shownOver(now time.Time, id pointport.IncarnationID) {
 	w := b.workers[id]
-	if w != nil && !w.ended && w.life.known() && (!w.silent || w.refuses) {
-		event.IncarnationLives.Log(b.logger, slog.String("incarnation", string(id)), slog.Int("runs", len(w.runs)), slog.Duration("sinceHeard", w.life.sinceHeard(now)))
+	if w != nil && !w.ended && w.life.clockKnown() && (!w.silent || w.refuses) {
+		event.IncarnationLives.Log(b.logger, slog.String("incarnation", string(id)), slog.Int("runs", len(w.runs)), slog.Duration("sinceHeard", w.life.sinceLastAnswer(now)))
 		return
 	}
 	b.EndIncarnation(now, id)
 }
 
-// endFormerLives takes in that a worker has answered a look that was sent at sent. A machine
+// endEarlierIncarnations takes in that a worker has answered a look that was sent at sent. A machine
 // has one life at a time, so its lives that were there before are over: those that the owner
 // had known, and not heard of, since then. With this their tasks wait for no list of machines
 // nor for their time to pass.
-func (b *Book) endFormerLives(w *Worker, sent, now time.Time) {
+func (b *Book) endEarlierIncarnations(w *Worker, sent, now time.Time) {
 	id := w.inc.Instance()
 	for _, former := range b.formers(w) {
 		if former == w || former.ended || b.workers[former.inc.ID()] != former || !former.lastKnown().Before(sent) {
@@ -111,7 +111,7 @@
 // formers returns the workers among which those are that a worker has followed: any when it is
 // first heard, and later those that are not registered.
 func (b *Book) formers(w *Worker) []*Worker {
-	if w.life.known() {
+	if w.life.clockKnown() {
 		return b.unlisted
 	}
 	return slices.Collect(maps.Values(b.workers))
@@ -138,7 +138,7 @@
 		r.uncertainty = nil // the end of this life counts, and once
 	}
 	event.WorkerEnded.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
-		slog.Int("runs", len(w.runs)), slog.String("cause", string(cause)), slog.String("reason", why), slog.Duration("sinceHeard", w.life.sinceHeard(now)))
+		slog.Int("runs", len(w.runs)), slog.String("cause", string(cause)), slog.String("reason", why), slog.Duration("sinceHeard", w.life.sinceLastAnswer(now)))
 	w.ended, w.endedAt = true, now
 	b.noteForeign(w)
 	b.dropAll(w, now, "its incarnation is over")
@@ -153,8 +153,8 @@
 	}
 }
 
-// answeredOver takes in that an incarnation answers that counts as over, and says so once.
-func (b *Book) answeredOver(w *Worker, now time.Time) {
+// noteAnswerAfterEnd takes in that an incarnation answers that counts as over, and says so once.
+func (b *Book) noteAnswerAfterEnd(w *Worker, now time.Time) {
 	if w.answeredOver {
 		return
 	}
@@ -174,8 +174,8 @@
 	return out
 }
 
-// Sending takes in that an order is sent now.
-func (b *Book) Sending(o Order) {
+// MarkSending takes in that an order is sent now.
+func (b *Book) MarkSending(o Order) {
 	if o.Kind == OrderStart {
 		o.Run.ordered = true
 	}
@@ -317,15 +317,15 @@
 func (b *Book) noteCrashOf(w *Worker, now time.Time) {
 	if w.health.failed(now) {
 		event.SuspectWorker.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
-			slog.Int("failures", w.health.failures), slog.Duration("avoidedFor", w.health.span))
+			slog.Int("failures", w.health.failures), slog.Duration("avoidedFor", w.health.avoidFor))
 	}
 	if id := w.inc.Instance(); id != "" {
 		b.crashedHealth[id] = w.health
 	}
 }
 
-// comeBack gives the next life of an instance that has crashed the health of its last.
-func (b *Book) comeBack(w *Worker, id pointport.InstanceID) {
+// restoreHealth gives the next life of an instance that has crashed the health of its last.
+func (b *Book) restoreHealth(w *Worker, id pointport.InstanceID) {
 	if h, ok := b.crashedHealth[id]; ok {
 		w.health = h
 		delete(b.crashedHealth, id)
--- a/schedule/crash_test.go
+++ b/schedule/crash_test.go
@@ -177,7 +177,7 @@
 		id := w.Endpoint().Incarnation
 		runs, lives := s.runs[id]
 		if !lives {
-			s.book.Silent(w, s.now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
+			s.book.PollFailed(w, s.now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 			continue
 		}
 		w.Until(s.now, settings.Lease)
@@ -192,7 +192,7 @@
 
 func (s *crashSim) carryOut(all []schedule.Order) {
 	for _, o := range all {
-		s.book.Sending(o)
+		s.book.MarkSending(o)
 		id := o.Worker.Endpoint().Incarnation
 		runs, lives := s.runs[id]
 		switch {
@@ -409,7 +409,7 @@
 		now := start.Add(c.lived)
 		report(b, started, w, now, 100)
 		w.Until(now, settings.Lease)
-		b.Silent(w, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
+		b.PollFailed(w, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 		b.SetIncarnations(now, nil)
 		now = now.Add(10 * time.Second)
 		b.SetIncarnations(now, nil)
@@ -428,7 +428,7 @@
 	hear(b, start, incarnation(0))
 	crashed := b.Workers()[0]
 	for range 2 {
-		b.Silent(crashed, start, &pointport.GoneError{Incarnation: incarnation(0).ID()})
+		b.PollFailed(crashed, start, &pointport.GoneError{Incarnation: incarnation(0).ID()})
 	}
 	hear(b, start, incarnation(1, pointport.WithInstance(incarnation(0).Instance())))
 	b.Add(start, job("a", policy, step(1, 100, nil)))
--- a/schedule/doubt_test.go
+++ b/schedule/doubt_test.go
@@ -30,7 +30,7 @@
 	hear(b, start, incs...)
 	workers := b.Workers()[:silent]
 	for _, w := range workers {
-		b.Silent(w, start, silence)
+		b.PollFailed(w, start, silence)
 	}
 	b.Plan(start)
 	b.Plan(start.Add(time.Second))
@@ -46,8 +46,8 @@
 	}{
 		{2, 1, false}, {2, 2, false}, {3, 3, false}, {10, 5, false}, {11, 6, false}, {12, 8, true}, {102, 68, true}, {102, 102, true},
 	} {
-		if b, _ := silenced(c.all, c.silent); b.Doubts() != c.want {
-			t.Errorf("%d silent of %d: doubts itself %v, want %v", c.silent, c.all, b.Doubts(), c.want)
+		if b, _ := silenced(c.all, c.silent); b.SuspectsIsolation() != c.want {
+			t.Errorf("%d silent of %d: doubts itself %v, want %v", c.silent, c.all, b.SuspectsIsolation(), c.want)
 		}
 	}
 }
@@ -63,11 +63,11 @@
 		b.Plan(start)
 	}
 	answer(silent[:20])
-	if !b.Doubts() {
+	if !b.SuspectsIsolation() {
 		t.Error("the owner trusts itself while 40 of 100 instances are silent")
 	}
 	answer(silent[20:40])
-	if b.Doubts() {
+	if b.SuspectsIsolation() {
 		t.Error("the owner doubts itself while 20 of 100 instances are silent")
 	}
 }
@@ -84,11 +84,11 @@
 	now := start
 	for range 10 {
 		for _, w := range b.Workers() {
-			b.Silent(w, now, silence)
+			b.PollFailed(w, now, silence)
 		}
 		for range 9 {
 			b.Plan(now)
-			if b.Doubts() {
+			if b.SuspectsIsolation() {
 				t.Fatal("the owner doubts itself after less than a second")
 			}
 			now = now.Add(100 * time.Millisecond)
@@ -105,7 +105,7 @@
 	b, _ := silenced(10, 8)
 	b.SetIncarnations(start, []pointport.Incarnation{incarnation(8), incarnation(9)})
 	b.Plan(start)
-	if b.Doubts() {
+	if b.SuspectsIsolation() {
 		t.Error("the owner doubts itself although it hears all that are registered")
 	}
 }
@@ -137,7 +137,7 @@
 			now := start
 			for range 300 { // half a minute
 				for _, w := range silent {
-					b.Silent(w, now, silence)
+					b.PollFailed(w, now, silence)
 				}
 				for _, o := range orders(b, now) {
 					if o.Kind == schedule.OrderStart {
@@ -151,7 +151,7 @@
 			}
 			again := 0
 			for range 20 {
-				b.Silent(first.Worker, now, silence)
+				b.PollFailed(first.Worker, now, silence)
 				again += len(placed(orders(b, now)))
 				now = now.Add(100 * time.Millisecond)
 			}
--- a/schedule/drain.go
+++ b/schedule/drain.go
@@ -14,9 +14,9 @@
 // be done to be left alone.
 const drainReserve = 300 * time.Millisecond
 
-// leaveWorker takes in that an instance is about to leave: serving tasks move
+// handleDraining takes in that an instance is about to leave: serving tasks move
 // off, and so do those that would not be done in time.
-func (b *Book) leaveWorker(now time.Time, w *Worker) {
+func (b *Book) handleDraining(now time.Time, w *Worker) {
 	event.WorkerDraining.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
 		slog.Duration("left", w.inc.Left()), slog.Int("runs", len(w.runs)))
 	for _, r := range w.runs {
--- a/schedule/evacuate.go
+++ b/schedule/evacuate.go
@@ -14,8 +14,8 @@
 // runs there runs to its end: the operators ask only that nothing more be sent, and stopping
 // it would lose its work or, for a serving task, take it away from those whom it serves.
 
-// Evacuate takes in which availability zones are evacuated.
-func (b *Book) Evacuate(z evacuation.Zones) { *b.zones = z }
+// SetEvacuations takes in which availability zones are evacuated.
+func (b *Book) SetEvacuations(z evacuation.Zones) { *b.zones = z }
 
 // standing says whether tasks may be started in the worker's availability zone.
 func (w *Worker) standing() evacuation.ZoneState { return w.zones.State(w.inc.Zone()) }
--- a/schedule/evacuate_test.go
+++ b/schedule/evacuate_test.go
@@ -55,13 +55,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := newBook()
 			hear(b, start, north(0), north(2), south(1))
-			b.Evacuate(northEmpty)
+			b.SetEvacuations(northEmpty)
 			b.Add(start, job("a", policy, c.step))
 			got := startsIn(orders(b, start))
 			if got["north"] != 0 || got["south"] != c.want {
 				t.Errorf("starts %v, want none in north and %d in south", got, c.want)
 			}
-			b.Evacuate(evacuation.None)
+			b.SetEvacuations(evacuation.None)
 			if got := startsIn(orders(b, start.Add(time.Second))); c.want == 0 && got["north"] == 0 {
 				t.Error("nothing starts in north once it is open")
 			}
@@ -77,7 +77,7 @@
 		Steps: []workload.Step{step(2, 100, nil)}, Recur: workload.Recurrence{Times: 4, First: start.Add(time.Second), Every: time.Second},
 	}, start)
 	b.Add(start, recurring)
-	b.Evacuate(northEmpty)
+	b.SetEvacuations(northEmpty)
 	all := 0
 	for n := range 4 {
 		got := startsIn(orders(b, start.Add(time.Duration(n+1)*time.Second)))
@@ -96,7 +96,7 @@
 	b := newBook()
 	hear(b, start, north(0), south(1))
 	b.Add(start, job("a", policy, step(2, 500, nil)))
-	b.Evacuate(evacuation.Zones{})
+	b.SetEvacuations(evacuation.Zones{})
 	if got := startsIn(orders(b, start)); len(got) != 0 {
 		t.Errorf("starts %v", got)
 	}
@@ -104,7 +104,7 @@
 	if got := x.Steps[0].Waits; !strings.Contains(got, "may be evacuated") {
 		t.Errorf("explained as %q", got)
 	}
-	b.Evacuate(northEmpty)
+	b.SetEvacuations(northEmpty)
 	if got := startsIn(orders(b, start)); got["south"] != 2 {
 		t.Errorf("starts %v once it is known", got)
 	}
@@ -115,7 +115,7 @@
 	b := newBook()
 	hear(b, start, north(0))
 	b.Add(start, job("a", policy, step(2, 500, nil)))
-	b.Evacuate(northEmpty)
+	b.SetEvacuations(northEmpty)
 	orders(b, start)
 	x, _ := b.Explain(start, "a")
 	if got := x.Steps[0].Waits; !strings.Contains(got, "in an evacuated availability zone") {
@@ -139,7 +139,7 @@
 		if sentBefore {
 			b.Answered(first, start, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true, Err: errors.New("reset")})
 		}
-		b.Evacuate(northEmpty)
+		b.SetEvacuations(northEmpty)
 		if !b.Forgo(now, first) {
 			t.Fatalf("the start is sent (sent before: %v)", sentBefore)
 		}
@@ -166,7 +166,7 @@
 	first := orders(b, start)[0]
 	first.Worker.Until(start, settings.Lease)
 	b.Answered(first, start, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true, Err: errors.New("reset")})
-	b.Evacuate(evacuation.Zones{})
+	b.SetEvacuations(evacuation.Zones{})
 	now := start
 	for range 5 {
 		now = now.Add(200 * time.Millisecond)
@@ -176,7 +176,7 @@
 			}
 		}
 	}
-	b.Evacuate(evacuation.None)
+	b.SetEvacuations(evacuation.None)
 	now = now.Add(200 * time.Millisecond)
 	if again := orders(b, now); len(again) != 1 || again[0].Kind != schedule.OrderStart || b.Forgo(now, again[0]) {
 		t.Errorf("orders %+v, want the start once more", again)
@@ -192,7 +192,7 @@
 	b.Add(start, job("ends", policy, step(1, 1000, nil)))
 	atWork(b, start, orders(b, start))
 	before := b.Survey(start, schedule.SurveyRequest{}).Need.CPUMilli
-	b.Evacuate(northEmpty)
+	b.SetEvacuations(northEmpty)
 	now := start.Add(2 * time.Second)
 	if got := stops(orders(b, now)); got != 0 {
 		t.Errorf("%d tasks are stopped", got)
@@ -222,7 +222,7 @@
 	atWork(b, start, orders(b, start))
 	now := start.Add(3 * time.Second)
 	hearAll(b, now, south(1), north(0))
-	b.Evacuate(northEmpty)
+	b.SetEvacuations(northEmpty)
 	s := b.Survey(now, schedule.SurveyRequest{Closures: []schedule.Closure{{Instance: "m-1", Evacuate: true}}})
 	if got := stops(orders(b, now)); got != 0 || s.Unmoved != 1 {
 		t.Errorf("%d serving tasks are stopped, %d instances are missing for them; want none and 1", got, s.Unmoved)
@@ -233,12 +233,12 @@
 func TestAdvisorIsNotAskedAboutAnEvacuatedZone(t *testing.T) {
 	b := newBook()
 	hear(b, start, north(0), south(1))
-	b.Evacuate(northEmpty)
+	b.SetEvacuations(northEmpty)
 	advised := policy
 	advised.Advised = true
 	b.Add(start, job("a", advised, step(1, 500, nil)))
 	orders(b, start)
-	for _, q := range b.TakeQuestions() {
+	for _, q := range b.TakeAdviceRequests() {
 		for _, id := range q.Incarnations {
 			if id == "i-0" {
 				t.Errorf("question %+v", q)
@@ -256,7 +256,7 @@
 	low.Priority = 1
 	b.Add(start, job("low", low, step(1, 4000, nil)))
 	atWork(b, start, orders(b, start))
-	b.Evacuate(northEmpty)
+	b.SetEvacuations(northEmpty)
 	b.Add(start, job("urgent", policy, step(1, 4000, nil)))
 	now := start
 	for range 20 {
--- a/schedule/lifetime.go
+++ b/schedule/execution_lease.go
@@ -18,7 +18,7 @@
 	lapseSlack = 150 * time.Millisecond
 )
 
-// A lifetime says when everything on an incarnation has surely ended if no further
+// A executionLease says when everything on an incarnation has surely ended if no further
 // answer comes.
 //
 // An answer tells the time on the instance's clock, but not how far an earlier
@@ -28,7 +28,7 @@
 // fence by the answer from which the extension is reckoned, and every owner extends
 // by the same lease. Taking the answer to an order for more than a clock reading
 // started tasks 2.3 s before their former runs had ended.
-type lifetime struct {
+type executionLease struct {
 	// inherited is when everything has ended that earlier owners have extended.
 	inherited time.Time
 	// heard is when the last answer came that showed a clock, zero before the
@@ -41,26 +41,26 @@
 	extended bool
 	// ordered is when an order last carried an extension.
 	ordered time.Time
-	// foreign is until when orders that were meant for an earlier life may have extended what runs
+	// misdirectedUntil is until when orders that were meant for an earlier life may have extended what runs
 	// there, zero if there was none: to its clock their extension says something else.
-	foreign time.Time
+	misdirectedUntil time.Time
 }
 
-// known reports whether any answer has shown the clock.
-func (l *lifetime) known() bool { return !l.heard.IsZero() }
+// clockKnown reports whether any answer has shown the clock.
+func (l *executionLease) clockKnown() bool { return !l.heard.IsZero() }
 
-// sinceHeard returns how long ago an answer last showed the clock, zero before the first.
-func (l *lifetime) sinceHeard(now time.Time) time.Duration {
-	if !l.known() {
+// sinceLastAnswer returns how long ago an answer last showed the clock, zero before the first.
+func (l *executionLease) sinceLastAnswer(now time.Time) time.Duration {
+	if !l.clockKnown() {
 		return 0
 	}
 	return now.Sub(l.heard)
 }
 
-// read takes in that an answer came at now that showed clock. An answer that was
+// observeClock takes in that an answer came at now that showed clock. An answer that was
 // passed by a newer one says nothing new.
-func (l *lifetime) read(now time.Time, clock pointport.InstanceClock) {
-	if l.known() && clock < l.clock {
+func (l *executionLease) observeClock(now time.Time, clock pointport.InstanceClock) {
+	if l.clockKnown() && clock < l.clock {
 		return
 	}
 	l.heard, l.clock = now, clock
@@ -68,38 +68,38 @@
 
 // extend returns the time on the instance's clock that is ahead from now by lease,
 // and notes that its tasks may run up to it. The clock must be known.
-func (l *lifetime) extend(now time.Time, lease time.Duration) pointport.InstanceClock {
+func (l *executionLease) extend(now time.Time, lease time.Duration) pointport.InstanceClock {
 	l.ordered = now
-	until := l.reads(now) + pointport.InstanceClock(lease)
+	until := l.clockAt(now) + pointport.InstanceClock(lease)
 	if !l.extended || until > l.until {
 		l.until, l.extended = until, true
 	}
 	return until
 }
 
-// reads returns what the instance's clock shows now, reckoned from its last answer, zero before
+// clockAt returns what the instance's clock shows now, reckoned from its last answer, zero before
 // the first.
-func (l *lifetime) reads(now time.Time) pointport.InstanceClock {
-	if !l.known() {
+func (l *executionLease) clockAt(now time.Time) pointport.InstanceClock {
+	if !l.clockKnown() {
 		return 0
 	}
 	return l.clock + pointport.InstanceClock(now.Sub(l.heard))
 }
 
-// last returns the furthest extension of this owner, zero if there is none. Zero
+// extendedUntil returns the furthest extension of this owner, zero if there is none. Zero
 // asks an instance to extend nothing.
-func (l *lifetime) last() pointport.InstanceClock {
+func (l *executionLease) extendedUntil() pointport.InstanceClock {
 	if !l.extended {
 		return 0
 	}
 	return l.until
 }
 
-// ends returns when everything on the instance has surely ended.
-func (l *lifetime) ends() time.Time {
+// expiry returns when everything on the instance has surely ended.
+func (l *executionLease) expiry() time.Time {
 	if !l.extended {
-		return latest(l.inherited, l.foreign)
+		return latest(l.inherited, l.misdirectedUntil)
 	}
 	left := time.Duration(l.until - l.clock)
-	return latest(l.foreign, l.heard.Add(time.Duration(float64(left)*slowClock)+lapseSlack))
+	return latest(l.misdirectedUntil, l.heard.Add(time.Duration(float64(left)*slowClock)+lapseSlack))
 }
--- a/schedule/expiry_test.go
+++ b/schedule/expiry_test.go
@@ -33,7 +33,7 @@
 	now := start
 	for range 60 { // well beyond the lease
 		now = now.Add(100 * time.Millisecond)
-		b.Silent(first.Worker, now, silence)
+		b.PollFailed(first.Worker, now, silence)
 		for _, o := range orders(b, now) {
 			b.Answered(o, now, 0, silence)
 		}
@@ -108,10 +108,10 @@
 				other = other[:1]
 			}
 			again := pointport.NewIncarnation("i-again", "p", "10.0.0.9:1", pointport.WithInstance(silent.Instance()), pointport.WithCapacity(size))
-			sight := schedule.Sight{From: start}
+			sight := schedule.RegistryCoverage{Since: start}
 			for at := time.Duration(0); at < never; at += 50 * time.Millisecond {
 				now := start.Add(at)
-				b.Silent(first.Worker, now, silence)
+				b.PollFailed(first.Worker, now, silence)
 				registered := other
 				if c.gone == nil || !c.gone(at) {
 					registered = append(registered[:1:1], silent)
@@ -121,14 +121,14 @@
 				}
 				switch unread := c.unread != nil && c.unread(at); {
 				case unread:
-					sight = schedule.Sight{}
-				case sight.From.IsZero():
-					sight = schedule.Sight{From: now, Until: now}
+					sight = schedule.RegistryCoverage{}
+				case sight.Since.IsZero():
+					sight = schedule.RegistryCoverage{Since: now, Until: now}
 				default:
 					sight.Until = now
 				}
 				b.SetIncarnations(now, registered)
-				b.See(sight)
+				b.SetRegistryCoverage(sight)
 				for _, o := range orders(b, now) {
 					if o.Kind != schedule.OrderStart || o.Worker == first.Worker {
 						continue
@@ -159,7 +159,7 @@
 	now := start
 	for range 60 {
 		now = now.Add(100 * time.Millisecond)
-		b.Silent(first.Worker, now, silence)
+		b.PollFailed(first.Worker, now, silence)
 		orders(b, now)
 	}
 	if status, _ := b.Status("a"); status != workload.Cancelled {
@@ -180,7 +180,7 @@
 	if b.Forgo(start, sent[0]) {
 		t.Fatal("the start is left out although its instance answers")
 	}
-	b.Silent(sent[0].Worker, start, silence)
+	b.PollFailed(sent[0].Worker, start, silence)
 	if !b.Forgo(start, sent[0]) {
 		t.Fatal("the start is sent although its instance is silent")
 	}
@@ -198,7 +198,7 @@
 	sent := orders(b, start)
 	sent[0].Worker.Until(start, settings.Lease)
 	b.Answered(sent[0], start, 0, silence)
-	b.Silent(sent[0].Worker, start, silence)
+	b.PollFailed(sent[0].Worker, start, silence)
 	if b.Forgo(start, sent[0]) {
 		t.Error("the start is left out although an earlier order of it may have arrived")
 	}
@@ -231,7 +231,7 @@
 	hear(b, start, incarnation(0), incarnation(1))
 	b.Add(start, job("a", policy, step(1, 100, nil)))
 	first := orders(b, start)[0]
-	b.Sending(first)
+	b.MarkSending(first)
 	b.Answered(first, start, clockAt(start), nil)
 	b.EndIncarnation(start, first.Worker.Incarnation().ID())
 	b.Report(first.Worker, start, start, ended(first, pointport.EndDone))
@@ -253,7 +253,7 @@
 	b.Add(start, job("a", policy, step(2, 100, func(s *workload.Step) { s.Gang = true })))
 	both := orders(b, start)
 	for _, o := range both {
-		b.Sending(o)
+		b.MarkSending(o)
 		b.Answered(o, start, clockAt(start), nil)
 	}
 	b.SetIncarnations(start, []pointport.Incarnation{incarnation(0), incarnation(1)})
--- a/schedule/forgo_test.go
+++ b/schedule/forgo_test.go
@@ -29,9 +29,9 @@
 	first = sent[0]
 	first.Worker.Until(start, settings.Lease)
 	silence := &pointport.UnavailableError{Op: "hold", Ambiguous: true}
-	b.Silent(first.Worker, start, silence)
+	b.PollFailed(first.Worker, start, silence)
 	now = start.Add(600 * time.Millisecond)
-	b.Silent(first.Worker, now, silence)
+	b.PollFailed(first.Worker, now, silence)
 	all := orders(b, now)
 	if got := placed(all); len(all) != 1 || got[first.Worker.Incarnation().ID()] != 0 {
 		t.Fatalf("starts %v, want one of a copy", got)
@@ -91,7 +91,7 @@
 	if b.Forgo(now, second) {
 		t.Fatal("the first sending is forgone")
 	}
-	b.Sending(second)
+	b.MarkSending(second)
 	b.Answered(second, now, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true})
 	now = now.Add(200 * time.Millisecond)
 	var again []schedule.Order
--- a/schedule/gang.go
+++ b/schedule/gang.go
@@ -39,9 +39,9 @@
 	return out
 }
 
-// breakGang stops the other members of a run's gang, because the run has ended
+// stopRestOfGang stops the other members of a run's gang, because the run has ended
 // or never started.
-func (b *Book) breakGang(now time.Time, r *Run, reason string) {
+func (b *Book) stopRestOfGang(now time.Time, r *Run, reason string) {
 	for _, mate := range b.mates(r) {
 		b.stop(now, mate, reason)
 	}
@@ -63,9 +63,9 @@
 	b.settleJob(now, r.entry)
 }
 
-// tendGangs gives up gangs that do not gather, before their members wait for
+// expireGangs gives up gangs that do not gather, before their members wait for
 // nothing.
-func (b *Book) tendGangs(now time.Time) {
+func (b *Book) expireGangs(now time.Time) {
 	for g := range b.gangs {
 		gathered, first := 0, (*Run)(nil)
 		for ref, r := range g.entry.runs {
@@ -85,7 +85,7 @@
 			event.GangGivenUp.Log(b.logger, slog.String("job", g.entry.job.ID()), slog.Int("step", g.step),
 				slog.Int("run", g.number), slog.Int("gathered", gathered))
 			b.stop(now, first, "its gang did not gather")
-			b.breakGang(now, first, "its gang did not gather")
+			b.stopRestOfGang(now, first, "its gang did not gather")
 		}
 	}
 }
--- a/schedule/health.go
+++ b/schedule/health.go
@@ -25,7 +25,7 @@
 type health struct {
 	failures int // in a row
 	avoid    time.Time
-	span     time.Duration
+	avoidFor time.Duration
 }
 
 // succeeded takes in that a run on the worker has ended well. It reports whether
@@ -43,8 +43,8 @@
 	if h.failures < failuresToAvoid {
 		return false
 	}
-	h.span = min(max(avoidFirst, 2*h.span), avoidMost)
-	h.avoid = now.Add(h.span)
+	h.avoidFor = min(max(avoidFirst, 2*h.avoidFor), avoidMost)
+	h.avoid = now.Add(h.avoidFor)
 	return true
 }
 
@@ -88,8 +88,8 @@
 	return task != nil && task.Phase == workload.Pending && task.On == on && now.Before(until)
 }
 
-// beWary keeps a task that has failed away from where it did, for a while.
-func (e *entry) beWary(ref workload.TaskRef, now time.Time) {
+// avoidFailedWorker keeps a task that has failed away from where it did, for a while.
+func (e *entry) avoidFailedWorker(ref workload.TaskRef, now time.Time) {
 	if e.wary == nil {
 		e.wary = make(map[workload.TaskRef]time.Time)
 	}
--- a/schedule/doubt.go
+++ b/schedule/isolation.go
@@ -27,9 +27,9 @@
 	selfDoubtLeast = 4
 )
 
-// A hearing is how well an owner hears the instances that are registered.
-type hearing struct {
-	share        float64   // of those asked, that are silent
+// A reachability is how well an owner hears the instances that are registered.
+type reachability struct {
+	silentShare  float64   // of those asked, that are silent
 	littleSince  time.Time // since when the owner hears little, zero while it hears more
 	doubtedSince time.Time // zero while the owner does not doubt itself
 }
@@ -57,12 +57,12 @@
 
 // listen judges how well the owner hears.
 func (b *Book) listen(now time.Time, t tally) {
-	b.hearing.share = t.share()
+	b.hearing.silentShare = t.share()
 	doubts := b.hearsLittle(now, t.silent)
-	if doubts == b.Doubts() {
+	if doubts == b.SuspectsIsolation() {
 		return
 	}
-	event.OwnerDoubts.Log(b.logger, slog.Bool("doubts", doubts), slog.Int("silent", t.silent), slog.Int("asked", t.asked), slog.Duration("after", b.DoubtedFor(now)))
+	event.OwnerDoubts.Log(b.logger, slog.Bool("doubts", doubts), slog.Int("silent", t.silent), slog.Int("asked", t.asked), slog.Duration("after", b.IsolationSuspectedFor(now)))
 	b.hearing.doubtedSince = time.Time{}
 	if doubts {
 		b.hearing.doubtedSince = now
@@ -73,10 +73,10 @@
 // doubt itself, or to go on doubting.
 func (b *Book) hearsLittle(now time.Time, silent int) bool {
 	h := &b.hearing
-	if b.Doubts() {
-		return silent >= selfDoubtLeast && h.share >= trustShare
+	if b.SuspectsIsolation() {
+		return silent >= selfDoubtLeast && h.silentShare >= trustShare
 	}
-	if silent < selfDoubtLeast || h.share < selfDoubtShare {
+	if silent < selfDoubtLeast || h.silentShare < selfDoubtShare {
 		h.littleSince = time.Time{}
 		return false
 	}
@@ -86,14 +86,14 @@
 	return now.Sub(h.littleSince) >= selfDoubtAfter
 }
 
-// Doubts reports whether the owner hears so little that it should doubt itself. Nothing
+// SuspectsIsolation reports whether the owner hears so little that it should doubt itself. Nothing
 // expires then on its word alone, and few starts are to be under way: they would take from
 // looks what there is of the link and of processor time, and would mostly go unanswered.
-func (b *Book) Doubts() bool { return !b.hearing.doubtedSince.IsZero() }
+func (b *Book) SuspectsIsolation() bool { return !b.hearing.doubtedSince.IsZero() }
 
-// DoubtedFor returns for how long the owner has doubted itself, zero while it does not.
-func (b *Book) DoubtedFor(now time.Time) time.Duration {
-	if !b.Doubts() {
+// IsolationSuspectedFor returns for how long the owner has doubted itself, zero while it does not.
+func (b *Book) IsolationSuspectedFor(now time.Time) time.Duration {
+	if !b.SuspectsIsolation() {
 		return 0
 	}
 	return now.Sub(b.hearing.doubtedSince)
--- a/schedule/late_end_test.go
+++ b/schedule/late_end_test.go
@@ -25,7 +25,7 @@
 		t.Fatalf("orders %v, want a start on each instance", sent)
 	}
 	for _, o := range sent {
-		b.Sending(o)
+		b.MarkSending(o)
 		o.Worker.Until(start, settings.Lease)
 		b.Answered(o, start, 1, nil)
 	}
@@ -34,7 +34,7 @@
 		now = now.Add(100 * time.Millisecond)
 		b.SetIncarnations(now, nil)
 		for _, o := range sent {
-			b.Silent(o.Worker, now, silence)
+			b.PollFailed(o.Worker, now, silence)
 		}
 		for _, o := range orders(b, now) {
 			b.Answered(o, now, 0, silence)
@@ -87,7 +87,7 @@
 		t.Fatalf("orders %v, want the gang started again", again)
 	}
 	for _, o := range again {
-		b.Sending(o)
+		b.MarkSending(o)
 		b.Answered(o, now, 1, nil)
 	}
 	now = now.Add(time.Second)
--- a/schedule/later.go
+++ b/schedule/later_incarnation.go
@@ -123,13 +123,13 @@
 	return ordered.Add(takenLate + time.Duration(float64(b.settings.MaxHold)*slowClock) + lapseSlack)
 }
 
-// endsOf returns when everything has surely ended that was ordered to a worker, if no further answer
+// executionExpiry returns when everything has surely ended that was ordered to a worker, if no further answer
 // comes: also what a later life may have taken.
-func (b *Book) endsOf(w *Worker) time.Time {
+func (b *Book) executionExpiry(w *Worker) time.Time {
 	if !w.anyUncertain() {
-		return w.life.ends()
+		return w.life.expiry()
 	}
-	return latest(w.life.ends(), b.foreignUntil(w.life.ordered))
+	return latest(w.life.expiry(), b.foreignUntil(w.life.ordered))
 }
 
 // noteForeign notes until when orders to a worker that is over may extend what later lives of its
@@ -142,14 +142,14 @@
 	b.foreign[to] = latest(b.foreign[to], until)
 	for _, o := range b.workers {
 		if o.sharesWith(w) {
-			o.life.foreign = latest(o.life.foreign, until)
+			o.life.misdirectedUntil = latest(o.life.misdirectedUntil, until)
 		}
 	}
 }
 
-// found takes in that the life to which a run has followed has it, or had it: it did not die with
+// confirmListed takes in that the life to which a run has followed has it, or had it: it did not die with
 // the former one.
-func (r *Run) found() {
+func (r *Run) confirmListed() {
 	r.listed = true
 	if r.uncertainty == nil {
 		return
@@ -160,10 +160,10 @@
 	}
 }
 
-// notFollowed takes in that the life to which a run has followed does not list it, by an answer to
+// notListedByLater takes in that the life to which a run has followed does not list it, by an answer to
 // a look that was sent at sent. It reports whether the run is over: a start that got no answer is
 // ruled out first.
-func (b *Book) notFollowed(now, sent time.Time, r *Run) bool {
+func (b *Book) notListedByLater(now, sent time.Time, r *Run) bool {
 	if r.state == runLive && r.unanswered == 0 {
 		return sent.After(r.liveAt)
 	}
@@ -171,8 +171,8 @@
 	return false
 }
 
-// diedBefore counts the crash of the life before against a run that has followed and is not there.
-func (b *Book) diedBefore(now time.Time, r *Run) {
+// recordEarlierLoss counts the crash of the life before against a run that has followed and is not there.
+func (b *Book) recordEarlierLoss(now time.Time, r *Run) {
 	u := r.uncertainty
 	r.uncertainty = nil
 	if u.cause != partingCrashed {
@@ -195,8 +195,8 @@
 	b.underWay[to][run] = now
 }
 
-// burnFor returns the starts that a life which is new to the owner must rule out first.
-func (b *Book) burnFor(id pointport.IncarnationID) map[pointport.TaskRun]bool {
+// startsToRuleOut returns the starts that a life which is new to the owner must rule out first.
+func (b *Book) startsToRuleOut(id pointport.IncarnationID) map[pointport.TaskRun]bool {
 	all := b.underWay[id.Addressee()]
 	if len(all) == 0 {
 		return nil
--- a/schedule/later_test.go
+++ b/schedule/later_test.go
@@ -56,7 +56,7 @@
 	if len(all) != 1 || all[0].Kind != schedule.OrderStart {
 		t.Fatalf("orders %v, want a start", all)
 	}
-	b.Sending(all[0])
+	b.MarkSending(all[0])
 	all[0].Worker.Until(start, settings.Lease)
 	return b, all[0], j
 }
@@ -81,7 +81,7 @@
 	orders(b, now)
 	b.Add(now, job("a", policy, step(1, 100, nil)))
 	first := orders(b, now)[0]
-	b.Sending(first)
+	b.MarkSending(first)
 	if got := w.Look(); got.Acknowledged != 0 {
 		t.Errorf("with a start under way, whoever takes the look may forget ends up to %d", got.Acknowledged)
 	}
@@ -112,7 +112,7 @@
 	w := b.Workers()[0]
 	b.Report(w, start, start, pointport.Report{Clock: 2, Ended: []pointport.TaskEnd{{Number: 9, TaskRun: pointport.TaskRun{Task: "b.0.0.0", Run: 1}, Kind: pointport.EndDone}}})
 	b.Add(start, job("a", policy, step(1, 100, nil)))
-	b.Sending(orders(b, start)[0])
+	b.MarkSending(orders(b, start)[0])
 	if got := w.Look(); got != (schedule.Look{Acknowledged: 9, MayWait: true}) || w.Acknowledging(start) {
 		t.Errorf("the look is %+v, starts held back: %v", got, w.Acknowledging(start))
 	}
@@ -127,7 +127,7 @@
 			b.Answered(first, start, 3, nil)
 		}
 		now := start.Add(time.Second)
-		b.Silent(first.Worker, now, replacedBy(life(0), life(1)))
+		b.PollFailed(first.Worker, now, replacedBy(life(0), life(1)))
 		if !first.Worker.Ended() {
 			t.Fatal("the life before does not count as over")
 		}
@@ -208,7 +208,7 @@
 			b.Answered(first, start.Add(400*time.Millisecond), 0, silence)
 		}
 		now := start.Add(time.Second)
-		b.Silent(first.Worker, now, replacedBy(life(0), life(1)))
+		b.PollFailed(first.Worker, now, replacedBy(life(0), life(1)))
 		if got := j.Task(workload.TaskRef{}).Crashes; got != 0 {
 			t.Errorf("answered %v: %d crashes before it is known whether the run is on the later life", answered, got)
 		}
@@ -232,11 +232,11 @@
 	hear(b, start, life(0))
 	b.Add(start, crashedJob("a", 2, step(1, 100, nil)))
 	first := orders(b, start)[0]
-	b.Sending(first)
+	b.MarkSending(first)
 	b.Answered(first, start, 3, nil)
 	now := start.Add(10 * time.Millisecond)
 	b.SetIncarnations(now, []pointport.Incarnation{life(1)})
-	b.Silent(first.Worker, now, replacedBy(life(0), life(1)))
+	b.PollFailed(first.Worker, now, replacedBy(life(0), life(1)))
 	b.Report(workerOf(t, b, life(1)), now, now, listing(first.TaskRun))
 	b.Add(now, job("b", policy, step(1, 100, nil)))
 	if got := placed(orders(b, now)); len(got) != 0 {
@@ -249,7 +249,7 @@
 	b, first, j := started(t)
 	b.Answered(first, start, 3, nil)
 	now := start.Add(time.Second)
-	b.Silent(first.Worker, now, replacedBy(life(0), life(1)))
+	b.PollFailed(first.Worker, now, replacedBy(life(0), life(1)))
 	now = now.Add(10 * time.Millisecond)
 	b.Report(workerOf(t, b, life(1)), now, now, listing(first.TaskRun))
 	if got := j.Task(workload.TaskRef{}).Crashes; got != 0 {
@@ -347,7 +347,7 @@
 	b.SetIncarnations(now, []pointport.Incarnation{life(0)})
 	for _, w := range b.Workers() {
 		if w != later {
-			b.Silent(w, now, replacedBy(life(0), life(1)))
+			b.PollFailed(w, now, replacedBy(life(0), life(1)))
 		}
 	}
 	now = now.Add(10 * time.Millisecond)
@@ -365,7 +365,7 @@
 	b.Add(start, job("a", policy, step(2, 100, nil)))
 	all := orders(b, start)
 	for _, o := range all {
-		b.Sending(o)
+		b.MarkSending(o)
 		b.Answered(o, start, 3, nil)
 	}
 	former := all[0].Worker
@@ -390,7 +390,7 @@
 func TestSilentInstanceIsNotExtendedByAClockThatMayBeAnothers(t *testing.T) {
 	b, first, _ := started(t)
 	now := start.Add(time.Second)
-	b.Silent(first.Worker, now, silence)
+	b.PollFailed(first.Worker, now, silence)
 	if got := first.Worker.Until(now, settings.Lease); got != 0 {
 		t.Errorf("it is extended to %v, want nothing", got)
 	}
@@ -402,9 +402,9 @@
 	other := incarnation(5)
 	for now := from; now.Sub(start) < time.Minute; now = now.Add(250 * time.Millisecond) {
 		for _, w := range silent {
-			b.Silent(w, now, silence)
+			b.PollFailed(w, now, silence)
 		}
-		b.See(schedule.Sight{From: start, Until: now})
+		b.SetRegistryCoverage(schedule.RegistryCoverage{Since: start, Until: now})
 		b.SetIncarnations(now, append([]pointport.Incarnation{other}, registered...))
 		for _, w := range b.Workers() {
 			if w.Incarnation().ID() == other.ID() {
@@ -436,7 +436,7 @@
 		b, first, _ := startedOn(t, life(0), serves)
 		b.Answered(first, start, 3, nil)
 		now := start.Add(100 * time.Millisecond)
-		b.Silent(first.Worker, now, replacedBy(life(0), life(1)))
+		b.PollFailed(first.Worker, now, replacedBy(life(0), life(1)))
 		later := workerOf(t, b, life(1))
 		b.Report(later, now, now, listing(first.TaskRun))
 		later.Until(now, settings.Lease)
@@ -488,8 +488,8 @@
 	b, first, j := started(t)
 	b.Answered(first, start, 3, nil)
 	now := start.Add(time.Second)
-	b.Silent(first.Worker, now, replacedBy(life(0), life(1)))
-	b.Silent(workerOf(t, b, life(1)), now, &pointport.GoneError{Incarnation: life(1).ID()})
+	b.PollFailed(first.Worker, now, replacedBy(life(0), life(1)))
+	b.PollFailed(workerOf(t, b, life(1)), now, &pointport.GoneError{Incarnation: life(1).ID()})
 	if got := j.Task(workload.TaskRef{}).Crashes; got != 1 {
 		t.Errorf("%d crashes, want 1", got)
 	}
@@ -501,7 +501,7 @@
 	b, first, _ := started(t)
 	b.Answered(first, start, 3, nil)
 	now := start.Add(time.Second)
-	b.Silent(first.Worker, now, silence)
+	b.PollFailed(first.Worker, now, silence)
 	b.EndIncarnation(now, life(0).ID())
 	if first.Worker.Ended() {
 		t.Error("the life counts as over, and with it a run that it has never listed")
--- a/schedule/order.go
+++ b/schedule/order.go
@@ -55,7 +55,7 @@
 	if w.ended {
 		var rejected *pointport.RejectedError
 		if (err == nil || errors.As(err, &rejected)) && !w.inc.ID().Shares() {
-			b.answeredOver(w, now)
+			b.noteAnswerAfterEnd(w, now)
 		}
 		return
 	}
@@ -65,7 +65,7 @@
 		return
 	}
 	if err == nil && o.Kind != OrderPace && !w.inc.ID().Shares() { // the answer to a pace shows no clock
-		w.life.read(now, clock)
+		w.life.observeClock(now, clock)
 	}
 	b.checkFence(err)
 	if o.Kind == OrderStop && ruledOut(err) {
@@ -90,7 +90,7 @@
 	}
 	if err == nil {
 		if r.worker.inc.ID().Shares() {
-			clock = r.worker.life.reads(now) // it may be another life that has answered
+			clock = r.worker.life.clockAt(now) // it may be another life that has answered
 		}
 		b.live(r, now, clock)
 		return
@@ -162,9 +162,9 @@
 		return true // nothing wants it, or it was answered
 	case r.stopping || r.detached():
 		return true // a run that was never sent was dropped instead
-	case w.overfull() && r.ordered:
+	case w.overcommitted() && r.ordered:
 		b.stop(now, r, "its instance has shrunk, and it is not known to run there")
-	case w.overfull():
+	case w.overcommitted():
 		b.dropUnsent(now, r, "its instance shrank before its start was sent")
 	case w.silent && !r.ordered:
 		b.dropUnsent(now, r, "its instance fell silent before its start was sent")
@@ -260,7 +260,7 @@
 			case r.stopping && !now.Before(r.stopAgainAt):
 				r.stopAgainAt = now.Add(stopAgain)
 				b.sends = append(b.sends, Order{Kind: OrderStop, Run: r, Worker: w, TaskRun: r.TaskRun()})
-			case r.state == runSent && !r.stopping && !r.detached() && !r.againAt.IsZero() && now.After(r.againAt) && now.Before(b.endsOf(w)):
+			case r.state == runSent && !r.stopping && !r.detached() && !r.againAt.IsZero() && now.After(r.againAt) && now.Before(b.executionExpiry(w)):
 				r.againAt = time.Time{}
 				b.sends = append(b.sends, startOrder(r))
 			}
--- a/schedule/ordered_test.go
+++ b/schedule/ordered_test.go
@@ -29,7 +29,7 @@
 			t.Fatalf("in round %d the pool has %+v, want an instance that is not avoided", round, s.Instances)
 		}
 		now = now.Add(time.Second)
-		b.Silent(w, now, silence)
+		b.PollFailed(w, now, silence)
 		ended := schedule.OrderedEnd{Incarnation: inc.ID(), Sure: round%2 == 0}
 		s := b.Survey(now, schedule.SurveyRequest{Ordered: []schedule.OrderedEnd{ended}})
 		if ended.Sure != (len(s.Instances) == 0 && len(b.Workers()) == 0) {
--- a/schedule/owner_model_test.go
+++ b/schedule/owner_model_test.go
@@ -200,7 +200,7 @@
 func (o *modelOwner) sendOne(l *modelQueue, order schedule.Order) {
 	w := o.world
 	l.inFlight++
-	o.book.Sending(order)
+	o.book.MarkSending(order)
 	until := order.Worker.Until(w.now, settings.Lease)
 	w.checkSending(order)
 	taken := func(clock pointport.InstanceClock, err error) {
@@ -301,7 +301,7 @@
 			if err != nil {
 				world.t.Logf("%v taken in: look at %s since %v: %v", world.since(), w.Endpoint().Incarnation, sent.Sub(start), err)
 				w.Looked(plan, world.now, false)
-				o.book.Silent(w, world.now, err)
+				o.book.PollFailed(w, world.now, err)
 				l.next = world.now.Add(modelLookRetry)
 				return
 			}
--- a/schedule/pace.go
+++ b/schedule/pace.go
@@ -25,9 +25,9 @@
 	paceEvery = 600 * time.Millisecond
 )
 
-// steer sets the pace of the tasks that fill a worker by the tails of those that
+// adjustPace sets the pace of the tasks that fill a worker by the tails of those that
 // serve there.
-func (b *Book) steer(now time.Time, w *Worker) {
+func (b *Book) adjustPace(now time.Time, w *Worker) {
 	if now.Sub(w.paced) < paceEvery {
 		return
 	}
--- a/schedule/patience.go
+++ b/schedule/patience.go
@@ -16,5 +16,5 @@
 	if !w.silent {
 		return 0
 	}
-	return time.Duration(b.hearing.share * float64(lookPatience))
+	return time.Duration(b.hearing.silentShare * float64(lookPatience))
 }
--- a/schedule/plan.go
+++ b/schedule/plan.go
@@ -20,7 +20,7 @@
 	b.repeatOrders(now)
 	b.begin(now)
 	b.relocate(now)
-	b.tendGangs(now)
+	b.expireGangs(now)
 	b.forgetHeldBack()
 	if len(b.hungry) == 0 {
 		return
@@ -299,7 +299,7 @@
 	case w.serving > 0:
 		score += servingScore
 	}
-	score -= apartScore * float64(t.entry.companyOf(t, w))
+	score -= apartScore * float64(t.entry.neighboursToAvoid(t, w))
 	if t.step.Label == "" && w.hasAny(b.scarce) {
 		score -= scarceScore
 	}
--- a/schedule/proof_test.go
+++ b/schedule/proof_test.go
@@ -40,13 +40,13 @@
 func TestHearsayDoesNotOverruleAnAnswer(t *testing.T) {
 	b, former, _ := lives(t)
 	now := start.Add(time.Second)
-	b.Silent(former, now, silence)
+	b.PollFailed(former, now, silence)
 	b.Report(former, now, now.Add(10*time.Millisecond), pointport.Report{Clock: 1, Running: []pointport.RunningTask{{TaskRun: pointport.TaskRun{Task: "a.0.0.0", Run: 1}}}})
 	b.Survey(now.Add(20*time.Millisecond), schedule.SurveyRequest{Over: []pointport.IncarnationID{former.Incarnation().ID()}})
 	if former.Ended() {
 		t.Error("an incarnation that has answered since counts as over")
 	}
-	b.Silent(former, now.Add(time.Second), silence)
+	b.PollFailed(former, now.Add(time.Second), silence)
 	b.Survey(now.Add(time.Second), schedule.SurveyRequest{Over: []pointport.IncarnationID{former.Incarnation().ID()}})
 	if !former.Ended() {
 		t.Error("an incarnation that is silent and shown to be over does not count as over")
@@ -57,7 +57,7 @@
 // over, and their tasks wait no longer for their time to pass.
 func TestLaterLifeProvesTheFormerOver(t *testing.T) {
 	b, former, later := lives(t)
-	b.Silent(former, start.Add(time.Second), silence)
+	b.PollFailed(former, start.Add(time.Second), silence)
 	asked := start.Add(1200 * time.Millisecond)
 	b.Report(later, asked, asked.Add(time.Millisecond), pointport.Report{Clock: 1})
 	if !former.Ended() {
@@ -91,7 +91,7 @@
 	answer(b, orders(b, start), start)
 	w := b.Workers()[0]
 	now := start.Add(time.Second)
-	b.Silent(w, now, &pointport.RejectedError{Incarnation: w.Incarnation().ID(), Reason: pointport.RejectUnhealthy})
+	b.PollFailed(w, now, &pointport.RejectedError{Incarnation: w.Incarnation().ID(), Reason: pointport.RejectUnhealthy})
 	b.Survey(now.Add(100*time.Millisecond), schedule.SurveyRequest{Over: []pointport.IncarnationID{w.Incarnation().ID()}})
 	if w.Ended() {
 		t.Error("an instance that has just refused a look counts as over")
--- a/schedule/quarantine.go
+++ b/schedule/quarantine.go
@@ -91,18 +91,18 @@
 	return last
 }
 
-// companyOf returns how many runs on a worker a task had better be apart from: all of
+// neighboursToAvoid returns how many runs on a worker a task had better be apart from: all of
 // them if an instance has crashed under it, else those of tasks under which one has.
-func (e *entry) companyOf(t waiting, w *Worker) int {
+func (e *entry) neighboursToAvoid(t waiting, w *Worker) int {
 	if len(e.crashed) > 0 && e.suspected(t.ref) {
 		return len(w.runs)
 	}
 	return w.suspected
 }
 
-// acquit takes in that a report shows a run, which may tell that its task does not crash
+// reviewSuspicion takes in that a report shows a run, which may tell that its task does not crash
 // instances.
-func (b *Book) acquit(now time.Time, r *Run) {
+func (b *Book) reviewSuspicion(now time.Time, r *Run) {
 	if len(r.entry.crashed) == 0 {
 		return
 	}
@@ -112,7 +112,7 @@
 		b.touch(r.entry, false)
 	}
 	if lives >= r.apartFor {
-		r.worker.clear(r)
+		r.worker.clearSuspicion(r)
 	}
 	if r.step().Service && lives >= exoneratedAfter && r.progress >= atWork && r.entry.suspected(r.ref) {
 		r.entry.job.ResetCrashes(r.ref)
@@ -120,8 +120,8 @@
 	}
 }
 
-// apartFor returns for how long after its start nothing joins a task.
-func (e *entry) apartFor(ref workload.TaskRef) time.Duration {
+// quarantineTime returns for how long after its start nothing joins a task.
+func (e *entry) quarantineTime(ref workload.TaskRef) time.Duration {
 	t := e.job.Task(ref)
 	if t == nil {
 		return quarantineFor
@@ -129,8 +129,8 @@
 	return quarantineFor << min(max(t.Crashes-quarantineAfter, 0), quarantineDoubled)
 }
 
-// clear has a run count as any other on its worker.
-func (w *Worker) clear(r *Run) {
+// clearSuspicion has a run count as any other on its worker.
+func (w *Worker) clearSuspicion(r *Run) {
 	if r.suspected {
 		w.suspected--
 	}
--- a/schedule/quarantine_test.go
+++ b/schedule/quarantine_test.go
@@ -28,7 +28,7 @@
 func answer(b *schedule.Book, all []schedule.Order, now time.Time) {
 	for _, o := range all {
 		if o.Kind == schedule.OrderStart {
-			b.Sending(o)
+			b.MarkSending(o)
 			b.Answered(o, now, 1, nil)
 		}
 	}
@@ -158,7 +158,7 @@
 	starts := make(map[pointport.IncarnationID]bool)
 	for now := start; now.Before(start.Add(3 * time.Second)); now = now.Add(100 * time.Millisecond) {
 		for _, o := range orders(b, now) {
-			b.Sending(o)
+			b.MarkSending(o)
 			if o.Kind == schedule.OrderStart {
 				o.Worker.Until(now, settings.Lease)
 				starts[o.Worker.Endpoint().Incarnation] = true
@@ -167,7 +167,7 @@
 		}
 		for _, w := range b.Workers() {
 			if starts[w.Incarnation().ID()] {
-				b.Silent(w, now, silence)
+				b.PollFailed(w, now, silence)
 			}
 		}
 	}
@@ -221,7 +221,7 @@
 			}
 			b.Add(now, job(other, policy, step(1, 500, nil)))
 			for _, o := range orders(b, now) {
-				b.Sending(o)
+				b.MarkSending(o)
 				joined = true
 			}
 		}
--- a/schedule/far.go
+++ b/schedule/rack_demand.go
@@ -13,9 +13,9 @@
 // farWindow is the time over which the room of such tasks is remembered.
 const farWindow = 2 * time.Second
 
-// farRooms is the room of tasks that were lately placed away from their data, by
+// rackDemand is the room of tasks that were lately placed away from their data, by
 // the rack that has it.
-type farRooms struct {
+type rackDemand struct {
 	byRack map[string]*fading
 }
 
@@ -35,7 +35,7 @@
 }
 
 // add takes in that a task that wants a rack was placed elsewhere.
-func (r *farRooms) add(now time.Time, rack string, room pointport.Shape) {
+func (r *rackDemand) add(now time.Time, rack string, room pointport.Shape) {
 	if r.byRack == nil {
 		r.byRack = make(map[string]*fading)
 	}
@@ -50,7 +50,7 @@
 }
 
 // steady returns the room by rack as it is at now.
-func (r *farRooms) steady(now time.Time) map[string]pointport.Shape {
+func (r *rackDemand) steady(now time.Time) map[string]pointport.Shape {
 	out := make(map[string]pointport.Shape, len(r.byRack))
 	for rack, f := range r.byRack {
 		f.decay(now)
--- a/schedule/sight.go
+++ b/schedule/registration.go
@@ -8,11 +8,11 @@
 
 // This file defines when an incarnation that is not registered counts as gone.
 
-// A Sight says how well the registrations are known.
-type Sight struct {
-	// From is since when each question to the store about them has been answered, zero
+// A RegistryCoverage says how well the registrations are known.
+type RegistryCoverage struct {
+	// Since is since when each question to the store about them has been answered, zero
 	// while the last one was not.
-	From time.Time
+	Since time.Time
 	// Until is when the last answer came.
 	Until time.Time
 }
@@ -23,22 +23,22 @@
 // from those who watch for a second.
 const goneAfter = 3 * time.Second
 
-// See takes in how well the registrations are known that the book was told last.
-func (b *Book) See(s Sight) { b.sight = s }
+// SetRegistryCoverage takes in how well the registrations are known that the book was told last.
+func (b *Book) SetRegistryCoverage(s RegistryCoverage) { b.sight = s }
 
 // gone reports whether a worker has left the registrations for good: it has been missing for
 // longer than one that lapsed by mistake. Time in which the registrations could not be read
 // does not count: what is not seen then may be there.
 func (b *Book) gone(w *Worker) bool {
-	if w.listed || w.unlistedSince.IsZero() || b.sight.From.IsZero() {
+	if w.listed || w.unlistedSince.IsZero() || b.sight.Since.IsZero() {
 		return false
 	}
 	if b.reborn(w) {
 		return true
 	}
 	from := w.unlistedSince
-	if b.sight.From.After(from) {
-		from = b.sight.From
+	if b.sight.Since.After(from) {
+		from = b.sight.Since
 	}
 	return b.sight.Until.Sub(from) >= goneAfter
 }
@@ -58,8 +58,8 @@
 	return false
 }
 
-// list takes in which workers are registered.
-func (b *Book) list(now time.Time, listed map[pointport.IncarnationID]bool) {
+// updateListed takes in which workers are registered.
+func (b *Book) updateListed(now time.Time, listed map[pointport.IncarnationID]bool) {
 	b.unlisted = b.unlisted[:0]
 	for id, w := range b.workers {
 		w.listed = listed[id]
--- a/schedule/report.go
+++ b/schedule/report.go
@@ -14,12 +14,12 @@
 // Report takes in what an instance said at now to a look that was sent at sent.
 func (b *Book) Report(w *Worker, sent, now time.Time, report pointport.Report) {
 	if w.ended {
-		b.answeredOver(w, now)
+		b.noteAnswerAfterEnd(w, now)
 		b.ends(w, now, report.Ended) // what has ended well need not run again
 		return
 	}
-	b.endFormerLives(w, sent, now)
-	w.life.read(now, report.Clock)
+	b.endEarlierIncarnations(w, sent, now)
+	w.life.observeClock(now, report.Clock)
 	w.reported = now
 	w.silent = false // an answer to an order would not tell what the instance runs
 	w.answeredUnlisted = w.answeredUnlisted || !w.listed
@@ -27,8 +27,8 @@
 	b.ends(w, now, report.Ended)
 	b.running(w, now, report)
 	b.missing(w, sent, now, report)
-	b.inspect(now, w)
-	b.steer(now, w)
+	b.stopStalledRuns(now, w)
+	b.adjustPace(now, w)
 }
 
 // ends takes in the ends that an instance lists.
@@ -48,15 +48,15 @@
 			b.stray(w, row.TaskRun)
 			continue
 		}
-		r.found()
+		r.confirmListed()
 		b.live(r, now, report.Clock)
 		if r.detached() {
 			b.stop(now, r, "its job has no use for it any more")
 			continue
 		}
 		r.load = row.Load
-		r.moved(now, report.Clock, row.Progress)
-		b.acquit(now, r)
+		r.observeProgress(now, report.Clock, row.Progress)
+		b.reviewSuspicion(now, r)
 		if t := r.task(); t != nil && row.Checkpoint != "" {
 			t.Checkpoint = row.Checkpoint
 		}
@@ -119,7 +119,7 @@
 		case r.state == runSettling:
 			gone = sent.After(r.settleAfter)
 		case r.uncertainty != nil:
-			gone = b.notFollowed(now, sent, r)
+			gone = b.notListedByLater(now, sent, r)
 		case r.state == runLive:
 			gone = sent.After(r.liveAt)
 		}
@@ -144,7 +144,7 @@
 	event.RunEnded.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
 		slog.String("incarnation", string(w.inc.ID())), slog.String("how", string(end.Kind)),
 		slog.Duration("after", now.Sub(r.placedAt)), slog.Duration("startedAfter", r.startedAfter()))
-	r.found()
+	r.confirmListed()
 	if r.detached() {
 		b.forget(now, r)
 		b.givenUpEnded(w, now, end)
@@ -270,7 +270,7 @@
 func (b *Book) runDone(now time.Time, r *Run) {
 	if !r.liveAt.IsZero() && !r.inherited && r.from == 0 {
 		b.learned.observe(r.entry.job.Queue(), r.step(), now.Sub(r.liveAt))
-		r.entry.note(stepKey{r.ref.Occurrence, r.ref.Step}, now.Sub(r.liveAt))
+		r.entry.addDuration(stepKey{r.ref.Occurrence, r.ref.Step}, now.Sub(r.liveAt))
 	}
 	if r.worker.health.succeeded() {
 		event.SoundWorker.Log(b.logger, slog.String("incarnation", string(r.worker.inc.ID())))
@@ -292,20 +292,20 @@
 func (b *Book) runFailed(now time.Time, r *Run) {
 	if r.worker.health.failed(now) {
 		event.SuspectWorker.Log(b.logger, slog.String("incarnation", string(r.worker.inc.ID())),
-			slog.Int("failures", r.worker.health.failures), slog.Duration("avoidedFor", r.worker.health.span))
+			slog.Int("failures", r.worker.health.failures), slog.Duration("avoidedFor", r.worker.health.avoidFor))
 	}
 	b.forget(now, r)
 	if r.task() == nil {
 		return
 	}
 	jobFailed := r.entry.job.Fail(r.ref, r.number)
-	r.entry.beWary(r.ref, now)
+	r.entry.avoidFailedWorker(r.ref, now)
 	b.touch(r.entry, true)
 	switch {
 	case jobFailed:
 		b.stopAll(now, r.entry, "another task of its job has failed too often")
 	case r.step().Gang:
-		b.breakGang(now, r, "another of its gang has failed")
+		b.stopRestOfGang(now, r, "another of its gang has failed")
 	}
 	b.settleJob(now, r.entry)
 }
--- a/schedule/resize.go
+++ b/schedule/resize.go
@@ -27,5 +27,5 @@
 		slog.Int64("freeCPUMilli", w.free.CPUMilli), slog.Int64("freeMemoryMiB", w.free.MemoryMiB), slog.Int("runs", len(w.runs)))
 }
 
-// overfull reports whether what runs on the worker, or is to, takes more than it holds.
-func (w *Worker) overfull() bool { return !w.free.Fits(pointport.Shape{}) }
+// overcommitted reports whether what runs on the worker, or is to, takes more than it holds.
+func (w *Worker) overcommitted() bool { return !w.free.Fits(pointport.Shape{}) }
--- a/schedule/resize_test.go
+++ b/schedule/resize_test.go
@@ -58,7 +58,7 @@
 		if s.book.Forgo(s.now, o) {
 			continue
 		}
-		s.book.Sending(o)
+		s.book.MarkSending(o)
 		fate := rapid.SampledFrom([]string{"answered", "answered", "lost", "mute"}).Draw(s.t, "fate")
 		if fate != "lost" {
 			s.carryOut(o)
--- a/schedule/ruled_out_test.go
+++ b/schedule/ruled_out_test.go
@@ -40,7 +40,7 @@
 			hear(b, start, incarnation(0), incarnation(1))
 			b.Add(start, job("a", policy, step(1, 100, nil)))
 			first := orders(b, start)[0]
-			b.Sending(first)
+			b.MarkSending(first)
 			first.Worker.Until(start, settings.Lease)
 			now := start.Add(400 * time.Millisecond)
 			b.Answered(first, now, 0, silence)
@@ -88,7 +88,7 @@
 	hear(b, start, incarnation(0))
 	b.Add(start, job("a", policy, step(1, 100, func(s *workload.Step) { s.Service = true })))
 	first := orders(b, start)[0]
-	b.Sending(first)
+	b.MarkSending(first)
 	first.Worker.Until(start, settings.Lease)
 	now := start.Add(400 * time.Millisecond)
 	b.Answered(first, now, 0, silence)
@@ -97,7 +97,7 @@
 	}
 	for range 50 { // well beyond the lease
 		now = now.Add(100 * time.Millisecond)
-		b.Silent(first.Worker, now, silence)
+		b.PollFailed(first.Worker, now, silence)
 		for _, o := range orders(b, now) {
 			b.Answered(o, now, 0, silence)
 		}
--- a/schedule/silence.go
+++ b/schedule/silence.go
@@ -13,9 +13,9 @@
 // This file defines what becomes of the tasks on an instance that gives no answer or
 // is over.
 
-// Silent takes in that a look at a worker got no answer, or an answer that
+// PollFailed takes in that a look at a worker got no answer, or an answer that
 // settles what became of the incarnation.
-func (b *Book) Silent(w *Worker, now time.Time, err error) {
+func (b *Book) PollFailed(w *Worker, now time.Time, err error) {
 	b.checkFence(err)
 	if w.ended {
 		return // several looks may tell of it, and it is over once
@@ -27,7 +27,7 @@
 	}
 	if !w.silent {
 		event.WorkerSilent.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
-			slog.Duration("expiresIn", w.life.ends().Sub(now)), slog.Any("error", err))
+			slog.Duration("expiresIn", w.life.expiry().Sub(now)), slog.Any("error", err))
 	}
 	w.fallSilent(now)
 	var rejected *pointport.RejectedError
@@ -104,7 +104,7 @@
 		if r.mayBeLater() && r.mayBeDone() && b.listedLife(w) {
 			continue // that life says what became of it
 		}
-		if gone || !b.Doubts() && !r.mayBeDone() {
+		if gone || !b.SuspectsIsolation() && !r.mayBeDone() {
 			over = append(over, r)
 		}
 	}
@@ -112,7 +112,7 @@
 		return
 	}
 	event.WorkerExpired.Log(b.logger, slog.String("incarnation", string(w.inc.ID())), slog.Int("runs", len(over)), slog.Int("unheard", len(w.runs)-len(over)),
-		slog.Bool("gone", gone), slog.Duration("sinceHeard", w.life.sinceHeard(now)))
+		slog.Bool("gone", gone), slog.Duration("sinceHeard", w.life.sinceLastAnswer(now)))
 	for _, r := range over {
 		w.burn(r)
 		w.unproven = append(w.unproven, r)
@@ -139,7 +139,7 @@
 // back as one to which no start is under way, it would be extended and carry out those
 // that are.
 func (w *Worker) remembered(now time.Time) bool {
-	return len(w.burns) > 0 && !w.ended && now.Sub(w.life.ends()) < burnsKept
+	return len(w.burns) > 0 && !w.ended && now.Sub(w.life.expiry()) < burnsKept
 }
 
 // countUnproven counts the crash of a worker that is gone against tasks that were there.
@@ -159,10 +159,10 @@
 	var heard tally
 	for id, w := range b.workers {
 		heard.count(w)
-		if len(w.runs) > 0 && now.After(b.endsOf(w)) && (w.silent || !w.life.known()) {
+		if len(w.runs) > 0 && now.After(b.executionExpiry(w)) && (w.silent || !w.life.clockKnown()) {
 			b.expire(w, now)
 		}
-		if len(w.runs) == 0 && !w.listed && (w.ended || now.After(w.life.ends())) {
+		if len(w.runs) == 0 && !w.listed && (w.ended || now.After(w.life.expiry())) {
 			b.countUnproven(now, w)
 			if !w.remembered(now) {
 				delete(b.workers, id)
--- a/schedule/stall.go
+++ b/schedule/stall.go
@@ -36,8 +36,8 @@
 	wholePercent = 100
 )
 
-// inspect stops the runs of a worker that would be done sooner elsewhere.
-func (b *Book) inspect(now time.Time, w *Worker) {
+// stopStalledRuns stops the runs of a worker that would be done sooner elsewhere.
+func (b *Book) stopStalledRuns(now time.Time, w *Worker) {
 	for _, r := range w.runs {
 		if r.state != runLive || r.stopping || r.step().Service || r.step().Gang || r.progress >= wholePercent || r.pace < fullPace {
 			continue
@@ -103,9 +103,9 @@
 	return time.Duration(r.movedClock-r.liveClock) * wholePercent / time.Duration(r.progress-r.from)
 }
 
-// moved takes in the progress that a report shows whose clock showed a time. A report that
+// observeProgress takes in the progress that a report shows whose clock showed a time. A report that
 // was passed by a newer one says nothing new.
-func (r *Run) moved(now time.Time, clock pointport.InstanceClock, progress int) {
+func (r *Run) observeProgress(now time.Time, clock pointport.InstanceClock, progress int) {
 	if clock < r.shownAt {
 		return
 	}
@@ -184,19 +184,19 @@
 	return max(0, expected-age)
 }
 
-// stepTook is how long the tasks of a step took that are done.
-type stepTook struct {
+// stepDurations is how long the tasks of a step took that are done.
+type stepDurations struct {
 	n   int
 	sum time.Duration
 }
 
-func (t stepTook) mean() time.Duration { return t.sum / time.Duration(t.n) }
+func (t stepDurations) mean() time.Duration { return t.sum / time.Duration(t.n) }
 
-// note takes in how long a task of a step took.
-func (e *entry) note(key stepKey, d time.Duration) {
+// addDuration takes in how long a task of a step took.
+func (e *entry) addDuration(key stepKey, d time.Duration) {
 	if e.took == nil {
-		e.took = make(map[stepKey]stepTook)
+		e.took = make(map[stepKey]stepDurations)
 	}
 	t := e.took[key]
-	e.took[key] = stepTook{t.n + 1, t.sum + d}
+	e.took[key] = stepDurations{t.n + 1, t.sum + d}
 }
--- a/schedule/stall_test.go
+++ b/schedule/stall_test.go
@@ -21,7 +21,7 @@
 	hear(b, start, incarnation(0), incarnation(1))
 	b.Add(start, job("a", policy, step(1, 100, nil)))
 	o := orders(b, start)[0]
-	b.Sending(o)
+	b.MarkSending(o)
 	b.Answered(o, start, clockAt(start), nil)
 	return b, o
 }
@@ -77,7 +77,7 @@
 	b.Add(start, job("a", policy, step(2, 4000, nil)))
 	both := orders(b, start)
 	for _, o := range both {
-		b.Sending(o)
+		b.MarkSending(o)
 		b.Answered(o, start, clockAt(start), nil)
 	}
 	quick, other := both[0], both[1]
--- a/schedule/survey.go
+++ b/schedule/survey.go
@@ -197,7 +197,7 @@
 func (b *Book) loadOf(now time.Time, w *Worker) InstanceLoad {
 	return InstanceLoad{
 		Instance: w.inc.Instance(), Incarnation: w.inc.ID(), Runs: len(w.runs), Serving: w.serving,
-		Closed: w.closed(now), Silent: w.silent || !w.life.known(), Avoided: w.health.avoided(now),
+		Closed: w.closed(now), Silent: w.silent || !w.life.clockKnown(), Avoided: w.health.avoided(now),
 		Leaving: w.inc.Draining(), Capacity: w.inc.Capacity(), Known: now.Sub(w.since), Unstored: w.unstored > 0,
 	}
 }
--- a/schedule/takeover_test.go
+++ b/schedule/takeover_test.go
@@ -55,7 +55,7 @@
 // the earlier owner has extended what runs.
 func TestAnswerToOrderDoesNotExpireInheritedRun(t *testing.T) {
 	b, old := takenOver(t)
-	b.Silent(old, start.Add(500*time.Millisecond), &pointport.UnavailableError{Op: "hold", Ambiguous: true})
+	b.PollFailed(old, start.Add(500*time.Millisecond), &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 	answered := start.Add(2 * time.Second)
 	b.Answered(strayStop(old), answered, pointport.InstanceClock(time.Hour), nil)
 	for now := answered; now.Before(start.Add(settings.PredecessorBound)); now = now.Add(50 * time.Millisecond) {
@@ -67,7 +67,7 @@
 	now := start.Add(settings.PredecessorBound + 100*time.Millisecond)
 	b.SetIncarnations(now, []pointport.Incarnation{incarnation(1)})
 	now = now.Add(registrationsAreBack) // it will not say how the task ended
-	b.See(schedule.Sight{From: start, Until: now})
+	b.SetRegistryCoverage(schedule.RegistryCoverage{Since: start, Until: now})
 	if got := placed(orders(b, now)); got[incarnation(1).ID()] != 1 {
 		t.Errorf("starts %v once the bound has passed, want one on the other instance", got)
 	}
@@ -159,9 +159,9 @@
 				late = append(late, answer{due, func(now time.Time) { b.Report(old, sent, now, report) }})
 			case 2: // a look is carried out and its answer lost
 				i.extend(now, old.Until(now, settings.Lease))
-				b.Silent(old, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
+				b.PollFailed(old, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 			case 3: // a look gets nowhere
-				b.Silent(old, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
+				b.PollFailed(old, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 			}
 			rest := late[:0]
 			for _, a := range late {
--- a/schedule/worker.go
+++ b/schedule/worker.go
@@ -28,7 +28,7 @@
 	steps   map[stepOf]int
 
 	// life says when everything there has surely ended, if no further answer comes.
-	life lifetime
+	life executionLease
 	// silent says that the last order or look got no answer.
 	silent      bool
 	silentSince time.Time
@@ -185,7 +185,7 @@
 func (w *Worker) Ended() bool { return w.ended }
 
 // Heard reports whether the worker has answered yet.
-func (w *Worker) Heard() bool { return w.life.known() }
+func (w *Worker) Heard() bool { return w.life.clockKnown() }
 
 // Silent reports whether the last order or look got no answer.
 func (w *Worker) Silent() bool { return w.silent }
@@ -209,8 +209,8 @@
 	switch {
 	case w.silent && w.inc.ID().Shares():
 		return 0 // a later life may hear it, to whose clock the time says something else
-	case !w.life.known() || w.silent || len(w.burns) > 0:
-		return w.life.last()
+	case !w.life.clockKnown() || w.silent || len(w.burns) > 0:
+		return w.life.extendedUntil()
 	}
 	return w.life.extend(now, lease)
 }
@@ -237,7 +237,7 @@
 		return "not registered"
 	case w.ended:
 		return "over"
-	case !w.life.known(), w.silent:
+	case !w.life.clockKnown(), w.silent:
 		return "silent"
 	case w.inc.Draining():
 		return "leaving"
@@ -287,7 +287,7 @@
 	if r.step().Service {
 		w.serving--
 	}
-	w.clear(r)
+	w.clearSuspicion(r)
 	w.free = w.free.Plus(r.step().Reservation())
 }
 
--- a/shard/orders.go
+++ b/shard/orders.go
@@ -120,7 +120,7 @@
 
 // startLimit returns how many starts may be in flight.
 func (o *Owner) startLimit() float64 {
-	if o.scheduler.Doubts() {
+	if o.scheduler.SuspectsIsolation() {
 		return isolatedStartLimit
 	}
 	return o.window.size
@@ -154,7 +154,7 @@
 	if start {
 		o.starts.inFlight++
 	}
-	o.scheduler.Sending(order)
+	o.scheduler.MarkSending(order)
 	sent := o.clock.Now()
 	at, until := q.worker.Endpoint(), q.worker.Until(now, o.lease) // only the loop may access the worker
 	executor := o.executorFor(now, q.worker)
--- a/shard/owner.go
+++ b/shard/owner.go
@@ -75,7 +75,7 @@
 	// Sight returns during which time the registrations were read without
 	// failure. Each change known at the end of that time has already closed
 	// the channel that an earlier call of Of returned.
-	Sight() schedule.Sight
+	Sight() schedule.RegistryCoverage
 }
 
 // Services are the external services that an owner uses.
@@ -288,14 +288,14 @@
 		changed = o.refreshIncarnations()
 	default:
 	}
-	o.scheduler.See(coverage)
+	o.scheduler.SetRegistryCoverage(coverage)
 	return changed
 }
 
 // updateEvacuations passes the known evacuations of availability zones to the scheduler.
 func (o *Owner) updateEvacuations() {
 	if o.evacuations != nil {
-		o.scheduler.Evacuate(o.evacuations())
+		o.scheduler.SetEvacuations(o.evacuations())
 	}
 }
 
--- a/shard/owner_load.go
+++ b/shard/owner_load.go
@@ -80,7 +80,7 @@
 func (o *Owner) publishLoad(now time.Time) {
 	o.publishedWindow.Store(int64(o.window.size))
 	o.publishedDelegating.Store(o.delegating)
-	o.publishedUnfit.Store(o.scheduler.DoubtedFor(now) > unfitAfter)
+	o.publishedUnfit.Store(o.scheduler.IsolationSuspectedFor(now) > unfitAfter)
 	if worst, fresh := o.lag.takeLast(now); fresh && worst >= lateThreshold {
 		event.OwnerLate.Log(o.logger, slog.Duration("lag", worst), slog.Int("workers", o.scheduler.WorkerCount()),
 			slog.Int("messages", len(o.inbox)), slog.Int("window", int(o.window.size)), slog.Duration("plan", o.planInterval/planIntervalFactor))
--- a/shard/peer_poll.go
+++ b/shard/peer_poll.go
@@ -58,7 +58,7 @@
 	case errors.As(err, &unavailable):
 		return // no peer reaches it either
 	case err != nil:
-		o.scheduler.Silent(w, now, err) // the error determines the state of the worker, or that this owner has lost its pool
+		o.scheduler.PollFailed(w, now, err) // the error determines the state of the worker, or that this owner has lost its pool
 		return
 	}
 	if w.Silent() {
--- a/shard/poll.go
+++ b/shard/poll.go
@@ -104,5 +104,5 @@
 	if errors.As(err, &unavailable) && w.ReportedSince(sent) {
 		return
 	}
-	o.scheduler.Silent(w, now, err)
+	o.scheduler.PollFailed(w, now, err)
 }
--- a/shard/write.go
+++ b/shard/write.go
@@ -100,7 +100,7 @@
 
 // requestAdvice sends the pending requests for advice to the advisor.
 func (o *Owner) requestAdvice(ctx context.Context, asked time.Time) {
-	for _, q := range o.scheduler.TakeQuestions() {
+	for _, q := range o.scheduler.TakeAdviceRequests() {
 		go func() {
 			var tickets map[pointport.IncarnationID]string
 			var valid time.Duration
@@ -108,7 +108,7 @@
 			if o.advisor != nil {
 				tickets, valid, err = o.advisor.Advise(ctx, q.Step, q.Incarnations)
 			}
-			o.enqueue(func(now time.Time) { o.scheduler.Advised(q, asked, now, tickets, valid, err) })
+			o.enqueue(func(now time.Time) { o.scheduler.AdviceAnswered(q, asked, now, tickets, valid, err) })
 		}()
 	}
 }
