--- a/shard/write.go
+++ b/shard/write.go
@@ -100,15 +100,15 @@
 
 // requestAdvice sends the pending requests for advice to the advisor.
 func (o *Owner) requestAdvice(ctx context.Context, asked time.Time) {
-	for _, q := range o.scheduler.TakeAdviceRequests() {
+	for _, request := range o.scheduler.TakeAdviceRequests() {
 		go func() {
 			var tickets map[pointport.IncarnationID]string
 			var valid time.Duration
 			err := errNoAdvisor
 			if o.advisor != nil {
-				tickets, valid, err = o.advisor.Advise(ctx, q.Step, q.Incarnations)
+				tickets, valid, err = o.advisor.Advise(ctx, request.Step, request.Incarnations)
 			}
-			o.enqueue(func(now time.Time) { o.scheduler.AdviceAnswered(q, asked, now, tickets, valid, err) })
+			o.enqueue(func(now time.Time) { o.scheduler.AdviceAnswered(request, asked, now, tickets, valid, err) })
 		}()
 	}
 }
