--- a/shard/caps.go
+++ b/shard/caps.go
@@ -33,7 +33,8 @@
 	transferring bool
 }
 
-// applyCaps passes to the scheduler what each customer may use under the latest configuration.
+// applyCaps passes to the scheduler the customers' weights, and what each customer may use under
+// the latest configuration.
 //
 // While the configuration may be out of date, no task of a customer with a cap starts: if the
 // cap has been lowered, this owner's starts would exceed it, and no other member would notice.
--- a/shard/records.go
+++ b/shard/records.go
@@ -12,7 +12,7 @@
 
 // This file defines how the records of a batch are written.
 
-// maxEntries is the most entries of one transaction that are available to records.
+// maxEntries is how many entries of a transaction remain beside those that member.Writer adds.
 const maxEntries = pointport.MaxTxnEntries - member.HeadEntries
 
 // fastBatchEntries is the most entries of a batch while the store is fast: ten transactions.
--- a/shard/window_test.go
+++ b/shard/window_test.go
@@ -11,8 +11,8 @@
 
 // This file tests how many starts may be in flight.
 
-// The window must reach a size that fits its link: narrow on a thin link, so that answers stay
-// fast, and up to its upper bound on a wide one.
+// The window must reach a size that fits its link: narrow on a slow link, so that answers stay
+// prompt, and up to its upper bound on a fast one.
 func TestWindowFitsItsLink(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
--- a/workload/codec.go
+++ b/workload/codec.go
@@ -50,13 +50,14 @@
 type progressDocument struct {
 	Cancelled   bool            `json:"c,omitempty"`
 	Failed      bool            `json:"f,omitempty"`
-	Next        int             `json:"n"`
-	Over        int             `json:"o,omitempty"`
+	Next        int             `json:"n"`           // index of the first occurrence that has not begun
+	Over        int             `json:"o,omitempty"` // number of completed occurrences
 	Occurrences []occurrenceDoc `json:"k,omitempty"`
 }
 
+// occurrenceDoc is the stored form of an occurrence.
 type occurrenceDoc struct {
-	K     int         `json:"k"`
+	K     int         `json:"k"` // index
 	Steps [][]taskDoc `json:"s"`
 	// Crashes contains the few tasks under which instances have crashed. They are stored
 	// beside the tasks so that an earlier version of the program, which may own the pool
@@ -253,8 +254,8 @@
 	return []int{v}
 }
 
-// RestoreProgress sets the job's progress from its stored form. It fails, with a
-// *ProgressError if the form is valid JSON, if the progress does not fit the job.
+// RestoreProgress sets the job's progress from its stored form. It fails with a
+// *ProgressError if the progress does not fit the job.
 func (j *Job) RestoreProgress(data []byte) error {
 	var d progressDocument
 	if err := json.Unmarshal(data, &d); err != nil {
