--- a/schedule/advice.go
+++ b/schedule/advice.go
@@ -52,7 +52,7 @@
 
 // permits reports whether a worker may run a task, as far as labels, earlier runs
 // and their ends, crashes and advice go.
-func (b *Book) permits(t waiting, w *Worker, now time.Time) bool {
+func (b *Book) permits(t waitingTask, w *Worker, now time.Time) bool {
 	if !w.hasLabel(t.step.Label) || b.wary(t, w, now) || b.keptApart(t, w, now) || w.hasGivenUp(t) {
 		return false
 	}
@@ -69,7 +69,7 @@
 
 // ticketFor returns the ticket with which a task may run on a worker, empty if
 // none is needed.
-func (b *Book) ticketFor(t waiting, w *Worker) string {
+func (b *Book) ticketFor(t waitingTask, w *Worker) string {
 	a := t.entry.advice[stepKey{t.ref.Occurrence, t.ref.Step}]
 	if a == nil {
 		return ""
@@ -78,7 +78,7 @@
 }
 
 // seekAdvice asks about further workers for a step that found none it may use.
-func (b *Book) seekAdvice(now time.Time, t waiting) {
+func (b *Book) seekAdvice(now time.Time, t waitingTask) {
 	if !t.entry.job.Policy().Advised {
 		return
 	}
@@ -106,7 +106,7 @@
 
 // askable returns the workers to ask about: those with most room first, and of
 // those asked about before only the good ones whose ticket runs out.
-func (b *Book) askable(now time.Time, t waiting, a *advice) []pointport.IncarnationID {
+func (b *Book) askable(now time.Time, t waitingTask, a *advice) []pointport.IncarnationID {
 	var workers []*Worker
 	for _, w := range b.usable(now) {
 		id := w.inc.ID()
@@ -156,5 +156,5 @@
 	for id, text := range tickets {
 		a.good[id] = ticket{text: text, until: asked.Add(valid)}
 	}
-	b.changed(e)
+	b.invalidateReady(e)
 }
--- a/schedule/batch.go
+++ b/schedule/batch.go
@@ -36,11 +36,11 @@
 // A Batch is what must be stored together, and what becomes possible with it.
 type Batch struct {
 	Records []Record
-	// Whole says that nothing that had changed was left for the next batch.
-	Whole  bool
-	starts []*Run
-	acks   map[*Worker]int64
-	ended  []*entry
+	// Complete says that nothing that had changed was left for the next batch.
+	Complete bool
+	starts   []*Run
+	acks     map[*Worker]int64
+	ended    []*entry
 	// endedOn holds the workers on which the ends came that the batch stores.
 	endedOn []*Worker
 }
@@ -68,14 +68,14 @@
 // next one is taken. While the store is slow, each transaction takes some tenths of
 // a second, and what is placed and not stored holds room and does nothing.
 func (b *Book) TakeBatch(entries int) Batch {
-	batch := Batch{acks: make(map[*Worker]int64), Whole: true}
+	batch := Batch{acks: make(map[*Worker]int64), Complete: true}
 	taken := make(map[*entry]bool)
 	b.urgent = false
 	b.limited = entries <= limitedEntries
 	for _, e := range b.changedJobs() {
 		record := Record{ID: e.job.ID(), Queue: e.job.Queue(), Customer: e.job.Customer(), Ended: e.ended}
 		if record.Entries() > entries {
-			batch.Whole = false
+			batch.Complete = false
 			b.urgent = b.urgent || b.dirty[e]
 			continue
 		}
@@ -97,7 +97,7 @@
 		}
 		return taken[r.entry]
 	})
-	if batch.Whole {
+	if batch.Complete {
 		for _, w := range b.workers {
 			if w.seen > w.acked {
 				batch.acks[w] = w.seen
@@ -118,7 +118,7 @@
 		if b.dirty[out[i]] != b.dirty[out[k]] {
 			return b.dirty[out[i]]
 		}
-		return out[i].standing.less(out[k].standing)
+		return out[i].rank.less(out[k].rank)
 	})
 	return out
 }
@@ -131,8 +131,8 @@
 // room.
 const limitedEntries = 64
 
-// LimitUnsent sets how many tasks may be placed of which the start is not stored yet.
-func (b *Book) LimitUnsent(most int) { b.unsentMost = most }
+// LimitUnstoredStarts sets how many tasks may be placed of which the start is not stored yet.
+func (b *Book) LimitUnstoredStarts(most int) { b.unsentMost = most }
 
 // decidedFull reports whether so many tasks, or tasks of so many jobs, wait to be
 // stored that those of another one would only hold room meanwhile.
@@ -160,38 +160,38 @@
 		w.acked = max(w.acked, n)
 	}
 	for _, e := range batch.ended {
-		b.over[e.job.ID()] = finished{e.ended, e.job.Customer(), now}
+		b.endedJobs[e.job.ID()] = finished{e.ended, e.job.Customer(), now}
 		delete(b.jobs, e.job.ID())
-		delete(b.hungry, e)
+		delete(b.waitingJobs, e)
 		delete(b.recurring, e)
 		event.JobEnded.Log(b.logger, slog.String("job", e.job.ID()), slog.String("queue", e.job.Queue()),
 			slog.String("state", string(e.ended)), slog.Duration("after", now.Sub(e.job.Submitted())),
 			slog.Duration("objective", b.objective(e)))
 	}
 	for _, r := range batch.starts {
-		if r.worker.runs[r.name] != r || r.state != runDecided {
+		if r.worker.runs[r.name] != r || r.state != runUnstored {
 			continue
 		}
 		r.state = runSent
-		b.sends = append(b.sends, startOrder(r))
+		b.pendingOrders = append(b.pendingOrders, startOrder(r))
 	}
 }
 
 // TakeOrders returns the orders to send now.
 func (b *Book) TakeOrders() []Order {
-	orders := b.sends
-	b.sends = nil
+	orders := b.pendingOrders
+	b.pendingOrders = nil
 	return orders
 }
 
-// TakeLooks returns the workers whose report is wanted at once.
-func (b *Book) TakeLooks() []*Worker {
+// TakePolls returns the workers whose report is wanted at once.
+func (b *Book) TakePolls() []*Worker {
 	var out []*Worker
-	for w := range b.looks {
+	for w := range b.pollNow {
 		if !w.ended && w.inc.Address() != "" {
 			out = append(out, w)
 		}
 	}
-	clear(b.looks)
+	clear(b.pollNow)
 	return out
 }
--- a/schedule/batch_test.go
+++ b/schedule/batch_test.go
@@ -41,11 +41,11 @@
 			}
 			acked := make(map[*schedule.Worker]int64)
 			for _, w := range b.Workers() {
-				acked[w] = w.Look().Acknowledged
+				acked[w] = w.NextPoll().Acknowledged
 			}
 			b.Stored(batch, start)
 			for _, w := range b.Workers() {
-				if w.Look().Acknowledged != acked[w] && !batch.Whole {
+				if w.NextPoll().Acknowledged != acked[w] && !batch.Complete {
 					t.Fatalf("ends are acknowledged although jobs are left to be stored")
 				}
 			}
@@ -77,7 +77,7 @@
 					owed[at] = make(map[string]bool)
 				}
 				owed[at][id] = true
-				b.Answered(o, start, 1, nil)
+				b.OrderAnswered(o, start, 1, nil)
 				b.Report(o.Worker, start, start, pointport.Report{Clock: 1, Ended: []pointport.TaskEnd{
 					{Number: number, TaskRun: o.TaskRun, Kind: pointport.EndDone},
 				}})
@@ -122,7 +122,7 @@
 	}
 	var first schedule.Order
 	for _, o := range orders(b, start) {
-		b.Answered(o, start, 1, nil)
+		b.OrderAnswered(o, start, 1, nil)
 		first = o
 	}
 	// One end in each job is to be stored some time, the end of one job soon.
@@ -133,7 +133,7 @@
 	ends = append(ends, pointport.TaskEnd{Number: 6, Kind: pointport.EndDone, TaskRun: pointport.TaskRun{Task: "job3.0.0.1", Run: 1}})
 	b.Report(first.Worker, start, start, pointport.Report{Clock: 1, Ended: ends})
 	batch := b.TakeBatch(3)
-	if len(batch.Records) != 1 || batch.Records[0].ID != "job3" || batch.Whole {
+	if len(batch.Records) != 1 || batch.Records[0].ID != "job3" || batch.Complete {
 		t.Errorf("batch %+v, want the job that has ended and no other", batch.Records)
 	}
 }
--- a/schedule/book.go
+++ b/schedule/book.go
@@ -41,26 +41,26 @@
 	runs    map[workload.TaskRef]*Run
 	// ready lists the tasks whose turn has come; stale says that it must be made
 	// anew.
-	ready []waiting
+	ready []waitingTask
 	stale bool
-	// standing is how pressing the job was at the last plan.
-	standing standing
+	// rank is how pressing the job was at the last plan.
+	rank rank
 	// chains are the chains of work of the job's steps as reckoned at chainsAt.
 	chains   []time.Duration
 	chainsAt time.Time
 	// stalled counts the runs of a task that were stopped because they stood still
 	// or crawled.
 	stalled map[workload.TaskRef]int
-	// wary holds until when tasks that have failed stay away from where they did.
-	wary map[workload.TaskRef]time.Time
+	// avoidUntil holds until when tasks that have failed stay away from where they did.
+	avoidUntil map[workload.TaskRef]time.Time
 	// crashed holds what this owner has seen of the crashes under tasks; of tasks under
 	// which instances had crashed before it took over, at least an empty entry.
 	crashed map[workload.TaskRef]*crashes
 	// abandoned counts the runs of a task that were given up while their instance was
 	// silent, and of which it is not known yet what became.
 	abandoned map[workload.TaskRef]int
-	// took is how long the tasks took that are done.
-	took map[stepKey]stepDurations
+	// durations is how long the tasks durations that are done.
+	durations map[stepKey]stepDurations
 	// advice is what the advisor has said of the job's steps.
 	advice map[stepKey]*advice
 	// starved is since when the job has found no room, preempted when it last
@@ -96,14 +96,14 @@
 	workers map[pointport.IncarnationID]*Worker
 	// unlisted holds the workers that are not registered and not known to be over.
 	unlisted []*Worker
-	// underWay holds since when starts may be carried out that nothing wants any more, by whichever
+	// startsInFlight holds since when starts may be carried out that nothing wants any more, by whichever
 	// life of their addressee.
-	underWay map[pointport.Addressee]map[pointport.TaskRun]time.Time
+	startsInFlight map[pointport.Addressee]map[pointport.TaskRun]time.Time
 	// foreign holds until when orders to lives that are over may extend what a later one runs.
 	foreign map[pointport.Addressee]time.Time
 	// crashedHealth holds the health of instances that have crashed and are not back.
 	crashedHealth map[pointport.InstanceID]health
-	over          map[string]finished
+	endedJobs     map[string]finished
 
 	// accounts holds what is known of customers, allowed how much of their caps may be used
 	// here.
@@ -111,26 +111,26 @@
 	allowed  map[string]pointport.Shape
 	weights  map[string]float64
 
-	learned  *estimates
-	arrivals arrivals
-	far      rackDemand
+	estimates *estimates
+	arrivals  arrivals
+	far       rackDemand
 	// dirty holds the jobs that have changed since they were last taken to be stored,
 	// and whether something waits for that.
 	dirty map[*entry]bool
-	// hungry holds the jobs that may have tasks whose turn has come, recurring
+	// waitingJobs holds the jobs that may have tasks whose turn has come, recurring
 	// those of which further occurrences are due.
-	hungry, recurring map[*entry]struct{}
-	decided           []*Run // to be stored, then sent
+	waitingJobs, recurring map[*entry]struct{}
+	decided                []*Run // to be stored, then sent
 	// limited says that the last batch was short of room.
 	limited bool
 	// unsentMost is how many tasks may be placed of which the start is not stored yet.
 	unsentMost int
-	// sends are orders that need nothing stored: stops and repeated starts.
-	sends []Order
+	// pendingOrders are orders that need nothing stored: stops and repeated starts.
+	pendingOrders []Order
 	// urgent says that something waits for the next batch to be stored.
 	urgent bool
-	// looks are workers whose report is wanted at once.
-	looks map[*Worker]struct{}
+	// pollNow are workers whose report is wanted at once.
+	pollNow map[*Worker]struct{}
 	// gangs holds the gangs that are gathering.
 	gangs map[*gang]struct{}
 	// questions are to be put to the advisor.
@@ -146,8 +146,8 @@
 	// sight says how well the registrations are known.
 	sight   RegistryCoverage
 	hearing reachability
-	// deposed says that an instance has seen a higher fence.
-	deposed bool
+	// fenced says that an instance has seen a higher fence.
+	fenced bool
 }
 
 // NewBook returns the empty book of an owner that took over at now. Until it is told
@@ -156,23 +156,23 @@
 	zones := evacuation.None
 	return &Book{
 		settings: s, logger: logger, taken: now, zones: &zones,
-		jobs:          make(map[string]*entry),
-		underWay:      make(map[pointport.Addressee]map[pointport.TaskRun]time.Time),
-		foreign:       make(map[pointport.Addressee]time.Time),
-		crashedHealth: make(map[pointport.InstanceID]health),
-		workers:       make(map[pointport.IncarnationID]*Worker),
-		over:          make(map[string]finished),
-		accounts:      make(map[string]*account),
-		learned:       newEstimates(),
-		dirty:         make(map[*entry]bool),
-		hungry:        make(map[*entry]struct{}), recurring: make(map[*entry]struct{}),
-		gangs: make(map[*gang]struct{}),
-		looks: make(map[*Worker]struct{}), unsentMost: math.MaxInt,
+		jobs:           make(map[string]*entry),
+		startsInFlight: make(map[pointport.Addressee]map[pointport.TaskRun]time.Time),
+		foreign:        make(map[pointport.Addressee]time.Time),
+		crashedHealth:  make(map[pointport.InstanceID]health),
+		workers:        make(map[pointport.IncarnationID]*Worker),
+		endedJobs:      make(map[string]finished),
+		accounts:       make(map[string]*account),
+		estimates:      newEstimates(),
+		dirty:          make(map[*entry]bool),
+		waitingJobs:    make(map[*entry]struct{}), recurring: make(map[*entry]struct{}),
+		gangs:   make(map[*gang]struct{}),
+		pollNow: make(map[*Worker]struct{}), unsentMost: math.MaxInt,
 	}
 }
 
-// Deposed reports whether an instance has seen a higher fence than this owner's.
-func (b *Book) Deposed() bool { return b.deposed }
+// Fenced reports whether an instance has seen a higher fence than this owner's.
+func (b *Book) Fenced() bool { return b.fenced }
 
 // Add takes in a job. Tasks that are placed already were placed by an earlier
 // owner. Adding a job again changes nothing; Add reports whether it was new.
@@ -180,23 +180,23 @@
 	if _, ok := b.jobs[j.ID()]; ok {
 		return false
 	}
-	if _, ok := b.over[j.ID()]; ok {
+	if _, ok := b.endedJobs[j.ID()]; ok {
 		return false
 	}
 	e := &entry{job: j, account: b.accountOf(j.Customer()), runs: make(map[workload.TaskRef]*Run), begun: j.Begun()}
 	b.jobs[j.ID()] = e
 	if !j.Begun() && j.Spec().Recur.Times == 0 && !e.account.atCap() {
-		b.arrivals.add(now, j, b.learned)
+		b.arrivals.add(now, j, b.estimates)
 	}
 	if j.Spec().Recur.Times > 0 {
 		b.recurring[e] = struct{}{}
 	}
-	b.changed(e)
+	b.invalidateReady(e)
 	b.inherit(now, e)
 	if j.Stopping() {
 		b.stopAll(now, e, "its job is over")
 	}
-	b.settleJob(now, e)
+	b.endJobIfDone(now, e)
 	return true
 }
 
@@ -240,7 +240,7 @@
 	}
 	r.suspected, r.quarantined, r.apartFor = e.suspected(ref), e.quarantines(ref), e.quarantineTime(ref)
 	e.runs[ref] = r
-	w.take(r)
+	w.addRun(r)
 	e.account.started(r.step().Need)
 	if e.job.Policy().Priority > 0 {
 		b.lowRuns++
@@ -253,13 +253,13 @@
 	w := b.workers[id]
 	if w == nil {
 		w = &Worker{
-			since: now,
-			inc:   pointport.NewIncarnation(id, "", ""),
-			runs:  make(map[string]*Run),
-			steps: make(map[stepOf]int),
-			life:  executionLease{inherited: b.taken.Add(b.predecessorBound(id)), misdirectedUntil: b.foreign[id.Addressee()]},
-			burns: b.startsToRuleOut(id),
-			zones: b.zones,
+			since:           now,
+			inc:             pointport.NewIncarnation(id, "", ""),
+			runs:            make(map[string]*Run),
+			steps:           make(map[stepRef]int),
+			lease:           executionLease{inherited: b.taken.Add(b.predecessorBound(id)), misdirectedUntil: b.foreign[id.Addressee()]},
+			startsToRuleOut: b.startsToRuleOut(id),
+			zones:           b.zones,
 		}
 		b.workers[id] = w
 	}
@@ -288,16 +288,16 @@
 		return true
 	}
 	e.job.Cancel()
-	b.touch(e, true)
+	b.markDirty(e, true)
 	b.stopAll(now, e, "its customer cancelled it")
-	b.settleJob(now, e)
+	b.endJobIfDone(now, e)
 	return true
 }
 
 // Status returns what is known of a job: what is stored, and not what is only
 // decided.
 func (b *Book) Status(id string) (workload.Status, bool) {
-	if f, ok := b.over[id]; ok {
+	if f, ok := b.endedJobs[id]; ok {
 		return f.status, true
 	}
 	e, ok := b.jobs[id]
@@ -310,10 +310,10 @@
 	return workload.Running, true
 }
 
-// Owner returns the name of the customer whose a job is, empty if it is nobody's; false if
+// CustomerOf returns the name of the customer whose a job is, empty if it is nobody's; false if
 // the job is not in the book.
-func (b *Book) Owner(id string) (string, bool) {
-	if f, ok := b.over[id]; ok {
+func (b *Book) CustomerOf(id string) (string, bool) {
+	if f, ok := b.endedJobs[id]; ok {
 		return f.customer, true
 	}
 	if e, ok := b.jobs[id]; ok {
@@ -333,21 +333,21 @@
 	return n
 }
 
-// changed notes that other tasks of a job may be ready than before.
-func (b *Book) changed(e *entry) {
+// invalidateReady notes that other tasks of a job may be ready than before.
+func (b *Book) invalidateReady(e *entry) {
 	e.stale = true
-	b.hungry[e] = struct{}{}
+	b.waitingJobs[e] = struct{}{}
 }
 
-// touch marks a job as changed and to be stored.
-func (b *Book) touch(e *entry, urgent bool) {
-	b.changed(e)
+// markDirty marks a job as changed and to be stored.
+func (b *Book) markDirty(e *entry, urgent bool) {
+	b.invalidateReady(e)
 	b.dirty[e] = b.dirty[e] || urgent
 	b.urgent = b.urgent || urgent
 }
 
-// settleJob notes that a job is over, if it is.
-func (b *Book) settleJob(now time.Time, e *entry) {
+// endJobIfDone notes that a job is over, if it is.
+func (b *Book) endJobIfDone(now time.Time, e *entry) {
 	if e.ended != "" {
 		return
 	}
@@ -357,7 +357,7 @@
 		return
 	}
 	e.ended = s
-	b.touch(e, true)
+	b.markDirty(e, true)
 }
 
 // stopAll orders every run of a job to stop.
@@ -369,7 +369,7 @@
 
 // stop orders a run to stop, or drops it if it was never sent.
 func (b *Book) stop(now time.Time, r *Run, reason string) {
-	if r.state == runDecided || r.state == runSent && !r.ordered {
+	if r.state == runUnstored || r.state == runSent && !r.startSent {
 		b.drop(now, r, reason)
 		return
 	}
@@ -378,22 +378,22 @@
 	}
 	r.stopping, r.stopAgainAt, r.stopReason = true, now.Add(stopAgain), reason
 	if r.worker.inc.Address() != "" {
-		b.sends = append(b.sends, Order{Kind: OrderStop, Run: r, Worker: r.worker, TaskRun: r.TaskRun()})
+		b.pendingOrders = append(b.pendingOrders, Order{Kind: OrderStop, Run: r, Worker: r.worker, TaskRun: r.TaskRun()})
 	}
 }
 
 // drop removes a run that has ended, or never started, and puts its task back.
 func (b *Book) drop(now time.Time, r *Run, reason string) {
 	detached := r.detached()
-	if r.state != runDecided {
+	if r.state != runUnstored {
 		event.TaskReturned.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
 			slog.String("incarnation", string(r.worker.inc.ID())), slog.String("reason", reason),
-			slog.Int("unanswered", r.unanswered), slog.Duration("sinceHeard", r.worker.life.sinceLastAnswer(now)))
+			slog.Int("unanswered", r.unanswered), slog.Duration("sinceHeard", r.worker.lease.sinceLastAnswer(now)))
 	}
-	b.forget(now, r)
+	b.removeRun(now, r)
 	if t := r.task(); !detached && t != nil && t.Phase == workload.Placed && t.Run == r.number {
 		r.entry.job.Requeue(r.ref)
-		b.touch(r.entry, false)
+		b.markDirty(r.entry, false)
 	}
 	if r.uncertainty != nil {
 		b.recordEarlierLoss(now, r)
@@ -404,7 +404,7 @@
 	if r.step().Gang {
 		b.stopRestOfGang(now, r, "another of its gang has ended")
 	}
-	b.settleJob(now, r.entry)
+	b.endJobIfDone(now, r.entry)
 }
 
 // detach takes a run from its job. It stays on its worker, and takes its room
@@ -418,9 +418,9 @@
 // detached reports whether a run's job has no use for it any more.
 func (r *Run) detached() bool { return r.entry.runs[r.ref] != r }
 
-// forget removes a run from its job and its worker.
-func (b *Book) forget(now time.Time, r *Run) {
-	if r.underWay() {
+// removeRun removes a run from its job and its worker.
+func (b *Book) removeRun(now time.Time, r *Run) {
+	if r.startInFlight() {
 		b.rememberStart(now, r.worker, r.TaskRun())
 	}
 	if r.worker.runs[r.name] == r {
@@ -432,7 +432,7 @@
 	if r.abandoned {
 		r.entry.abandoned[r.ref]--
 	}
-	r.worker.drop(r)
+	r.worker.removeRun(r)
 	if r.entry.runs[r.ref] == r {
 		delete(r.entry.runs, r.ref)
 	}
@@ -453,7 +453,7 @@
 	w := b.worker(now, inc.ID())
 	if !w.registered {
 		w.registered = true
-		b.looks[w] = struct{}{}
+		b.pollNow[w] = struct{}{}
 		b.restoreHealth(w, inc.Instance())
 	}
 	b.resize(w, inc.Capacity())
--- a/schedule/book_test.go
+++ b/schedule/book_test.go
@@ -148,7 +148,7 @@
 	low.Priority = 1
 	b.Add(start, job("low", low, step(1, 4000, nil)))
 	first := orders(b, start)
-	b.Answered(first[0], start, 1, nil)
+	b.OrderAnswered(first[0], start, 1, nil)
 	b.Add(start, job("high", policy, step(1, 4000, nil)))
 	var stops int
 	for now := start; now.Before(start.Add(2 * time.Second)); now = now.Add(100 * time.Millisecond) {
@@ -171,7 +171,7 @@
 		id := fmt.Sprintf("job%d", n)
 		b.Add(start, job(id, policy, step(1, 100, nil)))
 		o := orders(b, start)[0]
-		b.Answered(o, start, 1, nil)
+		b.OrderAnswered(o, start, 1, nil)
 		b.Report(o.Worker, start, start, pointport.Report{Clock: 1, Ended: []pointport.TaskEnd{{
 			Number: int64(n + 1), TaskRun: o.TaskRun, Kind: pointport.EndFailed,
 		}}})
@@ -190,7 +190,7 @@
 	hear(b, start, incarnation(0), incarnation(1))
 	b.Add(start, job("a", policy, step(1, 100, nil)))
 	o := orders(b, start)[0]
-	b.Answered(o, start, 1, nil)
+	b.OrderAnswered(o, start, 1, nil)
 	b.Report(o.Worker, start, start, pointport.Report{Clock: 1, Ended: []pointport.TaskEnd{{Number: 1, TaskRun: o.TaskRun, Kind: pointport.EndFailed}}})
 	next := orders(b, start)
 	if len(next) != 1 || next[0].Worker == o.Worker || next[0].TaskRun.Run != 2 {
@@ -206,7 +206,7 @@
 	b.Add(start, job("a", policy, step(2, 4000, nil)))
 	first := orders(b, start)
 	for _, o := range first {
-		b.Answered(o, start, clockAt(start), nil)
+		b.OrderAnswered(o, start, clockAt(start), nil)
 	}
 	quick, slow := first[0], first[1]
 	now := start.Add(500 * time.Millisecond)
@@ -220,10 +220,10 @@
 		for _, o := range orders(b, now) {
 			switch o.Kind {
 			case schedule.OrderStop:
-				b.Answered(o, now, clockAt(now), nil)
+				b.OrderAnswered(o, now, clockAt(now), nil)
 				b.Report(o.Worker, now.Add(time.Millisecond), now, pointport.Report{Clock: clockAt(now), Ended: []pointport.TaskEnd{{Number: 2, TaskRun: o.TaskRun, Kind: pointport.EndStopped}}})
 			case schedule.OrderStart:
-				b.Answered(o, now, clockAt(now), nil)
+				b.OrderAnswered(o, now, clockAt(now), nil)
 				restarts++
 				run, progress = o, 0
 			}
@@ -242,8 +242,8 @@
 		hear(b, start, incarnation(0))
 		b.Add(start, job("a", policy, step(1, 100, func(s *workload.Step) { s.Copies = copies })))
 		o := orders(b, start)[0]
-		o.Worker.Until(start, settings.Lease)
-		b.Answered(o, start, 1, nil)
+		o.Worker.ExtendLease(start, settings.Lease)
+		b.OrderAnswered(o, start, 1, nil)
 		b.SetIncarnations(start, []pointport.Incarnation{incarnation(0), incarnation(1)})
 		silent := &pointport.UnavailableError{Op: "hold", Ambiguous: true}
 		var again time.Duration
@@ -304,7 +304,7 @@
 	b.Add(start, job("fill", policy, fill))
 	first := orders(b, start)
 	for _, o := range first {
-		b.Answered(o, start, 1, nil)
+		b.OrderAnswered(o, start, 1, nil)
 	}
 	pace := 100
 	report := func(now time.Time, tail int) {
@@ -339,7 +339,7 @@
 	b.Add(start, job("short", policy, step(1, 500, func(s *workload.Step) { s.Estimate = 200 * time.Millisecond })))
 	b.Add(start, job("long", policy, step(1, 500, func(s *workload.Step) { s.Estimate = 9 * time.Second })))
 	for _, o := range orders(b, start) {
-		b.Answered(o, start, 1, nil)
+		b.OrderAnswered(o, start, 1, nil)
 	}
 	b.SetIncarnations(start, []pointport.Incarnation{incarnation(0, pointport.WithDraining(2*time.Second))})
 	stopped := make(map[string]bool)
--- a/schedule/copies_test.go
+++ b/schedule/copies_test.go
@@ -24,7 +24,7 @@
 		t.Fatalf("orders %v, want one start", sent)
 	}
 	first := sent[0]
-	first.Worker.Until(start, 10*time.Second) // as whoever sends it extends the instance
+	first.Worker.ExtendLease(start, 10*time.Second) // as whoever sends it extends the instance
 	silence := &pointport.UnavailableError{Op: "start", Ambiguous: true, Err: errors.New("reset")}
 	now := start
 	started, stopped := 0, 0
@@ -35,17 +35,17 @@
 			switch {
 			case o.Worker != first.Worker && o.Kind == schedule.OrderStart:
 				started++
-				b.Answered(o, now, 1, nil)
+				b.OrderAnswered(o, now, 1, nil)
 			case o.Worker == first.Worker && o.Kind == schedule.OrderStart && started > 0:
 				t.Fatalf("%v is started on a silent instance after it was given to another", o.TaskRun)
 			case o.Worker == first.Worker && o.Kind == schedule.OrderStop && o.TaskRun == first.TaskRun:
 				stopped++
-				b.Answered(o, now, 0, silence)
+				b.OrderAnswered(o, now, 0, silence)
 			default:
-				b.Answered(o, now, 0, silence)
+				b.OrderAnswered(o, now, 0, silence)
 			}
 		}
-		b.Answered(first, now, 0, silence)
+		b.OrderAnswered(first, now, 0, silence)
 	}
 	if started != 1 || stopped == 0 {
 		t.Errorf("%d starts elsewhere and %d stops of the first one, want one and some", started, stopped)
@@ -80,7 +80,7 @@
 			for _, o := range orders(b, now) {
 				b.MarkSending(o)
 				if o.Kind == schedule.OrderStart {
-					b.Answered(o, now, 1, nil)
+					b.OrderAnswered(o, now, 1, nil)
 					return o
 				}
 			}
@@ -93,7 +93,7 @@
 		failed(next())
 	}
 	third := next()
-	third.Worker.Until(now, settings.Lease)
+	third.Worker.ExtendLease(now, settings.Lease)
 	silence := &pointport.UnavailableError{Op: "hold", Ambiguous: true}
 	b.PollFailed(third.Worker, now, silence)
 	b.PollFailed(third.Worker, now.Add(600*time.Millisecond), silence)
@@ -161,7 +161,7 @@
 // and the first instance answers again with the run there.
 func TestCopyIsNotPlacedBesideItsGivenUpRun(t *testing.T) {
 	b, first, second, now := waitingCopy(t)
-	if b.Forgo(now, second) {
+	if b.SkipStart(now, second) {
 		t.Fatal("the copy is not sent")
 	}
 	b.MarkSending(second)
@@ -178,7 +178,7 @@
 		t.Fatalf("starts %v once that run has ended, want one", placed(all))
 	}
 	third := all[0]
-	b.Answered(third, now, clockAt(now), nil)
+	b.OrderAnswered(third, now, clockAt(now), nil)
 	b.Report(third.Worker, now, now, pointport.Report{Clock: clockAt(now), Ended: []pointport.TaskEnd{{Number: 2, TaskRun: third.TaskRun, Kind: pointport.EndDone}}})
 	b.Add(now, job("whole", policy, step(1, size.CPUMilli, nil)))
 	if got := placed(orders(b, now)); len(got) != 1 {
--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -39,7 +39,7 @@
 	switch {
 	case w.inc.Draining(), w.answeredUnlisted:
 		return partingLeft
-	case len(w.runs) == 0 && (w.closed(now) || w.orderedAway):
+	case len(w.runs) == 0 && (w.closed(now) || w.movedOrMaintained):
 		return partingOrdered
 	}
 	return partingCrashed
@@ -72,7 +72,7 @@
 	if w == nil || w.ended {
 		return
 	}
-	w.orderedAway = true
+	w.movedOrMaintained = true
 	if end.Sure && len(w.runs) == 0 {
 		b.endKnown(w, now, "its machine was moved")
 	}
@@ -82,8 +82,8 @@
 // its life gone. If it has answered since, also that it is not well, its own word counts.
 func (b *Book) shownOver(now time.Time, id pointport.IncarnationID) {
 	w := b.workers[id]
-	if w != nil && !w.ended && w.life.clockKnown() && (!w.silent || w.refuses) {
-		event.IncarnationLives.Log(b.logger, slog.String("incarnation", string(id)), slog.Int("runs", len(w.runs)), slog.Duration("sinceHeard", w.life.sinceLastAnswer(now)))
+	if w != nil && !w.ended && w.lease.clockKnown() && (!w.silent || w.pollRefused) {
+		event.IncarnationLives.Log(b.logger, slog.String("incarnation", string(id)), slog.Int("runs", len(w.runs)), slog.Duration("sinceHeard", w.lease.sinceLastAnswer(now)))
 		return
 	}
 	b.EndIncarnation(now, id)
@@ -111,7 +111,7 @@
 // formers returns the workers among which those are that a worker has followed: any when it is
 // first heard, and later those that are not registered.
 func (b *Book) formers(w *Worker) []*Worker {
-	if w.life.clockKnown() {
+	if w.lease.clockKnown() {
 		return b.unlisted
 	}
 	return slices.Collect(maps.Values(b.workers))
@@ -120,8 +120,8 @@
 // lastKnown returns when the owner last had a sign of the incarnation: an answer, or that it
 // was there.
 func (w *Worker) lastKnown() time.Time {
-	if w.life.heard.After(w.since) {
-		return w.life.heard
+	if w.lease.heard.After(w.since) {
+		return w.lease.heard
 	}
 	return w.since
 }
@@ -138,13 +138,13 @@
 		r.uncertainty = nil // the end of this life counts, and once
 	}
 	event.WorkerEnded.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
-		slog.Int("runs", len(w.runs)), slog.String("cause", string(cause)), slog.String("reason", why), slog.Duration("sinceHeard", w.life.sinceLastAnswer(now)))
+		slog.Int("runs", len(w.runs)), slog.String("cause", string(cause)), slog.String("reason", why), slog.Duration("sinceHeard", w.lease.sinceLastAnswer(now)))
 	w.ended, w.endedAt = true, now
 	b.noteForeign(w)
 	b.dropAll(w, now, "its incarnation is over")
 	if cause == partingCrashed {
 		b.noteCrashOf(w, now)
-		b.countCrashes(now, w.unproven, w.unproven, nil)
+		b.countCrashes(now, w.expiredRuns, w.expiredRuns, nil)
 		b.countCrashes(now, died, there, w)
 		return
 	}
@@ -177,7 +177,7 @@
 // MarkSending takes in that an order is sent now.
 func (b *Book) MarkSending(o Order) {
 	if o.Kind == OrderStart {
-		o.Run.ordered = true
+		o.Run.startSent = true
 	}
 }
 
@@ -193,7 +193,7 @@
 // there. At is nil if it is not known what else was there.
 func crashCase(there []*Run, r *Run, at *Worker) workload.CrashCase {
 	switch {
-	case at != nil && at.strays == 0 && len(at.burns) == 0 && allOfGang(there, r):
+	case at != nil && at.strays == 0 && len(at.startsToRuleOut) == 0 && allOfGang(there, r):
 		return workload.CrashAlone
 	case r.justStarted():
 		return workload.CrashAtStart
@@ -224,13 +224,13 @@
 	if r.liveAt.IsZero() {
 		return 0
 	}
-	return r.worker.life.heard.Sub(r.liveAt)
+	return r.worker.lease.heard.Sub(r.liveAt)
 }
 
 // allOfGang reports whether runs are all of one run's gang, or that run alone.
 func allOfGang(runs []*Run, r *Run) bool {
 	for _, o := range runs {
-		if o != r && (!r.step().Gang || o.stepOf() != r.stepOf()) {
+		if o != r && (!r.step().Gang || o.stepRef() != r.stepRef()) {
 			return false
 		}
 	}
@@ -250,7 +250,7 @@
 		how = workload.CrashAtStart // it may be the instance's own doing
 	}
 	seen.note(now, r.worker.inc.Instance())
-	b.touch(e, true)
+	b.markDirty(e, true)
 	verdict := e.job.Crash(r.ref, how)
 	b.tellLost(now, r, partingCrashed, beside)
 	if verdict == workload.CrashRetried {
@@ -261,7 +261,7 @@
 	if verdict == workload.CrashFailed {
 		b.stopAll(now, e, "instances have crashed under another task of its job")
 	}
-	b.settleJob(now, e)
+	b.endJobIfDone(now, e)
 }
 
 // tellLost logs that a run has died with its instance, beside so many others.
--- a/schedule/crash_test.go
+++ b/schedule/crash_test.go
@@ -55,7 +55,7 @@
 				b.Add(start, job("a", policy, step(c.tasks, 100, nil)))
 			}
 			for _, o := range orders(b, start) {
-				b.Answered(o, start, 1, nil)
+				b.OrderAnswered(o, start, 1, nil)
 			}
 			now := start.Add(seen)
 			c.before(b, now)
@@ -180,7 +180,7 @@
 			s.book.PollFailed(w, s.now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 			continue
 		}
-		w.Until(s.now, settings.Lease)
+		w.ExtendLease(s.now, settings.Lease)
 		report := pointport.Report{Clock: pointport.InstanceClock(s.now.Sub(start)), Ended: s.ends[id]}
 		for task, run := range runs {
 			report.Running = append(report.Running, pointport.RunningTask{TaskRun: pointport.TaskRun{Task: task, Run: run}, Progress: 10})
@@ -197,14 +197,14 @@
 		runs, lives := s.runs[id]
 		switch {
 		case !lives:
-			s.book.Answered(o, s.now, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true})
+			s.book.OrderAnswered(o, s.now, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true})
 		case o.Kind == schedule.OrderStart:
 			runs[o.TaskRun.Task] = o.TaskRun.Run
 			s.due[string(id)+o.TaskRun.Task] = s.now.Add(simWork)
 			s.poisoned(o)
 		default:
 			delete(runs, o.TaskRun.Task)
-			s.book.Answered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
+			s.book.OrderAnswered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
 		}
 	}
 }
@@ -212,7 +212,7 @@
 // poisoned lets a start take its effect.
 func (s *crashSim) poisoned(o schedule.Order) {
 	if o.TaskRun.Task != poisonTask {
-		s.book.Answered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
+		s.book.OrderAnswered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
 		return
 	}
 	if s.crashes >= 3 {
@@ -225,7 +225,7 @@
 			break
 		}
 	}
-	s.book.Answered(o, s.now, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true})
+	s.book.OrderAnswered(o, s.now, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true})
 }
 
 // handOver makes the book that of a new owner, which knows what is stored.
@@ -408,7 +408,7 @@
 		w := b.Workers()[0]
 		now := start.Add(c.lived)
 		report(b, started, w, now, 100)
-		w.Until(now, settings.Lease)
+		w.ExtendLease(now, settings.Lease)
 		b.PollFailed(w, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 		b.SetIncarnations(now, nil)
 		now = now.Add(10 * time.Second)
--- a/schedule/customer.go
+++ b/schedule/customer.go
@@ -23,9 +23,9 @@
 	// capped says that there is a bound, allowed is how much may be used here.
 	capped  bool
 	allowed pointport.Shape
-	// storms is since when the customer asks for far more than its part, zero while it does
+	// overloadedSince is since when the customer asks for far more than its part, zero while it does
 	// not.
-	storms time.Time
+	overloadedSince time.Time
 	// excess is for how long no more of its jobs are wanted, as reckoned last.
 	excess time.Duration
 	// toldCap is when it was last logged that the cap holds tasks back.
@@ -46,9 +46,9 @@
 	return a
 }
 
-// Allow sets how much customers may use here, in the terms in which tasks declare it; those
+// SetAllowed sets how much customers may use here, in the terms in which tasks declare it; those
 // that are not named have no bound.
-func (b *Book) Allow(allowed map[string]pointport.Shape) {
+func (b *Book) SetAllowed(allowed map[string]pointport.Shape) {
 	for name, a := range b.accounts {
 		a.allowed, a.capped = allowed[name]
 	}
@@ -85,8 +85,8 @@
 	}
 }
 
-// affords reports whether the cap allows as much beside what is used.
-func (a *account) affords(need pointport.Shape) bool {
+// withinCap reports whether the cap allows as much beside what is used.
+func (a *account) withinCap(need pointport.Shape) bool {
 	return a == nil || !a.capped || a.allowed.Fits(a.used.Plus(need))
 }
 
@@ -95,7 +95,7 @@
 func (a *account) atCap() bool { return a != nil && a.heldBack != (pointport.Shape{}) }
 
 // holdBack notes that tasks that are placed together wait for the cap.
-func (b *Book) holdBack(now time.Time, group []waiting) {
+func (b *Book) holdBack(now time.Time, group []waitingTask) {
 	a := group[0].entry.account
 	a.heldBack = a.heldBack.Plus(group[0].step.Need.Times(len(group)))
 	if now.Sub(a.toldCap) < tellWaitEvery {
@@ -113,17 +113,17 @@
 	}
 }
 
-// afford returns what tells which of the waiting tasks their customers' caps let start, all
+// capFilter returns what tells which of the waiting tasks their customers' caps let start, all
 // others being started before them.
-func (b *Book) afford() func(t waiting) bool {
+func (b *Book) capFilter() func(t waitingTask) bool {
 	started := make(map[*account]pointport.Shape)
-	return func(t waiting) bool {
+	return func(t waitingTask) bool {
 		a := t.entry.account
 		if a == nil || !a.capped {
 			return true
 		}
 		sum := started[a].Plus(t.step.Need)
-		if !a.affords(sum) {
+		if !a.withinCap(sum) {
 			return false
 		}
 		started[a] = sum
--- a/schedule/doubt_test.go
+++ b/schedule/doubt_test.go
@@ -126,8 +126,8 @@
 			hear(b, start, all...)
 			b.Add(start, job("a", policy, step(1, 100, change)))
 			first := orders(b, start)[0]
-			first.Worker.Until(start, settings.Lease)
-			b.Answered(first, start, 1, nil)
+			first.Worker.ExtendLease(start, settings.Lease)
+			b.OrderAnswered(first, start, 1, nil)
 			silent := []*schedule.Worker{first.Worker}
 			for _, w := range b.Workers() {
 				if w != first.Worker && len(silent) < 8 {
--- a/schedule/evacuate.go
+++ b/schedule/evacuate.go
@@ -33,9 +33,9 @@
 		return false
 	}
 	event.StartForgone.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number), slog.String("incarnation", string(r.worker.inc.ID())),
-		slog.String("zone", string(r.worker.inc.Zone())), slog.String("standing", standing.String()), slog.Bool("sentBefore", r.ordered))
+		slog.String("zone", string(r.worker.inc.Zone())), slog.String("standing", standing.String()), slog.Bool("sentBefore", r.startSent))
 	if standing == evacuation.Unknown {
-		r.againAt = now.Add(startAgain)
+		r.resendAt = now.Add(startAgain)
 		return true
 	}
 	b.stop(now, r, "its availability zone is evacuated, and it is not known to run there")
--- a/schedule/evacuate_test.go
+++ b/schedule/evacuate_test.go
@@ -132,15 +132,15 @@
 		hear(b, start, north(0))
 		b.Add(start, job("a", policy, step(1, 500, nil)))
 		sent := orders(b, start)
-		if len(sent) != 1 || b.Forgo(start, sent[0]) {
+		if len(sent) != 1 || b.SkipStart(start, sent[0]) {
 			t.Fatalf("orders %v, want one start that is not forgone", sent)
 		}
 		first, now := sent[0], start.Add(time.Second)
 		if sentBefore {
-			b.Answered(first, start, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true, Err: errors.New("reset")})
+			b.OrderAnswered(first, start, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true, Err: errors.New("reset")})
 		}
 		b.SetEvacuations(northEmpty)
-		if !b.Forgo(now, first) {
+		if !b.SkipStart(now, first) {
 			t.Fatalf("the start is sent (sent before: %v)", sentBefore)
 		}
 		b.SetIncarnations(now, []pointport.Incarnation{north(0), south(1)})
@@ -164,21 +164,21 @@
 	hear(b, start, north(0))
 	b.Add(start, job("a", policy, step(1, 500, nil)))
 	first := orders(b, start)[0]
-	first.Worker.Until(start, settings.Lease)
-	b.Answered(first, start, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true, Err: errors.New("reset")})
+	first.Worker.ExtendLease(start, settings.Lease)
+	b.OrderAnswered(first, start, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true, Err: errors.New("reset")})
 	b.SetEvacuations(evacuation.Zones{})
 	now := start
 	for range 5 {
 		now = now.Add(200 * time.Millisecond)
 		for _, o := range orders(b, now) {
-			if o.Kind == schedule.OrderStop || !b.Forgo(now, o) {
+			if o.Kind == schedule.OrderStop || !b.SkipStart(now, o) {
 				t.Fatalf("%+v is sent", o)
 			}
 		}
 	}
 	b.SetEvacuations(evacuation.None)
 	now = now.Add(200 * time.Millisecond)
-	if again := orders(b, now); len(again) != 1 || again[0].Kind != schedule.OrderStart || b.Forgo(now, again[0]) {
+	if again := orders(b, now); len(again) != 1 || again[0].Kind != schedule.OrderStart || b.SkipStart(now, again[0]) {
 		t.Errorf("orders %+v, want the start once more", again)
 	}
 }
--- a/schedule/excess.go
+++ b/schedule/excess.go
@@ -44,7 +44,7 @@
 	var out map[string]time.Duration
 	workers := b.usable(now)
 	var waiting []*entry
-	for e := range b.hungry {
+	for e := range b.waitingJobs {
 		waiting = append(waiting, e)
 	}
 	s := b.sharesOf(workers, waiting)
@@ -53,7 +53,7 @@
 		a.excess = 0
 		w, ok := waits[a]
 		if !ok {
-			a.storms = time.Time{}
+			a.overloadedSince = time.Time{}
 			continue
 		}
 		part := max(s.dominant(a), b.weightOf(a)/s.weights)
@@ -61,10 +61,10 @@
 		slack := w.slack / time.Duration(w.jobs)
 		switch {
 		case wait < stormFactor*slack:
-			a.storms = time.Time{}
-		case a.storms.IsZero():
-			a.storms = now
-		case now.Sub(a.storms) >= stormAfter:
+			a.overloadedSince = time.Time{}
+		case a.overloadedSince.IsZero():
+			a.overloadedSince = now
+		case now.Sub(a.overloadedSince) >= stormAfter:
 			if out == nil {
 				out = make(map[string]time.Duration)
 			}
@@ -78,13 +78,13 @@
 // backlogs returns what waits of each customer that has not begun and can be in time.
 func (b *Book) backlogs(capacity pointport.Shape) map[*account]backlog {
 	out := make(map[*account]backlog)
-	for e := range b.hungry {
-		if e.account == nil || e.standing.class != classFresh || e.job.Begun() || len(e.ready) == 0 {
+	for e := range b.waitingJobs {
+		if e.account == nil || e.rank.class != classFresh || e.job.Begun() || len(e.ready) == 0 {
 			continue
 		}
 		w := out[e.account]
 		w.work += b.workOf(e, capacity)
-		w.slack += e.standing.latest.Sub(e.job.Submitted())
+		w.slack += e.rank.latest.Sub(e.job.Submitted())
 		w.jobs++
 		out[e.account] = w
 	}
@@ -99,7 +99,7 @@
 	for n := range spec.Steps {
 		step := &spec.Steps[n]
 		share := dominantShare(step.Reservation().Times(step.Count), capacity)
-		sum += time.Duration(share * float64(b.learned.duration(e.job.Queue(), step)))
+		sum += time.Duration(share * float64(b.estimates.duration(e.job.Queue(), step)))
 	}
 	return sum
 }
--- a/schedule/expiry_test.go
+++ b/schedule/expiry_test.go
@@ -28,14 +28,14 @@
 		t.Fatalf("orders %v, want one start", sent)
 	}
 	first := sent[0]
-	first.Worker.Until(start, settings.Lease)
-	b.Answered(first, start, 0, silence)
+	first.Worker.ExtendLease(start, settings.Lease)
+	b.OrderAnswered(first, start, 0, silence)
 	now := start
 	for range 60 { // well beyond the lease
 		now = now.Add(100 * time.Millisecond)
 		b.PollFailed(first.Worker, now, silence)
 		for _, o := range orders(b, now) {
-			b.Answered(o, now, 0, silence)
+			b.OrderAnswered(o, now, 0, silence)
 		}
 	}
 	if s, _ := b.Status("a"); s.Ended() {
@@ -99,8 +99,8 @@
 			hear(b, start, other...)
 			b.Add(start, job("a", policy, step(1, 100, c.change)))
 			first := orders(b, start)[0]
-			first.Worker.Until(start, settings.Lease)
-			b.Answered(first, start, 0, nil)
+			first.Worker.ExtendLease(start, settings.Lease)
+			b.OrderAnswered(first, start, 0, nil)
 			silent := first.Worker.Incarnation()
 			if silent.ID() == other[0].ID() {
 				other = other[1:]
@@ -153,8 +153,8 @@
 	hear(b, start, incarnation(0))
 	b.Add(start, job("a", policy, step(1, 100, nil)))
 	first := orders(b, start)[0]
-	first.Worker.Until(start, settings.Lease)
-	b.Answered(first, start, 0, nil)
+	first.Worker.ExtendLease(start, settings.Lease)
+	b.OrderAnswered(first, start, 0, nil)
 	b.Cancel(start, "a")
 	now := start
 	for range 60 {
@@ -177,11 +177,11 @@
 	if len(sent) != 1 {
 		t.Fatalf("orders %v, want one start", sent)
 	}
-	if b.Forgo(start, sent[0]) {
+	if b.SkipStart(start, sent[0]) {
 		t.Fatal("the start is left out although its instance answers")
 	}
 	b.PollFailed(sent[0].Worker, start, silence)
-	if !b.Forgo(start, sent[0]) {
+	if !b.SkipStart(start, sent[0]) {
 		t.Fatal("the start is sent although its instance is silent")
 	}
 	again := orders(b, start.Add(10*time.Millisecond))
@@ -196,10 +196,10 @@
 	hear(b, start, incarnation(0))
 	b.Add(start, job("a", policy, step(1, 100, nil)))
 	sent := orders(b, start)
-	sent[0].Worker.Until(start, settings.Lease)
-	b.Answered(sent[0], start, 0, silence)
+	sent[0].Worker.ExtendLease(start, settings.Lease)
+	b.OrderAnswered(sent[0], start, 0, silence)
 	b.PollFailed(sent[0].Worker, start, silence)
-	if b.Forgo(start, sent[0]) {
+	if b.SkipStart(start, sent[0]) {
 		t.Error("the start is left out although an earlier order of it may have arrived")
 	}
 }
@@ -211,11 +211,11 @@
 	for _, id := range []string{"a", "b", "c", "d"} {
 		b.Add(start, job(id, policy, step(4, 100, nil)))
 	}
-	b.LimitUnsent(8)
+	b.LimitUnstoredStarts(8)
 	if n := len(placed(orders(b, start))); n == 0 {
 		t.Fatal("nothing is placed")
 	}
-	b.LimitUnsent(0)
+	b.LimitUnstoredStarts(0)
 	b.Add(start, job("e", policy, step(1, 100, nil)))
 	if got := orders(b, start); len(got) != 0 {
 		t.Errorf("%d orders while nothing may wait", len(got))
@@ -232,7 +232,7 @@
 	b.Add(start, job("a", policy, step(1, 100, nil)))
 	first := orders(b, start)[0]
 	b.MarkSending(first)
-	b.Answered(first, start, clockAt(start), nil)
+	b.OrderAnswered(first, start, clockAt(start), nil)
 	b.EndIncarnation(start, first.Worker.Incarnation().ID())
 	b.Report(first.Worker, start, start, ended(first, pointport.EndDone))
 	if got := placed(orders(b, start)); len(got) != 0 {
@@ -254,7 +254,7 @@
 	both := orders(b, start)
 	for _, o := range both {
 		b.MarkSending(o)
-		b.Answered(o, start, clockAt(start), nil)
+		b.OrderAnswered(o, start, clockAt(start), nil)
 	}
 	b.SetIncarnations(start, []pointport.Incarnation{incarnation(0), incarnation(1)})
 	for _, w := range b.Workers() {
@@ -271,7 +271,7 @@
 		{Number: 1, TaskRun: both[0].TaskRun, Kind: pointport.EndDone}, {Number: 2, TaskRun: both[1].TaskRun, Kind: pointport.EndDone},
 	}})
 	for _, o := range again {
-		if o.Kind == schedule.OrderStart && !b.Forgo(start, o) {
+		if o.Kind == schedule.OrderStart && !b.SkipStart(start, o) {
 			t.Errorf("%v is sent although its gang is done", o.TaskRun)
 		}
 	}
--- a/schedule/explain.go
+++ b/schedule/explain.go
@@ -47,7 +47,7 @@
 
 // Explain says how a job stands and why; false if the book does not know it.
 func (b *Book) Explain(now time.Time, id string) (Explanation, bool) {
-	if f, ok := b.over[id]; ok {
+	if f, ok := b.endedJobs[id]; ok {
 		return Explanation{Job: id, Customer: f.customer, Status: f.status}, true
 	}
 	e, ok := b.jobs[id]
@@ -95,13 +95,13 @@
 	case !e.job.Ready(o, n):
 		x.Waits = fmt.Sprintf("%d tasks wait for earlier steps", pending)
 	default:
-		x.Waits = b.explainWait(now, waiting{e, workload.TaskRef{Occurrence: o.Index, Step: n}, &e.job.Spec().Steps[n]}, pending)
+		x.Waits = b.explainWait(now, waitingTask{e, workload.TaskRef{Occurrence: o.Index, Step: n}, &e.job.Spec().Steps[n]}, pending)
 	}
 	return x
 }
 
 // explainWait says what tasks wait for whose turn has come.
-func (b *Book) explainWait(now time.Time, t waiting, tasks int) string {
+func (b *Book) explainWait(now time.Time, t waitingTask, tasks int) string {
 	workers := b.usable(now)
 	labelled, permitted, apart, roomy, open := 0, 0, 0, 0, 0
 	var most pointport.Shape
@@ -122,12 +122,12 @@
 			continue
 		}
 		roomy++
-		if !b.crowded(t, w) {
+		if !b.atStepLimit(t, w) {
 			open++
 		}
 	}
 	need := t.step.Reservation()
-	if a := t.entry.account; !a.affords(t.step.Need) {
+	if a := t.entry.account; !a.withinCap(t.step.Need) {
 		return fmt.Sprintf("%d tasks wait for the cap of %s: its tasks take %d thousandths of a core and %d MiB here, and may take %d and %d",
 			tasks, a.name, a.used.CPUMilli, a.used.MemoryMiB, a.allowed.CPUMilli, a.allowed.MemoryMiB)
 	}
@@ -162,7 +162,7 @@
 
 // tellWait logs why a job finds no room, if it has not for a while. missed is the
 // first of its tasks that found none.
-func (b *Book) tellWait(now time.Time, missed waiting) {
+func (b *Book) tellWait(now time.Time, missed waitingTask) {
 	e := missed.entry
 	if e.starved.IsZero() {
 		e.starved = now
@@ -179,7 +179,7 @@
 		}
 	}
 	event.JobWaits.Log(b.logger, slog.String("job", e.job.ID()), slog.Int("step", missed.ref.Step), slog.Duration("waited", waited),
-		slog.Bool("late", e.standing.class == classLate), slog.String("reason", b.explainWait(now, missed, tasks)))
+		slog.Bool("late", e.rank.class == classLate), slog.String("reason", b.explainWait(now, missed, tasks)))
 }
 
 // explainBarred says why instances of the pool cannot be used.
--- a/schedule/explain_customer.go
+++ b/schedule/explain_customer.go
@@ -59,7 +59,7 @@
 		if e.job.Begun() {
 			x.Begun++
 		}
-		if e.standing.class == classLate {
+		if e.rank.class == classLate {
 			x.Late++
 		}
 	}
--- a/schedule/explain_customer_test.go
+++ b/schedule/explain_customer_test.go
@@ -13,7 +13,7 @@
 func TestCapIsExplained(t *testing.T) {
 	b := newBook()
 	hear(b, start, incarnation(0), incarnation(1))
-	b.Allow(map[string]pointport.Shape{"bistro": {CPUMilli: 2500, MemoryMiB: 1 << 20, Accelerators: 1}})
+	b.SetAllowed(map[string]pointport.Shape{"bistro": {CPUMilli: 2500, MemoryMiB: 1 << 20, Accelerators: 1}})
 	spec := &workload.Spec{Steps: []workload.Step{step(4, 1000, nil)}}
 	b.Add(start, workload.New("a", "q", policy, spec, start, workload.WithCustomer("bistro")))
 	b.Add(start, workload.New("b", "q", policy, spec, start, workload.WithCustomer("cafe")))
--- a/schedule/forgo_test.go
+++ b/schedule/forgo_test.go
@@ -27,7 +27,7 @@
 	sent := orders(b, start)
 	answer(b, sent, start)
 	first = sent[0]
-	first.Worker.Until(start, settings.Lease)
+	first.Worker.ExtendLease(start, settings.Lease)
 	silence := &pointport.UnavailableError{Op: "hold", Ambiguous: true}
 	b.PollFailed(first.Worker, start, silence)
 	now = start.Add(600 * time.Millisecond)
@@ -46,7 +46,7 @@
 func TestStartThatWaitsIsNotSentOnceItsTaskIsDone(t *testing.T) {
 	b, first, second, now := waitingCopy(t)
 	b.Report(first.Worker, now, now, ended(first, pointport.EndDone))
-	if !b.Forgo(now, second) {
+	if !b.SkipStart(now, second) {
 		t.Error("the start of a copy is sent although the task is done")
 	}
 	orders(b, now)
@@ -62,7 +62,7 @@
 	hear(b, start, incarnation(0))
 	waits := orders(b, start)[0]
 	b.Cancel(start, "a")
-	if !b.Forgo(start, waits) {
+	if !b.SkipStart(start, waits) {
 		t.Error("the start of a cancelled job is sent")
 	}
 	orders(b, start)
@@ -79,7 +79,7 @@
 	hear(b, start, incarnation(0))
 	waits := orders(b, start)[0]
 	b.EndIncarnation(start, incarnation(0).ID())
-	if !b.Forgo(start, waits) {
+	if !b.SkipStart(start, waits) {
 		t.Error("the start of a run that was dropped is sent")
 	}
 }
@@ -88,11 +88,11 @@
 // to stop: the stop rules it out.
 func TestStartIsNotSentAgainOnceItsRunIsStopped(t *testing.T) {
 	b, first, second, now := waitingCopy(t)
-	if b.Forgo(now, second) {
+	if b.SkipStart(now, second) {
 		t.Fatal("the first sending is forgone")
 	}
 	b.MarkSending(second)
-	b.Answered(second, now, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true})
+	b.OrderAnswered(second, now, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true})
 	now = now.Add(200 * time.Millisecond)
 	var again []schedule.Order
 	for _, o := range orders(b, now) {
@@ -104,7 +104,7 @@
 		t.Fatalf("orders %v, want the start once more", again)
 	}
 	b.Report(first.Worker, now, now, ended(first, pointport.EndDone))
-	if !b.Forgo(now, again[0]) {
+	if !b.SkipStart(now, again[0]) {
 		t.Error("the start is sent again although the task is done")
 	}
 	stopped := false
--- a/schedule/gang.go
+++ b/schedule/gang.go
@@ -50,7 +50,7 @@
 // gangDone takes in that a gang has ended well: one member's end stands for all.
 func (b *Book) gangDone(now time.Time, r *Run) {
 	for _, mate := range b.mates(r) {
-		b.forget(now, mate)
+		b.removeRun(now, mate)
 	}
 	for i := range r.entry.job.Spec().Steps[r.ref.Step].Count {
 		ref := r.ref
@@ -59,8 +59,8 @@
 			r.entry.job.Finish(ref)
 		}
 	}
-	b.touch(r.entry, true)
-	b.settleJob(now, r.entry)
+	b.markDirty(r.entry, true)
+	b.endJobIfDone(now, r.entry)
 }
 
 // expireGangs gives up gangs that do not gather, before their members wait for
@@ -91,7 +91,7 @@
 }
 
 // placeGang places all tasks of a gang, or none.
-func (p *placement) placeGang(tasks []waiting) bool {
+func (p *placement) placeGang(tasks []waitingTask) bool {
 	step := tasks[0].step
 	for _, workers := range p.gangSets(step) {
 		chosen := p.fitGang(tasks, workers)
@@ -137,7 +137,7 @@
 
 // fitGang returns a worker for each task of a gang, or nil if they do not all
 // fit.
-func (p *placement) fitGang(tasks []waiting, workers []*Worker) []*Worker {
+func (p *placement) fitGang(tasks []waitingTask, workers []*Worker) []*Worker {
 	step := tasks[0].step
 	room := step.Reservation()
 	taken := make(map[*Worker]int)
@@ -164,7 +164,7 @@
 }
 
 // holds reports whether a worker can hold a task beside some more of its gang.
-func (p *placement) holds(w *Worker, t waiting, room pointport.Shape, more int) bool {
+func (p *placement) holds(w *Worker, t waitingTask, room pointport.Shape, more int) bool {
 	free := w.free
 	for range more {
 		free = free.Minus(room)
@@ -178,7 +178,7 @@
 // reserveGang keeps as many workers free of other tasks as a gang needs, because
 // smaller tasks would always take the room that falls free. One gang at a time
 // is waited for.
-func (p *placement) reserveGang(tasks []waiting) {
+func (p *placement) reserveGang(tasks []waitingTask) {
 	if p.gangWaits {
 		return
 	}
--- a/schedule/health.go
+++ b/schedule/health.go
@@ -62,8 +62,8 @@
 
 // wary reports whether a task should not go to a worker because it, or another of
 // its gang, has just failed there.
-func (b *Book) wary(t waiting, w *Worker, now time.Time) bool {
-	if len(t.entry.wary) == 0 {
+func (b *Book) wary(t waitingTask, w *Worker, now time.Time) bool {
+	if len(t.entry.avoidUntil) == 0 {
 		return false
 	}
 	if !t.step.Gang {
@@ -80,7 +80,7 @@
 }
 
 func (e *entry) waryOf(ref workload.TaskRef, on pointport.IncarnationID, now time.Time) bool {
-	until, ok := e.wary[ref]
+	until, ok := e.avoidUntil[ref]
 	if !ok {
 		return false
 	}
@@ -90,8 +90,8 @@
 
 // avoidFailedWorker keeps a task that has failed away from where it did, for a while.
 func (e *entry) avoidFailedWorker(ref workload.TaskRef, now time.Time) {
-	if e.wary == nil {
-		e.wary = make(map[workload.TaskRef]time.Time)
+	if e.avoidUntil == nil {
+		e.avoidUntil = make(map[workload.TaskRef]time.Time)
 	}
-	e.wary[ref] = now.Add(retryElsewhere)
+	e.avoidUntil[ref] = now.Add(retryElsewhere)
 }
--- a/schedule/late_end_test.go
+++ b/schedule/late_end_test.go
@@ -26,8 +26,8 @@
 	}
 	for _, o := range sent {
 		b.MarkSending(o)
-		o.Worker.Until(start, settings.Lease)
-		b.Answered(o, start, 1, nil)
+		o.Worker.ExtendLease(start, settings.Lease)
+		b.OrderAnswered(o, start, 1, nil)
 	}
 	now := start
 	for range 50 { // well beyond the lease
@@ -37,7 +37,7 @@
 			b.PollFailed(o.Worker, now, silence)
 		}
 		for _, o := range orders(b, now) {
-			b.Answered(o, now, 0, silence)
+			b.OrderAnswered(o, now, 0, silence)
 		}
 	}
 	b.SetIncarnations(now, both)
@@ -88,7 +88,7 @@
 	}
 	for _, o := range again {
 		b.MarkSending(o)
-		b.Answered(o, now, 1, nil)
+		b.OrderAnswered(o, now, 1, nil)
 	}
 	now = now.Add(time.Second)
 	late := again[0].Worker
--- a/schedule/later_incarnation.go
+++ b/schedule/later_incarnation.go
@@ -30,7 +30,7 @@
 
 // mayBeLater reports whether a later life of the addressee may have the run, or may yet take a start
 // of it that has got no answer.
-func (r *Run) mayBeLater() bool { return r.mayHaveBegun() && (!r.listed || r.underWay()) }
+func (r *Run) mayBeLater() bool { return r.mayHaveBegun() && (!r.listed || r.startInFlight()) }
 
 // uncertain reports whether that is so, and there may be a later life of its worker's addressee.
 func (r *Run) uncertain() bool { return r.worker.inc.ID().Shares() && r.mayBeLater() }
@@ -59,7 +59,7 @@
 	if later.inc.Address() == "" {
 		later.inc = pointport.NewIncarnation(id, w.inc.Pool(), w.inc.Address(), pointport.WithInstance(w.inc.Instance()),
 			pointport.WithZone(w.inc.Zone()), pointport.WithRack(w.inc.Rack()), pointport.WithLabels(w.inc.Labels()))
-		b.looks[later] = struct{}{}
+		b.pollNow[later] = struct{}{}
 	}
 	return later
 }
@@ -98,19 +98,19 @@
 			r.uncertainty = &uncertainty{cause, crashCase(died, r, former), len(died) - 1}
 		}
 		suspected, quarantined := r.suspected, r.quarantined
-		former.drop(r) // which has it count as any other
+		former.removeRun(r) // which has it count as any other
 		r.worker, r.listed, r.suspected, r.quarantined = later, false, suspected, quarantined
-		later.take(r)
-		delete(later.burns, r.TaskRun())
-		if r.state == runSettling {
+		later.addRun(r)
+		delete(later.startsToRuleOut, r.TaskRun())
+		if r.state == runAwaitingReport {
 			r.state = runSent // what ruled it out may have been the life that is over
 			r.stopAgainAt = now
 		}
-		r.againAt = time.Time{} // to be ordered again it would have to be placed there
+		r.resendAt = time.Time{} // to be ordered again it would have to be placed there
 		event.RunFollows.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number), slog.String("incarnation", string(former.inc.ID())),
 			slog.String("later", string(later.inc.ID())), slog.Int("unanswered", r.unanswered), slog.Duration("sinceSeen", r.sinceSeen(now)))
 	}
-	b.looks[later] = struct{}{}
+	b.pollNow[later] = struct{}{}
 }
 
 // takenLate is for how long an order may be on its way, and be held back by the life that it
@@ -127,9 +127,9 @@
 // comes: also what a later life may have taken.
 func (b *Book) executionExpiry(w *Worker) time.Time {
 	if !w.anyUncertain() {
-		return w.life.expiry()
+		return w.lease.expiry()
 	}
-	return latest(w.life.expiry(), b.foreignUntil(w.life.ordered))
+	return latest(w.lease.expiry(), b.foreignUntil(w.lease.ordered))
 }
 
 // noteForeign notes until when orders to a worker that is over may extend what later lives of its
@@ -138,11 +138,11 @@
 	if !w.inc.ID().Shares() {
 		return
 	}
-	to, until := w.inc.ID().Addressee(), b.foreignUntil(w.life.ordered)
+	to, until := w.inc.ID().Addressee(), b.foreignUntil(w.lease.ordered)
 	b.foreign[to] = latest(b.foreign[to], until)
 	for _, o := range b.workers {
 		if o.sharesWith(w) {
-			o.life.misdirectedUntil = latest(o.life.misdirectedUntil, until)
+			o.lease.misdirectedUntil = latest(o.lease.misdirectedUntil, until)
 		}
 	}
 }
@@ -189,15 +189,15 @@
 		return
 	}
 	to := w.inc.ID().Addressee()
-	if b.underWay[to] == nil {
-		b.underWay[to] = make(map[pointport.TaskRun]time.Time)
+	if b.startsInFlight[to] == nil {
+		b.startsInFlight[to] = make(map[pointport.TaskRun]time.Time)
 	}
-	b.underWay[to][run] = now
+	b.startsInFlight[to][run] = now
 }
 
 // startsToRuleOut returns the starts that a life which is new to the owner must rule out first.
 func (b *Book) startsToRuleOut(id pointport.IncarnationID) map[pointport.TaskRun]bool {
-	all := b.underWay[id.Addressee()]
+	all := b.startsInFlight[id.Addressee()]
 	if len(all) == 0 {
 		return nil
 	}
@@ -215,14 +215,14 @@
 			delete(b.foreign, to)
 		}
 	}
-	for to, all := range b.underWay {
+	for to, all := range b.startsInFlight {
 		for run, at := range all {
 			if now.Sub(at) > burnsKept {
 				delete(all, run)
 			}
 		}
 		if len(all) == 0 {
-			delete(b.underWay, to)
+			delete(b.startsInFlight, to)
 		}
 	}
 }
--- a/schedule/later_test.go
+++ b/schedule/later_test.go
@@ -57,7 +57,7 @@
 		t.Fatalf("orders %v, want a start", all)
 	}
 	b.MarkSending(all[0])
-	all[0].Worker.Until(start, settings.Lease)
+	all[0].Worker.ExtendLease(start, settings.Lease)
 	return b, all[0], j
 }
 
@@ -82,25 +82,25 @@
 	b.Add(now, job("a", policy, step(1, 100, nil)))
 	first := orders(b, now)[0]
 	b.MarkSending(first)
-	if got := w.Look(); got.Acknowledged != 0 {
+	if got := w.NextPoll(); got.Acknowledged != 0 {
 		t.Errorf("with a start under way, whoever takes the look may forget ends up to %d", got.Acknowledged)
 	}
-	b.Answered(first, now, 3, nil)
-	if got := w.Look(); got.Acknowledged != 0 {
+	b.OrderAnswered(first, now, 3, nil)
+	if got := w.NextPoll(); got.Acknowledged != 0 {
 		t.Errorf("with a start that was answered by whoever was there, whoever takes the look may forget ends up to %d", got.Acknowledged)
 	}
 	b.Report(w, now, now, listing(first.TaskRun))
-	look := w.Look()
-	if look != (schedule.Look{Acknowledged: 9}) || !w.Acknowledging(now) {
-		t.Errorf("once it has listed the run, the look is %+v and starts are held back: %v, want an acknowledgement of 9 that waits for nothing", look, w.Acknowledging(now))
+	look := w.NextPoll()
+	if look != (schedule.Poll{Acknowledged: 9}) || !w.AckInFlight(now) {
+		t.Errorf("once it has listed the run, the look is %+v and starts are held back: %v, want an acknowledgement of 9 that waits for nothing", look, w.AckInFlight(now))
 	}
-	if again := w.Look(); again.Acknowledged != 0 || !again.MayWait {
+	if again := w.NextPoll(); again.Acknowledged != 0 || !again.MayWait {
 		t.Errorf("beside it, the look is %+v", again)
 	}
-	if !w.Looked(look, now, true) || w.Acknowledging(now) {
+	if !w.PollDone(look, now, true) || w.AckInFlight(now) {
 		t.Error("once it is answered, starts are held back")
 	}
-	if after := w.Look(); after != (schedule.Look{MayWait: true}) {
+	if after := w.NextPoll(); after != (schedule.Poll{MayWait: true}) {
 		t.Errorf("after it, the look is %+v, want one that waits for an end and acknowledges nothing", after)
 	}
 }
@@ -113,8 +113,8 @@
 	b.Report(w, start, start, pointport.Report{Clock: 2, Ended: []pointport.TaskEnd{{Number: 9, TaskRun: pointport.TaskRun{Task: "b.0.0.0", Run: 1}, Kind: pointport.EndDone}}})
 	b.Add(start, job("a", policy, step(1, 100, nil)))
 	b.MarkSending(orders(b, start)[0])
-	if got := w.Look(); got != (schedule.Look{Acknowledged: 9, MayWait: true}) || w.Acknowledging(start) {
-		t.Errorf("the look is %+v, starts held back: %v", got, w.Acknowledging(start))
+	if got := w.NextPoll(); got != (schedule.Poll{Acknowledged: 9, MayWait: true}) || w.AckInFlight(start) {
+		t.Errorf("the look is %+v, starts held back: %v", got, w.AckInFlight(start))
 	}
 }
 
@@ -124,7 +124,7 @@
 	for _, answered := range []bool{true, false} {
 		b, first, _ := started(t)
 		if answered {
-			b.Answered(first, start, 3, nil)
+			b.OrderAnswered(first, start, 3, nil)
 		}
 		now := start.Add(time.Second)
 		b.PollFailed(first.Worker, now, replacedBy(life(0), life(1)))
@@ -134,7 +134,7 @@
 		if got := placed(orders(b, now)); len(got) != 0 {
 			t.Fatalf("starts %v before the later life was asked", got)
 		}
-		if !slices.ContainsFunc(b.TakeLooks(), func(w *schedule.Worker) bool { return w.Incarnation().ID() == life(1).ID() }) {
+		if !slices.ContainsFunc(b.TakePolls(), func(w *schedule.Worker) bool { return w.Incarnation().ID() == life(1).ID() }) {
 			t.Error("the later life is not asked, which has not registered yet")
 		}
 		later := workerOf(t, b, life(1))
@@ -153,7 +153,7 @@
 // The later life has ended the run by the time it is asked.
 func TestEndThatALaterLifeListsCounts(t *testing.T) {
 	b, first, _ := started(t)
-	b.Answered(first, start, 3, nil)
+	b.OrderAnswered(first, start, 3, nil)
 	now := start.Add(2 * time.Second)
 	b.SetIncarnations(now, []pointport.Incarnation{life(1)})
 	b.Report(workerOf(t, b, life(1)), now, now, pointport.Report{Clock: 6, Ended: []pointport.TaskEnd{{Number: 1, TaskRun: first.TaskRun, Kind: pointport.EndDone}}})
@@ -171,9 +171,9 @@
 	for _, answered := range []bool{true, false} {
 		b, first, _ := started(t)
 		if answered {
-			b.Answered(first, start, 3, nil)
+			b.OrderAnswered(first, start, 3, nil)
 		} else {
-			b.Answered(first, start.Add(400*time.Millisecond), 0, silence)
+			b.OrderAnswered(first, start.Add(400*time.Millisecond), 0, silence)
 		}
 		now := start.Add(time.Second)
 		b.SetIncarnations(now, []pointport.Incarnation{life(1)})
@@ -185,7 +185,7 @@
 			if len(placed(all)) != 0 || len(stops) != 1 || stops[0].Worker != later {
 				t.Fatalf("orders %+v, want a stop by the later life alone", all)
 			}
-			b.Answered(stops[0], now.Add(time.Millisecond), 0, nil)
+			b.OrderAnswered(stops[0], now.Add(time.Millisecond), 0, nil)
 			now = now.Add(10 * time.Millisecond)
 			b.Report(later, now, now, pointport.Report{Clock: 6})
 		}
@@ -203,9 +203,9 @@
 	for _, answered := range []bool{true, false} {
 		b, first, j := started(t)
 		if answered {
-			b.Answered(first, start, 3, nil)
+			b.OrderAnswered(first, start, 3, nil)
 		} else {
-			b.Answered(first, start.Add(400*time.Millisecond), 0, silence)
+			b.OrderAnswered(first, start.Add(400*time.Millisecond), 0, silence)
 		}
 		now := start.Add(time.Second)
 		b.PollFailed(first.Worker, now, replacedBy(life(0), life(1)))
@@ -217,7 +217,7 @@
 			now = now.Add(10 * time.Millisecond)
 			b.Report(later, now, now, pointport.Report{Clock: 5})
 			for _, stop := range kindOf(orders(b, now), schedule.OrderStop, first.TaskRun) {
-				b.Answered(stop, now.Add(time.Millisecond), 0, nil)
+				b.OrderAnswered(stop, now.Add(time.Millisecond), 0, nil)
 			}
 		}
 		if got := j.Task(workload.TaskRef{}).Crashes; got != 1 {
@@ -233,7 +233,7 @@
 	b.Add(start, crashedJob("a", 2, step(1, 100, nil)))
 	first := orders(b, start)[0]
 	b.MarkSending(first)
-	b.Answered(first, start, 3, nil)
+	b.OrderAnswered(first, start, 3, nil)
 	now := start.Add(10 * time.Millisecond)
 	b.SetIncarnations(now, []pointport.Incarnation{life(1)})
 	b.PollFailed(first.Worker, now, replacedBy(life(0), life(1)))
@@ -247,7 +247,7 @@
 // The run is on the later life, so nothing died that the crash could count against.
 func TestRunOnALaterLifeDidNotCrash(t *testing.T) {
 	b, first, j := started(t)
-	b.Answered(first, start, 3, nil)
+	b.OrderAnswered(first, start, 3, nil)
 	now := start.Add(time.Second)
 	b.PollFailed(first.Worker, now, replacedBy(life(0), life(1)))
 	now = now.Add(10 * time.Millisecond)
@@ -263,9 +263,9 @@
 	for _, clock := range []pointport.InstanceClock{0, pointport.InstanceClock(time.Hour)} {
 		b, first, _ := started(t)
 		now := start.Add(time.Second)
-		before := first.Worker.Until(now, settings.Lease)
-		b.Answered(first, now, clock, nil)
-		if got := first.Worker.Until(now, settings.Lease); got != before {
+		before := first.Worker.ExtendLease(now, settings.Lease)
+		b.OrderAnswered(first, now, clock, nil)
+		if got := first.Worker.ExtendLease(now, settings.Lease); got != before {
 			t.Errorf("after an answer whose clock shows %v, what runs is extended to %v, want %v", clock, got, before)
 		}
 	}
@@ -274,11 +274,11 @@
 // A start that nothing wants any more may reach the next life, which has not ruled it out.
 func TestStartUnderWayIsRuledOutByEachLaterLife(t *testing.T) {
 	b, first, _ := started(t)
-	b.Answered(first, start.Add(400*time.Millisecond), 0, silence)
+	b.OrderAnswered(first, start.Add(400*time.Millisecond), 0, silence)
 	now := start.Add(500 * time.Millisecond)
 	b.Cancel(now, "a")
 	stop := kindOf(orders(b, now), schedule.OrderStop, first.TaskRun)[0]
-	b.Answered(stop, now, 0, nil)
+	b.OrderAnswered(stop, now, 0, nil)
 	now = now.Add(time.Millisecond)
 	b.Report(first.Worker, now, now, pointport.Report{Clock: 4})
 	b.Add(now, job("b", policy, step(1, 100, nil)))
@@ -289,10 +289,10 @@
 		b.Report(later, now, now, pointport.Report{Clock: 1})
 		all := orders(b, now)
 		again := kindOf(all, schedule.OrderStop, first.TaskRun)
-		if len(again) != 1 || again[0].Worker != later || placed(all)[life(n).ID()] != 0 || later.Until(now, settings.Lease) != 0 {
-			t.Fatalf("life %d: orders %+v, extended to %v, want the start ruled out before anything else", n, all, later.Until(now, settings.Lease))
+		if len(again) != 1 || again[0].Worker != later || placed(all)[life(n).ID()] != 0 || later.ExtendLease(now, settings.Lease) != 0 {
+			t.Fatalf("life %d: orders %+v, extended to %v, want the start ruled out before anything else", n, all, later.ExtendLease(now, settings.Lease))
 		}
-		b.Answered(again[0], now, 0, nil)
+		b.OrderAnswered(again[0], now, 0, nil)
 	}
 	if got := placed(orders(b, now)); got[life(2).ID()] != 1 {
 		t.Errorf("starts %v once the start is ruled out, want one", got)
@@ -338,7 +338,7 @@
 // on the later one goes on.
 func TestRegistrationOfALifeThatIsOverChangesNothing(t *testing.T) {
 	b, first, _ := started(t)
-	b.Answered(first, start, 3, nil)
+	b.OrderAnswered(first, start, 3, nil)
 	now := start.Add(time.Second)
 	b.SetIncarnations(now, []pointport.Incarnation{life(1)})
 	later := workerOf(t, b, life(1))
@@ -366,7 +366,7 @@
 	all := orders(b, start)
 	for _, o := range all {
 		b.MarkSending(o)
-		b.Answered(o, start, 3, nil)
+		b.OrderAnswered(o, start, 3, nil)
 	}
 	former := all[0].Worker
 	now := start.Add(time.Second)
@@ -391,7 +391,7 @@
 	b, first, _ := started(t)
 	now := start.Add(time.Second)
 	b.PollFailed(first.Worker, now, silence)
-	if got := first.Worker.Until(now, settings.Lease); got != 0 {
+	if got := first.Worker.ExtendLease(now, settings.Lease); got != 0 {
 		t.Errorf("it is extended to %v, want nothing", got)
 	}
 }
@@ -427,26 +427,26 @@
 	const least = 20 * time.Second // 10 s that orders may be held back, 10 s that instances grant
 	t.Run("that nobody knows", func(t *testing.T) {
 		b, first, _ := startedOn(t, life(0), serves)
-		b.Answered(first, start, 3, nil)
+		b.OrderAnswered(first, start, 3, nil)
 		if got := restartedAfter(b, start.Add(time.Second), []*schedule.Worker{first.Worker}); got < least {
 			t.Errorf("it starts again after %v, want %v and more", got, least)
 		}
 	})
 	t.Run("that has listed it", func(t *testing.T) {
 		b, first, _ := startedOn(t, life(0), serves)
-		b.Answered(first, start, 3, nil)
+		b.OrderAnswered(first, start, 3, nil)
 		now := start.Add(100 * time.Millisecond)
 		b.PollFailed(first.Worker, now, replacedBy(life(0), life(1)))
 		later := workerOf(t, b, life(1))
 		b.Report(later, now, now, listing(first.TaskRun))
-		later.Until(now, settings.Lease)
+		later.ExtendLease(now, settings.Lease)
 		if got := restartedAfter(b, now.Add(time.Second), []*schedule.Worker{later}); got < least {
 			t.Errorf("it starts again after %v, want %v and more: an order to the life before may have extended it", got, least)
 		}
 	})
 	t.Run("where no other life can take it", func(t *testing.T) {
 		b, first, _ := startedOn(t, incarnation(0), serves)
-		b.Answered(first, start, 3, nil)
+		b.OrderAnswered(first, start, 3, nil)
 		if got := restartedAfter(b, start.Add(time.Second), []*schedule.Worker{first.Worker}); got == 0 || got > 6*time.Second {
 			t.Errorf("it starts again after %v, want a lease and some more", got)
 		}
@@ -457,7 +457,7 @@
 // task waits for its word.
 func TestTaskThatMayBeDoneOnARegisteredLaterLifeWaits(t *testing.T) {
 	b, first, _ := started(t)
-	b.Answered(first, start, 3, nil)
+	b.OrderAnswered(first, start, 3, nil)
 	now := start.Add(time.Second)
 	b.SetIncarnations(now, []pointport.Incarnation{life(1)})
 	silent := []*schedule.Worker{first.Worker, workerOf(t, b, life(1))}
@@ -470,7 +470,7 @@
 // reach the later life: it is ruled out there before the task starts again.
 func TestSecondOrderOfAStartMayReachTheLaterLife(t *testing.T) {
 	b, first, _ := started(t)
-	b.Answered(first, start.Add(400*time.Millisecond), 0, silence)
+	b.OrderAnswered(first, start.Add(400*time.Millisecond), 0, silence)
 	now := start.Add(500 * time.Millisecond)
 	b.Report(first.Worker, now, now, listing(first.TaskRun))
 	now = now.Add(time.Second)
@@ -486,7 +486,7 @@
 // The later life ends as well before it is known whether the run was there: one crash counts.
 func TestRunUnderWhichTwoLivesEndCountsOnce(t *testing.T) {
 	b, first, j := started(t)
-	b.Answered(first, start, 3, nil)
+	b.OrderAnswered(first, start, 3, nil)
 	now := start.Add(time.Second)
 	b.PollFailed(first.Worker, now, replacedBy(life(0), life(1)))
 	b.PollFailed(workerOf(t, b, life(1)), now, &pointport.GoneError{Incarnation: life(1).ID()})
@@ -499,7 +499,7 @@
 // heard of yet may have its addressee, and the start.
 func TestListDoesNotEndALifeWhoseStartALaterOneMayHave(t *testing.T) {
 	b, first, _ := started(t)
-	b.Answered(first, start, 3, nil)
+	b.OrderAnswered(first, start, 3, nil)
 	now := start.Add(time.Second)
 	b.PollFailed(first.Worker, now, silence)
 	b.EndIncarnation(now, life(0).ID())
--- a/schedule/order.go
+++ b/schedule/order.go
@@ -49,8 +49,8 @@
 	refusedAgain = 150 * time.Millisecond
 )
 
-// Answered takes in the answer to an order; err is nil if it was carried out.
-func (b *Book) Answered(o Order, now time.Time, clock pointport.InstanceClock, err error) {
+// OrderAnswered takes in the answer to an order; err is nil if it was carried out.
+func (b *Book) OrderAnswered(o Order, now time.Time, clock pointport.InstanceClock, err error) {
 	w := o.Worker
 	if w.ended {
 		var rejected *pointport.RejectedError
@@ -65,17 +65,17 @@
 		return
 	}
 	if err == nil && o.Kind != OrderPace && !w.inc.ID().Shares() { // the answer to a pace shows no clock
-		w.life.observeClock(now, clock)
+		w.lease.observeClock(now, clock)
 	}
 	b.checkFence(err)
 	if o.Kind == OrderStop && ruledOut(err) {
-		delete(w.burns, o.TaskRun)
+		delete(w.startsToRuleOut, o.TaskRun)
 	}
 	r := o.Run
 	if r == nil || w.runs[r.name] != r {
 		return
 	}
-	r.ordered = r.ordered || o.Kind == OrderStart
+	r.startSent = r.startSent || o.Kind == OrderStart
 	switch o.Kind {
 	case OrderStart:
 		b.startAnswered(r, now, clock, err)
@@ -90,7 +90,7 @@
 	}
 	if err == nil {
 		if r.worker.inc.ID().Shares() {
-			clock = r.worker.life.clockAt(now) // it may be another life that has answered
+			clock = r.worker.lease.clockAt(now) // it may be another life that has answered
 		}
 		b.live(r, now, clock)
 		return
@@ -138,21 +138,21 @@
 		return
 	}
 	r.unanswered++
-	r.againAt = now.Add(startAgain)
+	r.resendAt = now.Add(startAgain)
 	event.StartUnanswered.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
 		slog.String("incarnation", string(r.worker.inc.ID())), slog.Int("times", r.unanswered), slog.Any("error", err))
 	if r.unanswered >= silentAfter {
-		r.worker.fallSilent(now)
+		r.worker.markSilent(now)
 	}
 }
 
-// Forgo reports whether a start is better not sent, because of what has become of its run
+// SkipStart reports whether a start is better not sent, because of what has become of its run
 // or its instance since it was ordered: it may have waited for a second and more behind
 // orders without an answer, and then started tasks that were done, and those of jobs that
 // were cancelled or had failed. A task that was never ordered to run waits again at once:
 // it need not wait until the instance expires, and on one that answers nobody it would end
 // unheard. A start that was sent before without an answer is ruled out by a stop.
-func (b *Book) Forgo(now time.Time, o Order) bool {
+func (b *Book) SkipStart(now time.Time, o Order) bool {
 	if o.Kind != OrderStart {
 		return false
 	}
@@ -162,11 +162,11 @@
 		return true // nothing wants it, or it was answered
 	case r.stopping || r.detached():
 		return true // a run that was never sent was dropped instead
-	case w.overcommitted() && r.ordered:
+	case w.overcommitted() && r.startSent:
 		b.stop(now, r, "its instance has shrunk, and it is not known to run there")
 	case w.overcommitted():
 		b.dropUnsent(now, r, "its instance shrank before its start was sent")
-	case w.silent && !r.ordered:
+	case w.silent && !r.startSent:
 		b.dropUnsent(now, r, "its instance fell silent before its start was sent")
 	default:
 		return b.forgoInZone(now, r)
@@ -216,35 +216,35 @@
 // settle waits for a report that shows what became of a run that will not start
 // any more.
 func (b *Book) settle(r *Run, now time.Time) {
-	r.state, r.settleAfter = runSettling, now
-	b.looks[r.worker] = struct{}{}
+	r.state, r.settleAfter = runAwaitingReport, now
+	b.pollNow[r.worker] = struct{}{}
 }
 
-// burn notes that a run on a worker is given up although its start may still be
+// mustRuleOut notes that a run on a worker is given up although its start may still be
 // under way.
-func (w *Worker) burn(r *Run) {
+func (w *Worker) mustRuleOut(r *Run) {
 	if r.state != runSent && r.unanswered == 0 {
 		return
 	}
-	if w.burns == nil {
-		w.burns = make(map[pointport.TaskRun]bool)
+	if w.startsToRuleOut == nil {
+		w.startsToRuleOut = make(map[pointport.TaskRun]bool)
 	}
-	w.burns[r.TaskRun()] = true
+	w.startsToRuleOut[r.TaskRun()] = true
 }
 
-// underWay reports whether a start of the run may be carried out later.
-func (r *Run) underWay() bool { return r.unanswered > 0 || r.state == runSent && r.ordered }
+// startInFlight reports whether a start of the run may be carried out later.
+func (r *Run) startInFlight() bool { return r.unanswered > 0 || r.state == runSent && r.startSent }
 
 // ruleOut stops the runs that were given up on workers that answer again. Those that are not
 // looked at would not be known to be silent.
 func (b *Book) ruleOut(now time.Time) {
 	for _, w := range b.workers {
-		if len(w.burns) == 0 || !w.lookedAt() || w.silent || now.Before(w.burnAt) {
+		if len(w.startsToRuleOut) == 0 || !w.lookedAt() || w.silent || now.Before(w.burnAt) {
 			continue
 		}
 		w.burnAt = now.Add(startAgain)
-		for run := range w.burns {
-			b.sends = append(b.sends, Order{Kind: OrderStop, Worker: w, TaskRun: run})
+		for run := range w.startsToRuleOut {
+			b.pendingOrders = append(b.pendingOrders, Order{Kind: OrderStop, Worker: w, TaskRun: run})
 		}
 	}
 }
@@ -259,10 +259,10 @@
 			switch {
 			case r.stopping && !now.Before(r.stopAgainAt):
 				r.stopAgainAt = now.Add(stopAgain)
-				b.sends = append(b.sends, Order{Kind: OrderStop, Run: r, Worker: w, TaskRun: r.TaskRun()})
-			case r.state == runSent && !r.stopping && !r.detached() && !r.againAt.IsZero() && now.After(r.againAt) && now.Before(b.executionExpiry(w)):
-				r.againAt = time.Time{}
-				b.sends = append(b.sends, startOrder(r))
+				b.pendingOrders = append(b.pendingOrders, Order{Kind: OrderStop, Run: r, Worker: w, TaskRun: r.TaskRun()})
+			case r.state == runSent && !r.stopping && !r.detached() && !r.resendAt.IsZero() && now.After(r.resendAt) && now.Before(b.executionExpiry(w)):
+				r.resendAt = time.Time{}
+				b.pendingOrders = append(b.pendingOrders, startOrder(r))
 			}
 		}
 	}
--- a/schedule/owner_model_test.go
+++ b/schedule/owner_model_test.go
@@ -182,7 +182,7 @@
 func (o *modelOwner) pump(l *modelQueue) {
 	for len(l.queue) > 0 && l.inFlight < modelLane {
 		n := 0
-		if l.queue[0].Worker.Acknowledging(o.world.now) {
+		if l.queue[0].Worker.AckInFlight(o.world.now) {
 			n = slices.IndexFunc(l.queue, func(o schedule.Order) bool { return o.Kind != schedule.OrderStart })
 		}
 		if n < 0 {
@@ -190,7 +190,7 @@
 		}
 		order := l.queue[n]
 		l.queue = slices.Delete(l.queue, n, n+1)
-		if !o.book.Forgo(o.world.now, order) {
+		if !o.book.SkipStart(o.world.now, order) {
 			o.sendOne(l, order)
 		}
 	}
@@ -201,12 +201,12 @@
 	w := o.world
 	l.inFlight++
 	o.book.MarkSending(order)
-	until := order.Worker.Until(w.now, settings.Lease)
+	until := order.Worker.ExtendLease(w.now, settings.Lease)
 	w.checkSending(order)
 	taken := func(clock pointport.InstanceClock, err error) {
 		w.t.Logf("%v taken in: %s of %v at %s: %v", w.since(), kindName(order.Kind), order.TaskRun, order.Worker.Endpoint().Incarnation, err)
 		l.inFlight--
-		o.book.Answered(order, w.now, clock, err)
+		o.book.OrderAnswered(order, w.now, clock, err)
 		o.pump(l)
 	}
 	w.call(kindName(order.Kind), order.TaskRun, order.Worker.Endpoint(), modelPatience, func(at *modelLife, answer func(any, error)) {
@@ -242,7 +242,7 @@
 // report is wanted at once.
 func (o *modelOwner) lookAround() {
 	now := o.world.now
-	urgent := o.book.TakeLooks()
+	urgent := o.book.TakePolls()
 	slices.SortFunc(urgent, byID)
 	for _, w := range urgent {
 		o.look(w, 0)
@@ -281,14 +281,14 @@
 func (o *modelOwner) look(w *schedule.Worker, wait time.Duration) {
 	world, sent, l := o.world, o.world.now, o.lookOf(w)
 	l.inFlight++
-	if !w.Heard() || w.Silent() {
+	if !w.HasAnswered() || w.Silent() {
 		wait = 0
 	}
-	plan := w.Look()
+	plan := w.NextPoll()
 	if !plan.MayWait {
 		wait = 0
 	}
-	order := pointport.HoldOrder{Fence: modelFence, Until: millis(w.Until(sent, settings.Lease)), Acknowledged: plan.Acknowledged, Wait: wait}
+	order := pointport.HoldOrder{Fence: modelFence, Until: millis(w.ExtendLease(sent, settings.Lease)), Acknowledged: plan.Acknowledged, Wait: wait}
 	world.call("look", pointport.TaskRun{}, w.Endpoint(), modelPatience+wait, func(at *modelLife, answer func(any, error)) {
 		at.hold(w.Endpoint().Incarnation, order, func(r pointport.Report, err error) {
 			r.Clock = millis(r.Clock)
@@ -300,7 +300,7 @@
 			l.inFlight--
 			if err != nil {
 				world.t.Logf("%v taken in: look at %s since %v: %v", world.since(), w.Endpoint().Incarnation, sent.Sub(start), err)
-				w.Looked(plan, world.now, false)
+				w.PollDone(plan, world.now, false)
 				o.book.PollFailed(w, world.now, err)
 				l.next = world.now.Add(modelLookRetry)
 				return
@@ -309,7 +309,7 @@
 			o.book.Report(w, sent, world.now, report)
 			world.hear(report.Ended)
 			switch {
-			case w.Looked(plan, world.now, true):
+			case w.PollDone(plan, world.now, true):
 				l.next = world.now
 			case len(report.Ended) > 0:
 				l.next = world.now.Add(modelAckWait)
--- a/schedule/pace.go
+++ b/schedule/pace.go
@@ -60,6 +60,6 @@
 		event.PaceSet.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
 			slog.String("incarnation", string(w.inc.ID())), slog.Int("percent", pace), slog.Float64("tailOfTarget", worst))
 		r.pace, w.paced = pace, now
-		b.sends = append(b.sends, Order{Kind: OrderPace, Run: r, Worker: w, TaskRun: r.TaskRun(), Percent: pace})
+		b.pendingOrders = append(b.pendingOrders, Order{Kind: OrderPace, Run: r, Worker: w, TaskRun: r.TaskRun(), Percent: pace})
 	}
 }
--- a/schedule/patience.go
+++ b/schedule/patience.go
@@ -11,8 +11,8 @@
 // time in which their answers could have been read.
 const lookPatience = 1600 * time.Millisecond
 
-// Patience returns how much longer than usual to wait for the answer to a look.
-func (b *Book) Patience(w *Worker) time.Duration {
+// ExtraPollTimeout returns how much longer than usual to wait for the answer to a look.
+func (b *Book) ExtraPollTimeout(w *Worker) time.Duration {
 	if !w.silent {
 		return 0
 	}
--- a/schedule/patience_test.go
+++ b/schedule/patience_test.go
@@ -12,14 +12,14 @@
 func TestAnswersAreWaitedForAsInstancesAreSilent(t *testing.T) {
 	few, one := silenced(20, 1)
 	all, every := silenced(20, 20)
-	if got := few.Patience(one[0]); got > 100*time.Millisecond {
+	if got := few.ExtraPollTimeout(one[0]); got > 100*time.Millisecond {
 		t.Errorf("%v more for one silent instance of 20, want hardly any", got)
 	}
-	if got := all.Patience(every[0]); got < time.Second {
+	if got := all.ExtraPollTimeout(every[0]); got < time.Second {
 		t.Errorf("%v more when all are silent, want more than a second", got)
 	}
 	heard, _ := silenced(2, 0)
-	if got := heard.Patience(heard.Workers()[0]); got != 0 {
+	if got := heard.ExtraPollTimeout(heard.Workers()[0]); got != 0 {
 		t.Errorf("%v more for an instance that answers", got)
 	}
 }
--- a/schedule/plan.go
+++ b/schedule/plan.go
@@ -22,7 +22,7 @@
 	b.relocate(now)
 	b.expireGangs(now)
 	b.forgetHeldBack()
-	if len(b.hungry) == 0 {
+	if len(b.waitingJobs) == 0 {
 		return
 	}
 	workers := b.usable(now)
@@ -65,7 +65,7 @@
 func (b *Book) begin(now time.Time) {
 	for e := range b.recurring {
 		if e.ended == "" && e.job.BeginDue(now.Add(b.settings.Early)) {
-			b.touch(e, false)
+			b.markDirty(e, false)
 		}
 	}
 }
@@ -97,11 +97,11 @@
 
 // placeAll gives the waiting tasks of a job to workers, as far as they fit.
 func (p *placement) placeAll(e *entry) {
-	placed, missed := false, (*waiting)(nil)
+	placed, missed := false, (*waitingTask)(nil)
 	for n := 0; n < len(e.ready); {
 		group := gangOf(e.ready[n:])
 		n += len(group)
-		if !e.account.affords(group[0].step.Need.Times(len(group))) {
+		if !e.account.withinCap(group[0].step.Need.Times(len(group))) {
 			p.book.holdBack(p.now, group)
 			continue
 		}
@@ -131,7 +131,7 @@
 
 // gangOf returns the tasks at the beginning of a list that must be placed
 // together: a gang, or one task.
-func gangOf(tasks []waiting) []waiting {
+func gangOf(tasks []waitingTask) []waitingTask {
 	first := tasks[0]
 	if !first.step.Gang {
 		return tasks[:1]
@@ -144,7 +144,7 @@
 }
 
 // place gives a task to the worker that suits it best; false if none has room.
-func (p *placement) place(t waiting) bool {
+func (p *placement) place(t waitingTask) bool {
 	room := t.step.Reservation()
 	if p.knownFull(room) {
 		return false
@@ -154,7 +154,7 @@
 		p.book.placeAs(p.now, t, w, t.entry.job.Task(t.ref).Run+1, len(p.workers))
 		return true
 	}
-	if t.step.MaxPerInstance == 0 && t.step.Label == "" && len(t.entry.wary) == 0 && len(t.entry.crashed) == 0 && t.step.DataRack == "" && !t.entry.job.Policy().Advised {
+	if t.step.MaxPerInstance == 0 && t.step.Label == "" && len(t.entry.avoidUntil) == 0 && len(t.entry.crashed) == 0 && t.step.DataRack == "" && !t.entry.job.Policy().Advised {
 		p.full = slices.DeleteFunc(p.full, func(f pointport.Shape) bool { return f.Fits(room) })
 		p.full = append(p.full, room)
 	}
@@ -176,10 +176,10 @@
 
 // reserve keeps a worker free of other tasks until a serving task fits there,
 // because smaller tasks would always take the room that falls free.
-func (p *placement) reserve(t waiting) {
+func (p *placement) reserve(t waitingTask) {
 	best := -1
 	for i, w := range p.workers {
-		if !p.book.permits(t, w, p.now) || p.book.crowded(t, w) || !w.soonFree().Fits(t.step.Reservation()) {
+		if !p.book.permits(t, w, p.now) || p.book.atStepLimit(t, w) || !w.soonFree().Fits(t.step.Reservation()) {
 			continue
 		}
 		if best < 0 || w.free.CPUMilli > p.workers[best].free.CPUMilli {
@@ -193,8 +193,8 @@
 
 // choose returns the worker that suits a task best, or nil. A task that would
 // take too long away from its data waits for a worker near it.
-func (p *placement) choose(t waiting) *Worker {
-	near := p.book.bestOf(p.now, t, p.workers)
+func (p *placement) choose(t waitingTask) *Worker {
+	near := p.book.bestWorker(p.now, t, p.workers)
 	if near == nil || t.step.DataRack == "" || near.inc.Rack() == t.step.DataRack || !p.book.waitsForRack(p.now, t) {
 		return near
 	}
@@ -213,13 +213,13 @@
 	return out
 }
 
-// bestOf returns the worker that suits a task best, or nil.
-func (b *Book) bestOf(now time.Time, t waiting, workers []*Worker) *Worker {
+// bestWorker returns the worker that suits a task best, or nil.
+func (b *Book) bestWorker(now time.Time, t waitingTask, workers []*Worker) *Worker {
 	var best *Worker
 	bestScore := 0.0
 	room := t.step.Reservation()
 	for _, w := range workers {
-		if !w.free.Fits(room) || !b.permits(t, w, now) || b.crowded(t, w) {
+		if !w.free.Fits(room) || !b.permits(t, w, now) || b.atStepLimit(t, w) {
 			continue
 		}
 		score := b.score(now, t, w)
@@ -233,7 +233,7 @@
 // waitsForRack reports whether a task should rather wait for a worker near its
 // data than start away from it now: there it can still end in time, and here it
 // could not.
-func (b *Book) waitsForRack(now time.Time, t waiting) bool {
+func (b *Book) waitsForRack(now time.Time, t waitingTask) bool {
 	rackHas := false
 	for _, w := range b.workers {
 		if w.inc.Rack() == t.step.DataRack && w.usable(now) {
@@ -244,20 +244,20 @@
 	if !rackHas {
 		return false
 	}
-	duration := b.learned.duration(t.entry.job.Queue(), t.step)
+	duration := b.estimates.duration(t.entry.job.Queue(), t.step)
 	more := time.Duration(float64(duration) * (b.settings.FarFactor - 1))
-	latest := t.entry.standing.latest
+	latest := t.entry.rank.latest
 	return now.Before(latest) && now.Add(more).After(latest)
 }
 
-// crowded reports whether a worker holds as many tasks of the step as one may.
-func (b *Book) crowded(t waiting, w *Worker) bool {
+// atStepLimit reports whether a worker holds as many tasks of the step as one may.
+func (b *Book) atStepLimit(t waitingTask, w *Worker) bool {
 	return t.step.MaxPerInstance > 0 && b.crowd(t, w) >= t.step.MaxPerInstance
 }
 
 // crowd returns how many tasks of the step a worker holds.
-func (b *Book) crowd(t waiting, w *Worker) int {
-	return w.steps[stepOf{t.entry, t.ref.Occurrence, t.ref.Step}]
+func (b *Book) crowd(t waitingTask, w *Worker) int {
+	return w.steps[stepRef{t.entry, t.ref.Occurrence, t.ref.Step}]
 }
 
 const (
@@ -284,7 +284,7 @@
 
 // score says how well a worker suits a task; more is better. Work is packed, so
 // that instances fall empty and can go where they are needed more.
-func (b *Book) score(now time.Time, t waiting, w *Worker) float64 {
+func (b *Book) score(now time.Time, t waitingTask, w *Worker) float64 {
 	score := -freeShare(w.free, w.inc.Capacity())
 	if now.Before(w.coldUntil) {
 		score -= coldScore
@@ -323,22 +323,22 @@
 
 // placeAs gives a task to a worker, one of some candidates, under a run number; it
 // is sent once that is stored.
-func (b *Book) placeAs(now time.Time, t waiting, w *Worker, number, candidates int) {
+func (b *Book) placeAs(now time.Time, t waitingTask, w *Worker, number, candidates int) {
 	t.entry.job.Place(t.ref, w.inc.ID(), number)
-	r := b.newRun(now, t.entry, t.ref, w, number, runDecided)
+	r := b.newRun(now, t.entry, t.ref, w, number, runUnstored)
 	r.ticket = b.ticketFor(t, w)
 	if rack := t.step.DataRack; rack != "" && w.inc.Rack() != rack {
 		b.far.add(now, rack, t.step.Reservation())
 	}
 	b.decided = append(b.decided, r)
-	b.touch(t.entry, true)
+	b.markDirty(t.entry, true)
 	event.TaskPlaced.Log(b.logger, slog.String("task", r.name), slog.Int("run", number),
 		slog.String("incarnation", string(w.inc.ID())), slog.Int64("freeCPUMilli", w.free.CPUMilli), slog.Int("candidates", candidates),
-		slog.String("class", t.entry.standing.class.String()), slog.Duration("expected", b.learned.duration(t.entry.job.Queue(), t.step)))
+		slog.String("class", t.entry.rank.class.String()), slog.Duration("expected", b.estimates.duration(t.entry.job.Queue(), t.step)))
 }
 
-// A waiting task is one whose turn has come.
-type waiting struct {
+// A waitingTask task is one whose turn has come.
+type waitingTask struct {
 	entry *entry
 	ref   workload.TaskRef
 	step  *workload.Step
--- a/schedule/preempt.go
+++ b/schedule/preempt.go
@@ -22,7 +22,7 @@
 
 // preempt makes room for a task by stopping others of lower priority on one
 // worker, where that costs least.
-func (b *Book) preempt(now time.Time, t waiting, workers []*Worker) {
+func (b *Book) preempt(now time.Time, t waitingTask, workers []*Worker) {
 	e := t.entry
 	if e.job.Policy().Priority != 0 || b.lowRuns == 0 {
 		return
@@ -34,7 +34,7 @@
 	var best []*Run
 	bestCost := time.Duration(0)
 	for _, w := range workers {
-		if !b.permits(t, w, now) || b.crowded(t, w) {
+		if !b.permits(t, w, now) || b.atStepLimit(t, w) {
 			continue
 		}
 		victims, cost := b.victims(now, w, t.step.Reservation())
--- a/schedule/proof_test.go
+++ b/schedule/proof_test.go
@@ -24,8 +24,8 @@
 		t.Fatalf("orders %v, want one start", sent)
 	}
 	former = sent[0].Worker
-	former.Until(start, settings.Lease)
-	b.Answered(sent[0], start, 0, nil)
+	former.ExtendLease(start, settings.Lease)
+	b.OrderAnswered(sent[0], start, 0, nil)
 	b.SetIncarnations(start, []pointport.Incarnation{first, second})
 	for _, w := range b.Workers() {
 		if w != former {
--- a/schedule/quarantine.go
+++ b/schedule/quarantine.go
@@ -57,7 +57,7 @@
 
 // keptApart reports whether a task may not go to a worker because it, or a task there, is
 // to have an instance of its own, or because this instance has crashed under it.
-func (b *Book) keptApart(t waiting, w *Worker, now time.Time) bool {
+func (b *Book) keptApart(t waitingTask, w *Worker, now time.Time) bool {
 	if w.quarantined > 0 && !w.holdsOnly(t) {
 		return true
 	}
@@ -71,11 +71,11 @@
 }
 
 // holdsOnly reports whether a worker holds nothing but others of a task's gang.
-func (w *Worker) holdsOnly(t waiting) bool {
+func (w *Worker) holdsOnly(t waitingTask) bool {
 	if !t.step.Gang {
 		return len(w.runs) == 0
 	}
-	return len(w.runs) == w.steps[stepOf{t.entry, t.ref.Occurrence, t.ref.Step}]
+	return len(w.runs) == w.steps[stepRef{t.entry, t.ref.Occurrence, t.ref.Step}]
 }
 
 // lastCrash returns when an instance last crashed under a task, or another of its gang.
@@ -93,7 +93,7 @@
 
 // neighboursToAvoid returns how many runs on a worker a task had better be apart from: all of
 // them if an instance has crashed under it, else those of tasks under which one has.
-func (e *entry) neighboursToAvoid(t waiting, w *Worker) int {
+func (e *entry) neighboursToAvoid(t waitingTask, w *Worker) int {
 	if len(e.crashed) > 0 && e.suspected(t.ref) {
 		return len(w.runs)
 	}
@@ -109,14 +109,14 @@
 	lives := now.Sub(r.liveAt)
 	if t := r.task(); lives >= quarantineFor && t != nil && t.Crashes > 0 && t.Settled != r.number {
 		t.Settled = r.number // for the next owner, who cannot know
-		b.touch(r.entry, false)
+		b.markDirty(r.entry, false)
 	}
 	if lives >= r.apartFor {
 		r.worker.clearSuspicion(r)
 	}
 	if r.step().Service && lives >= exoneratedAfter && r.progress >= atWork && r.entry.suspected(r.ref) {
 		r.entry.job.ResetCrashes(r.ref)
-		b.touch(r.entry, false)
+		b.markDirty(r.entry, false)
 	}
 }
 
--- a/schedule/quarantine_test.go
+++ b/schedule/quarantine_test.go
@@ -29,7 +29,7 @@
 	for _, o := range all {
 		if o.Kind == schedule.OrderStart {
 			b.MarkSending(o)
-			b.Answered(o, now, 1, nil)
+			b.OrderAnswered(o, now, 1, nil)
 		}
 	}
 }
@@ -160,10 +160,10 @@
 		for _, o := range orders(b, now) {
 			b.MarkSending(o)
 			if o.Kind == schedule.OrderStart {
-				o.Worker.Until(now, settings.Lease)
+				o.Worker.ExtendLease(now, settings.Lease)
 				starts[o.Worker.Endpoint().Incarnation] = true
 			}
-			b.Answered(o, now, 0, silence)
+			b.OrderAnswered(o, now, 0, silence)
 		}
 		for _, w := range b.Workers() {
 			if starts[w.Incarnation().ID()] {
--- a/schedule/queue.go
+++ b/schedule/queue.go
@@ -27,15 +27,15 @@
 	reckonEvery = 300 * time.Millisecond
 )
 
-// A standing says how pressing a job is; less comes first.
-type standing struct {
+// A rank says how pressing a job is; less comes first.
+type rank struct {
 	priority int
 	class    class
 	// latest is when the job's next tasks must start for it to end in time.
 	latest time.Time
 }
 
-func (s standing) less(t standing) bool {
+func (s rank) less(t rank) bool {
 	switch {
 	case s.priority != t.priority:
 		return s.priority < t.priority
@@ -59,19 +59,19 @@
 
 // queue returns the jobs with waiting tasks, the most pressing first.
 func (b *Book) queue(now time.Time) []*entry {
-	out := make([]*entry, 0, len(b.hungry))
-	for e := range b.hungry {
+	out := make([]*entry, 0, len(b.waitingJobs))
+	for e := range b.waitingJobs {
 		b.refresh(e)
 		if len(e.ready) == 0 {
-			delete(b.hungry, e)
+			delete(b.waitingJobs, e)
 			continue
 		}
-		e.standing = b.stand(now, e)
+		e.rank = b.stand(now, e)
 		out = append(out, e)
 	}
 	sort.Slice(out, func(i, k int) bool {
-		if out[i].standing != out[k].standing {
-			return out[i].standing.less(out[k].standing)
+		if out[i].rank != out[k].rank {
+			return out[i].rank.less(out[k].rank)
 		}
 		return out[i].job.ID() < out[k].job.ID()
 	})
@@ -86,7 +86,7 @@
 // objective returns how long a job should take, by what is known of its work.
 func (b *Book) objective(e *entry) time.Duration {
 	whole := time.Duration(0)
-	for _, c := range b.learned.chains(e.job.Queue(), e.job.Spec()) {
+	for _, c := range b.estimates.chains(e.job.Queue(), e.job.Spec()) {
 		whole = max(whole, c)
 	}
 	return allowance(e.job.Policy(), whole)
@@ -113,7 +113,7 @@
 			for i := range step {
 				if step[i].Phase == workload.Pending {
 					ref := workload.TaskRef{Occurrence: o.Index, Step: n, Index: i}
-					e.ready = append(e.ready, waiting{e, ref, &e.job.Spec().Steps[n]})
+					e.ready = append(e.ready, waitingTask{e, ref, &e.job.Spec().Steps[n]})
 				}
 			}
 		}
@@ -141,9 +141,9 @@
 }
 
 // stand works out how pressing a job is.
-func (b *Book) stand(now time.Time, e *entry) standing {
+func (b *Book) stand(now time.Time, e *entry) rank {
 	job := e.job
-	s := standing{priority: job.Policy().Priority, class: classFresh}
+	s := rank{priority: job.Policy().Priority, class: classFresh}
 	if e.ready[0].step.Service {
 		s.class, s.latest = classServing, job.Submitted()
 		return s
@@ -152,7 +152,7 @@
 		s.class = classBegun
 	}
 	if now.Sub(e.chainsAt) > reckonEvery {
-		e.chains, e.chainsAt = b.learned.chains(job.Queue(), job.Spec()), now
+		e.chains, e.chainsAt = b.estimates.chains(job.Queue(), job.Spec()), now
 	}
 	chains := e.chains
 	whole := time.Duration(0)
--- a/schedule/relocate.go
+++ b/schedule/relocate.go
@@ -39,7 +39,7 @@
 				h = b.newHomes(now)
 				h.takeWaiting()
 			}
-			if !h.take(waiting{r.entry, r.ref, r.step()}) {
+			if !h.take(waitingTask{r.entry, r.ref, r.step()}) {
 				continue
 			}
 			event.ServingMoved.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
@@ -62,7 +62,7 @@
 // A home is a step's place on a worker.
 type home struct {
 	worker *Worker
-	step   stepOf
+	step   stepRef
 }
 
 func (b *Book) newHomes(now time.Time) *homes {
@@ -77,10 +77,10 @@
 }
 
 // take promises room to a serving task; false if there is none.
-func (h *homes) take(t waiting) bool {
+func (h *homes) take(t waitingTask) bool {
 	room := t.step.Reservation()
 	for _, w := range h.workers {
-		at := home{w, stepOf{t.entry, t.ref.Occurrence, t.ref.Step}}
+		at := home{w, stepRef{t.entry, t.ref.Occurrence, t.ref.Step}}
 		if !h.left[w].Fits(room) || !h.book.permits(t, w, h.now) {
 			continue
 		}
@@ -96,9 +96,9 @@
 
 // takeWaiting promises room to the serving tasks that wait, and returns those for
 // which there is none.
-func (h *homes) takeWaiting() []waiting {
-	var homeless []waiting
-	for e := range h.book.hungry {
+func (h *homes) takeWaiting() []waitingTask {
+	var homeless []waitingTask
+	for e := range h.book.waitingJobs {
 		h.book.refresh(e)
 		for _, t := range e.ready {
 			if t.step.Service && !h.take(t) {
@@ -120,13 +120,13 @@
 func (b *Book) missingForServing(now time.Time) missing {
 	h := b.newHomes(now)
 	homeless := h.takeWaiting()
-	var stranded []waiting
+	var stranded []waitingTask
 	for _, w := range b.workers {
 		if !w.evacuating || !w.closed(now) || w.ended {
 			continue
 		}
 		for _, r := range w.runs {
-			if t := (waiting{r.entry, r.ref, r.step()}); r.step().Service && !h.take(t) {
+			if t := (waitingTask{r.entry, r.ref, r.step()}); r.step().Service && !h.take(t) {
 				stranded = append(stranded, t)
 			}
 		}
@@ -138,14 +138,14 @@
 // open adds empty instances until they hold all of some tasks, and returns how
 // many it took. Tasks that need a label are supplied by label, and those that fit
 // on no instance are left out.
-func (h *homes) open(tasks []waiting) int {
+func (h *homes) open(tasks []waitingTask) int {
 	capacity := h.book.largestInstance()
 	opened := 0
 	for _, t := range tasks {
 		if t.step.Label != "" || !capacity.Fits(t.step.Reservation()) || h.take(t) {
 			continue
 		}
-		w := &Worker{inc: pointport.NewIncarnation("", "", "", pointport.WithCapacity(capacity)), steps: make(map[stepOf]int)}
+		w := &Worker{inc: pointport.NewIncarnation("", "", "", pointport.WithCapacity(capacity)), steps: make(map[stepRef]int)}
 		h.workers, h.left[w] = append(h.workers, w), capacity
 		h.take(t)
 		opened++
--- a/schedule/relocate_test.go
+++ b/schedule/relocate_test.go
@@ -26,7 +26,7 @@
 	rows := make(map[*schedule.Worker][]pointport.RunningTask)
 	for _, o := range sent {
 		if o.Kind == schedule.OrderStart {
-			b.Answered(o, now, 1, nil)
+			b.OrderAnswered(o, now, 1, nil)
 			rows[o.Worker] = append(rows[o.Worker], pointport.RunningTask{TaskRun: o.TaskRun, Progress: 100})
 		}
 	}
@@ -74,7 +74,7 @@
 func hearAll(b *schedule.Book, now time.Time, all ...pointport.Incarnation) {
 	b.SetIncarnations(now, all)
 	for _, w := range b.Workers() {
-		if !w.Heard() {
+		if !w.HasAnswered() {
 			b.Report(w, now, now, pointport.Report{Clock: 1})
 		}
 	}
--- a/schedule/report.go
+++ b/schedule/report.go
@@ -19,11 +19,11 @@
 		return
 	}
 	b.endEarlierIncarnations(w, sent, now)
-	w.life.observeClock(now, report.Clock)
+	w.lease.observeClock(now, report.Clock)
 	w.reported = now
 	w.silent = false // an answer to an order would not tell what the instance runs
 	w.answeredUnlisted = w.answeredUnlisted || !w.listed
-	w.unproven = nil // it lives
+	w.expiredRuns = nil // it lives
 	b.ends(w, now, report.Ended)
 	b.running(w, now, report)
 	b.missing(w, sent, now, report)
@@ -65,7 +65,7 @@
 
 // live notes that an instance runs r, by an answer in which its clock shows a time.
 func (b *Book) live(r *Run, now time.Time, clock pointport.InstanceClock) {
-	if r.state == runSettling || r.state == runLive {
+	if r.state == runAwaitingReport || r.state == runLive {
 		return
 	}
 	r.inherited = r.state == runInherited
@@ -82,7 +82,7 @@
 func (b *Book) stray(w *Worker, run pointport.TaskRun) {
 	event.StrayRun.Log(b.logger, slog.String("task", run.Task), slog.Int("run", run.Run),
 		slog.String("incarnation", string(w.inc.ID())), slog.String("elsewhere", string(b.runsOn(run.Task))))
-	b.sends = append(b.sends, Order{Kind: OrderStop, Worker: w, TaskRun: run})
+	b.pendingOrders = append(b.pendingOrders, Order{Kind: OrderStop, Worker: w, TaskRun: run})
 }
 
 // runsOn returns the incarnation on which a task has a run, empty if it has none.
@@ -116,7 +116,7 @@
 			// The instance has seen our fence by now, so an order of the earlier
 			// owner cannot start it any more.
 			gone = true
-		case r.state == runSettling:
+		case r.state == runAwaitingReport:
 			gone = sent.After(r.settleAfter)
 		case r.uncertainty != nil:
 			gone = b.notListedByLater(now, sent, r)
@@ -146,7 +146,7 @@
 		slog.Duration("after", now.Sub(r.placedAt)), slog.Duration("startedAfter", r.startedAfter()))
 	r.confirmListed()
 	if r.detached() {
-		b.forget(now, r)
+		b.removeRun(now, r)
 		b.givenUpEnded(w, now, end)
 		return
 	}
@@ -229,8 +229,8 @@
 			stepDone = e.job.Finish(ref) || stepDone
 		}
 	}
-	b.touch(e, stepDone)
-	b.settleJob(now, e)
+	b.markDirty(e, stepDone)
+	b.endJobIfDone(now, e)
 }
 
 // together returns the tasks for which a good end of one stands: all of a gang's, because
@@ -259,23 +259,23 @@
 	}
 	event.RunEnded.Log(b.logger, slog.String("task", workload.TaskName(e.job.ID(), ref)), slog.Int("run", run),
 		slog.String("incarnation", string(w.inc.ID())), slog.String("how", string(pointport.EndFailed)), slog.Bool("givenUp", true))
-	b.touch(e, true)
+	b.markDirty(e, true)
 	b.noteUnstored(w, e)
 	if jobFailed {
 		b.stopAll(now, e, "an earlier run of its task has failed, and with it as many as may")
 	}
-	b.settleJob(now, e)
+	b.endJobIfDone(now, e)
 }
 
 func (b *Book) runDone(now time.Time, r *Run) {
 	if !r.liveAt.IsZero() && !r.inherited && r.from == 0 {
-		b.learned.observe(r.entry.job.Queue(), r.step(), now.Sub(r.liveAt))
+		b.estimates.observe(r.entry.job.Queue(), r.step(), now.Sub(r.liveAt))
 		r.entry.addDuration(stepKey{r.ref.Occurrence, r.ref.Step}, now.Sub(r.liveAt))
 	}
 	if r.worker.health.succeeded() {
 		event.SoundWorker.Log(b.logger, slog.String("incarnation", string(r.worker.inc.ID())))
 	}
-	b.forget(now, r)
+	b.removeRun(now, r)
 	t := r.task()
 	if t == nil || t.Phase == workload.Done {
 		return
@@ -285,8 +285,8 @@
 		return
 	}
 	stepDone := r.entry.job.Finish(r.ref)
-	b.touch(r.entry, stepDone)
-	b.settleJob(now, r.entry)
+	b.markDirty(r.entry, stepDone)
+	b.endJobIfDone(now, r.entry)
 }
 
 func (b *Book) runFailed(now time.Time, r *Run) {
@@ -294,18 +294,18 @@
 		event.SuspectWorker.Log(b.logger, slog.String("incarnation", string(r.worker.inc.ID())),
 			slog.Int("failures", r.worker.health.failures), slog.Duration("avoidedFor", r.worker.health.avoidFor))
 	}
-	b.forget(now, r)
+	b.removeRun(now, r)
 	if r.task() == nil {
 		return
 	}
 	jobFailed := r.entry.job.Fail(r.ref, r.number)
 	r.entry.avoidFailedWorker(r.ref, now)
-	b.touch(r.entry, true)
+	b.markDirty(r.entry, true)
 	switch {
 	case jobFailed:
 		b.stopAll(now, r.entry, "another task of its job has failed too often")
 	case r.step().Gang:
 		b.stopRestOfGang(now, r, "another of its gang has failed")
 	}
-	b.settleJob(now, r.entry)
+	b.endJobIfDone(now, r.entry)
 }
--- a/schedule/resize_test.go
+++ b/schedule/resize_test.go
@@ -55,7 +55,7 @@
 	for ; most > 0 && len(s.unsent) > 0; most-- {
 		o := s.unsent[0]
 		s.unsent = s.unsent[1:]
-		if s.book.Forgo(s.now, o) {
+		if s.book.SkipStart(s.now, o) {
 			continue
 		}
 		s.book.MarkSending(o)
@@ -64,10 +64,10 @@
 			s.carryOut(o)
 		}
 		if fate == "answered" {
-			s.book.Answered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
+			s.book.OrderAnswered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
 			continue
 		}
-		s.book.Answered(o, s.now, 0, &pointport.UnavailableError{Op: "order", Ambiguous: true})
+		s.book.OrderAnswered(o, s.now, 0, &pointport.UnavailableError{Op: "order", Ambiguous: true})
 	}
 }
 
--- a/schedule/ruled_out_test.go
+++ b/schedule/ruled_out_test.go
@@ -41,20 +41,20 @@
 			b.Add(start, job("a", policy, step(1, 100, nil)))
 			first := orders(b, start)[0]
 			b.MarkSending(first)
-			first.Worker.Until(start, settings.Lease)
+			first.Worker.ExtendLease(start, settings.Lease)
 			now := start.Add(400 * time.Millisecond)
-			b.Answered(first, now, 0, silence)
+			b.OrderAnswered(first, now, 0, silence)
 			now = now.Add(200 * time.Millisecond)
 			again := kindOf(orders(b, now), schedule.OrderStart, first.TaskRun)
 			if len(again) != 1 {
 				t.Fatalf("%d starts, want the first one again", len(again))
 			}
-			b.Answered(again[0], now, 0, refusal(first, pointport.RejectUnhealthy))
+			b.OrderAnswered(again[0], now, 0, refusal(first, pointport.RejectUnhealthy))
 			stops := kindOf(orders(b, now), schedule.OrderStop, first.TaskRun)
 			if len(stops) != 1 {
 				t.Fatalf("%d stops, want one that rules the start out", len(stops))
 			}
-			b.Answered(stops[0], now, 0, refusal(first, reason))
+			b.OrderAnswered(stops[0], now, 0, refusal(first, reason))
 			for range 20 { // until the stop has been ordered again
 				now = now.Add(100 * time.Millisecond)
 				b.Report(first.Worker, now.Add(-time.Millisecond), now, pointport.Report{Clock: pointport.InstanceClock(now.Sub(start))})
@@ -69,7 +69,7 @@
 			if len(stops) == 0 {
 				t.Fatal("the stop is not ordered again")
 			}
-			b.Answered(stops[0], now, pointport.InstanceClock(now.Sub(start)), nil)
+			b.OrderAnswered(stops[0], now, pointport.InstanceClock(now.Sub(start)), nil)
 			now = now.Add(time.Millisecond)
 			b.Report(first.Worker, now, now, pointport.Report{Clock: pointport.InstanceClock(now.Sub(start))})
 			if got := placed(orders(b, now)); len(got) != 1 {
@@ -89,9 +89,9 @@
 	b.Add(start, job("a", policy, step(1, 100, func(s *workload.Step) { s.Service = true })))
 	first := orders(b, start)[0]
 	b.MarkSending(first)
-	first.Worker.Until(start, settings.Lease)
+	first.Worker.ExtendLease(start, settings.Lease)
 	now := start.Add(400 * time.Millisecond)
-	b.Answered(first, now, 0, silence)
+	b.OrderAnswered(first, now, 0, silence)
 	if !stays {
 		b.SetIncarnations(now, nil)
 	}
@@ -99,7 +99,7 @@
 		now = now.Add(100 * time.Millisecond)
 		b.PollFailed(first.Worker, now, silence)
 		for _, o := range orders(b, now) {
-			b.Answered(o, now, 0, silence)
+			b.OrderAnswered(o, now, 0, silence)
 		}
 	}
 	return b, first, now
@@ -118,7 +118,7 @@
 // mayStart reports whether an instance would take a start that is under way: what runs
 // there is extended beyond now.
 func mayStart(w *schedule.Worker, now time.Time) bool {
-	return w.Until(now, settings.Lease) > pointport.InstanceClock(now.Sub(start))
+	return w.ExtendLease(now, settings.Lease) > pointport.InstanceClock(now.Sub(start))
 }
 
 // clockAt is what the instance's clock shows.
@@ -139,17 +139,17 @@
 			if len(stops) != 1 {
 				t.Fatalf("%d stops, want one that rules the start out", len(stops))
 			}
-			b.Answered(stops[0], now, 0, refusal(first, reason))
+			b.OrderAnswered(stops[0], now, 0, refusal(first, reason))
 			now = now.Add(time.Second)
 			all := orders(b, now)
 			if got := placed(all); len(got) != 0 || mayStart(first.Worker, now) {
-				t.Errorf("starts %v and an extension to %v at %v; the given up start may still be carried out", got, first.Worker.Until(now, settings.Lease), clockAt(now))
+				t.Errorf("starts %v and an extension to %v at %v; the given up start may still be carried out", got, first.Worker.ExtendLease(now, settings.Lease), clockAt(now))
 			}
 			stops = kindOf(all, schedule.OrderStop, first.TaskRun)
 			if len(stops) != 1 {
 				t.Fatalf("%d stops, want it ordered again", len(stops))
 			}
-			b.Answered(stops[0], now, clockAt(now), nil)
+			b.OrderAnswered(stops[0], now, clockAt(now), nil)
 			if !mayStart(first.Worker, now) {
 				t.Error("nothing is extended once the start is ruled out")
 			}
@@ -169,13 +169,13 @@
 	b.Report(w, now, now, pointport.Report{Clock: clockAt(now)})
 	all := orders(b, now)
 	if got := placed(all); len(got) != 0 || mayStart(w, now) {
-		t.Errorf("starts %v and an extension to %v at %v; the given up start may still be carried out", got, w.Until(now, settings.Lease), clockAt(now))
+		t.Errorf("starts %v and an extension to %v at %v; the given up start may still be carried out", got, w.ExtendLease(now, settings.Lease), clockAt(now))
 	}
 	stops := kindOf(all, schedule.OrderStop, first.TaskRun)
 	if len(stops) != 1 {
 		t.Fatalf("%d stops, want one that rules the start out", len(stops))
 	}
-	b.Answered(stops[0], now, clockAt(now), nil)
+	b.OrderAnswered(stops[0], now, clockAt(now), nil)
 	if !mayStart(w, now) {
 		t.Error("nothing is extended once the start is ruled out")
 	}
@@ -204,7 +204,7 @@
 		now = now.Add(100 * time.Millisecond)
 		for _, o := range kindOf(orders(b, now), schedule.OrderStop, first.TaskRun) {
 			stops++
-			b.Answered(o, now, 0, silence)
+			b.OrderAnswered(o, now, 0, silence)
 		}
 	}
 	if stops > 1 {
--- a/schedule/run.go
+++ b/schedule/run.go
@@ -13,15 +13,15 @@
 type runState uint8
 
 const (
-	// runDecided: placed, but not stored yet, so nothing has been sent.
-	runDecided runState = iota
+	// runUnstored: placed, but not stored yet, so nothing has been sent.
+	runUnstored runState = iota
 	// runSent: the start order was sent and no answer has settled it.
 	runSent
 	// runLive: the instance has said that it runs.
 	runLive
-	// runSettling: the instance will not start it any more; whether it has run
+	// runAwaitingReport: the instance will not start it any more; whether it has run
 	// and ended shows in the next report that was asked for after settleAfter.
-	runSettling
+	runAwaitingReport
 	// runInherited: found in the store by a new owner; the worker's first report
 	// shows what became of it.
 	runInherited
@@ -50,10 +50,10 @@
 	// unanswered counts the start orders without an answer. If there is one, the
 	// instance may still carry it out later.
 	unanswered int
-	// againAt is when a start without an answer is ordered again.
-	againAt time.Time
-	// ordered says that the start order was sent, so that the run may have begun.
-	ordered bool
+	// resendAt is when a start without an answer is ordered again.
+	resendAt time.Time
+	// startSent says that the start order was sent, so that the run may have begun.
+	startSent bool
 	// listed says that a report of its worker's life has listed it: the answer to a start may be
 	// of a later life.
 	listed bool
@@ -90,13 +90,13 @@
 // TaskRun returns the names under which the instance knows the run.
 func (r *Run) TaskRun() pointport.TaskRun { return pointport.TaskRun{Task: r.name, Run: r.number} }
 
-// A stepOf names a step of one occurrence of one job.
-type stepOf struct {
+// A stepRef names a step of one occurrence of one job.
+type stepRef struct {
 	entry   *entry
 	k, step int
 }
 
-func (r *Run) stepOf() stepOf { return stepOf{r.entry, r.ref.Occurrence, r.ref.Step} }
+func (r *Run) stepRef() stepRef { return stepRef{r.entry, r.ref.Occurrence, r.ref.Step} }
 
 func (r *Run) step() *workload.Step { return &r.entry.job.Spec().Steps[r.ref.Step] }
 
@@ -111,6 +111,8 @@
 
 // mayHaveBegun reports whether the instance may have started the run: it was ordered, by this
 // owner or an earlier one.
-func (r *Run) mayHaveBegun() bool { return r.state != runDecided && (r.state != runSent || r.ordered) }
+func (r *Run) mayHaveBegun() bool {
+	return r.state != runUnstored && (r.state != runSent || r.startSent)
+}
 
 func (r *Run) task() *workload.Task { return r.entry.job.Task(r.ref) }
--- a/schedule/share.go
+++ b/schedule/share.go
@@ -70,7 +70,7 @@
 
 // sameRank reports whether two jobs stand as well but for their times.
 func sameRank(a, b *entry) bool {
-	return a.standing.priority == b.standing.priority && a.standing.class == b.standing.class
+	return a.rank.priority == b.rank.priority && a.rank.class == b.rank.class
 }
 
 // inTurn calls place for the jobs of a queue, those last among each rank whose customer has
@@ -84,7 +84,7 @@
 			}
 			behind = behind[:0]
 		}
-		if e.standing.class.waitsForOthers() && b.beyond(s, e.account) {
+		if e.rank.class.waitsForOthers() && b.beyond(s, e.account) {
 			behind = append(behind, e)
 			continue
 		}
--- a/schedule/share_test.go
+++ b/schedule/share_test.go
@@ -56,7 +56,7 @@
 	c.now = c.now.Add(20 * time.Millisecond)
 	clock := pointport.InstanceClock(c.now.Sub(start).Milliseconds())
 	for _, o := range orders(c.book, c.now) {
-		c.book.Answered(o, c.now, clock, nil)
+		c.book.OrderAnswered(o, c.now, clock, nil)
 		if o.Kind == schedule.OrderStart {
 			c.ends[o.Worker] = append(c.ends[o.Worker], end{c.now.Add(crowdTask), o.TaskRun})
 		}
--- a/schedule/silence.go
+++ b/schedule/silence.go
@@ -27,11 +27,11 @@
 	}
 	if !w.silent {
 		event.WorkerSilent.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
-			slog.Duration("expiresIn", w.life.expiry().Sub(now)), slog.Any("error", err))
+			slog.Duration("expiresIn", w.lease.expiry().Sub(now)), slog.Any("error", err))
 	}
-	w.fallSilent(now)
+	w.markSilent(now)
 	var rejected *pointport.RejectedError
-	w.refuses = errors.As(err, &rejected)
+	w.pollRefused = errors.As(err, &rejected)
 	if now.Sub(w.silentSince) > abandonAfter && b.hearing.littleSince.IsZero() {
 		b.abandon(now, w)
 	}
@@ -45,7 +45,7 @@
 // each other, so that they need not wait until the worker expires.
 func (b *Book) abandon(now time.Time, w *Worker) {
 	for _, r := range w.runs {
-		if r.step().Copies && !r.step().Gang && r.state != runDecided && r.entry.runs[r.ref] == r && r.entry.mayAbandon(r.ref) {
+		if r.step().Copies && !r.step().Gang && r.state != runUnstored && r.entry.runs[r.ref] == r && r.entry.mayAbandon(r.ref) {
 			event.TaskReturned.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
 				slog.String("incarnation", string(w.inc.ID())), slog.String("reason", "its instance is silent, and a copy may run"))
 			b.detach(r)
@@ -56,8 +56,8 @@
 				b.stop(now, r, "its task was given to another instance")
 			}
 			r.entry.job.Requeue(r.ref)
-			b.touch(r.entry, true)
-			b.settleJob(now, r.entry)
+			b.markDirty(r.entry, true)
+			b.endJobIfDone(now, r.entry)
 		}
 	}
 }
@@ -65,14 +65,14 @@
 // hasGivenUp reports whether a worker has a run of a task that was given up for a copy
 // elsewhere, and of which it is not known yet what became. The instance would refuse
 // another one, and a worker has one run of a task at a time.
-func (w *Worker) hasGivenUp(t waiting) bool {
+func (w *Worker) hasGivenUp(t waitingTask) bool {
 	return t.entry.abandoned[t.ref] > 0 && w.runs[workload.TaskName(t.entry.job.ID(), t.ref)] != nil
 }
 
 func (b *Book) checkFence(err error) {
 	var rejected *pointport.RejectedError
 	if errors.As(err, &rejected) && rejected.Reason == pointport.RejectFence {
-		b.deposed = true
+		b.fenced = true
 	}
 }
 
@@ -112,10 +112,10 @@
 		return
 	}
 	event.WorkerExpired.Log(b.logger, slog.String("incarnation", string(w.inc.ID())), slog.Int("runs", len(over)), slog.Int("unheard", len(w.runs)-len(over)),
-		slog.Bool("gone", gone), slog.Duration("sinceHeard", w.life.sinceLastAnswer(now)))
+		slog.Bool("gone", gone), slog.Duration("sinceHeard", w.lease.sinceLastAnswer(now)))
 	for _, r := range over {
-		w.burn(r)
-		w.unproven = append(w.unproven, r)
+		w.mustRuleOut(r)
+		w.expiredRuns = append(w.expiredRuns, r)
 	}
 	for _, r := range over {
 		b.drop(now, r, "its instance was silent until its time was over")
@@ -139,7 +139,7 @@
 // back as one to which no start is under way, it would be extended and carry out those
 // that are.
 func (w *Worker) remembered(now time.Time) bool {
-	return len(w.burns) > 0 && !w.ended && now.Sub(w.life.expiry()) < burnsKept
+	return len(w.startsToRuleOut) > 0 && !w.ended && now.Sub(w.lease.expiry()) < burnsKept
 }
 
 // countUnproven counts the crash of a worker that is gone against tasks that were there.
@@ -148,9 +148,9 @@
 // started may have caused its silence.
 func (b *Book) countUnproven(now time.Time, w *Worker) {
 	if !w.ended && w.parting(now) == partingCrashed {
-		b.countCrashes(now, justStarted(w.unproven), justStarted(w.unproven), nil)
+		b.countCrashes(now, justStarted(w.expiredRuns), justStarted(w.expiredRuns), nil)
 	}
-	w.unproven = nil
+	w.expiredRuns = nil
 }
 
 // sweep lets the runs go of workers that have been silent for so long that
@@ -159,10 +159,10 @@
 	var heard tally
 	for id, w := range b.workers {
 		heard.count(w)
-		if len(w.runs) > 0 && now.After(b.executionExpiry(w)) && (w.silent || !w.life.clockKnown()) {
+		if len(w.runs) > 0 && now.After(b.executionExpiry(w)) && (w.silent || !w.lease.clockKnown()) {
 			b.expire(w, now)
 		}
-		if len(w.runs) == 0 && !w.listed && (w.ended || now.After(w.life.expiry())) {
+		if len(w.runs) == 0 && !w.listed && (w.ended || now.After(w.lease.expiry())) {
 			b.countUnproven(now, w)
 			if !w.remembered(now) {
 				delete(b.workers, id)
@@ -171,9 +171,9 @@
 	}
 	b.forgetOrders(now)
 	b.listen(now, heard)
-	for id, f := range b.over {
+	for id, f := range b.endedJobs {
 		if now.Sub(f.at) > b.settings.KeepEnded {
-			delete(b.over, id)
+			delete(b.endedJobs, id)
 		}
 	}
 }
--- a/schedule/stall.go
+++ b/schedule/stall.go
@@ -152,7 +152,7 @@
 // done or, if none is, those that run on other instances; zero if neither says
 // anything.
 func (b *Book) others(r *Run) time.Duration {
-	if took := r.entry.took[stepKey{r.ref.Occurrence, r.ref.Step}]; took.n > 0 {
+	if took := r.entry.durations[stepKey{r.ref.Occurrence, r.ref.Step}]; took.n > 0 {
 		return took.mean()
 	}
 	var sum time.Duration
@@ -177,8 +177,8 @@
 		left := r.whole() * time.Duration(wholePercent-r.progress) / wholePercent
 		return max(0, left-now.Sub(r.movedAt))
 	}
-	expected := b.learned.duration(r.entry.job.Queue(), r.step())
-	if took := r.entry.took[stepKey{r.ref.Occurrence, r.ref.Step}]; took.n > 0 {
+	expected := b.estimates.duration(r.entry.job.Queue(), r.step())
+	if took := r.entry.durations[stepKey{r.ref.Occurrence, r.ref.Step}]; took.n > 0 {
 		expected = took.mean()
 	}
 	return max(0, expected-age)
@@ -194,9 +194,9 @@
 
 // addDuration takes in how long a task of a step took.
 func (e *entry) addDuration(key stepKey, d time.Duration) {
-	if e.took == nil {
-		e.took = make(map[stepKey]stepDurations)
+	if e.durations == nil {
+		e.durations = make(map[stepKey]stepDurations)
 	}
-	t := e.took[key]
-	e.took[key] = stepDurations{t.n + 1, t.sum + d}
+	t := e.durations[key]
+	e.durations[key] = stepDurations{t.n + 1, t.sum + d}
 }
--- a/schedule/stall_test.go
+++ b/schedule/stall_test.go
@@ -22,7 +22,7 @@
 	b.Add(start, job("a", policy, step(1, 100, nil)))
 	o := orders(b, start)[0]
 	b.MarkSending(o)
-	b.Answered(o, start, clockAt(start), nil)
+	b.OrderAnswered(o, start, clockAt(start), nil)
 	return b, o
 }
 
@@ -78,7 +78,7 @@
 	both := orders(b, start)
 	for _, o := range both {
 		b.MarkSending(o)
-		b.Answered(o, start, clockAt(start), nil)
+		b.OrderAnswered(o, start, clockAt(start), nil)
 	}
 	quick, other := both[0], both[1]
 	second := start.Add(time.Second)
--- a/schedule/survey.go
+++ b/schedule/survey.go
@@ -118,8 +118,8 @@
 		b.soon[id] = true
 	}
 	var s Survey
-	afford := b.afford()
-	for e := range b.hungry {
+	afford := b.capFilter()
+	for e := range b.waitingJobs {
 		b.refresh(e)
 		for _, t := range e.ready {
 			if !afford(t) {
@@ -127,7 +127,7 @@
 			}
 			room := t.step.Reservation()
 			s.Waiting = s.Waiting.Plus(room)
-			if e.standing.class == classLate {
+			if e.rank.class == classLate {
 				s.WaitingLate = s.WaitingLate.Plus(room)
 			}
 			if label := t.step.Label; label != "" {
@@ -172,9 +172,9 @@
 	}
 	crowded := make(map[group]int)
 	workers := b.usable(now)
-	for e := range b.hungry {
+	for e := range b.waitingJobs {
 		for _, t := range e.ready {
-			if e.account.affords(t.step.Need) && (t.step.MaxPerInstance > 0 || len(e.wary) > 0 || len(e.crashed) > 0) && b.bestOf(now, t, workers) == nil {
+			if e.account.withinCap(t.step.Need) && (t.step.MaxPerInstance > 0 || len(e.avoidUntil) > 0 || len(e.crashed) > 0) && b.bestWorker(now, t, workers) == nil {
 				crowded[group{t.entry, t.ref.Occurrence, t.ref.Step}]++
 			}
 		}
@@ -197,7 +197,7 @@
 func (b *Book) loadOf(now time.Time, w *Worker) InstanceLoad {
 	return InstanceLoad{
 		Instance: w.inc.Instance(), Incarnation: w.inc.ID(), Runs: len(w.runs), Serving: w.serving,
-		Closed: w.closed(now), Silent: w.silent || !w.life.clockKnown(), Avoided: w.health.avoided(now),
+		Closed: w.closed(now), Silent: w.silent || !w.lease.clockKnown(), Avoided: w.health.avoided(now),
 		Leaving: w.inc.Draining(), Capacity: w.inc.Capacity(), Known: now.Sub(w.since), Unstored: w.unstored > 0,
 	}
 }
@@ -243,7 +243,7 @@
 	var sum pointport.Shape
 	for _, w := range b.workers {
 		for _, r := range w.runs {
-			if r.entry.standing.class == classLate {
+			if r.entry.rank.class == classLate {
 				sum = sum.Plus(r.step().Reservation())
 			}
 		}
--- a/schedule/takeover_test.go
+++ b/schedule/takeover_test.go
@@ -39,7 +39,7 @@
 // reportOther has every instance but one say that it runs nothing.
 func reportOther(b *schedule.Book, but *schedule.Worker, now time.Time) {
 	for _, w := range b.Workers() {
-		if w != but && !w.Heard() {
+		if w != but && !w.HasAnswered() {
 			b.Report(w, now, now, pointport.Report{Clock: 1})
 		}
 	}
@@ -57,7 +57,7 @@
 	b, old := takenOver(t)
 	b.PollFailed(old, start.Add(500*time.Millisecond), &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 	answered := start.Add(2 * time.Second)
-	b.Answered(strayStop(old), answered, pointport.InstanceClock(time.Hour), nil)
+	b.OrderAnswered(strayStop(old), answered, pointport.InstanceClock(time.Hour), nil)
 	for now := answered; now.Before(start.Add(settings.PredecessorBound)); now = now.Add(50 * time.Millisecond) {
 		reportOther(b, old, now)
 		if got := placed(orders(b, now)); len(got) != 0 {
@@ -152,13 +152,13 @@
 			switch event {
 			case 0: // an order is answered, now or late
 				clock := i.clock(now)
-				late = append(late, answer{due, func(now time.Time) { b.Answered(strayStop(old), now, clock, nil) }})
+				late = append(late, answer{due, func(now time.Time) { b.OrderAnswered(strayStop(old), now, clock, nil) }})
 			case 1: // a look is answered, now or late
-				i.extend(now, old.Until(now, settings.Lease))
+				i.extend(now, old.ExtendLease(now, settings.Lease))
 				report := i.report(now)
 				late = append(late, answer{due, func(now time.Time) { b.Report(old, sent, now, report) }})
 			case 2: // a look is carried out and its answer lost
-				i.extend(now, old.Until(now, settings.Lease))
+				i.extend(now, old.ExtendLease(now, settings.Lease))
 				b.PollFailed(old, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 			case 3: // a look gets nowhere
 				b.PollFailed(old, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
--- a/schedule/worker.go
+++ b/schedule/worker.go
@@ -25,17 +25,17 @@
 	free  pointport.Shape // what is left of the capacity
 	// serving counts the runs that are serving tasks, steps those of each step.
 	serving int
-	steps   map[stepOf]int
+	steps   map[stepRef]int
 
-	// life says when everything there has surely ended, if no further answer comes.
-	life executionLease
+	// lease says when everything there has surely ended, if no further answer comes.
+	lease executionLease
 	// silent says that the last order or look got no answer.
 	silent      bool
 	silentSince time.Time
 	// reported is when it last said what it runs.
 	reported time.Time
-	// refuses says that the last look was answered, by a refusal.
-	refuses bool
+	// pollRefused says that the last look was answered, by a refusal.
+	pollRefused bool
 	// ended says that the incarnation is known to be over.
 	ended bool
 	// endedAt is since when, answeredOver says that it has answered all the same.
@@ -69,21 +69,21 @@
 	evacuating  bool
 	// coldUntil is until when it is slow from its start.
 	coldUntil time.Time
-	// orderedAway says that an order about its machine was carried out.
-	orderedAway bool
+	// movedOrMaintained says that an order about its machine was carried out.
+	movedOrMaintained bool
 	// suspected and quarantined count such runs.
 	suspected, quarantined int
-	// unproven holds the runs that were given up because the instance was silent until
+	// expiredRuns holds the runs that were given up because the instance was silent until
 	// their time was over. If it has crashed, it did so under them.
-	unproven []*Run
+	expiredRuns []*Run
 	// strays is how many runs the instance has that no task is placed as. Their
 	// room is not known, so nothing is placed until they are gone.
 	strays int
-	// burns holds runs that were given up although a start order had got no
+	// startsToRuleOut holds runs that were given up although a start order had got no
 	// answer and may still be under way. The instance would take it as long as its
 	// time is extended, so each is stopped, which rules it out, before anything is
 	// extended or placed there again.
-	burns map[pointport.TaskRun]bool
+	startsToRuleOut map[pointport.TaskRun]bool
 	// burnAt is when they may be stopped again.
 	burnAt time.Time
 	// paced is when the pace of tasks there was last changed.
@@ -101,14 +101,14 @@
 // Incarnation returns what the worker's registration says.
 func (w *Worker) Incarnation() pointport.Incarnation { return w.inc }
 
-// A Look is what to ask of an instance: to forget its ends up to a number, and whether its answer may
+// A Poll is what to ask of an instance: to forget its ends up to a number, and whether its answer may
 // wait for an end.
-type Look struct {
+type Poll struct {
 	Acknowledged int64
 	MayWait      bool
 }
 
-// Look returns what to ask next of the worker, and notes that it is asked that.
+// NextPoll returns what to ask next of the worker, and notes that it is asked that.
 //
 // A later life that takes over the addressee forgets its own ends up to the number that it is told,
 // unheard, and numbers them from one. It may have some once it has taken a start that was meant for
@@ -116,15 +116,15 @@
 // and while an acknowledgement is under way no start is sent; it waits for no end, to be answered at
 // once. An acknowledgement that came late has destroyed the ends of runs that began and ended while
 // it was under way.
-func (w *Worker) Look() Look {
+func (w *Worker) NextPoll() Poll {
 	if !w.inc.ID().Shares() {
-		return Look{w.acked, true}
+		return Poll{w.acked, true}
 	}
 	if !w.mayAcknowledge() {
-		return Look{0, true}
+		return Poll{0, true}
 	}
 	w.acknowledging = true
-	return Look{w.acked, false}
+	return Poll{w.acked, false}
 }
 
 // mayAcknowledge reports whether there is something to acknowledge, and nothing that a later life
@@ -137,15 +137,15 @@
 // an instance, through a peer that was late.
 const lateAcknowledgement = time.Second
 
-// Acknowledging reports whether an acknowledgement is under way by which a later life could forget
+// AckInFlight reports whether an acknowledgement is under way by which a later life could forget
 // what it ended. No start may be sent meanwhile.
-func (w *Worker) Acknowledging(now time.Time) bool {
+func (w *Worker) AckInFlight(now time.Time) bool {
 	return w.acknowledging || now.Before(w.acknowledgedLate)
 }
 
-// Looked takes in at now that a look was answered by the worker's life, or not in time. It reports
+// PollDone takes in at now that a look was answered by the worker's life, or not in time. It reports
 // whether the next one need not wait.
-func (w *Worker) Looked(l Look, now time.Time, answered bool) bool {
+func (w *Worker) PollDone(l Poll, now time.Time, answered bool) bool {
 	if !l.MayWait {
 		w.acknowledging = false
 		if answered {
@@ -163,7 +163,7 @@
 	if !w.inc.ID().Shares() {
 		return false
 	}
-	if len(w.burns) > 0 {
+	if len(w.startsToRuleOut) > 0 {
 		return true
 	}
 	for _, r := range w.runs {
@@ -184,8 +184,8 @@
 // Ended reports whether the incarnation is known to be over.
 func (w *Worker) Ended() bool { return w.ended }
 
-// Heard reports whether the worker has answered yet.
-func (w *Worker) Heard() bool { return w.life.clockKnown() }
+// HasAnswered reports whether the worker has answered yet.
+func (w *Worker) HasAnswered() bool { return w.lease.clockKnown() }
 
 // Silent reports whether the last order or look got no answer.
 func (w *Worker) Silent() bool { return w.silent }
@@ -201,22 +201,22 @@
 // ReportedSince reports whether the worker has said what it runs after a time.
 func (w *Worker) ReportedSince(t time.Time) bool { return w.reported.After(t) }
 
-// Until returns the time on the instance's clock that is ahead from now by
+// ExtendLease returns the time on the instance's clock that is ahead from now by
 // lease, and notes that tasks may run up to it. It returns zero while the clock
 // is not known, and nothing later than before while the instance is silent: it
 // may hear what it does not answer, and its tasks would never expire.
-func (w *Worker) Until(now time.Time, lease time.Duration) pointport.InstanceClock {
+func (w *Worker) ExtendLease(now time.Time, lease time.Duration) pointport.InstanceClock {
 	switch {
 	case w.silent && w.inc.ID().Shares():
 		return 0 // a later life may hear it, to whose clock the time says something else
-	case !w.life.clockKnown() || w.silent || len(w.burns) > 0:
-		return w.life.extendedUntil()
+	case !w.lease.clockKnown() || w.silent || len(w.startsToRuleOut) > 0:
+		return w.lease.extendedUntil()
 	}
-	return w.life.extend(now, lease)
+	return w.lease.extend(now, lease)
 }
 
-// fallSilent takes in that the worker gives no answer.
-func (w *Worker) fallSilent(now time.Time) {
+// markSilent takes in that the worker gives no answer.
+func (w *Worker) markSilent(now time.Time) {
 	if !w.silent {
 		w.silent, w.silentSince = true, now
 	}
@@ -237,7 +237,7 @@
 		return "not registered"
 	case w.ended:
 		return "over"
-	case !w.life.clockKnown(), w.silent:
+	case !w.lease.clockKnown(), w.silent:
 		return "silent"
 	case w.inc.Draining():
 		return "leaving"
@@ -249,7 +249,7 @@
 		return "closed for a move or for maintenance"
 	case w.strays > 0:
 		return "running what it should not"
-	case len(w.burns) > 0:
+	case len(w.startsToRuleOut) > 0:
 		return "being asked to forget starts"
 	case now.Before(w.fullUntil):
 		return "refusing starts"
@@ -259,10 +259,10 @@
 	return ""
 }
 
-// take adds a run and takes its room.
-func (w *Worker) take(r *Run) {
+// addRun adds a run and takes its room.
+func (w *Worker) addRun(r *Run) {
 	w.runs[r.name] = r
-	w.steps[r.stepOf()]++
+	w.steps[r.stepRef()]++
 	if r.step().Service {
 		w.serving++
 	}
@@ -275,14 +275,14 @@
 	w.free = w.free.Minus(r.step().Reservation())
 }
 
-// drop removes a run and gives its room back.
-func (w *Worker) drop(r *Run) {
+// removeRun removes a run and gives its room back.
+func (w *Worker) removeRun(r *Run) {
 	if w.runs[r.name] != r {
 		return
 	}
 	delete(w.runs, r.name)
-	if w.steps[r.stepOf()]--; w.steps[r.stepOf()] == 0 {
-		delete(w.steps, r.stepOf())
+	if w.steps[r.stepRef()]--; w.steps[r.stepRef()] == 0 {
+		delete(w.steps, r.stepRef())
 	}
 	if r.step().Service {
 		w.serving--
--- a/shard/caps.go
+++ b/shard/caps.go
@@ -58,7 +58,7 @@
 			allowed[name] = pointport.Shape{}
 		}
 	}
-	o.scheduler.Allow(allowed)
+	o.scheduler.SetAllowed(allowed)
 }
 
 // watchAccounts follows the accounts until ctx ends.
--- a/shard/jobs.go
+++ b/shard/jobs.go
@@ -173,7 +173,7 @@
 
 // visible reports whether the scheduler has the job and the caller may see it.
 func (o *Owner) visible(id string, by customer.Caller) bool {
-	owner, known := o.scheduler.Owner(id)
+	owner, known := o.scheduler.CustomerOf(id)
 	return known && by.Sees(owner)
 }
 
--- a/shard/orders.go
+++ b/shard/orders.go
@@ -76,7 +76,7 @@
 // sendQueued sends orders of a queue until maxOrdersInFlight or the window is reached.
 func (o *Owner) sendQueued(ctx context.Context, now time.Time, q *workerQueue) {
 	for len(q.orders) > 0 && q.inFlight < maxOrdersInFlight {
-		order, ok := o.nextOrder(q, o.mayStart() && !q.worker.Acknowledging(o.clock.Now()))
+		order, ok := o.nextOrder(q, o.mayStart() && !q.worker.AckInFlight(o.clock.Now()))
 		switch {
 		case !ok && o.mayStart():
 			return // continues when the instance has answered
@@ -84,7 +84,7 @@
 			o.block(q)
 			return
 		}
-		if o.scheduler.Forgo(o.clock.Now(), order) {
+		if o.scheduler.SkipStart(o.clock.Now(), order) {
 			continue
 		}
 		o.sendOrder(ctx, now, q, order)
@@ -156,7 +156,7 @@
 	}
 	o.scheduler.MarkSending(order)
 	sent := o.clock.Now()
-	at, until := q.worker.Endpoint(), q.worker.Until(now, o.lease) // only the loop may access the worker
+	at, until := q.worker.Endpoint(), q.worker.ExtendLease(now, o.lease) // only the loop may access the worker
 	executor := o.executorFor(now, q.worker)
 	go func() {
 		clock, err := o.execute(ctx, executor, at, order, until)
@@ -166,7 +166,7 @@
 			if start {
 				o.startAnswered(now, answered.Sub(sent), err)
 			}
-			o.scheduler.Answered(order, now, clock, err)
+			o.scheduler.OrderAnswered(order, now, clock, err)
 			if o.ownership.Proven() {
 				o.sendQueued(ctx, now, q)
 				o.sendBlocked(ctx, now)
--- a/shard/orders_test.go
+++ b/shard/orders_test.go
@@ -93,7 +93,7 @@
 	w := b.Workers()[0]
 	b.Report(w, now, now, pointport.Report{Ended: []pointport.TaskEnd{{Number: 1, Kind: pointport.EndDone}}})
 	b.Stored(b.TakeBatch(1), now)
-	if w.Look().Acknowledged != 1 || !w.Acknowledging(now) {
+	if w.NextPoll().Acknowledged != 1 || !w.AckInFlight(now) {
 		t.Fatal("the poll acknowledges nothing")
 	}
 	q := &workerQueue{worker: w, orders: []schedule.Order{{Kind: schedule.OrderStart, Worker: w}}}
--- a/shard/owner.go
+++ b/shard/owner.go
@@ -259,7 +259,7 @@
 			return ctx.Err()
 		}
 		changed = o.updateRegistryCoverage(changed)
-		if o.scheduler.Deposed() {
+		if o.scheduler.Fenced() {
 			return member.ErrLost
 		}
 		wake = o.clock.After(o.tick(ctx))
@@ -329,7 +329,7 @@
 	o.lastPlan = now
 	o.updateEvacuations()
 	if o.ownership.Proven() {
-		o.scheduler.LimitUnsent(o.maxNewStarts())
+		o.scheduler.LimitUnstoredStarts(o.maxNewStarts())
 		o.applyCaps(ctx)
 		o.scheduler.Plan(now)
 		o.updateExcess(now)
--- a/shard/peer_poll.go
+++ b/shard/peer_poll.go
@@ -41,7 +41,7 @@
 	}
 	s.peerPolling = true
 	// The poll acknowledges nothing, because an order through a peer may arrive late.
-	order := pointport.HoldOrder{Fence: o.ownership.Fence, Until: w.Until(now, o.lease), Patience: o.scheduler.Patience(w)}
+	order := pointport.HoldOrder{Fence: o.ownership.Fence, Until: w.ExtendLease(now, o.lease), Patience: o.scheduler.ExtraPollTimeout(w)}
 	go func() {
 		report, err := o.delegates.Hold(ctx, at, order)
 		o.enqueue(func(done time.Time) {
--- a/shard/poll.go
+++ b/shard/poll.go
@@ -30,7 +30,7 @@
 	if !o.ownership.Proven() {
 		return
 	}
-	for _, w := range o.scheduler.TakeLooks() {
+	for _, w := range o.scheduler.TakePolls() {
 		o.poll(ctx, now, w, 0)
 	}
 	seen := make(map[*schedule.Worker]bool)
@@ -66,14 +66,14 @@
 func (o *Owner) poll(ctx context.Context, now time.Time, w *schedule.Worker, waitFor time.Duration) {
 	s := o.pollStateOf(w)
 	s.inFlight++
-	if !w.Heard() || w.Silent() {
+	if !w.HasAnswered() || w.Silent() {
 		waitFor = 0 // no lease can be extended before the instance's clock is known
 	}
-	plan := w.Look()
+	plan := w.NextPoll()
 	if !plan.MayWait {
 		waitFor = 0
 	}
-	order := pointport.HoldOrder{Fence: o.ownership.Fence, Until: w.Until(now, o.lease), Acknowledged: plan.Acknowledged, Wait: waitFor, Patience: o.scheduler.Patience(w)}
+	order := pointport.HoldOrder{Fence: o.ownership.Fence, Until: w.ExtendLease(now, o.lease), Acknowledged: plan.Acknowledged, Wait: waitFor, Patience: o.scheduler.ExtraPollTimeout(w)}
 	at := w.Endpoint()
 	executor := o.executorFor(now, w)
 	go func() {
@@ -81,14 +81,14 @@
 		o.enqueue(func(done time.Time) {
 			s.inFlight--
 			if err != nil {
-				w.Looked(plan, done, false)
+				w.PollDone(plan, done, false)
 				o.pollFailed(w, now, done, err)
 				s.next = done.Add(pollRetry)
 				return
 			}
 			o.scheduler.Report(w, now, done, report)
 			switch {
-			case w.Looked(plan, done, true):
+			case w.PollDone(plan, done, true):
 				s.next = done
 			case len(report.Ended) > 0:
 				s.next = done.Add(ackWait)
--- a/shard/write.go
+++ b/shard/write.go
@@ -34,7 +34,7 @@
 	}
 	removals := o.removals[:min(len(o.removals), maxRemovals)]
 	batch := o.scheduler.TakeBatch(o.maxBatchEntries() - len(removals))
-	if batch.Whole {
+	if batch.Complete {
 		o.removals = o.removals[len(removals):]
 	} else {
 		removals = nil // the changes that a removed key asks for may be left for the next batch
@@ -79,7 +79,7 @@
 	}
 	var taken []waiter
 	o.waiters = slices.DeleteFunc(o.waiters, func(w waiter) bool {
-		due := batch.Whole || stored[w.job]
+		due := batch.Complete || stored[w.job]
 		if due {
 			taken = append(taken, w)
 		}
