--- a/assign/bench_test.go
+++ b/assign/bench_test.go
@@ -91,7 +91,7 @@
 		in.Zones = []pointport.ZoneID{"zone-a", "zone-b", "zone-c"}
 		b.Run(fmt.Sprint("instances=", n), func(b *testing.B) {
 			for b.Loop() {
-				assign.WantFloats(in)
+				assign.FloatingBudgetDemand(in)
 			}
 		})
 	}
--- a/assign/decide.go
+++ b/assign/decide.go
@@ -48,11 +48,11 @@
 	Evacuations evacuation.Zones
 	// Listed is the platform's list for the zone.
 	Listed []pointport.Instance
-	// Quiet says for how long a draining instance has been seen to run nothing,
+	// IdleFor says for how long a draining instance has been seen to run nothing,
 	// by reports that came after its drain was told.
-	Quiet map[pointport.InstanceID]time.Duration
-	// Absent says since when an instance has been missing from the list.
-	Absent map[pointport.InstanceID]time.Time
+	IdleFor map[pointport.InstanceID]time.Duration
+	// AbsentSince says since when an instance has been missing from the list.
+	AbsentSince map[pointport.InstanceID]time.Time
 	// Share returns how many of a pool's instances in this zone may be out of
 	// service. The shares of all zones add up to the pool's budget at most.
 	Share func(t *config.Template) int
--- a/assign/decide_test.go
+++ b/assign/decide_test.go
@@ -57,7 +57,7 @@
 	lost := in.Listed[0].ID
 	pool := before[lost].Pool
 	in.Listed = in.Listed[1:]
-	in.Absent = map[pointport.InstanceID]time.Time{lost: in.Now}
+	in.AbsentSince = map[pointport.InstanceID]time.Time{lost: in.Now}
 	in.Now = in.Now.Add(31 * time.Second)
 	in.State = settle(in)
 	moved := 0
@@ -84,7 +84,7 @@
 	grown.Pool.Size = 60
 	in.Templates = append([]*config.Template{&grown}, in.Templates[1:]...)
 	in.Waves = []assign.WaveOrder{{Wave: &config.Wave{Name: "wave", Template: "pool-1", State: config.WaveRun}, Version: 1}}
-	f := assign.Foresee(in)
+	f := assign.NewForecast(in)
 	if f.Moves != 46 || f.Reboots != 4 {
 		t.Errorf("%d moves and %d reboots, want 46 and 4", f.Moves, f.Reboots)
 	}
--- a/assign/float.go
+++ b/assign/float.go
@@ -6,15 +6,15 @@
 
 // This file defines how much of the floating part of a budget a zone wants.
 
-// WantFloats returns how much of each pool's floating budget the zone should
+// FloatingBudgetDemand returns how much of each pool's floating budget the zone should
 // hold: what is out of service beyond its even share, and one more while
 // something is due and nothing more may go out. Pools without a floating budget
 // are left out, unless the zone holds some from before.
-func WantFloats(in Input) map[string]int {
+func FloatingBudgetDemand(in Input) map[string]int {
 	d := newDecision(&in)
 	out := make(map[string]int)
 	for _, t := range in.Templates {
-		if FloatTotal(t, in.Zones) > 0 || in.State.Pool(t.Name).Float > 0 {
+		if FloatingBudget(t, in.Zones) > 0 || in.State.Pool(t.Name).Float > 0 {
 			out[t.Name] = d.wantFloat(t)
 		}
 	}
@@ -34,7 +34,7 @@
 	if out >= even && d.anyDue(t) {
 		want++
 	}
-	return min(want, FloatTotal(t, zones))
+	return min(want, FloatingBudget(t, zones))
 }
 
 // anyDue reports whether a wave over the pool has an instance left to take.
--- a/assign/foresee.go
+++ b/assign/forecast.go
@@ -36,10 +36,10 @@
 	foreseenStep = time.Minute
 )
 
-// Foresee lets the decisions of in run to their end, as if every drain fell idle
+// NewForecast lets the decisions of in run to their end, as if every drain fell idle
 // and every reboot came back at once. It shows what a change of templates or
 // waves would move; how long it takes depends on what runs.
-func Foresee(in Input) Forecast {
+func NewForecast(in Input) Forecast {
 	f := Forecast{Zone: in.Zone}
 	before := in.State
 	w := newForeseen(in)
@@ -80,14 +80,14 @@
 
 func (w *foreseen) input() Input {
 	in := w.in
-	in.Absent = nil
+	in.AbsentSince = nil
 	in.Listed = nil
-	in.Quiet = make(map[pointport.InstanceID]time.Duration)
+	in.IdleFor = make(map[pointport.InstanceID]time.Duration)
 	for _, id := range w.order {
 		i := w.listed[id]
 		i.Reported = in.Now
 		in.Listed = append(in.Listed, i)
-		in.Quiet[id] = maxKeep
+		in.IdleFor[id] = maxKeep
 	}
 	return in
 }
--- a/assign/observe.go
+++ b/assign/observe.go
@@ -58,7 +58,7 @@
 }
 
 func (d *decision) observeAbsent(m Member) {
-	since, absent := d.in.Absent[m.ID]
+	since, absent := d.in.AbsentSince[m.ID]
 	if !absent {
 		return
 	}
@@ -94,7 +94,7 @@
 
 func (d *decision) observeDraining(m Member, i pointport.Instance) {
 	b := d.bounds(m)
-	quiet := d.in.Quiet[m.ID] >= b.DrainQuiet.D()
+	quiet := d.in.IdleFor[m.ID] >= b.DrainQuiet.D()
 	switch {
 	case i.State == pointport.InstanceDown:
 		d.fail(m, "went down while it drained")
--- a/assign/size.go
+++ b/assign/size.go
@@ -52,8 +52,8 @@
 	return t.Maintenance.Budget.Down(t.Pool.Size) / max(1, len(zones))
 }
 
-// FloatTotal returns the rest of the budget, which zones hold in turn.
-func FloatTotal(t *config.Template, zones []pointport.ZoneID) int {
+// FloatingBudget returns the rest of the budget, which zones hold in turn.
+func FloatingBudget(t *config.Template, zones []pointport.ZoneID) int {
 	return t.Maintenance.Budget.Down(t.Pool.Size) - ZoneShare(t, zones)*max(1, len(zones))
 }
 
--- a/customer/caller.go
+++ b/customer/caller.go
@@ -18,9 +18,9 @@
 // Operator returns the caller that is an operator.
 func Operator() Caller { return Caller{Operates: true} }
 
-// Sees reports whether the caller may know of a job of the customer named, and cancel it.
+// CanAccess reports whether the caller may know of a job of the customer named, and cancel it.
 // A job of nobody was handed in without a key, and its identity alone stands for it.
-func (c Caller) Sees(owner string) bool { return c.Operates || owner == "" || owner == c.Name }
+func (c Caller) CanAccess(owner string) bool { return c.Operates || owner == "" || owner == c.Name }
 
 // Revoked reports whether the caller's key is no longer its customer's in a directory of
 // a version. A directory as old as the one that the caller was judged by says nothing new.
--- a/customer/directory.go
+++ b/customer/directory.go
@@ -23,8 +23,8 @@
 	Cap pointport.Shape `json:"cap,omitzero"`
 }
 
-// Bears reports whether the cap allows as much at once.
-func (c *Customer) Bears(need pointport.Shape) bool {
+// CapAllows reports whether the cap allows as much at once.
+func (c *Customer) CapAllows(need pointport.Shape) bool {
 	within := func(limit, need int64) bool { return limit == 0 || need <= limit }
 	return within(c.Cap.CPUMilli, need.CPUMilli) && within(c.Cap.MemoryMiB, need.MemoryMiB) && within(c.Cap.Accelerators, need.Accelerators)
 }
--- a/daemon/shares.go
+++ b/daemon/shares.go
@@ -38,7 +38,7 @@
 	}
 	for _, zone := range e.settings.zoneIDs() {
 		used := func() int { return max(0, e.gateway.MostConnections(zone)-s.fixed(zone)) }
-		s.holders[zone] = share.New(e.platform, e.clock, zone, e.holder, e.settings.elastic, used, share.WithBound(minBound))
+		s.holders[zone] = share.New(e.platform, e.clock, zone, e.holder, e.settings.elastic, used, share.WithMaxRequestTime(minBound))
 	}
 	return s
 }
@@ -55,7 +55,7 @@
 func (s *shares) allowed(zone pointport.ZoneID) int {
 	n := s.fixed(zone)
 	if h := s.holders[zone]; h != nil {
-		n += h.Extra()
+		n += h.ElasticLimit()
 	}
 	return n
 }
@@ -73,7 +73,7 @@
 	defer cancel()
 	for _, h := range s.holders {
 		// A grant that cannot be given back lapses.
-		_ = h.Round(last, 0)
+		_ = h.Reconcile(last, 0)
 	}
 }
 
@@ -86,10 +86,10 @@
 		if pressed {
 			want = max(0, min(slots-s.fixed(zone), s.entry.settings.elastic))
 		}
-		if want != h.Extra() || now.Sub(s.renewed[zone]) >= share.DefaultTTL/share.Renewals {
+		if want != h.ElasticLimit() || now.Sub(s.renewed[zone]) >= share.DefaultTTL/share.RenewalsPerTTL {
 			s.renewed[zone] = now
 			// A failed round is tried again; the grant lapses by itself.
-			_ = h.Round(ctx, want)
+			_ = h.Reconcile(ctx, want)
 		}
 		s.settle(zone, h)
 	}
@@ -114,13 +114,13 @@
 		}
 	}
 	for _, h := range s.holders {
-		h.SetBound(bound)
+		h.SetMaxRequestTime(bound)
 	}
 }
 
 // settle closes connections that are not allowed any more, and logs a change.
 func (s *shares) settle(zone pointport.ZoneID, h *share.Holder) {
-	extra := h.Extra()
+	extra := h.ElasticLimit()
 	if s.entry.gateway.MostConnections(zone) > s.fixed(zone)+extra {
 		s.entry.gateway.TrimIdle(zone)
 	}
--- a/dispatch/service.go
+++ b/dispatch/service.go
@@ -45,7 +45,7 @@
 	ReasonQueueFull  Reason = "too many requests wait"
 	ReasonTooLate    Reason = "the request could not end before its deadline"
 	ReasonDeadline   Reason = "the request's deadline came while it waited"
-	ReasonGone       Reason = "the caller has gone"
+	ReasonCallerGone Reason = "the caller has gone"
 )
 
 // A RefusedError says that a request was refused before any byte of it was
@@ -186,15 +186,15 @@
 	s.other = append(s.other, u)
 }
 
-// Pressed returns when a request last found no upstream with room.
-func (s *Service) Pressed() time.Time {
+// SaturatedAt returns when a request last found no upstream with room.
+func (s *Service) SaturatedAt() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.pressedAt
 }
 
-// Leave marks an upstream as leaving. It gets no new work.
-func (s *Service) Leave(id pointport.InstanceID) {
+// MarkLeaving marks an upstream as leaving. It gets no new work.
+func (s *Service) MarkLeaving(id pointport.InstanceID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if u := s.byID[id]; u != nil && !u.leaving {
@@ -307,7 +307,7 @@
 }
 
 func (s *Service) wait(ctx context.Context, w *waiter, it *queue.Item[*waiter], patience time.Duration) (*Grant, error) {
-	reason := ReasonGone
+	reason := ReasonCallerGone
 	select {
 	case r := <-w.result:
 		return r.grant, r.err
@@ -323,7 +323,7 @@
 	}
 	s.mu.Unlock()
 	r := <-w.result
-	if r.grant != nil && reason == ReasonGone {
+	if r.grant != nil && reason == ReasonCallerGone {
 		r.grant.End(Abandoned, 0)
 		return nil, &RefusedError{s.name, reason, 0}
 	}
@@ -422,9 +422,9 @@
 	return true
 }
 
-// Probe reports whether a request would be refused at once. It saves the work
+// CheckAdmission reports whether a request would be refused at once. It saves the work
 // that comes before Acquire, and promises nothing.
-func (s *Service) Probe(r Request) error {
+func (s *Service) CheckAdmission(r Request) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.waiting.Len() == 0 && s.pick(r.Avoid) != nil {
--- a/dispatch/service_test.go
+++ b/dispatch/service_test.go
@@ -168,7 +168,7 @@
 			}()
 		}
 		synctest.Wait()
-		s.Leave(id(0))
+		s.MarkLeaving(id(0))
 		for _, g := range first {
 			g.End(dispatch.Succeeded, time.Second)
 		}
@@ -185,7 +185,7 @@
 func TestLeavingStaysUntilBoot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newService(t, "", 1)
-		s.Leave(id(0))
+		s.MarkLeaving(id(0))
 		tpl := template(t, "")
 		s.Update(tpl, targets(1))
 		if _, err := s.Acquire(t.Context(), request(time.Minute)); reasonOf(err) != dispatch.ReasonNoUpstream {
@@ -419,7 +419,7 @@
 					setShare(1 + a.N%slots)
 				case 9:
 					u := id(a.N % upstreams)
-					s.Leave(u)
+					s.MarkLeaving(u)
 					leaving[u] = true
 				}
 				synctest.Wait()
--- a/evaluate/world.go
+++ b/evaluate/world.go
@@ -156,12 +156,12 @@
 func (w *Simulation) input() assign.Input {
 	in := assign.Input{
 		Now: w.now, Zone: zone, Zones: []pointport.ZoneID{zone}, State: w.state, Templates: w.templates, Waves: w.waves,
-		Quiet: make(map[pointport.InstanceID]time.Duration), Share: share,
+		IdleFor: make(map[pointport.InstanceID]time.Duration), Share: share,
 	}
 	for _, m := range w.machines {
 		in.Listed = append(in.Listed, m.info)
 		if !m.quiet.IsZero() {
-			in.Quiet[m.info.ID] = w.now.Sub(m.quiet)
+			in.IdleFor[m.info.ID] = w.now.Sub(m.quiet)
 		}
 	}
 	return in
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -181,7 +181,7 @@
 	defer g.mu.RUnlock()
 	var last time.Time
 	for _, s := range g.services {
-		if at := s.Pressed(); at.After(last) {
+		if at := s.SaturatedAt(); at.After(last) {
 			last = at
 		}
 	}
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -134,7 +134,7 @@
 // claim claims the request's key. Nothing has been sent by then, so every
 // refusal is honest in saying that this request did not run.
 func (g *Gateway) claim(ctx context.Context, x *exchange) (ticket, *Problem) {
-	if err := x.service.Probe(x.request()); err != nil {
+	if err := x.service.CheckAdmission(x.request()); err != nil {
 		return nil, refusal(err)
 	}
 	key := claim.NewKey(x.match.Template().Service, x.customer, x.key)
@@ -178,7 +178,7 @@
 		panic("gateway: a service refused with " + err.Error())
 	}
 	switch refused.Reason {
-	case dispatch.ReasonGone:
+	case dispatch.ReasonCallerGone:
 		return newProblem(statusGone, outcomeGone, RanNo, string(refused.Reason), "")
 	case dispatch.ReasonDeadline:
 		return newProblem(http.StatusGatewayTimeout, outcomeTimeout, RanNo, string(refused.Reason), "").after(refused.RetryAfter)
@@ -222,7 +222,7 @@
 	a.send(ctx)
 	g.metrics.attempts.WithLabelValues(x.match.Template().Service, a.end.String()).Inc()
 	if a.answer != nil && a.answer.Header.Get(x.match.Template().Upstream.LeavingHeader) != "" {
-		x.service.Leave(grant.Instance().ID)
+		x.service.MarkLeaving(grant.Instance().ID)
 	}
 	if a.end != endAnswered || a.whole || a.err != nil {
 		grant.End(a.outcome(ctx), 0)
--- a/intake/desk.go
+++ b/intake/desk.go
@@ -225,7 +225,7 @@
 		return workload.Record{}, &UnknownJobError{ID: id}
 	}
 	record, err := workload.DecodeRecord(id, e.Value())
-	if err == nil && !d.caller.Sees(record.Customer) {
+	if err == nil && !d.caller.CanAccess(record.Customer) {
 		return workload.Record{}, &UnknownJobError{ID: id, others: true}
 	}
 	return record, err
@@ -288,7 +288,7 @@
 	if err != nil {
 		return err
 	}
-	if kept.before && !d.caller.Sees(kept.customer) {
+	if kept.before && !d.caller.CanAccess(kept.customer) {
 		return &UnknownJobError{ID: id, others: true}
 	}
 	if kept.before {
--- a/intake/submit.go
+++ b/intake/submit.go
@@ -83,7 +83,7 @@
 		return nil
 	}
 	for n := range spec.Steps {
-		if most := spec.Steps[n].ConcurrentNeed(); !c.Bears(most) {
+		if most := spec.Steps[n].ConcurrentNeed(); !c.CapAllows(most) {
 			return &workload.SpecError{Field: fmt.Sprintf("steps[%d].need", n), Value: most, Reason: fmt.Sprintf("must run at once and is beyond the cap of %s, %v", c.Name, c.Cap)}
 		}
 	}
@@ -152,7 +152,7 @@
 	if err != nil {
 		return err
 	}
-	if kept.before && !s.By.Sees(kept.customer) {
+	if kept.before && !s.By.CanAccess(kept.customer) {
 		return &TakenError{ID: s.ID}
 	}
 	event.JobAccepted.Log(d.logger, slog.String("job", s.ID), slog.String("queue", s.Queue), slog.String("pool", s.Pool), slog.String("customer", s.By.Name),
--- a/planner/ledger.go
+++ b/planner/ledger.go
@@ -55,7 +55,7 @@
 // an operator may have lowered the budget.
 func (p *Planner) share(state *assign.State, t *config.Template) int {
 	n := assign.ZoneShare(t, p.zones)
-	if p.ledger.held(t.Name) <= assign.FloatTotal(t, p.zones) {
+	if p.ledger.held(t.Name) <= assign.FloatingBudget(t, p.zones) {
 		n += min(state.Pool(t.Name).Float, p.ledger[t.Name][p.zone])
 	}
 	return n
@@ -63,7 +63,7 @@
 
 // wants returns what the zone should hold of each pool's floating budget.
 func (p *Planner) wants(state *assign.State) map[string]int {
-	return assign.WantFloats(p.input(p.clock.Now(), state, p.listed))
+	return assign.FloatingBudgetDemand(p.input(p.clock.Now(), state, p.listed))
 }
 
 // settleFloats takes and gives back floating budget, and returns the state
@@ -136,7 +136,7 @@
 	changed := false
 	for _, t := range p.configs.State().Effective(p.clock.Now()) {
 		have := l[t.Name][p.zone]
-		free := assign.FloatTotal(t, p.zones) - l.held(t.Name)
+		free := assign.FloatingBudget(t, p.zones) - l.held(t.Name)
 		next := max(state.Pool(t.Name).Float, min(wants[t.Name], have+max(0, free)))
 		if next == have {
 			continue
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -202,7 +202,7 @@
 	cfg := p.configs.State()
 	in := assign.Input{
 		Now: now, Zone: p.zone, Zones: p.zones, State: state, Templates: cfg.Effective(now), Evacuations: cfg.Evacuations(),
-		Listed: listed, Quiet: p.seen.quietFor(), Absent: p.seen.absent,
+		Listed: listed, IdleFor: p.seen.quietFor(), AbsentSince: p.seen.absent,
 		Share: func(t *config.Template) int { return p.share(state, t) },
 	}
 	for _, o := range cfg.List(config.KindWave) {
--- a/query/plan.go
+++ b/query/plan.go
@@ -25,14 +25,14 @@
 		in := assign.Input{
 			Now: now, Zone: zone, Zones: s.Zones, State: assigned, Templates: state.Effective(now),
 			Share: func(t *config.Template) int {
-				return assign.ZoneShare(t, s.Zones) + min(assigned.Pool(t.Name).Float, assign.FloatTotal(t, s.Zones))
+				return assign.ZoneShare(t, s.Zones) + min(assigned.Pool(t.Name).Float, assign.FloatingBudget(t, s.Zones))
 			},
 		}
 		for _, o := range state.List(config.KindWave) {
 			_, version, _ := state.Get(config.KindWave, o.Name())
 			in.Waves = append(in.Waves, assign.WaveOrder{Wave: o.Wave(), Version: version})
 		}
-		out = append(out, assign.Foresee(in))
+		out = append(out, assign.NewForecast(in))
 	}
 	return out, nil
 }
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -20,8 +20,8 @@
 	keepTime = time.Second
 )
 
-// A Use is what a pool uses of a customer's cap. Shapes are as tasks declare them.
-type Use struct {
+// A Usage is what a pool uses of a customer's cap. Shapes are as tasks declare them.
+type Usage struct {
 	// Used is taken by runs, Wanted by tasks that wait for the cap alone.
 	Used, Wanted pointport.Shape
 }
@@ -47,7 +47,7 @@
 type holding struct {
 	account  Account
 	revision pointport.Revision // zero while there is no account
-	use      Use
+	use      Usage
 	// lowered is the version by which the cap was last seen lowered, zero if it was not.
 	lowered int64
 	// excess is since when more is held than is needed, zero while it is not.
@@ -169,13 +169,13 @@
 // Unwrap returns the cause.
 func (e *AccountError) Unwrap() error { return e.Err }
 
-// SetUse takes in what the pool uses of a customer's cap.
-func (l *Ledger) SetUse(name string, u Use) { l.holding(name).use = u }
+// SetUsage takes in what the pool uses of a customer's cap.
+func (l *Ledger) SetUsage(name string, u Usage) { l.holding(name).use = u }
 
 // Allowed returns how much of each cap the pool may use, by customer; customers that are
 // not in it have none.
 func (l *Ledger) Allowed() map[string]pointport.Shape {
-	if !l.policy.Limited() {
+	if !l.policy.HasCaps() {
 		return nil
 	}
 	out := make(map[string]pointport.Shape, len(l.policy.terms))
@@ -203,7 +203,7 @@
 // Changes returns what is to be stored now, at most so many, and notes that it is under
 // way until Changed is told.
 func (l *Ledger) Changes(now time.Time, atMost int) []Change {
-	if !l.loaded || !l.policy.Limited() {
+	if !l.loaded || !l.policy.HasCaps() {
 		return nil
 	}
 	var out []Change
@@ -271,21 +271,21 @@
 
 // The outcomes of a change.
 const (
-	Made    Outcome = iota
-	NotMade         // and it never will be; Apply is told what the store has, if that is known
-	Unsure          // it may have been made, or may be yet
+	Committed    Outcome = iota
+	NotCommitted         // and it never will be; Apply is told what the store has, if that is known
+	Ambiguous            // it may have been made, or may be yet
 )
 
-// Changed takes in what became of a change; at is the revision at which it was made.
-func (l *Ledger) Changed(c Change, at pointport.Revision, o Outcome) {
+// HandleOutcome takes in what became of a change; at is the revision at which it was made.
+func (l *Ledger) HandleOutcome(c Change, at pointport.Revision, o Outcome) {
 	h := l.holding(c.Customer)
 	h.changing = false
 	switch {
-	case o == Unsure && h.revision == c.Revision:
+	case o == Ambiguous && h.revision == c.Revision:
 		h.unsure = true
-	case o == NotMade && h.revision == c.Revision && !h.unsure:
+	case o == NotCommitted && h.revision == c.Revision && !h.unsure:
 		h.pledge = nil
-	case o == Made && at > h.revision:
+	case o == Committed && at > h.revision:
 		a, err := decodeAccount(c.Value)
 		if err != nil {
 			panic("quota: what was encoded here can be read: " + err.Error())
--- a/quota/policy.go
+++ b/quota/policy.go
@@ -93,8 +93,8 @@
 // Version returns the version of the configuration.
 func (p *Policy) Version() int64 { return p.version }
 
-// Limited reports whether any customer has a cap.
-func (p *Policy) Limited() bool { return p != nil && len(p.terms) > 0 }
+// HasCaps reports whether any customer has a cap.
+func (p *Policy) HasCaps() bool { return p != nil && len(p.terms) > 0 }
 
 // Weights returns the customers' weights by name. They must not be changed.
 func (p *Policy) Weights() map[string]float64 {
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -86,7 +86,7 @@
 }
 
 func (w *world) use(o *owner, wanted int64) {
-	o.ledger.SetUse(name, quota.Use{Used: cores(o.used()), Wanted: cores(wanted)})
+	o.ledger.SetUsage(name, quota.Usage{Used: cores(o.used()), Wanted: cores(wanted)})
 }
 
 func (o *owner) used() int64 {
@@ -235,19 +235,19 @@
 	switch rapid.SampledFrom([]string{"answered", "answered", "lost", "refused", "late"}).Draw(t, "fate") {
 	case "answered":
 		if w.store(c) {
-			o.ledger.Changed(c, w.revision, quota.Made)
+			o.ledger.HandleOutcome(c, w.revision, quota.Committed)
 			return
 		}
 		_ = o.ledger.Apply(w.entries())
-		o.ledger.Changed(c, 0, quota.NotMade)
+		o.ledger.HandleOutcome(c, 0, quota.NotCommitted)
 	case "lost":
 		w.store(c)
-		o.ledger.Changed(c, 0, quota.Unsure)
+		o.ledger.HandleOutcome(c, 0, quota.Ambiguous)
 	case "refused":
-		o.ledger.Changed(c, 0, quota.NotMade)
+		o.ledger.HandleOutcome(c, 0, quota.NotCommitted)
 	case "late":
 		w.late = append(w.late, lateChange{o.pool, c})
-		o.ledger.Changed(c, 0, quota.Unsure)
+		o.ledger.HandleOutcome(c, 0, quota.Ambiguous)
 	}
 }
 
@@ -259,11 +259,11 @@
 			w.learn(o)
 			for _, c := range o.ledger.Changes(w.now, 8) {
 				if w.store(c) {
-					o.ledger.Changed(c, w.revision, quota.Made)
+					o.ledger.HandleOutcome(c, w.revision, quota.Committed)
 					continue
 				}
 				_ = o.ledger.Apply(w.entries())
-				o.ledger.Changed(c, 0, quota.NotMade)
+				o.ledger.HandleOutcome(c, 0, quota.NotCommitted)
 			}
 		}
 		for _, o := range w.owners {
--- a/schedule/advice.go
+++ b/schedule/advice.go
@@ -52,7 +52,7 @@
 
 // permits reports whether a worker may run a task, as far as labels, earlier runs
 // and their ends, crashes and advice go.
-func (b *Book) permits(t waitingTask, w *Worker, now time.Time) bool {
+func (b *Scheduler) permits(t waitingTask, w *Worker, now time.Time) bool {
 	if !w.hasLabel(t.step.Label) || b.wary(t, w, now) || b.keptApart(t, w, now) || w.hasGivenUp(t) {
 		return false
 	}
@@ -69,7 +69,7 @@
 
 // ticketFor returns the ticket with which a task may run on a worker, empty if
 // none is needed.
-func (b *Book) ticketFor(t waitingTask, w *Worker) string {
+func (b *Scheduler) ticketFor(t waitingTask, w *Worker) string {
 	a := t.entry.advice[stepKey{t.ref.Occurrence, t.ref.Step}]
 	if a == nil {
 		return ""
@@ -78,7 +78,7 @@
 }
 
 // seekAdvice asks about further workers for a step that found none it may use.
-func (b *Book) seekAdvice(now time.Time, t waitingTask) {
+func (b *Scheduler) seekAdvice(now time.Time, t waitingTask) {
 	if !t.entry.job.Policy().Advised {
 		return
 	}
@@ -106,7 +106,7 @@
 
 // askable returns the workers to ask about: those with most room first, and of
 // those asked about before only the good ones whose ticket runs out.
-func (b *Book) askable(now time.Time, t waitingTask, a *advice) []pointport.IncarnationID {
+func (b *Scheduler) askable(now time.Time, t waitingTask, a *advice) []pointport.IncarnationID {
 	var workers []*Worker
 	for _, w := range b.usable(now) {
 		id := w.inc.ID()
@@ -125,7 +125,7 @@
 }
 
 // TakeAdviceRequests returns the questions to put to the advisor now.
-func (b *Book) TakeAdviceRequests() []AdviceRequest {
+func (b *Scheduler) TakeAdviceRequests() []AdviceRequest {
 	questions := b.questions
 	b.questions = nil
 	return questions
@@ -133,7 +133,7 @@
 
 // AdviceAnswered takes in the advisor's answer to a question that was put at asked: the
 // tickets of the incarnations that may run the step, or an error.
-func (b *Book) AdviceAnswered(q AdviceRequest, asked, now time.Time, tickets map[pointport.IncarnationID]string, valid time.Duration, err error) {
+func (b *Scheduler) AdviceAnswered(q AdviceRequest, asked, now time.Time, tickets map[pointport.IncarnationID]string, valid time.Duration, err error) {
 	e := b.jobs[q.Job]
 	if e == nil {
 		return
--- a/schedule/batch.go
+++ b/schedule/batch.go
@@ -58,16 +58,16 @@
 func (b *Batch) Starts() int { return len(b.starts) }
 
 // Urgent reports whether something waits for the next batch to be stored.
-func (b *Book) Urgent() bool { return b.urgent || len(b.decided) > 0 }
+func (b *Scheduler) Urgent() bool { return b.urgent || len(b.decided) > 0 }
 
 // Pending reports whether anything is to be stored.
-func (b *Book) Pending() bool { return len(b.dirty) > 0 }
+func (b *Scheduler) Pending() bool { return len(b.dirty) > 0 }
 
 // TakeBatch returns what is to be stored now, as much as fits into so many entries
 // of a transaction. The book goes on from there; the batch must be stored before the
 // next one is taken. While the store is slow, each transaction takes some tenths of
 // a second, and what is placed and not stored holds room and does nothing.
-func (b *Book) TakeBatch(entries int) Batch {
+func (b *Scheduler) TakeBatch(entries int) Batch {
 	batch := Batch{acks: make(map[*Worker]int64), Complete: true}
 	taken := make(map[*entry]bool)
 	b.urgent = false
@@ -109,7 +109,7 @@
 
 // changedJobs returns the jobs that are to be stored, those first for which
 // something waits, the most pressing before others.
-func (b *Book) changedJobs() []*entry {
+func (b *Scheduler) changedJobs() []*entry {
 	out := make([]*entry, 0, len(b.dirty))
 	for e := range b.dirty {
 		out = append(out, e)
@@ -132,11 +132,11 @@
 const limitedEntries = 64
 
 // LimitUnstoredStarts sets how many tasks may be placed of which the start is not stored yet.
-func (b *Book) LimitUnstoredStarts(most int) { b.unsentMost = most }
+func (b *Scheduler) LimitUnstoredStarts(most int) { b.unsentMost = most }
 
 // decidedFull reports whether so many tasks, or tasks of so many jobs, wait to be
 // stored that those of another one would only hold room meanwhile.
-func (b *Book) decidedFull() bool {
+func (b *Scheduler) decidedFull() bool {
 	if len(b.decided) >= b.unsentMost {
 		return true
 	}
@@ -152,7 +152,7 @@
 
 // Stored takes in that a batch is stored at now: what follows from it may be
 // done. The orders are taken by Orders.
-func (b *Book) Stored(batch Batch, now time.Time) {
+func (b *Scheduler) Stored(batch Batch, now time.Time) {
 	for _, w := range batch.endedOn {
 		w.unstored--
 	}
@@ -178,14 +178,14 @@
 }
 
 // TakeOrders returns the orders to send now.
-func (b *Book) TakeOrders() []Order {
+func (b *Scheduler) TakeOrders() []Order {
 	orders := b.pendingOrders
 	b.pendingOrders = nil
 	return orders
 }
 
 // TakePolls returns the workers whose report is wanted at once.
-func (b *Book) TakePolls() []*Worker {
+func (b *Scheduler) TakePolls() []*Worker {
 	var out []*Worker
 	for w := range b.pollNow {
 		if !w.ended && w.inc.Address() != "" {
--- a/schedule/book_test.go
+++ b/schedule/book_test.go
@@ -24,8 +24,8 @@
 	GangTime: 3 * time.Second, FarFactor: 2,
 }
 
-func newBook() *schedule.Book {
-	return schedule.NewBook(start, settings, slog.New(slog.DiscardHandler))
+func newBook() *schedule.Scheduler {
+	return schedule.NewScheduler(start, settings, slog.New(slog.DiscardHandler))
 }
 
 var size = pointport.Shape{CPUMilli: 4000, MemoryMiB: 4000}
@@ -40,7 +40,7 @@
 }
 
 // hear registers instances and has each report that it runs nothing.
-func hear(b *schedule.Book, now time.Time, all ...pointport.Incarnation) {
+func hear(b *schedule.Scheduler, now time.Time, all ...pointport.Incarnation) {
 	b.SetIncarnations(now, all)
 	for _, w := range b.Workers() {
 		b.Report(w, now, now, pointport.Report{Clock: 1})
@@ -62,7 +62,7 @@
 }
 
 // orders plans, stores what must be and returns the orders.
-func orders(b *schedule.Book, now time.Time) []schedule.Order {
+func orders(b *schedule.Scheduler, now time.Time) []schedule.Order {
 	b.Plan(now)
 	b.Stored(b.TakeBatch(everything), now)
 	return b.TakeOrders()
--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -46,7 +46,7 @@
 }
 
 // EndIncarnation takes in proof that an incarnation is over.
-func (b *Book) EndIncarnation(now time.Time, id pointport.IncarnationID) {
+func (b *Scheduler) EndIncarnation(now time.Time, id pointport.IncarnationID) {
 	if w := b.workers[id]; w != nil && !w.ended {
 		b.endKnown(w, now, "the platform says so")
 	}
@@ -54,7 +54,7 @@
 
 // endKnown takes in that an incarnation is surely over, unless what was ordered to it may be on
 // a life that nobody has heard of yet.
-func (b *Book) endKnown(w *Worker, now time.Time, why string) {
+func (b *Scheduler) endKnown(w *Worker, now time.Time, why string) {
 	later := b.presentLife(w)
 	if later == nil && w.anyUncertain() {
 		return
@@ -67,7 +67,7 @@
 // and the list of machines is behind as well: until one of them tells, it would be looked at in
 // vain and count as silent, and then as crashed, so that the instance is avoided when it comes
 // back.
-func (b *Book) orderedAway(now time.Time, end OrderedEnd) {
+func (b *Scheduler) orderedAway(now time.Time, end OrderedEnd) {
 	w := b.workers[end.Incarnation]
 	if w == nil || w.ended {
 		return
@@ -80,7 +80,7 @@
 
 // shownOver takes in that whoever reads the list of machines saw an incarnation silent and
 // its life gone. If it has answered since, also that it is not well, its own word counts.
-func (b *Book) shownOver(now time.Time, id pointport.IncarnationID) {
+func (b *Scheduler) shownOver(now time.Time, id pointport.IncarnationID) {
 	w := b.workers[id]
 	if w != nil && !w.ended && w.lease.clockKnown() && (!w.silent || w.pollRefused) {
 		event.IncarnationLives.Log(b.logger, slog.String("incarnation", string(id)), slog.Int("runs", len(w.runs)), slog.Duration("sinceHeard", w.lease.sinceLastAnswer(now)))
@@ -93,7 +93,7 @@
 // has one life at a time, so its lives that were there before are over: those that the owner
 // had known, and not heard of, since then. With this their tasks wait for no list of machines
 // nor for their time to pass.
-func (b *Book) endEarlierIncarnations(w *Worker, sent, now time.Time) {
+func (b *Scheduler) endEarlierIncarnations(w *Worker, sent, now time.Time) {
 	id := w.inc.Instance()
 	for _, former := range b.formers(w) {
 		if former == w || former.ended || b.workers[former.inc.ID()] != former || !former.lastKnown().Before(sent) {
@@ -110,7 +110,7 @@
 
 // formers returns the workers among which those are that a worker has followed: any when it is
 // first heard, and later those that are not registered.
-func (b *Book) formers(w *Worker) []*Worker {
+func (b *Scheduler) formers(w *Worker) []*Worker {
 	if w.lease.clockKnown() {
 		return b.unlisted
 	}
@@ -128,7 +128,7 @@
 
 // workerEnded takes in that an incarnation is over; what ran there has died, but for what may be
 // on the later life of its addressee, nil if none is known.
-func (b *Book) workerEnded(w *Worker, now time.Time, why string, later *Worker) {
+func (b *Scheduler) workerEnded(w *Worker, now time.Time, why string, later *Worker) {
 	cause, there := w.parting(now), w.begunRuns()
 	if later != nil {
 		b.follow(now, w, later, cause)
@@ -154,7 +154,7 @@
 }
 
 // noteAnswerAfterEnd takes in that an incarnation answers that counts as over, and says so once.
-func (b *Book) noteAnswerAfterEnd(w *Worker, now time.Time) {
+func (b *Scheduler) noteAnswerAfterEnd(w *Worker, now time.Time) {
 	if w.answeredOver {
 		return
 	}
@@ -175,7 +175,7 @@
 }
 
 // MarkSending takes in that an order is sent now.
-func (b *Book) MarkSending(o Order) {
+func (b *Scheduler) MarkSending(o Order) {
 	if o.Kind == OrderStart {
 		o.Run.startSent = true
 	}
@@ -183,7 +183,7 @@
 
 // countCrashes counts the crash of an instance against the tasks of runs that died there, beside
 // others that were there or may have been. At is nil if it is not known what else was.
-func (b *Book) countCrashes(now time.Time, died, there []*Run, at *Worker) {
+func (b *Scheduler) countCrashes(now time.Time, died, there []*Run, at *Worker) {
 	for _, r := range died {
 		b.countCrash(now, r, crashCase(there, r, at), len(there)-1)
 	}
@@ -239,7 +239,7 @@
 
 // countCrash counts the crash of an instance against a task that had a run there, beside
 // so many others.
-func (b *Book) countCrash(now time.Time, r *Run, how workload.CrashCase, beside int) {
+func (b *Scheduler) countCrash(now time.Time, r *Run, how workload.CrashCase, beside int) {
 	e, t := r.entry, r.task()
 	if t == nil || t.Phase == workload.Done || e.ended != "" || e.job.Stopping() {
 		b.tellLost(now, r, partingCrashed, beside)
@@ -265,7 +265,7 @@
 }
 
 // tellLost logs that a run has died with its instance, beside so many others.
-func (b *Book) tellLost(now time.Time, r *Run, cause parting, beside int) {
+func (b *Scheduler) tellLost(now time.Time, r *Run, cause parting, beside int) {
 	crashes := 0
 	if t := r.task(); t != nil {
 		crashes = t.Crashes
@@ -314,7 +314,7 @@
 
 // noteCrashOf counts a crash against the instance as a failed run would be, so that one
 // that crashes under whatever it is given is avoided in its next life.
-func (b *Book) noteCrashOf(w *Worker, now time.Time) {
+func (b *Scheduler) noteCrashOf(w *Worker, now time.Time) {
 	if w.health.failed(now) {
 		event.SuspectWorker.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
 			slog.Int("failures", w.health.failures), slog.Duration("avoidedFor", w.health.avoidFor))
@@ -325,7 +325,7 @@
 }
 
 // restoreHealth gives the next life of an instance that has crashed the health of its last.
-func (b *Book) restoreHealth(w *Worker, id pointport.InstanceID) {
+func (b *Scheduler) restoreHealth(w *Worker, id pointport.InstanceID) {
 	if h, ok := b.crashedHealth[id]; ok {
 		w.health = h
 		delete(b.crashedHealth, id)
--- a/schedule/crash_test.go
+++ b/schedule/crash_test.go
@@ -25,31 +25,31 @@
 	const seen = 700 * time.Millisecond
 	cases := []struct {
 		name   string
-		before func(b *schedule.Book, now time.Time)
+		before func(b *schedule.Scheduler, now time.Time)
 		tasks  int
 		cause  string
 	}{
-		{"nobody announced it", func(*schedule.Book, time.Time) {}, 2, "crashed"},
-		{"it had said that it drains", func(b *schedule.Book, now time.Time) {
+		{"nobody announced it", func(*schedule.Scheduler, time.Time) {}, 2, "crashed"},
+		{"it had said that it drains", func(b *schedule.Scheduler, now time.Time) {
 			b.SetIncarnations(now, []pointport.Incarnation{incarnation(0, pointport.WithDraining(time.Minute))})
 		}, 2, "left"},
-		{"it answered after its registration had gone", func(b *schedule.Book, now time.Time) {
+		{"it answered after its registration had gone", func(b *schedule.Scheduler, now time.Time) {
 			b.SetIncarnations(now, nil)
 			for _, w := range b.Workers() {
 				b.Report(w, now, now, running(2, 1))
 			}
 		}, 2, "left"},
-		{"it was closed and empty", func(b *schedule.Book, now time.Time) {
+		{"it was closed and empty", func(b *schedule.Scheduler, now time.Time) {
 			b.Survey(now, schedule.SurveyRequest{Closures: []schedule.Closure{{Instance: "m-0"}}})
 		}, 0, "ordered"},
-		{"it was closed and not empty yet", func(b *schedule.Book, now time.Time) {
+		{"it was closed and not empty yet", func(b *schedule.Scheduler, now time.Time) {
 			b.Survey(now, schedule.SurveyRequest{Closures: []schedule.Closure{{Instance: "m-0"}}})
 		}, 2, "crashed"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
-			b := schedule.NewBook(start, settings, slog.New(slog.NewJSONHandler(&out, nil)))
+			b := schedule.NewScheduler(start, settings, slog.New(slog.NewJSONHandler(&out, nil)))
 			hear(b, start, incarnation(0))
 			if c.tasks > 0 {
 				b.Add(start, job("a", policy, step(c.tasks, 100, nil)))
@@ -107,7 +107,7 @@
 type crashSim struct {
 	t       *rapid.T
 	now     time.Time
-	book    *schedule.Book
+	book    *schedule.Scheduler
 	next    int // the number of the next incarnation
 	up      map[int]bool
 	runs    map[pointport.IncarnationID]map[string]int // by task, the run there
@@ -230,7 +230,7 @@
 
 // handOver makes the book that of a new owner, which knows what is stored.
 func (s *crashSim) handOver(jobs []*workload.Job) {
-	next := schedule.NewBook(s.now, settings, slog.New(slog.DiscardHandler))
+	next := schedule.NewScheduler(s.now, settings, slog.New(slog.DiscardHandler))
 	for _, j := range jobs {
 		status, _ := s.book.Status(j.ID())
 		if status.Ended() {
@@ -448,12 +448,14 @@
 	// One crash fewer than those after which one at the start decides, and less time at
 	// work than after which crashes are forgotten.
 	const before, atWork = 3, 7 * time.Second
-	over := map[string]func(b *schedule.Book, now time.Time){
-		"gone unheard": func(b *schedule.Book, now time.Time) {
+	over := map[string]func(b *schedule.Scheduler, now time.Time){
+		"gone unheard": func(b *schedule.Scheduler, now time.Time) {
 			b.SetIncarnations(now.Add(settings.PredecessorBound+time.Second), nil)
 		},
-		"over unheard": func(b *schedule.Book, now time.Time) { b.EndIncarnation(now.Add(time.Second), incarnation(0).ID()) },
-		"over once heard": func(b *schedule.Book, now time.Time) {
+		"over unheard": func(b *schedule.Scheduler, now time.Time) {
+			b.EndIncarnation(now.Add(time.Second), incarnation(0).ID())
+		},
+		"over once heard": func(b *schedule.Scheduler, now time.Time) {
 			b.SetIncarnations(now, []pointport.Incarnation{incarnation(0)})
 			b.Report(b.Workers()[0], now, now, running(2, 1))
 			b.EndIncarnation(now.Add(time.Second), incarnation(0).ID())
@@ -473,7 +475,7 @@
 			for ; now.Sub(start) < atWork; now = now.Add(time.Second) {
 				first.Report(first.Workers()[0], now, now, running(2, 1))
 			}
-			second := schedule.NewBook(now, settings, slog.New(slog.DiscardHandler))
+			second := schedule.NewScheduler(now, settings, slog.New(slog.DiscardHandler))
 			second.Add(now, j)
 			end(second, now)
 			for i := range 2 {
--- a/schedule/customer.go
+++ b/schedule/customer.go
@@ -33,7 +33,7 @@
 }
 
 // accountOf returns a customer's account, nil for nobody's.
-func (b *Book) accountOf(name string) *account {
+func (b *Scheduler) accountOf(name string) *account {
 	if name == "" {
 		return nil
 	}
@@ -48,7 +48,7 @@
 
 // SetAllowed sets how much customers may use here, in the terms in which tasks declare it; those
 // that are not named have no bound.
-func (b *Book) SetAllowed(allowed map[string]pointport.Shape) {
+func (b *Scheduler) SetAllowed(allowed map[string]pointport.Shape) {
 	for name, a := range b.accounts {
 		a.allowed, a.capped = allowed[name]
 	}
@@ -65,7 +65,7 @@
 }
 
 // Uses calls visit for what each customer uses here.
-func (b *Book) Uses(visit func(CustomerUse)) {
+func (b *Scheduler) Uses(visit func(CustomerUse)) {
 	for _, a := range b.accounts {
 		visit(CustomerUse{Customer: a.name, Used: a.used, HeldBack: a.heldBack})
 	}
@@ -95,7 +95,7 @@
 func (a *account) atCap() bool { return a != nil && a.heldBack != (pointport.Shape{}) }
 
 // holdBack notes that tasks that are placed together wait for the cap.
-func (b *Book) holdBack(now time.Time, group []waitingTask) {
+func (b *Scheduler) holdBack(now time.Time, group []waitingTask) {
 	a := group[0].entry.account
 	a.heldBack = a.heldBack.Plus(group[0].step.Need.Times(len(group)))
 	if now.Sub(a.toldCap) < tellWaitEvery {
@@ -107,7 +107,7 @@
 }
 
 // forgetHeldBack begins to count anew what is held back.
-func (b *Book) forgetHeldBack() {
+func (b *Scheduler) forgetHeldBack() {
 	for _, a := range b.accounts {
 		a.heldBack = pointport.Shape{}
 	}
@@ -115,7 +115,7 @@
 
 // capFilter returns what tells which of the waiting tasks their customers' caps let start, all
 // others being started before them.
-func (b *Book) capFilter() func(t waitingTask) bool {
+func (b *Scheduler) capFilter() func(t waitingTask) bool {
 	started := make(map[*account]pointport.Shape)
 	return func(t waitingTask) bool {
 		a := t.entry.account
--- a/schedule/doubt_test.go
+++ b/schedule/doubt_test.go
@@ -21,7 +21,7 @@
 // and the other owners heard their instances all the time.
 
 // silenced returns a book of so many instances of which so many give no answer, as of now.
-func silenced(all, silent int) (*schedule.Book, []*schedule.Worker) {
+func silenced(all, silent int) (*schedule.Scheduler, []*schedule.Worker) {
 	b := newBook()
 	var incs []pointport.Incarnation
 	for n := range all {
--- a/schedule/drain.go
+++ b/schedule/drain.go
@@ -16,7 +16,7 @@
 
 // handleDraining takes in that an instance is about to leave: serving tasks move
 // off, and so do those that would not be done in time.
-func (b *Book) handleDraining(now time.Time, w *Worker) {
+func (b *Scheduler) handleDraining(now time.Time, w *Worker) {
 	event.WorkerDraining.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
 		slog.Duration("left", w.inc.Left()), slog.Int("runs", len(w.runs)))
 	for _, r := range w.runs {
--- a/schedule/evacuate.go
+++ b/schedule/evacuate.go
@@ -15,7 +15,7 @@
 // it would lose its work or, for a serving task, take it away from those whom it serves.
 
 // SetEvacuations takes in which availability zones are evacuated.
-func (b *Book) SetEvacuations(z evacuation.Zones) { *b.zones = z }
+func (b *Scheduler) SetEvacuations(z evacuation.Zones) { *b.zones = z }
 
 // standing says whether tasks may be started in the worker's availability zone.
 func (w *Worker) standing() evacuation.ZoneState { return w.zones.State(w.inc.Zone()) }
@@ -27,7 +27,7 @@
 // zone. Its task waits again, at once if the start was never sent; one that was sent without
 // an answer is ruled out by a stop first, so that it is not carried out later. While it is
 // not known what the operators ask, it is left as it is.
-func (b *Book) forgoInZone(now time.Time, r *Run) bool {
+func (b *Scheduler) forgoInZone(now time.Time, r *Run) bool {
 	standing := r.worker.standing()
 	if standing == evacuation.Open {
 		return false
--- a/schedule/excess.go
+++ b/schedule/excess.go
@@ -40,7 +40,7 @@
 // and can be in time take longer than they may at the customer's part of the pool, or at what
 // they have of it now if that is more, and have for a while: one more would be late before
 // it begins. Only customers are told so: what nobody has a share in waits by its time alone.
-func (b *Book) Excess(now time.Time) map[string]time.Duration {
+func (b *Scheduler) Excess(now time.Time) map[string]time.Duration {
 	var out map[string]time.Duration
 	workers := b.usable(now)
 	var waiting []*entry
@@ -76,7 +76,7 @@
 }
 
 // backlogs returns what waits of each customer that has not begun and can be in time.
-func (b *Book) backlogs(capacity pointport.Shape) map[*account]backlog {
+func (b *Scheduler) backlogs(capacity pointport.Shape) map[*account]backlog {
 	out := make(map[*account]backlog)
 	for e := range b.waitingJobs {
 		if e.account == nil || e.rank.class != classFresh || e.job.Begun() || len(e.ready) == 0 {
@@ -93,7 +93,7 @@
 
 // workOf returns what a whole job takes of the pool, as its tasks' shares times their
 // durations.
-func (b *Book) workOf(e *entry, capacity pointport.Shape) time.Duration {
+func (b *Scheduler) workOf(e *entry, capacity pointport.Shape) time.Duration {
 	var sum time.Duration
 	spec := e.job.Spec()
 	for n := range spec.Steps {
--- a/schedule/explain.go
+++ b/schedule/explain.go
@@ -46,7 +46,7 @@
 }
 
 // Explain says how a job stands and why; false if the book does not know it.
-func (b *Book) Explain(now time.Time, id string) (Explanation, bool) {
+func (b *Scheduler) Explain(now time.Time, id string) (Explanation, bool) {
 	if f, ok := b.endedJobs[id]; ok {
 		return Explanation{Job: id, Customer: f.customer, Status: f.status}, true
 	}
@@ -72,7 +72,7 @@
 	return x, true
 }
 
-func (b *Book) explainStep(now time.Time, e *entry, o *workload.Occurrence, n int) StepExplanation {
+func (b *Scheduler) explainStep(now time.Time, e *entry, o *workload.Occurrence, n int) StepExplanation {
 	x := StepExplanation{Occurrence: o.Index, Step: n, Tasks: len(o.Steps[n]), Done: len(o.Steps[n]) - o.Remaining(n)}
 	pending := 0
 	for i, t := range o.Steps[n] {
@@ -101,7 +101,7 @@
 }
 
 // explainWait says what tasks wait for whose turn has come.
-func (b *Book) explainWait(now time.Time, t waitingTask, tasks int) string {
+func (b *Scheduler) explainWait(now time.Time, t waitingTask, tasks int) string {
 	workers := b.usable(now)
 	labelled, permitted, apart, roomy, open := 0, 0, 0, 0, 0
 	var most pointport.Shape
@@ -162,7 +162,7 @@
 
 // tellWait logs why a job finds no room, if it has not for a while. missed is the
 // first of its tasks that found none.
-func (b *Book) tellWait(now time.Time, missed waitingTask) {
+func (b *Scheduler) tellWait(now time.Time, missed waitingTask) {
 	e := missed.entry
 	if e.starved.IsZero() {
 		e.starved = now
@@ -183,7 +183,7 @@
 }
 
 // explainBarred says why instances of the pool cannot be used.
-func (b *Book) explainBarred(now time.Time) string {
+func (b *Scheduler) explainBarred(now time.Time) string {
 	reasons := make(map[string]int)
 	for _, w := range b.workers {
 		if reason := w.barred(now); reason != "" {
--- a/schedule/explain_customer.go
+++ b/schedule/explain_customer.go
@@ -38,7 +38,7 @@
 }
 
 // ExplainCustomer says how a customer stands.
-func (b *Book) ExplainCustomer(now time.Time, name string) CustomerExplanation {
+func (b *Scheduler) ExplainCustomer(now time.Time, name string) CustomerExplanation {
 	x := CustomerExplanation{Customer: name}
 	a := b.accounts[name]
 	if a == nil {
--- a/schedule/forgo_test.go
+++ b/schedule/forgo_test.go
@@ -19,7 +19,7 @@
 
 // waitingCopy returns a book in which a start waits to be sent, and that start: of a copy of a
 // task whose first run is on a silent instance.
-func waitingCopy(t *testing.T) (b *schedule.Book, first, second schedule.Order, now time.Time) {
+func waitingCopy(t *testing.T) (b *schedule.Scheduler, first, second schedule.Order, now time.Time) {
 	t.Helper()
 	b = newBook()
 	b.Add(start, job("a", policy, step(1, 100, func(s *workload.Step) { s.Copies = true })))
--- a/schedule/gang.go
+++ b/schedule/gang.go
@@ -28,7 +28,7 @@
 }
 
 // mates returns the runs of the other members of a run's gang.
-func (b *Book) mates(r *Run) []*Run {
+func (b *Scheduler) mates(r *Run) []*Run {
 	var out []*Run
 	for ref, other := range r.entry.runs {
 		if other != r && ref.Occurrence == r.ref.Occurrence && ref.Step == r.ref.Step {
@@ -41,14 +41,14 @@
 
 // stopRestOfGang stops the other members of a run's gang, because the run has ended
 // or never started.
-func (b *Book) stopRestOfGang(now time.Time, r *Run, reason string) {
+func (b *Scheduler) stopRestOfGang(now time.Time, r *Run, reason string) {
 	for _, mate := range b.mates(r) {
 		b.stop(now, mate, reason)
 	}
 }
 
 // gangDone takes in that a gang has ended well: one member's end stands for all.
-func (b *Book) gangDone(now time.Time, r *Run) {
+func (b *Scheduler) gangDone(now time.Time, r *Run) {
 	for _, mate := range b.mates(r) {
 		b.removeRun(now, mate)
 	}
@@ -65,7 +65,7 @@
 
 // expireGangs gives up gangs that do not gather, before their members wait for
 // nothing.
-func (b *Book) expireGangs(now time.Time) {
+func (b *Scheduler) expireGangs(now time.Time) {
 	for g := range b.gangs {
 		gathered, first := 0, (*Run)(nil)
 		for ref, r := range g.entry.runs {
--- a/schedule/health.go
+++ b/schedule/health.go
@@ -62,7 +62,7 @@
 
 // wary reports whether a task should not go to a worker because it, or another of
 // its gang, has just failed there.
-func (b *Book) wary(t waitingTask, w *Worker, now time.Time) bool {
+func (b *Scheduler) wary(t waitingTask, w *Worker, now time.Time) bool {
 	if len(t.entry.avoidUntil) == 0 {
 		return false
 	}
--- a/schedule/isolation.go
+++ b/schedule/isolation.go
@@ -56,7 +56,7 @@
 }
 
 // listen judges how well the owner hears.
-func (b *Book) listen(now time.Time, t tally) {
+func (b *Scheduler) listen(now time.Time, t tally) {
 	b.hearing.silentShare = t.share()
 	doubts := b.hearsLittle(now, t.silent)
 	if doubts == b.SuspectsIsolation() {
@@ -71,7 +71,7 @@
 
 // hearsLittle reports whether an owner that does not hear so many instances has reason to
 // doubt itself, or to go on doubting.
-func (b *Book) hearsLittle(now time.Time, silent int) bool {
+func (b *Scheduler) hearsLittle(now time.Time, silent int) bool {
 	h := &b.hearing
 	if b.SuspectsIsolation() {
 		return silent >= selfDoubtLeast && h.silentShare >= trustShare
@@ -89,10 +89,10 @@
 // SuspectsIsolation reports whether the owner hears so little that it should doubt itself. Nothing
 // expires then on its word alone, and few starts are to be under way: they would take from
 // looks what there is of the link and of processor time, and would mostly go unanswered.
-func (b *Book) SuspectsIsolation() bool { return !b.hearing.doubtedSince.IsZero() }
+func (b *Scheduler) SuspectsIsolation() bool { return !b.hearing.doubtedSince.IsZero() }
 
 // IsolationSuspectedFor returns for how long the owner has doubted itself, zero while it does not.
-func (b *Book) IsolationSuspectedFor(now time.Time) time.Duration {
+func (b *Scheduler) IsolationSuspectedFor(now time.Time) time.Duration {
 	if !b.SuspectsIsolation() {
 		return 0
 	}
--- a/schedule/late_end_test.go
+++ b/schedule/late_end_test.go
@@ -14,7 +14,7 @@
 // cutOffGang returns a book whose two instances ran a gang, and were cut off with their
 // registrations until everything there had ended: the gang waits again. It returns the starts
 // that were carried out.
-func cutOffGang(t *testing.T) (*schedule.Book, []schedule.Order, time.Time) {
+func cutOffGang(t *testing.T) (*schedule.Scheduler, []schedule.Order, time.Time) {
 	t.Helper()
 	b := newBook()
 	both := []pointport.Incarnation{incarnation(0), incarnation(1)}
@@ -135,7 +135,7 @@
 }
 
 // emptyOf reports whether an instance may be ordered away.
-func emptyOf(t *testing.T, b *schedule.Book, now time.Time, id pointport.IncarnationID) bool {
+func emptyOf(t *testing.T, b *schedule.Scheduler, now time.Time, id pointport.IncarnationID) bool {
 	t.Helper()
 	for _, l := range b.Survey(now, schedule.SurveyRequest{}).Instances {
 		if l.Incarnation == id {
--- a/schedule/later_incarnation.go
+++ b/schedule/later_incarnation.go
@@ -41,14 +41,14 @@
 }
 
 // replaced takes in that another incarnation has answered in place of a worker.
-func (b *Book) replaced(w *Worker, now time.Time, gone *pointport.GoneError) {
+func (b *Scheduler) replaced(w *Worker, now time.Time, gone *pointport.GoneError) {
 	b.workerEnded(w, now, "another incarnation answered", b.laterLife(w, now, gone.By))
 }
 
 // laterLife returns the worker for the life that has answered in place of another one under the
 // same addressee, nil if the one that answered has another addressee. It may not have registered
 // yet; until it has, it is asked at the address at which it has answered.
-func (b *Book) laterLife(w *Worker, now time.Time, id pointport.IncarnationID) *Worker {
+func (b *Scheduler) laterLife(w *Worker, now time.Time, id pointport.IncarnationID) *Worker {
 	if id == "" {
 		return nil
 	}
@@ -66,7 +66,7 @@
 
 // presentLife returns the life of a worker's addressee that was heard last, can be asked and is not
 // over, nil if none is known.
-func (b *Book) presentLife(w *Worker) *Worker {
+func (b *Scheduler) presentLife(w *Worker) *Worker {
 	var present *Worker
 	for _, o := range b.workers {
 		if o.sharesWith(w) && !o.ended && o.inc.Address() != "" && (present == nil || o.lastKnown().After(present.lastKnown())) {
@@ -77,7 +77,7 @@
 }
 
 // listedLife reports whether another life of a worker's addressee is registered.
-func (b *Book) listedLife(w *Worker) bool {
+func (b *Scheduler) listedLife(w *Worker) bool {
 	for _, o := range b.workers {
 		if o.sharesWith(w) && o.listed && !o.ended {
 			return true
@@ -88,7 +88,7 @@
 
 // follow moves the runs of a worker that is over and that a later life may have, or may yet take, to
 // that life.
-func (b *Book) follow(now time.Time, former, later *Worker, cause parting) {
+func (b *Scheduler) follow(now time.Time, former, later *Worker, cause parting) {
 	died := former.begunRuns()
 	for _, r := range died {
 		if !r.mayBeLater() || later.runs[r.name] != nil {
@@ -119,13 +119,13 @@
 
 // foreignUntil returns until when a later life may run what it took, or extend what it runs, by an
 // order that was sent at a time and meant for an earlier life: as long as an instance grants.
-func (b *Book) foreignUntil(ordered time.Time) time.Time {
+func (b *Scheduler) foreignUntil(ordered time.Time) time.Time {
 	return ordered.Add(takenLate + time.Duration(float64(b.settings.MaxHold)*slowClock) + lapseSlack)
 }
 
 // executionExpiry returns when everything has surely ended that was ordered to a worker, if no further answer
 // comes: also what a later life may have taken.
-func (b *Book) executionExpiry(w *Worker) time.Time {
+func (b *Scheduler) executionExpiry(w *Worker) time.Time {
 	if !w.anyUncertain() {
 		return w.lease.expiry()
 	}
@@ -134,7 +134,7 @@
 
 // noteForeign notes until when orders to a worker that is over may extend what later lives of its
 // addressee run.
-func (b *Book) noteForeign(w *Worker) {
+func (b *Scheduler) noteForeign(w *Worker) {
 	if !w.inc.ID().Shares() {
 		return
 	}
@@ -163,7 +163,7 @@
 // notListedByLater takes in that the life to which a run has followed does not list it, by an answer to
 // a look that was sent at sent. It reports whether the run is over: a start that got no answer is
 // ruled out first.
-func (b *Book) notListedByLater(now, sent time.Time, r *Run) bool {
+func (b *Scheduler) notListedByLater(now, sent time.Time, r *Run) bool {
 	if r.state == runLive && r.unanswered == 0 {
 		return sent.After(r.liveAt)
 	}
@@ -172,7 +172,7 @@
 }
 
 // recordEarlierLoss counts the crash of the life before against a run that has followed and is not there.
-func (b *Book) recordEarlierLoss(now time.Time, r *Run) {
+func (b *Scheduler) recordEarlierLoss(now time.Time, r *Run) {
 	u := r.uncertainty
 	r.uncertainty = nil
 	if u.cause != partingCrashed {
@@ -184,7 +184,7 @@
 
 // rememberStart notes that a start may still be under way to a later life of a worker, although
 // nothing wants it any more.
-func (b *Book) rememberStart(now time.Time, w *Worker, run pointport.TaskRun) {
+func (b *Scheduler) rememberStart(now time.Time, w *Worker, run pointport.TaskRun) {
 	if !w.inc.ID().Shares() {
 		return
 	}
@@ -196,7 +196,7 @@
 }
 
 // startsToRuleOut returns the starts that a life which is new to the owner must rule out first.
-func (b *Book) startsToRuleOut(id pointport.IncarnationID) map[pointport.TaskRun]bool {
+func (b *Scheduler) startsToRuleOut(id pointport.IncarnationID) map[pointport.TaskRun]bool {
 	all := b.startsInFlight[id.Addressee()]
 	if len(all) == 0 {
 		return nil
@@ -209,7 +209,7 @@
 }
 
 // forgetOrders forgets the orders that can be under way no more.
-func (b *Book) forgetOrders(now time.Time) {
+func (b *Scheduler) forgetOrders(now time.Time) {
 	for to, until := range b.foreign {
 		if now.After(until) {
 			delete(b.foreign, to)
--- a/schedule/later_test.go
+++ b/schedule/later_test.go
@@ -28,7 +28,7 @@
 }
 
 // workerOf returns the worker for an incarnation.
-func workerOf(t *testing.T, b *schedule.Book, inc pointport.Incarnation) *schedule.Worker {
+func workerOf(t *testing.T, b *schedule.Scheduler, inc pointport.Incarnation) *schedule.Worker {
 	t.Helper()
 	for _, w := range b.Workers() {
 		if w.Incarnation().ID() == inc.ID() {
@@ -40,13 +40,13 @@
 }
 
 // started returns a book in which a task was ordered to the first life of an instance, at start.
-func started(t *testing.T) (*schedule.Book, schedule.Order, *workload.Job) {
+func started(t *testing.T) (*schedule.Scheduler, schedule.Order, *workload.Job) {
 	t.Helper()
 	return startedOn(t, life(0), nil)
 }
 
 // startedOn returns a book in which a task of a step was ordered to an incarnation, at start.
-func startedOn(t *testing.T, inc pointport.Incarnation, change func(*workload.Step)) (*schedule.Book, schedule.Order, *workload.Job) {
+func startedOn(t *testing.T, inc pointport.Incarnation, change func(*workload.Step)) (*schedule.Scheduler, schedule.Order, *workload.Job) {
 	t.Helper()
 	b := newBook()
 	hear(b, start, inc)
@@ -398,7 +398,7 @@
 
 // restartedAfter plays on with an instance that answers nobody, some registered and another one sound, and
 // returns after how long since start the task starts on that one; zero if it does not within a minute.
-func restartedAfter(b *schedule.Book, from time.Time, silent []*schedule.Worker, registered ...pointport.Incarnation) time.Duration {
+func restartedAfter(b *schedule.Scheduler, from time.Time, silent []*schedule.Worker, registered ...pointport.Incarnation) time.Duration {
 	other := incarnation(5)
 	for now := from; now.Sub(start) < time.Minute; now = now.Add(250 * time.Millisecond) {
 		for _, w := range silent {
--- a/schedule/memory_test.go
+++ b/schedule/memory_test.go
@@ -21,7 +21,7 @@
 }
 
 // runJobs takes some jobs to their end, one after the other, and returns when.
-func runJobs(b *schedule.Book, now time.Time, first, count int) time.Time {
+func runJobs(b *schedule.Scheduler, now time.Time, first, count int) time.Time {
 	for n := range count {
 		now = now.Add(20 * time.Millisecond)
 		b.Add(now, job(fmt.Sprintf("%016x", first+n), policy, step(4, 100, nil)))
--- a/schedule/order.go
+++ b/schedule/order.go
@@ -50,7 +50,7 @@
 )
 
 // OrderAnswered takes in the answer to an order; err is nil if it was carried out.
-func (b *Book) OrderAnswered(o Order, now time.Time, clock pointport.InstanceClock, err error) {
+func (b *Scheduler) OrderAnswered(o Order, now time.Time, clock pointport.InstanceClock, err error) {
 	w := o.Worker
 	if w.ended {
 		var rejected *pointport.RejectedError
@@ -84,7 +84,7 @@
 	}
 }
 
-func (b *Book) startAnswered(r *Run, now time.Time, clock pointport.InstanceClock, err error) {
+func (b *Scheduler) startAnswered(r *Run, now time.Time, clock pointport.InstanceClock, err error) {
 	if r.state != runSent {
 		return
 	}
@@ -118,7 +118,7 @@
 // refused puts back the task of a start that did nothing. If an earlier order of
 // the same start got no answer, that one may still be carried out, so the run is
 // stopped first.
-func (b *Book) refused(r *Run, now time.Time) {
+func (b *Scheduler) refused(r *Run, now time.Time) {
 	if r.unanswered > 0 {
 		b.stop(now, r, "its start was refused, and an earlier order may still come")
 		return
@@ -129,7 +129,7 @@
 
 // startUnanswered sends a start again: an instance that has it already does
 // nothing more.
-func (b *Book) startUnanswered(r *Run, now time.Time, err error) {
+func (b *Scheduler) startUnanswered(r *Run, now time.Time, err error) {
 	var unavailable *pointport.UnavailableError
 	if errors.As(err, &unavailable) && !unavailable.Ambiguous && r.unanswered == 0 {
 		// It was never sent.
@@ -152,7 +152,7 @@
 // were cancelled or had failed. A task that was never ordered to run waits again at once:
 // it need not wait until the instance expires, and on one that answers nobody it would end
 // unheard. A start that was sent before without an answer is ruled out by a stop.
-func (b *Book) SkipStart(now time.Time, o Order) bool {
+func (b *Scheduler) SkipStart(now time.Time, o Order) bool {
 	if o.Kind != OrderStart {
 		return false
 	}
@@ -175,7 +175,7 @@
 }
 
 // dropUnsent drops a run whose start was never sent; its task waits again.
-func (b *Book) dropUnsent(now time.Time, r *Run, reason string) {
+func (b *Scheduler) dropUnsent(now time.Time, r *Run, reason string) {
 	b.drop(now, r, reason)
 	b.urgent = true
 }
@@ -189,7 +189,7 @@
 	return o
 }
 
-func (b *Book) stopAnswered(r *Run, now time.Time, err error) {
+func (b *Scheduler) stopAnswered(r *Run, now time.Time, err error) {
 	if ruledOut(err) {
 		b.settle(r, now)
 		return
@@ -215,7 +215,7 @@
 
 // settle waits for a report that shows what became of a run that will not start
 // any more.
-func (b *Book) settle(r *Run, now time.Time) {
+func (b *Scheduler) settle(r *Run, now time.Time) {
 	r.state, r.settleAfter = runAwaitingReport, now
 	b.pollNow[r.worker] = struct{}{}
 }
@@ -237,7 +237,7 @@
 
 // ruleOut stops the runs that were given up on workers that answer again. Those that are not
 // looked at would not be known to be silent.
-func (b *Book) ruleOut(now time.Time) {
+func (b *Scheduler) ruleOut(now time.Time) {
 	for _, w := range b.workers {
 		if len(w.startsToRuleOut) == 0 || !w.lookedAt() || w.silent || now.Before(w.burnAt) {
 			continue
@@ -250,7 +250,7 @@
 }
 
 // repeatOrders orders runs again to start or to stop that have not.
-func (b *Book) repeatOrders(now time.Time) {
+func (b *Scheduler) repeatOrders(now time.Time) {
 	for _, w := range b.workers {
 		if w.ended || w.inc.Address() == "" {
 			continue
--- a/schedule/owner_model_test.go
+++ b/schedule/owner_model_test.go
@@ -31,7 +31,7 @@
 // A modelOwner drives a book.
 type modelOwner struct {
 	world   *world
-	book    *schedule.Book
+	book    *schedule.Scheduler
 	paused  time.Time // until when its loop stands still
 	inbox   []func()
 	planned time.Time
--- a/schedule/pace.go
+++ b/schedule/pace.go
@@ -27,7 +27,7 @@
 
 // adjustPace sets the pace of the tasks that fill a worker by the tails of those that
 // serve there.
-func (b *Book) adjustPace(now time.Time, w *Worker) {
+func (b *Scheduler) adjustPace(now time.Time, w *Worker) {
 	if now.Sub(w.paced) < paceEvery {
 		return
 	}
--- a/schedule/patience.go
+++ b/schedule/patience.go
@@ -12,7 +12,7 @@
 const lookPatience = 1600 * time.Millisecond
 
 // ExtraPollTimeout returns how much longer than usual to wait for the answer to a look.
-func (b *Book) ExtraPollTimeout(w *Worker) time.Duration {
+func (b *Scheduler) ExtraPollTimeout(w *Worker) time.Duration {
 	if !w.silent {
 		return 0
 	}
--- a/schedule/plan.go
+++ b/schedule/plan.go
@@ -14,7 +14,7 @@
 // This file defines the plan: which waiting task goes where.
 
 // Plan decides what to do at now.
-func (b *Book) Plan(now time.Time) {
+func (b *Scheduler) Plan(now time.Time) {
 	b.sweep(now)
 	b.ruleOut(now)
 	b.repeatOrders(now)
@@ -62,7 +62,7 @@
 }
 
 // begin starts the occurrences that are due.
-func (b *Book) begin(now time.Time) {
+func (b *Scheduler) begin(now time.Time) {
 	for e := range b.recurring {
 		if e.ended == "" && e.job.BeginDue(now.Add(b.settings.Early)) {
 			b.markDirty(e, false)
@@ -72,7 +72,7 @@
 
 // NextDue returns when the next occurrence of any job is due; false if there is
 // none.
-func (b *Book) NextDue() (time.Time, bool) {
+func (b *Scheduler) NextDue() (time.Time, bool) {
 	var next time.Time
 	found := false
 	for e := range b.recurring {
@@ -85,7 +85,7 @@
 
 // A placement gives waiting tasks to workers.
 type placement struct {
-	book    *Book
+	book    *Scheduler
 	now     time.Time
 	workers []*Worker
 	// full lists rooms that no worker has. Rooms only shrink while tasks are
@@ -202,7 +202,7 @@
 }
 
 // usable returns the workers on which tasks may be placed.
-func (b *Book) usable(now time.Time) []*Worker {
+func (b *Scheduler) usable(now time.Time) []*Worker {
 	var out []*Worker
 	for _, w := range b.workers {
 		if w.usable(now) {
@@ -214,7 +214,7 @@
 }
 
 // bestWorker returns the worker that suits a task best, or nil.
-func (b *Book) bestWorker(now time.Time, t waitingTask, workers []*Worker) *Worker {
+func (b *Scheduler) bestWorker(now time.Time, t waitingTask, workers []*Worker) *Worker {
 	var best *Worker
 	bestScore := 0.0
 	room := t.step.Reservation()
@@ -233,7 +233,7 @@
 // waitsForRack reports whether a task should rather wait for a worker near its
 // data than start away from it now: there it can still end in time, and here it
 // could not.
-func (b *Book) waitsForRack(now time.Time, t waitingTask) bool {
+func (b *Scheduler) waitsForRack(now time.Time, t waitingTask) bool {
 	rackHas := false
 	for _, w := range b.workers {
 		if w.inc.Rack() == t.step.DataRack && w.usable(now) {
@@ -251,12 +251,12 @@
 }
 
 // atStepLimit reports whether a worker holds as many tasks of the step as one may.
-func (b *Book) atStepLimit(t waitingTask, w *Worker) bool {
+func (b *Scheduler) atStepLimit(t waitingTask, w *Worker) bool {
 	return t.step.MaxPerInstance > 0 && b.crowd(t, w) >= t.step.MaxPerInstance
 }
 
 // crowd returns how many tasks of the step a worker holds.
-func (b *Book) crowd(t waitingTask, w *Worker) int {
+func (b *Scheduler) crowd(t waitingTask, w *Worker) int {
 	return w.steps[stepRef{t.entry, t.ref.Occurrence, t.ref.Step}]
 }
 
@@ -284,7 +284,7 @@
 
 // score says how well a worker suits a task; more is better. Work is packed, so
 // that instances fall empty and can go where they are needed more.
-func (b *Book) score(now time.Time, t waitingTask, w *Worker) float64 {
+func (b *Scheduler) score(now time.Time, t waitingTask, w *Worker) float64 {
 	score := -freeShare(w.free, w.inc.Capacity())
 	if now.Before(w.coldUntil) {
 		score -= coldScore
@@ -323,7 +323,7 @@
 
 // placeAs gives a task to a worker, one of some candidates, under a run number; it
 // is sent once that is stored.
-func (b *Book) placeAs(now time.Time, t waitingTask, w *Worker, number, candidates int) {
+func (b *Scheduler) placeAs(now time.Time, t waitingTask, w *Worker, number, candidates int) {
 	t.entry.job.Place(t.ref, w.inc.ID(), number)
 	r := b.newRun(now, t.entry, t.ref, w, number, runUnstored)
 	r.ticket = b.ticketFor(t, w)
--- a/schedule/preempt.go
+++ b/schedule/preempt.go
@@ -22,7 +22,7 @@
 
 // preempt makes room for a task by stopping others of lower priority on one
 // worker, where that costs least.
-func (b *Book) preempt(now time.Time, t waitingTask, workers []*Worker) {
+func (b *Scheduler) preempt(now time.Time, t waitingTask, workers []*Worker) {
 	e := t.entry
 	if e.job.Policy().Priority != 0 || b.lowRuns == 0 {
 		return
@@ -51,7 +51,7 @@
 
 // victims returns the runs of lower priority that must stop on a worker for a
 // room to fall free, and the work that is lost with them.
-func (b *Book) victims(now time.Time, w *Worker, room pointport.Shape) ([]*Run, time.Duration) {
+func (b *Scheduler) victims(now time.Time, w *Worker, room pointport.Shape) ([]*Run, time.Duration) {
 	free := w.free
 	var low []*Run
 	for _, r := range w.runs {
--- a/schedule/proof_test.go
+++ b/schedule/proof_test.go
@@ -12,7 +12,7 @@
 
 // lives returns the book of an owner with one task on the former life of an instance, and
 // that life and its successor.
-func lives(t *testing.T) (b *schedule.Book, former, later *schedule.Worker) {
+func lives(t *testing.T) (b *schedule.Scheduler, former, later *schedule.Worker) {
 	t.Helper()
 	b = newBook()
 	instance := pointport.WithInstance("m")
--- a/schedule/quarantine.go
+++ b/schedule/quarantine.go
@@ -57,7 +57,7 @@
 
 // keptApart reports whether a task may not go to a worker because it, or a task there, is
 // to have an instance of its own, or because this instance has crashed under it.
-func (b *Book) keptApart(t waitingTask, w *Worker, now time.Time) bool {
+func (b *Scheduler) keptApart(t waitingTask, w *Worker, now time.Time) bool {
 	if w.quarantined > 0 && !w.holdsOnly(t) {
 		return true
 	}
@@ -102,7 +102,7 @@
 
 // reviewSuspicion takes in that a report shows a run, which may tell that its task does not crash
 // instances.
-func (b *Book) reviewSuspicion(now time.Time, r *Run) {
+func (b *Scheduler) reviewSuspicion(now time.Time, r *Run) {
 	if len(r.entry.crashed) == 0 {
 		return
 	}
--- a/schedule/quarantine_test.go
+++ b/schedule/quarantine_test.go
@@ -25,7 +25,7 @@
 }
 
 // answer carries out starts: each is answered and reported as running from now on.
-func answer(b *schedule.Book, all []schedule.Order, now time.Time) {
+func answer(b *schedule.Scheduler, all []schedule.Order, now time.Time) {
 	for _, o := range all {
 		if o.Kind == schedule.OrderStart {
 			b.MarkSending(o)
@@ -35,7 +35,7 @@
 }
 
 // report has a worker say at now that it runs what was started there, at some progress.
-func report(b *schedule.Book, all []schedule.Order, w *schedule.Worker, now time.Time, progress int) {
+func report(b *schedule.Scheduler, all []schedule.Order, w *schedule.Worker, now time.Time, progress int) {
 	r := pointport.Report{Clock: 1}
 	for _, o := range all {
 		if o.Kind == schedule.OrderStart && o.Worker == w {
--- a/schedule/queue.go
+++ b/schedule/queue.go
@@ -58,7 +58,7 @@
 func (c class) String() string { return [...]string{"serving", "begun", "fresh", "late"}[c] }
 
 // queue returns the jobs with waiting tasks, the most pressing first.
-func (b *Book) queue(now time.Time) []*entry {
+func (b *Scheduler) queue(now time.Time) []*entry {
 	out := make([]*entry, 0, len(b.waitingJobs))
 	for e := range b.waitingJobs {
 		b.refresh(e)
@@ -84,7 +84,7 @@
 }
 
 // objective returns how long a job should take, by what is known of its work.
-func (b *Book) objective(e *entry) time.Duration {
+func (b *Scheduler) objective(e *entry) time.Duration {
 	whole := time.Duration(0)
 	for _, c := range b.estimates.chains(e.job.Queue(), e.job.Spec()) {
 		whole = max(whole, c)
@@ -93,7 +93,7 @@
 }
 
 // refresh lists the tasks of a job whose turn has come, if that has changed.
-func (b *Book) refresh(e *entry) {
+func (b *Scheduler) refresh(e *entry) {
 	if !e.stale {
 		return
 	}
@@ -141,7 +141,7 @@
 }
 
 // stand works out how pressing a job is.
-func (b *Book) stand(now time.Time, e *entry) rank {
+func (b *Scheduler) stand(now time.Time, e *entry) rank {
 	job := e.job
 	s := rank{priority: job.Policy().Priority, class: classFresh}
 	if e.ready[0].step.Service {
--- a/schedule/registration.go
+++ b/schedule/registration.go
@@ -24,12 +24,12 @@
 const goneAfter = 3 * time.Second
 
 // SetRegistryCoverage takes in how well the registrations are known that the book was told last.
-func (b *Book) SetRegistryCoverage(s RegistryCoverage) { b.sight = s }
+func (b *Scheduler) SetRegistryCoverage(s RegistryCoverage) { b.sight = s }
 
 // gone reports whether a worker has left the registrations for good: it has been missing for
 // longer than one that lapsed by mistake. Time in which the registrations could not be read
 // does not count: what is not seen then may be there.
-func (b *Book) gone(w *Worker) bool {
+func (b *Scheduler) gone(w *Worker) bool {
 	if w.listed || w.unlistedSince.IsZero() || b.sight.Since.IsZero() {
 		return false
 	}
@@ -45,7 +45,7 @@
 
 // reborn reports whether a later life of a worker's instance is registered. It can register
 // only once the earlier life is over.
-func (b *Book) reborn(w *Worker) bool {
+func (b *Scheduler) reborn(w *Worker) bool {
 	id := w.inc.Instance()
 	if id == "" {
 		return false // its registration was never seen
@@ -59,7 +59,7 @@
 }
 
 // updateListed takes in which workers are registered.
-func (b *Book) updateListed(now time.Time, listed map[pointport.IncarnationID]bool) {
+func (b *Scheduler) updateListed(now time.Time, listed map[pointport.IncarnationID]bool) {
 	b.unlisted = b.unlisted[:0]
 	for id, w := range b.workers {
 		w.listed = listed[id]
--- a/schedule/relocate.go
+++ b/schedule/relocate.go
@@ -22,7 +22,7 @@
 // their steps allow and there is room for them elsewhere; they are placed there
 // at once. Without room they stay: an instance that is emptied later does less
 // harm than a service that is away.
-func (b *Book) relocate(now time.Time) {
+func (b *Scheduler) relocate(now time.Time) {
 	if now.Sub(b.taken) < inheritRest {
 		return
 	}
@@ -52,7 +52,7 @@
 // homes is the room that workers have for serving tasks once the other tasks
 // there have ended, which must not be promised twice.
 type homes struct {
-	book     *Book
+	book     *Scheduler
 	now      time.Time
 	workers  []*Worker
 	left     map[*Worker]pointport.Shape
@@ -65,7 +65,7 @@
 	step   stepRef
 }
 
-func (b *Book) newHomes(now time.Time) *homes {
+func (b *Scheduler) newHomes(now time.Time) *homes {
 	h := &homes{
 		book: b, now: now, workers: b.usable(now),
 		left: make(map[*Worker]pointport.Shape), promised: make(map[home]int),
@@ -117,7 +117,7 @@
 
 // missingForServing returns how many more instances it takes to hold the serving
 // tasks that wait, and those that are to move, and find no room.
-func (b *Book) missingForServing(now time.Time) missing {
+func (b *Scheduler) missingForServing(now time.Time) missing {
 	h := b.newHomes(now)
 	homeless := h.takeWaiting()
 	var stranded []waitingTask
@@ -155,7 +155,7 @@
 
 // largestInstance returns the most that any known instance holds. Before one is
 // known, nothing tells what fits.
-func (b *Book) largestInstance() pointport.Shape {
+func (b *Scheduler) largestInstance() pointport.Shape {
 	var most pointport.Shape
 	for _, w := range b.workers {
 		most = largest(most, w.inc.Capacity())
@@ -165,7 +165,7 @@
 
 // mayMiss reports whether a serving task may be taken away for a moment: fewer
 // of its step's other tasks than may be missing are not at work.
-func (b *Book) mayMiss(r *Run) bool {
+func (b *Scheduler) mayMiss(r *Run) bool {
 	o := r.entry.job.Occurrence(r.ref.Occurrence)
 	if o == nil {
 		return true
--- a/schedule/relocate_test.go
+++ b/schedule/relocate_test.go
@@ -22,7 +22,7 @@
 }
 
 // atWork has everything that was ordered to start run and serve.
-func atWork(b *schedule.Book, now time.Time, sent []schedule.Order) {
+func atWork(b *schedule.Scheduler, now time.Time, sent []schedule.Order) {
 	rows := make(map[*schedule.Worker][]pointport.RunningTask)
 	for _, o := range sent {
 		if o.Kind == schedule.OrderStart {
@@ -71,7 +71,7 @@
 }
 
 // hearAll registers instances and has the new ones report that they run nothing.
-func hearAll(b *schedule.Book, now time.Time, all ...pointport.Incarnation) {
+func hearAll(b *schedule.Scheduler, now time.Time, all ...pointport.Incarnation) {
 	b.SetIncarnations(now, all)
 	for _, w := range b.Workers() {
 		if !w.HasAnswered() {
--- a/schedule/report.go
+++ b/schedule/report.go
@@ -12,7 +12,7 @@
 // This file defines what the book takes from what instances say of their tasks.
 
 // Report takes in what an instance said at now to a look that was sent at sent.
-func (b *Book) Report(w *Worker, sent, now time.Time, report pointport.Report) {
+func (b *Scheduler) Report(w *Worker, sent, now time.Time, report pointport.Report) {
 	if w.ended {
 		b.noteAnswerAfterEnd(w, now)
 		b.ends(w, now, report.Ended) // what has ended well need not run again
@@ -32,14 +32,14 @@
 }
 
 // ends takes in the ends that an instance lists.
-func (b *Book) ends(w *Worker, now time.Time, all []pointport.TaskEnd) {
+func (b *Scheduler) ends(w *Worker, now time.Time, all []pointport.TaskEnd) {
 	for _, end := range all {
 		b.taskEnded(w, now, end)
 	}
 }
 
 // running takes in the runs that an instance has.
-func (b *Book) running(w *Worker, now time.Time, report pointport.Report) {
+func (b *Scheduler) running(w *Worker, now time.Time, report pointport.Report) {
 	w.strays = 0
 	for _, row := range report.Running {
 		r := w.runs[row.Task]
@@ -64,7 +64,7 @@
 }
 
 // live notes that an instance runs r, by an answer in which its clock shows a time.
-func (b *Book) live(r *Run, now time.Time, clock pointport.InstanceClock) {
+func (b *Scheduler) live(r *Run, now time.Time, clock pointport.InstanceClock) {
 	if r.state == runAwaitingReport || r.state == runLive {
 		return
 	}
@@ -79,14 +79,14 @@
 }
 
 // stray stops a run that no task of the book is placed as.
-func (b *Book) stray(w *Worker, run pointport.TaskRun) {
+func (b *Scheduler) stray(w *Worker, run pointport.TaskRun) {
 	event.StrayRun.Log(b.logger, slog.String("task", run.Task), slog.Int("run", run.Run),
 		slog.String("incarnation", string(w.inc.ID())), slog.String("elsewhere", string(b.runsOn(run.Task))))
 	b.pendingOrders = append(b.pendingOrders, Order{Kind: OrderStop, Worker: w, TaskRun: run})
 }
 
 // runsOn returns the incarnation on which a task has a run, empty if it has none.
-func (b *Book) runsOn(task string) pointport.IncarnationID {
+func (b *Scheduler) runsOn(task string) pointport.IncarnationID {
 	id, ref, err := workload.ParseTaskName(task)
 	if err != nil {
 		return "" // no task of ours
@@ -98,7 +98,7 @@
 }
 
 // missing settles the runs that an instance should have and does not list.
-func (b *Book) missing(w *Worker, sent, now time.Time, report pointport.Report) {
+func (b *Scheduler) missing(w *Worker, sent, now time.Time, report pointport.Report) {
 	if len(report.Ended) >= maxListedEnds {
 		return
 	}
@@ -130,7 +130,7 @@
 }
 
 // taskEnded takes in the end of a run.
-func (b *Book) taskEnded(w *Worker, now time.Time, end pointport.TaskEnd) {
+func (b *Scheduler) taskEnded(w *Worker, now time.Time, end pointport.TaskEnd) {
 	r := w.runs[end.Task]
 	if end.Number <= w.seen {
 		b.tellKnown(w, r, end)
@@ -166,7 +166,7 @@
 
 // tellKnown logs an end that is passed over as known although its run, nil for none, is
 // placed there: a run of which the end was taken in is not.
-func (b *Book) tellKnown(w *Worker, r *Run, end pointport.TaskEnd) {
+func (b *Scheduler) tellKnown(w *Worker, r *Run, end pointport.TaskEnd) {
 	if r == nil || r.number != end.Run {
 		return
 	}
@@ -176,7 +176,7 @@
 
 // noteUnstored notes that a run of a job has ended on a worker, if that has changed the
 // job.
-func (b *Book) noteUnstored(w *Worker, e *entry) {
+func (b *Scheduler) noteUnstored(w *Worker, e *entry) {
 	if _, changed := b.dirty[e]; !changed {
 		return
 	}
@@ -189,7 +189,7 @@
 // silent until its time was over, a run may have ended before that.
 // A failed end counts like that of any run: else a task that fails each time was started
 // after as many failed runs as it may have.
-func (b *Book) givenUpEnded(w *Worker, now time.Time, end pointport.TaskEnd) {
+func (b *Scheduler) givenUpEnded(w *Worker, now time.Time, end pointport.TaskEnd) {
 	if end.Kind != pointport.EndDone && end.Kind != pointport.EndFailed {
 		return
 	}
@@ -216,7 +216,7 @@
 
 // finishGivenUp takes in that tasks are done by runs that were given up; the present ones
 // are not wanted any more.
-func (b *Book) finishGivenUp(now time.Time, e *entry, refs []workload.TaskRef) {
+func (b *Scheduler) finishGivenUp(now time.Time, e *entry, refs []workload.TaskRef) {
 	for _, ref := range refs {
 		if other := e.runs[ref]; other != nil {
 			b.stop(now, other, "an earlier run of its task has ended")
@@ -248,7 +248,7 @@
 }
 
 // givenUpFailed takes in that a run has failed that was given up for another one.
-func (b *Book) givenUpFailed(w *Worker, now time.Time, e *entry, ref workload.TaskRef, run int) {
+func (b *Scheduler) givenUpFailed(w *Worker, now time.Time, e *entry, ref workload.TaskRef, run int) {
 	if e.job.Stopping() || e.job.Spec().Steps[ref.Step].Service {
 		return
 	}
@@ -267,7 +267,7 @@
 	b.endJobIfDone(now, e)
 }
 
-func (b *Book) runDone(now time.Time, r *Run) {
+func (b *Scheduler) runDone(now time.Time, r *Run) {
 	if !r.liveAt.IsZero() && !r.inherited && r.from == 0 {
 		b.estimates.observe(r.entry.job.Queue(), r.step(), now.Sub(r.liveAt))
 		r.entry.addDuration(stepKey{r.ref.Occurrence, r.ref.Step}, now.Sub(r.liveAt))
@@ -289,7 +289,7 @@
 	b.endJobIfDone(now, r.entry)
 }
 
-func (b *Book) runFailed(now time.Time, r *Run) {
+func (b *Scheduler) runFailed(now time.Time, r *Run) {
 	if r.worker.health.failed(now) {
 		event.SuspectWorker.Log(b.logger, slog.String("incarnation", string(r.worker.inc.ID())),
 			slog.Int("failures", r.worker.health.failures), slog.Duration("avoidedFor", r.worker.health.avoidFor))
--- a/schedule/resize.go
+++ b/schedule/resize.go
@@ -12,7 +12,7 @@
 // resize takes in what an instance says it holds. What runs there goes on, even if that
 // takes more than there is: then what is free is below zero, so nothing fits until enough
 // has ended.
-func (b *Book) resize(w *Worker, capacity pointport.Shape) {
+func (b *Scheduler) resize(w *Worker, capacity pointport.Shape) {
 	before := w.inc.Capacity()
 	if capacity == before {
 		return
--- a/schedule/resize_test.go
+++ b/schedule/resize_test.go
@@ -20,7 +20,7 @@
 type roomSim struct {
 	t      *rapid.T
 	now    time.Time
-	book   *schedule.Book
+	book   *schedule.Scheduler
 	jobs   []*workload.Job
 	rooms  map[pointport.IncarnationID]pointport.Shape
 	runs   map[pointport.IncarnationID]map[pointport.TaskRun]pointport.Shape
@@ -126,7 +126,7 @@
 
 func (s *roomSim) takeOver() {
 	s.send(len(s.unsent))
-	next := schedule.NewBook(s.now, settings, slog.New(slog.DiscardHandler))
+	next := schedule.NewScheduler(s.now, settings, slog.New(slog.DiscardHandler))
 	for _, j := range s.jobs {
 		if status, known := s.book.Status(j.ID()); !known || status.Ended() {
 			continue
--- a/schedule/ruled_out_test.go
+++ b/schedule/ruled_out_test.go
@@ -82,7 +82,7 @@
 // lapsed returns a book in which the start of a task on the only instance got no answer
 // until the instance's time was over, so that its task is put back, and the order that
 // started it first. The instance is not listed then, unless it stays.
-func lapsed(t *testing.T, stays bool) (*schedule.Book, schedule.Order, time.Time) {
+func lapsed(t *testing.T, stays bool) (*schedule.Scheduler, schedule.Order, time.Time) {
 	t.Helper()
 	b := newBook()
 	hear(b, start, incarnation(0))
@@ -106,7 +106,7 @@
 }
 
 // firstWorker returns the worker of the only instance.
-func firstWorker(t *testing.T, b *schedule.Book) *schedule.Worker {
+func firstWorker(t *testing.T, b *schedule.Scheduler) *schedule.Worker {
 	t.Helper()
 	all := b.Workers()
 	if len(all) != 1 {
--- a/schedule/book.go
+++ b/schedule/scheduler.go
@@ -85,9 +85,9 @@
 	at       time.Time
 }
 
-// A Book is the state of one pool's jobs and workers. It is not safe for
+// A Scheduler is the state of one pool's jobs and workers. It is not safe for
 // concurrent use.
-type Book struct {
+type Scheduler struct {
 	settings Settings
 	logger   *slog.Logger
 	taken    time.Time // when this owner took over
@@ -150,11 +150,11 @@
 	fenced bool
 }
 
-// NewBook returns the empty book of an owner that took over at now. Until it is told
+// NewScheduler returns the empty book of an owner that took over at now. Until it is told
 // otherwise, no availability zone is evacuated.
-func NewBook(now time.Time, s Settings, logger *slog.Logger) *Book {
+func NewScheduler(now time.Time, s Settings, logger *slog.Logger) *Scheduler {
 	zones := evacuation.None
-	return &Book{
+	return &Scheduler{
 		settings: s, logger: logger, taken: now, zones: &zones,
 		jobs:           make(map[string]*entry),
 		startsInFlight: make(map[pointport.Addressee]map[pointport.TaskRun]time.Time),
@@ -172,11 +172,11 @@
 }
 
 // Fenced reports whether an instance has seen a higher fence than this owner's.
-func (b *Book) Fenced() bool { return b.fenced }
+func (b *Scheduler) Fenced() bool { return b.fenced }
 
 // Add takes in a job. Tasks that are placed already were placed by an earlier
 // owner. Adding a job again changes nothing; Add reports whether it was new.
-func (b *Book) Add(now time.Time, j *workload.Job) bool {
+func (b *Scheduler) Add(now time.Time, j *workload.Job) bool {
 	if _, ok := b.jobs[j.ID()]; ok {
 		return false
 	}
@@ -214,7 +214,7 @@
 }
 
 // inherit makes runs of the tasks that an earlier owner has placed.
-func (b *Book) inherit(now time.Time, e *entry) {
+func (b *Scheduler) inherit(now time.Time, e *entry) {
 	e.inheritCrashes(now)
 	e.job.Occurrences(func(o *workload.Occurrence) {
 		for n, step := range o.Steps {
@@ -233,7 +233,7 @@
 	})
 }
 
-func (b *Book) newRun(now time.Time, e *entry, ref workload.TaskRef, w *Worker, number int, s runState) *Run {
+func (b *Scheduler) newRun(now time.Time, e *entry, ref workload.TaskRef, w *Worker, number int, s runState) *Run {
 	r := &Run{
 		entry: e, ref: ref, name: workload.TaskName(e.job.ID(), ref), number: number,
 		worker: w, state: s, placedAt: now, pace: fullPace,
@@ -249,7 +249,7 @@
 }
 
 // worker returns what is known of an incarnation, which may be nothing.
-func (b *Book) worker(now time.Time, id pointport.IncarnationID) *Worker {
+func (b *Scheduler) worker(now time.Time, id pointport.IncarnationID) *Worker {
 	w := b.workers[id]
 	if w == nil {
 		w = &Worker{
@@ -269,7 +269,7 @@
 // predecessorBound returns for how long after this owner took over an order of its predecessor
 // to an incarnation may keep something running: on a later life of the same addressee, to whose clock
 // the predecessor's extension says something else, for as long as an instance grants.
-func (b *Book) predecessorBound(id pointport.IncarnationID) time.Duration {
+func (b *Scheduler) predecessorBound(id pointport.IncarnationID) time.Duration {
 	bound := b.settings.PredecessorBound
 	if id.Shares() && b.settings.MaxHold > b.settings.Lease {
 		bound += time.Duration(float64(b.settings.MaxHold-b.settings.Lease) * slowClock)
@@ -279,7 +279,7 @@
 
 // Cancel takes in that the customer does not want a job any more. It reports
 // whether the job is in the book.
-func (b *Book) Cancel(now time.Time, id string) bool {
+func (b *Scheduler) Cancel(now time.Time, id string) bool {
 	e, ok := b.jobs[id]
 	if !ok {
 		return false
@@ -296,7 +296,7 @@
 
 // Status returns what is known of a job: what is stored, and not what is only
 // decided.
-func (b *Book) Status(id string) (workload.Status, bool) {
+func (b *Scheduler) Status(id string) (workload.Status, bool) {
 	if f, ok := b.endedJobs[id]; ok {
 		return f.status, true
 	}
@@ -312,7 +312,7 @@
 
 // CustomerOf returns the name of the customer whose a job is, empty if it is nobody's; false if
 // the job is not in the book.
-func (b *Book) CustomerOf(id string) (string, bool) {
+func (b *Scheduler) CustomerOf(id string) (string, bool) {
 	if f, ok := b.endedJobs[id]; ok {
 		return f.customer, true
 	}
@@ -323,7 +323,7 @@
 }
 
 // Waiting returns how many jobs of a queue have not begun.
-func (b *Book) Waiting(queue string) int {
+func (b *Scheduler) Waiting(queue string) int {
 	n := 0
 	for _, e := range b.jobs {
 		if e.job.Queue() == queue && !e.job.Begun() && !e.job.Stopping() {
@@ -334,20 +334,20 @@
 }
 
 // invalidateReady notes that other tasks of a job may be ready than before.
-func (b *Book) invalidateReady(e *entry) {
+func (b *Scheduler) invalidateReady(e *entry) {
 	e.stale = true
 	b.waitingJobs[e] = struct{}{}
 }
 
 // markDirty marks a job as changed and to be stored.
-func (b *Book) markDirty(e *entry, urgent bool) {
+func (b *Scheduler) markDirty(e *entry, urgent bool) {
 	b.invalidateReady(e)
 	b.dirty[e] = b.dirty[e] || urgent
 	b.urgent = b.urgent || urgent
 }
 
 // endJobIfDone notes that a job is over, if it is.
-func (b *Book) endJobIfDone(now time.Time, e *entry) {
+func (b *Scheduler) endJobIfDone(now time.Time, e *entry) {
 	if e.ended != "" {
 		return
 	}
@@ -361,14 +361,14 @@
 }
 
 // stopAll orders every run of a job to stop.
-func (b *Book) stopAll(now time.Time, e *entry, reason string) {
+func (b *Scheduler) stopAll(now time.Time, e *entry, reason string) {
 	for _, r := range e.runs {
 		b.stop(now, r, reason)
 	}
 }
 
 // stop orders a run to stop, or drops it if it was never sent.
-func (b *Book) stop(now time.Time, r *Run, reason string) {
+func (b *Scheduler) stop(now time.Time, r *Run, reason string) {
 	if r.state == runUnstored || r.state == runSent && !r.startSent {
 		b.drop(now, r, reason)
 		return
@@ -383,7 +383,7 @@
 }
 
 // drop removes a run that has ended, or never started, and puts its task back.
-func (b *Book) drop(now time.Time, r *Run, reason string) {
+func (b *Scheduler) drop(now time.Time, r *Run, reason string) {
 	detached := r.detached()
 	if r.state != runUnstored {
 		event.TaskReturned.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
@@ -409,7 +409,7 @@
 
 // detach takes a run from its job. It stays on its worker, and takes its room
 // there, until it is known to have ended.
-func (b *Book) detach(r *Run) {
+func (b *Scheduler) detach(r *Run) {
 	if r.entry.runs[r.ref] == r {
 		delete(r.entry.runs, r.ref)
 	}
@@ -419,7 +419,7 @@
 func (r *Run) detached() bool { return r.entry.runs[r.ref] != r }
 
 // removeRun removes a run from its job and its worker.
-func (b *Book) removeRun(now time.Time, r *Run) {
+func (b *Scheduler) removeRun(now time.Time, r *Run) {
 	if r.startInFlight() {
 		b.rememberStart(now, r.worker, r.TaskRun())
 	}
@@ -439,7 +439,7 @@
 }
 
 // SetIncarnations takes in the registrations of the pool's instances.
-func (b *Book) SetIncarnations(now time.Time, all []pointport.Incarnation) {
+func (b *Scheduler) SetIncarnations(now time.Time, all []pointport.Incarnation) {
 	listed := make(map[pointport.IncarnationID]bool, len(all))
 	for _, inc := range all {
 		listed[inc.ID()] = true
@@ -449,7 +449,7 @@
 	b.sweep(now)
 }
 
-func (b *Book) register(now time.Time, inc pointport.Incarnation) {
+func (b *Scheduler) register(now time.Time, inc pointport.Incarnation) {
 	w := b.worker(now, inc.ID())
 	if !w.registered {
 		w.registered = true
@@ -468,7 +468,7 @@
 }
 
 // Workers returns every worker that takes orders, by incarnation.
-func (b *Book) Workers() []*Worker {
+func (b *Scheduler) Workers() []*Worker {
 	var out []*Worker
 	for _, w := range b.workers {
 		if w.lookedAt() {
@@ -480,4 +480,4 @@
 }
 
 // WorkerCount returns how many incarnations the book knows.
-func (b *Book) WorkerCount() int { return len(b.workers) }
+func (b *Scheduler) WorkerCount() int { return len(b.workers) }
--- a/schedule/share.go
+++ b/schedule/share.go
@@ -20,9 +20,9 @@
 }
 
 // SetWeights sets the customers' weights; a customer that is not named has that of one.
-func (b *Book) SetWeights(weights map[string]float64) { b.weights = weights }
+func (b *Scheduler) SetWeights(weights map[string]float64) { b.weights = weights }
 
-func (b *Book) weightOf(a *account) float64 {
+func (b *Scheduler) weightOf(a *account) float64 {
 	if w := b.weights[a.name]; w > 0 {
 		return w
 	}
@@ -31,7 +31,7 @@
 
 // sharesOf returns the shares among the customers that have tasks on some workers or in a
 // queue.
-func (b *Book) sharesOf(workers []*Worker, queue []*entry) shares {
+func (b *Scheduler) sharesOf(workers []*Worker, queue []*entry) shares {
 	var s shares
 	for _, w := range workers {
 		s.capacity = s.capacity.Plus(w.inc.Capacity())
@@ -60,7 +60,7 @@
 func (s shares) dominant(a *account) float64 { return dominantShare(a.used, s.capacity) }
 
 // beyond reports whether a customer has more than its part.
-func (b *Book) beyond(s shares, a *account) bool {
+func (b *Scheduler) beyond(s shares, a *account) bool {
 	return a != nil && s.weights > 0 && s.dominant(a) > b.weightOf(a)/s.weights
 }
 
@@ -75,7 +75,7 @@
 
 // inTurn calls place for the jobs of a queue, those last among each rank whose customer has
 // more than its part when their turn comes. It ends when place returns false.
-func (b *Book) inTurn(s shares, queue []*entry, place func(*entry) bool) {
+func (b *Scheduler) inTurn(s shares, queue []*entry, place func(*entry) bool) {
 	var behind []*entry
 	for n, e := range queue {
 		if n > 0 && !sameRank(queue[n-1], e) {
--- a/schedule/share_test.go
+++ b/schedule/share_test.go
@@ -12,7 +12,7 @@
 
 // A crowd is a pool of some instances on which customers' tasks take a second each.
 type crowd struct {
-	book  *schedule.Book
+	book  *schedule.Scheduler
 	now   time.Time
 	ends  map[*schedule.Worker][]end
 	owner map[string]string
--- a/schedule/silence.go
+++ b/schedule/silence.go
@@ -15,7 +15,7 @@
 
 // PollFailed takes in that a look at a worker got no answer, or an answer that
 // settles what became of the incarnation.
-func (b *Book) PollFailed(w *Worker, now time.Time, err error) {
+func (b *Scheduler) PollFailed(w *Worker, now time.Time, err error) {
 	b.checkFence(err)
 	if w.ended {
 		return // several looks may tell of it, and it is over once
@@ -43,7 +43,7 @@
 
 // abandon puts back the tasks on a silent worker of which copies may run beside
 // each other, so that they need not wait until the worker expires.
-func (b *Book) abandon(now time.Time, w *Worker) {
+func (b *Scheduler) abandon(now time.Time, w *Worker) {
 	for _, r := range w.runs {
 		if r.step().Copies && !r.step().Gang && r.state != runUnstored && r.entry.runs[r.ref] == r && r.entry.mayAbandon(r.ref) {
 			event.TaskReturned.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
@@ -69,14 +69,14 @@
 	return t.entry.abandoned[t.ref] > 0 && w.runs[workload.TaskName(t.entry.job.ID(), t.ref)] != nil
 }
 
-func (b *Book) checkFence(err error) {
+func (b *Scheduler) checkFence(err error) {
 	var rejected *pointport.RejectedError
 	if errors.As(err, &rejected) && rejected.Reason == pointport.RejectFence {
 		b.fenced = true
 	}
 }
 
-func (b *Book) dropAll(w *Worker, now time.Time, reason string) {
+func (b *Scheduler) dropAll(w *Worker, now time.Time, reason string) {
 	for _, r := range w.runs {
 		b.drop(now, r, reason)
 	}
@@ -97,7 +97,7 @@
 // While an instance answers nobody and goes on registering, its tasks wait, without a bound
 // in time. What ends that is another life of it, the platform's word that it is over, or
 // that its registration ends.
-func (b *Book) expire(w *Worker, now time.Time) {
+func (b *Scheduler) expire(w *Worker, now time.Time) {
 	gone := b.gone(w)
 	var over []*Run
 	for _, r := range w.runs {
@@ -146,7 +146,7 @@
 // Nothing proves that it crashed, and zones that are cut off heal: two cuts and a crash had
 // a serving task given up that was at work for 10 s each time. Only what had just been
 // started may have caused its silence.
-func (b *Book) countUnproven(now time.Time, w *Worker) {
+func (b *Scheduler) countUnproven(now time.Time, w *Worker) {
 	if !w.ended && w.parting(now) == partingCrashed {
 		b.countCrashes(now, justStarted(w.expiredRuns), justStarted(w.expiredRuns), nil)
 	}
@@ -155,7 +155,7 @@
 
 // sweep lets the runs go of workers that have been silent for so long that
 // everything there has ended, and forgets workers that are gone.
-func (b *Book) sweep(now time.Time) {
+func (b *Scheduler) sweep(now time.Time) {
 	var heard tally
 	for id, w := range b.workers {
 		heard.count(w)
--- a/schedule/stall.go
+++ b/schedule/stall.go
@@ -37,7 +37,7 @@
 )
 
 // stopStalledRuns stops the runs of a worker that would be done sooner elsewhere.
-func (b *Book) stopStalledRuns(now time.Time, w *Worker) {
+func (b *Scheduler) stopStalledRuns(now time.Time, w *Worker) {
 	for _, r := range w.runs {
 		if r.state != runLive || r.stopping || r.step().Service || r.step().Gang || r.progress >= wholePercent || r.pace < fullPace {
 			continue
@@ -73,7 +73,7 @@
 
 // crawls reports whether a run would be done sooner elsewhere, going by the
 // other runs of its step.
-func (b *Book) crawls(r *Run) bool {
+func (b *Scheduler) crawls(r *Run) bool {
 	if r.age() < crawlAfter || r.progress <= r.from {
 		return false
 	}
@@ -130,7 +130,7 @@
 
 // slowness returns how many times as long as elsewhere the runs on a worker
 // take, zero if there are too few to tell.
-func (b *Book) slowness(w *Worker) float64 {
+func (b *Scheduler) slowness(w *Worker) float64 {
 	sum, n := 0.0, 0
 	for _, r := range w.runs {
 		if r.state != runLive || r.step().Service || !r.measured() {
@@ -151,7 +151,7 @@
 // others returns how long the other tasks of a run's step take, those that are
 // done or, if none is, those that run on other instances; zero if neither says
 // anything.
-func (b *Book) others(r *Run) time.Duration {
+func (b *Scheduler) others(r *Run) time.Duration {
 	if took := r.entry.durations[stepKey{r.ref.Occurrence, r.ref.Step}]; took.n > 0 {
 		return took.mean()
 	}
@@ -171,7 +171,7 @@
 }
 
 // remaining returns how long a run will probably go on.
-func (b *Book) remaining(now time.Time, r *Run) time.Duration {
+func (b *Scheduler) remaining(now time.Time, r *Run) time.Duration {
 	age := now.Sub(r.liveAt)
 	if r.measured() {
 		left := r.whole() * time.Duration(wholePercent-r.progress) / wholePercent
--- a/schedule/stall_test.go
+++ b/schedule/stall_test.go
@@ -16,7 +16,7 @@
 }
 
 // startedRun returns a book with a run that an instance has started.
-func startedRun() (*schedule.Book, schedule.Order) {
+func startedRun() (*schedule.Scheduler, schedule.Order) {
 	b := newBook()
 	hear(b, start, incarnation(0), incarnation(1))
 	b.Add(start, job("a", policy, step(1, 100, nil)))
--- a/schedule/survey.go
+++ b/schedule/survey.go
@@ -105,7 +105,7 @@
 const closureTime = 2 * time.Second
 
 // Survey takes in a request and returns how the pool stands.
-func (b *Book) Survey(now time.Time, req SurveyRequest) Survey {
+func (b *Scheduler) Survey(now time.Time, req SurveyRequest) Survey {
 	for _, end := range req.Ordered {
 		b.orderedAway(now, end)
 	}
@@ -165,7 +165,7 @@
 
 // spread returns how many more instances it takes to hold the waiting tasks whose
 // step bounds how many of them one instance may hold.
-func (b *Book) spread(now time.Time) int {
+func (b *Scheduler) spread(now time.Time) int {
 	type group struct {
 		entry   *entry
 		k, step int
@@ -194,7 +194,7 @@
 	}
 }
 
-func (b *Book) loadOf(now time.Time, w *Worker) InstanceLoad {
+func (b *Scheduler) loadOf(now time.Time, w *Worker) InstanceLoad {
 	return InstanceLoad{
 		Instance: w.inc.Instance(), Incarnation: w.inc.ID(), Runs: len(w.runs), Serving: w.serving,
 		Closed: w.closed(now), Silent: w.silent || !w.lease.clockKnown(), Avoided: w.health.avoided(now),
@@ -203,7 +203,7 @@
 }
 
 // close sets which instances are closed.
-func (b *Book) close(now time.Time, closures []Closure) {
+func (b *Scheduler) close(now time.Time, closures []Closure) {
 	asked := make(map[pointport.InstanceID]Closure, len(closures))
 	for _, c := range closures {
 		asked[c.Instance] = c
@@ -223,7 +223,7 @@
 
 // need returns the room that the pool's tasks take or want, or what the rate of
 // arrivals will come to if that is more.
-func (b *Book) need(now time.Time, waiting pointport.Shape) pointport.Shape {
+func (b *Scheduler) need(now time.Time, waiting pointport.Shape) pointport.Shape {
 	sum := waiting
 	for _, w := range b.workers {
 		for _, r := range w.runs {
@@ -239,7 +239,7 @@
 
 // lateRoom returns the room that tasks take whose jobs could hardly end in time when tasks
 // of theirs were last placed.
-func (b *Book) lateRoom() pointport.Shape {
+func (b *Scheduler) lateRoom() pointport.Shape {
 	var sum pointport.Shape
 	for _, w := range b.workers {
 		for _, r := range w.runs {
@@ -252,7 +252,7 @@
 }
 
 // servingRoom returns the room that serving tasks take.
-func (b *Book) servingRoom() pointport.Shape {
+func (b *Scheduler) servingRoom() pointport.Shape {
 	var sum pointport.Shape
 	for _, w := range b.workers {
 		for _, r := range w.runs {
--- a/schedule/takeover_test.go
+++ b/schedule/takeover_test.go
@@ -17,7 +17,7 @@
 // takenOver returns the book of a new owner with one job whose only task an
 // earlier owner has placed on incarnation(0), which has not reported yet, and
 // another instance that has.
-func takenOver(t interface{ Fatal(args ...any) }) (*schedule.Book, *schedule.Worker) {
+func takenOver(t interface{ Fatal(args ...any) }) (*schedule.Scheduler, *schedule.Worker) {
 	b := newBook()
 	j := job("a", policy, step(1, 100, nil))
 	j.BeginDue(start)
@@ -37,7 +37,7 @@
 }
 
 // reportOther has every instance but one say that it runs nothing.
-func reportOther(b *schedule.Book, but *schedule.Worker, now time.Time) {
+func reportOther(b *schedule.Scheduler, but *schedule.Worker, now time.Time) {
 	for _, w := range b.Workers() {
 		if w != but && !w.HasAnswered() {
 			b.Report(w, now, now, pointport.Report{Clock: 1})
--- a/schedule/world_model_test.go
+++ b/schedule/world_model_test.go
@@ -408,7 +408,7 @@
 	kept := settings
 	kept.KeepEnded = time.Hour // so that the end of a series knows of all jobs
 	w.owner = &modelOwner{
-		world: w, book: schedule.NewBook(start, kept, slog.New(slog.DiscardHandler)), lanes: make(map[*schedule.Worker]*modelQueue),
+		world: w, book: schedule.NewScheduler(start, kept, slog.New(slog.DiscardHandler)), lanes: make(map[*schedule.Worker]*modelQueue),
 		looking: make(map[*schedule.Worker]*modelLook), cancelled: make(map[string]bool),
 	}
 	for n := range 2 + w.oneOf("instances", 2) {
--- a/shard/caps.go
+++ b/shard/caps.go
@@ -44,7 +44,7 @@
 	}
 	policy, fresh := o.quotas()
 	o.scheduler.SetWeights(policy.Weights())
-	if o.caps == nil && !policy.Limited() {
+	if o.caps == nil && !policy.HasCaps() {
 		return
 	}
 	if o.caps == nil {
@@ -85,7 +85,7 @@
 		return
 	}
 	o.scheduler.Uses(func(u schedule.CustomerUse) {
-		o.caps.ledger.SetUse(u.Customer, quota.Use{Used: u.Used, Wanted: u.HeldBack})
+		o.caps.ledger.SetUsage(u.Customer, quota.Usage{Used: u.Used, Wanted: u.HeldBack})
 	})
 	changes := o.caps.ledger.Changes(now, accountsPerTxn)
 	if len(changes) == 0 {
@@ -113,7 +113,7 @@
 		o.logUnreadableAccount(o.caps.ledger.Apply(conflict.Entries))
 	}
 	for _, c := range changes {
-		o.caps.ledger.Changed(c, at, outcomeOf(err))
+		o.caps.ledger.HandleOutcome(c, at, outcomeOf(err))
 		event.CapMoved.Log(o.logger, slog.String("customer", c.Customer), slog.String("account", string(c.Value)),
 			slog.Int64("from", int64(c.Revision)), slog.Bool("made", err == nil), slog.Duration("took", took), slog.Any("error", err))
 	}
@@ -125,11 +125,11 @@
 	var unavailable *pointport.UnavailableError
 	switch {
 	case err == nil:
-		return quota.Made
+		return quota.Committed
 	case errors.As(err, &conflict):
-		return quota.NotMade
+		return quota.NotCommitted
 	case errors.As(err, &unavailable) && !unavailable.Ambiguous:
-		return quota.NotMade
+		return quota.NotCommitted
 	}
-	return quota.Unsure
+	return quota.Ambiguous
 }
--- a/shard/jobs.go
+++ b/shard/jobs.go
@@ -34,7 +34,7 @@
 // from which a watch delivers every later job.
 func (o *Owner) load(ctx context.Context) (pointport.Revision, error) {
 	now := o.clock.Now()
-	o.scheduler = schedule.NewBook(now, schedule.Settings{
+	o.scheduler = schedule.NewScheduler(now, schedule.Settings{
 		Lease:            o.lease,
 		PredecessorBound: o.session.TTL() + time.Duration(float64(o.lease)*1.05) + predecessorMargin,
 		MaxHold:          o.maxHold,
@@ -174,7 +174,7 @@
 // visible reports whether the scheduler has the job and the caller may see it.
 func (o *Owner) visible(id string, by customer.Caller) bool {
 	owner, known := o.scheduler.CustomerOf(id)
-	return known && by.Sees(owner)
+	return known && by.CanAccess(owner)
 }
 
 // Status returns the status of a job. It returns false if the owner does not have the job, or
--- a/shard/orders_test.go
+++ b/shard/orders_test.go
@@ -32,7 +32,7 @@
 // tasks are placed.
 func TestBlockedStartsAreSentWithoutAnAnswer(t *testing.T) {
 	now := time.Now()
-	scheduler := schedule.NewBook(now, schedule.Settings{Lease: time.Second}, slog.New(slog.DiscardHandler))
+	scheduler := schedule.NewScheduler(now, schedule.Settings{Lease: time.Second}, slog.New(slog.DiscardHandler))
 	size := pointport.Shape{CPUMilli: 4000, MemoryMiB: 4000}
 	scheduler.SetIncarnations(now, []pointport.Incarnation{
 		pointport.NewIncarnation("i-1", "p", "10.0.0.1:1", pointport.WithInstance("m-1"), pointport.WithCapacity(size)),
@@ -70,7 +70,7 @@
 	now := time.Now()
 	start, stop := schedule.Order{Kind: schedule.OrderStart}, schedule.Order{Kind: schedule.OrderStop}
 	q := &workerQueue{orders: []schedule.Order{start, start, stop}}
-	o := &Owner{scheduler: schedule.NewBook(now, schedule.Settings{}, slog.New(slog.DiscardHandler)), window: window{size: 1}, starts: starts{queued: 2, inFlight: 1}}
+	o := &Owner{scheduler: schedule.NewScheduler(now, schedule.Settings{}, slog.New(slog.DiscardHandler)), window: window{size: 1}, starts: starts{queued: 2, inFlight: 1}}
 	if got, ok := o.nextOrder(q, o.mayStart()); !ok || got.Kind != schedule.OrderStop {
 		t.Fatalf("next order is %v, %v, want the stop", got.Kind, ok)
 	}
@@ -88,7 +88,7 @@
 // queue is not blocked.
 func TestNoStartWhileEndsAreAcknowledged(t *testing.T) {
 	now := time.Now()
-	b := schedule.NewBook(now, schedule.Settings{}, slog.New(slog.DiscardHandler))
+	b := schedule.NewScheduler(now, schedule.Settings{}, slog.New(slog.DiscardHandler))
 	b.SetIncarnations(now, []pointport.Incarnation{pointport.NewIncarnation(pointport.NewIncarnationID("i", now), "p", "10.0.0.1:1")})
 	w := b.Workers()[0]
 	b.Report(w, now, now, pointport.Report{Ended: []pointport.TaskEnd{{Number: 1, Kind: pointport.EndDone}}})
--- a/shard/owner.go
+++ b/shard/owner.go
@@ -139,7 +139,7 @@
 	err   error
 
 	// The fields below are accessed only by the loop.
-	scheduler *schedule.Book
+	scheduler *schedule.Scheduler
 	loadedAt  pointport.Revision // revision at which the pool's open jobs were read
 	// unreadable contains the jobs whose stored progress cannot be decoded.
 	unreadable        map[string]bool
--- a/share/share.go
+++ b/share/share.go
@@ -40,8 +40,8 @@
 const (
 	// DefaultTTL is how long a grant lasts unrenewed.
 	DefaultTTL = 15 * time.Second
-	// Renewals is how often a grant is renewed within its time.
-	Renewals = 3
+	// RenewalsPerTTL is how often a grant is renewed within its time.
+	RenewalsPerTTL = 3
 	// skew is how much slower another's clock may run than this one's.
 	skew = 1.1
 )
@@ -98,9 +98,9 @@
 // WithTTL sets how long a grant lasts unrenewed.
 func WithTTL(d time.Duration) Option { return func(h *Holder) { h.ttl = d } }
 
-// WithBound sets how long a request may last. It must hold for all requests;
+// WithMaxRequestTime sets how long a request may last. It must hold for all requests;
 // see SetBound.
-func WithBound(d time.Duration) Option { return func(h *Holder) { h.bound = d } }
+func WithMaxRequestTime(d time.Duration) Option { return func(h *Holder) { h.bound = d } }
 
 // New returns a holder called name, which no other process is called, of the
 // elastic part of zone. The function used returns how many elastic connections
@@ -116,9 +116,9 @@
 	return h
 }
 
-// Extra returns how many elastic connections this entry instance may have to
+// ElasticLimit returns how many elastic connections this entry instance may have to
 // each upstream of the zone now.
-func (h *Holder) Extra() int {
+func (h *Holder) ElasticLimit() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.clock.Steady().Before(h.until) {
@@ -127,10 +127,10 @@
 	return h.limit
 }
 
-// SetBound changes how long a request may last. Before requests may last
+// SetMaxRequestTime changes how long a request may last. Before requests may last
 // longer, nothing elastic is used until the value says so. It may be called
 // while a round goes on.
-func (h *Holder) SetBound(d time.Duration) {
+func (h *Holder) SetMaxRequestTime(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if d > h.bound {
@@ -167,9 +167,9 @@
 // so that a round would cost a read for no use.
 func (h *Holder) Idle(want int) bool { return want == 0 && h.stored == 0 && !h.doubt }
 
-// Round asks for as much as want, renews what is held, and gives back what is
+// Reconcile asks for as much as want, renews what is held, and gives back what is
 // not wanted once it is not used.
-func (h *Holder) Round(ctx context.Context, want int) error {
+func (h *Holder) Reconcile(ctx context.Context, want int) error {
 	if h.Idle(want) {
 		return nil
 	}
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -37,7 +37,7 @@
 			open = append(open, end)
 		}
 	}
-	for len(open) < min(m.want, m.holder.Extra()) {
+	for len(open) < min(m.want, m.holder.ElasticLimit()) {
 		open = append(open, m.now().Add(d))
 	}
 	m.conns = open
@@ -55,7 +55,7 @@
 
 func newMember(store *memory.Store, c *clock.Fake, name string) *member {
 	m := &member{now: c.Now}
-	m.holder = share.New(store, c, "zone-a", name, elastic, m.used, share.WithTTL(ttl), share.WithBound(bound))
+	m.holder = share.New(store, c, "zone-a", name, elastic, m.used, share.WithTTL(ttl), share.WithMaxRequestTime(bound))
 	return m
 }
 
@@ -77,7 +77,7 @@
 			fault = rapid.SampledFrom([]memory.Fault{
 				memory.FaultNone, memory.FaultNone, memory.FaultNone, memory.FaultBefore, memory.FaultLostAnswer, memory.FaultLostCall,
 			}).Draw(t, "fault")
-			_ = m.holder.Round(context.Background(), m.want)
+			_ = m.holder.Reconcile(context.Background(), m.want)
 			m.use(time.Duration(rapid.IntRange(0, int(bound/time.Millisecond)).Draw(t, "request")) * time.Millisecond)
 			total := 0
 			for _, m := range members {
@@ -97,10 +97,10 @@
 	store := memory.New(c)
 	a, b := newMember(store, c, "a"), newMember(store, c, "b")
 	round := func(m *member, want int) int {
-		if err := m.holder.Round(t.Context(), want); err != nil {
+		if err := m.holder.Reconcile(t.Context(), want); err != nil {
 			t.Fatal(err)
 		}
-		return m.holder.Extra()
+		return m.holder.ElasticLimit()
 	}
 	if got := round(a, 20); got != elastic {
 		t.Errorf("a got %d, want all %d", got, elastic)
@@ -127,17 +127,17 @@
 	store := memory.New(c)
 	a, b := newMember(store, c, "a"), newMember(store, c, "b")
 	a.want = elastic
-	if err := a.holder.Round(t.Context(), elastic); err != nil {
+	if err := a.holder.Reconcile(t.Context(), elastic); err != nil {
 		t.Fatal(err)
 	}
 	a.use(20 * time.Second)
-	if err := a.holder.Round(t.Context(), 0); err != nil {
+	if err := a.holder.Reconcile(t.Context(), 0); err != nil {
 		t.Fatal(err)
 	}
-	if err := b.holder.Round(t.Context(), elastic); err != nil {
+	if err := b.holder.Reconcile(t.Context(), elastic); err != nil {
 		t.Fatal(err)
 	}
-	if got := b.holder.Extra(); got != 0 {
+	if got := b.holder.ElasticLimit(); got != 0 {
 		t.Errorf("b got %d while a's requests go on", got)
 	}
 }
@@ -148,18 +148,18 @@
 	c := clock.NewFake(time.Unix(0, 0))
 	store := memory.New(c)
 	a, b := newMember(store, c, "a"), newMember(store, c, "b")
-	if err := a.holder.Round(t.Context(), elastic); err != nil {
+	if err := a.holder.Reconcile(t.Context(), elastic); err != nil {
 		t.Fatal(err)
 	}
 	got := make(map[time.Duration]int)
 	for at := time.Duration(0); at < 2*(ttl+bound); at += 5 * time.Second {
-		if err := b.holder.Round(t.Context(), elastic); err != nil {
+		if err := b.holder.Reconcile(t.Context(), elastic); err != nil {
 			t.Fatal(err)
 		}
-		if at >= ttl && a.holder.Extra() != 0 {
+		if at >= ttl && a.holder.ElasticLimit() != 0 {
 			t.Fatalf("a still uses its grant after %v", at)
 		}
-		got[at] = b.holder.Extra()
+		got[at] = b.holder.ElasticLimit()
 		c.Advance(5 * time.Second)
 	}
 	if got[ttl+bound] != 0 {
@@ -178,7 +178,7 @@
 	store := memory.New(c)
 	a, b := newMember(store, c, "a"), newMember(store, c, "b")
 	round := func(m *member, want int) {
-		if err := m.holder.Round(t.Context(), want); err != nil {
+		if err := m.holder.Reconcile(t.Context(), want); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -188,7 +188,7 @@
 	c.Advance(2 * (ttl + bound))
 	round(a, elastic)
 	round(b, elastic)
-	if got := a.holder.Extra() + b.holder.Extra(); got > elastic {
+	if got := a.holder.ElasticLimit() + b.holder.ElasticLimit(); got > elastic {
 		t.Errorf("a and b have %d together, want at most %d", got, elastic)
 	}
 }
@@ -198,17 +198,17 @@
 func TestLongerRequests(t *testing.T) {
 	c := clock.NewFake(time.Unix(0, 0))
 	m := newMember(memory.New(c), c, "a")
-	if err := m.holder.Round(t.Context(), elastic); err != nil {
+	if err := m.holder.Reconcile(t.Context(), elastic); err != nil {
 		t.Fatal(err)
 	}
-	m.holder.SetBound(2 * bound)
-	if got := m.holder.Extra(); got != 0 {
+	m.holder.SetMaxRequestTime(2 * bound)
+	if got := m.holder.ElasticLimit(); got != 0 {
 		t.Errorf("%d connections are used before the value says how long", got)
 	}
-	if err := m.holder.Round(t.Context(), elastic); err != nil {
+	if err := m.holder.Reconcile(t.Context(), elastic); err != nil {
 		t.Fatal(err)
 	}
-	if got := m.holder.Extra(); got != elastic {
+	if got := m.holder.ElasticLimit(); got != elastic {
 		t.Errorf("got %d back, want %d", got, elastic)
 	}
 }
