--- a/member/member_test.go
+++ b/member/member_test.go
@@ -224,7 +224,7 @@
 		if _, err := kv.Commit(ctx, pointport.Txn{Delete: []string{"x/1"}}); err != nil {
 			t.Error(err)
 		}
-		time.Sleep(member.DefaultReread + 2*time.Second)
+		time.Sleep(member.DefaultRereadInterval + 2*time.Second)
 		if got := knows(); len(got) != 1 || got["x/2"] != "b" {
 			t.Errorf("while deaf it knows %v", got)
 		}
--- a/node/follow.go
+++ b/node/follow.go
@@ -56,7 +56,7 @@
 
 // configRecheck returns how often one of so many members makes sure of the configuration.
 func configRecheck(members int) time.Duration {
-	return min(max(time.Duration(members)*configRecheckShare, member.DefaultRecheck), configRecheckMost)
+	return min(max(time.Duration(members)*configRecheckShare, member.DefaultRecheckInterval), configRecheckMost)
 }
 
 // A Source says where a kind of thing is in the store and how to read it.
@@ -86,7 +86,7 @@
 	c := &configs{source: source, clock: clock, logger: logger, confirmed: clocks.NewInterval(clock)}
 	c.wait = func() time.Duration { return configWait(size(), within) }
 	recheck := func() time.Duration { return configRecheck(size()) }
-	go member.FollowKey(ctx, kv, clock, source.Prefix, c.take, c.heard, member.Recheck(recheck), member.KeyWait(c.wait))
+	go member.FollowKey(ctx, kv, clock, source.Prefix, c.take, c.heard, member.RecheckInterval(recheck), member.KeyWatchTimeout(c.wait))
 	return c
 }
 
@@ -222,7 +222,7 @@
 	f := &fleet{entries: newEntries(source.Decode, event.RegistrationUnreadable, logger), changed: make(chan struct{})}
 	heard := func(err error) { f.heard(clock.Now(), err) }
 	f.start = func() {
-		go member.Follow(ctx, kv, clock, source.Prefix, f.reset, f.apply, member.Rest(fleetRest), member.Heard(heard))
+		go member.Follow(ctx, kv, clock, source.Prefix, f.reset, f.apply, member.PauseAfterChange(fleetRest), member.OnResult(heard))
 	}
 	return f
 }
--- a/node/node.go
+++ b/node/node.go
@@ -135,8 +135,8 @@
 	configs  *configs
 	fleet    *fleet
 	emptied  *evacuations
-	keeper   *member.Keeper[*shard.Owner]
-	stewards *member.Keeper[*steward.Steward]
+	keeper   *member.PoolManager[*shard.Owner]
+	stewards *member.PoolManager[*steward.Steward]
 	desk     *intake.Desk
 	owners   *peer.Owners
 	peers    *http.Client // by which questions and orders go to peers
@@ -163,7 +163,7 @@
 	n.configs = startConfigs(ctx, s.KV, s.Clock, s.Config, n.roster.Size, cmp.Or(p.ConfigTime, DefaultConfigTime), logger)
 	n.fleet = newFleet(ctx, s.KV, s.Clock, s.Registrations, logger)
 	n.emptied = newEvacuations(ctx, s.KV, s.Clock, s.Evacuations, cmp.Or(p.EvacuationTime, DefaultEvacuationTime), logger)
-	n.keeper = member.StartKeeper(ctx, s.Clock, n.session, n.roster, n.configs.workPools, n.startOwner(ctx), logger)
+	n.keeper = member.StartPoolManager(ctx, s.Clock, n.session, n.roster, n.configs.workPools, n.startOwner(ctx), logger)
 	n.owners = peer.NewOwners(n.keeper, n.roster, n.peers, s.Clock, logger)
 	if s.Machines != nil {
 		n.startSteward(ctx, n.owners)
@@ -205,7 +205,7 @@
 	}
 	settings := steward.Settings{Name: n.params.Name, HolderTime: n.params.HolderTime, OrdersPerSecond: n.params.MachineOrders, Planner: n.params.Capacity}
 	posts := func() []string { return []string{steward.OwnershipName} }
-	n.stewards = member.StartKeeper(ctx, s.Clock, n.session, n.roster, posts, func(own member.Ownership) *steward.Steward {
+	n.stewards = member.StartPoolManager(ctx, s.Clock, n.session, n.roster, posts, func(own member.Ownership) *steward.Steward {
 		return steward.Start(ctx, services, settings, own, n.logger)
 	}, n.logger)
 }
@@ -352,7 +352,7 @@
 // window of starts, and whether any sends its orders through peers; zero if there is none.
 func (n *Node) Load() shard.Load {
 	var sum shard.Load
-	for i, o := range n.keeper.Tenants() {
+	for i, o := range n.keeper.Controllers() {
 		l := o.Load()
 		sum.Lag = max(sum.Lag, l.Lag)
 		sum.Delegating = sum.Delegating || l.Delegating
@@ -367,7 +367,7 @@
 // them.
 func (n *Node) CustomerUses() []schedule.CustomerUse {
 	sum := make(map[string]schedule.CustomerUse)
-	for _, o := range n.keeper.Tenants() {
+	for _, o := range n.keeper.Controllers() {
 		for _, u := range o.Uses() {
 			was := sum[u.Customer]
 			sum[u.Customer] = schedule.CustomerUse{Customer: u.Customer, Used: was.Used.Plus(u.Used), HeldBack: was.HeldBack.Plus(u.HeldBack)}
--- a/shard/jobs.go
+++ b/shard/jobs.go
@@ -126,7 +126,7 @@
 	handle := func(entries []pointport.Entry) {
 		o.enqueue(func(time.Time) { o.applyOpenKeys(entries, nil) })
 	}
-	member.Follow(ctx, o.kv, o.clock, workload.OpenPrefix(o.ownership.Pool), handle, handle, member.From(at), member.Rest(openWatchInterval))
+	member.Follow(ctx, o.kv, o.clock, workload.OpenPrefix(o.ownership.Pool), handle, handle, member.FromRevision(at), member.PauseAfterChange(openWatchInterval))
 }
 
 // Submitted passes on a job that was accepted at a revision; accepted is its
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -137,7 +137,7 @@
 	toldOver map[string]map[pointport.IncarnationID]bool
 }
 
-var _ member.Tenant = (*Steward)(nil)
+var _ member.Controller = (*Steward)(nil)
 
 // Start returns a steward that works until ctx ends or another member is the
 // steward.
