--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -130,7 +130,7 @@
 // relayURL returns the URL of the zone's relay, or nothing if this process is
 // it or knows none.
 func (e *Entry) relayURL() string {
-	_, base, _ := strings.Cut(e.election.Other(), holderMark)
+	_, base, _ := strings.Cut(e.election.OtherHolder(), holderMark)
 	return base
 }
 
--- a/intake/submit.go
+++ b/intake/submit.go
@@ -58,7 +58,7 @@
 		return err
 	}
 	s := Submission{ID: id, Queue: q.Name, Pool: q.Pool, By: d.caller, Accepted: accepted}
-	err = d.Keep(ctx, s)
+	err = d.StoreJob(ctx, s)
 	var refused *RefusedError
 	var unsure *UnsureError
 	if errors.As(err, &refused) || errors.As(err, &unsure) && ctx.Err() == nil {
@@ -124,16 +124,16 @@
 	return err
 }
 
-// Served reports whether this member can store a job at present: the platform's store
+// CanStore reports whether this member can store a job at present: the platform's store
 // answers, and there is memory for it.
-func (d *Desk) Served() bool { return d.reachable() && !d.full() }
+func (d *Desk) CanStore() bool { return d.reachable() && !d.full() }
 
-// Keep stores a job without asking anybody else to. It fails with a *RefusedError, a
+// StoreJob stores a job without asking anybody else to. It fails with a *RefusedError, a
 // *RevokedError, a *TakenError or an *UnsureError.
 //
 // A job that a peer hands on was judged by the configuration that the peer knew. A peer that
 // the store does not serve may know an old one, so a newer one here has the last word.
-func (d *Desk) Keep(ctx context.Context, s Submission) error {
+func (d *Desk) StoreJob(ctx context.Context, s Submission) error {
 	if customers, version := d.customers(); s.By.Revoked(customers, version) {
 		return &RevokedError{ID: s.ID}
 	}
--- a/member/pool_manager.go
+++ b/member/pool_manager.go
@@ -191,7 +191,7 @@
 		select {
 		case <-t.Done():
 			event.PoolLost.Log(k.logger, slog.String("pool", pool), slog.Any("reason", t.Err()))
-			if errors.Is(t.Err(), ErrLost) {
+			if errors.Is(t.Err(), ErrNotOwner) {
 				k.roster.forget(t.Ownership())
 			}
 			delete(k.tenants, pool)
@@ -316,7 +316,7 @@
 	err := k.roster.Check(ctx, own)
 	k.took = k.clock.Now().Sub(from)
 	switch {
-	case errors.Is(err, ErrLost):
+	case errors.Is(err, ErrNotOwner):
 		t.Stop()
 		<-t.Done()
 		return 0 // it may be this member's turn to take the pool
--- a/peer/keep.go
+++ b/peer/keep.go
@@ -145,7 +145,7 @@
 		http.Error(w, "no job to store", http.StatusBadRequest)
 		return
 	}
-	err := store.Keep(r.Context(), *q.Keep)
+	err := store.StoreJob(r.Context(), *q.Keep)
 	var refused *intake.RefusedError
 	var revoked *intake.RevokedError
 	var taken *intake.TakenError
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -220,11 +220,11 @@
 
 // A Store keeps jobs.
 type Store interface {
-	// Keep stores a job. It fails with an *intake.RefusedError or an
+	// StoreJob stores a job. It fails with an *intake.RefusedError or an
 	// *intake.UnsureError.
-	Keep(ctx context.Context, s intake.Submission) error
-	// Served reports whether it can keep a job at present.
-	Served() bool
+	StoreJob(ctx context.Context, s intake.Submission) error
+	// CanStore reports whether it can keep a job at present.
+	CanStore() bool
 }
 
 // Handler returns the other end: it answers for the owners that keeper runs, and
@@ -234,7 +234,7 @@
 	mux.HandleFunc("POST "+keepPath, func(w http.ResponseWriter, r *http.Request) { keep(w, r, store, logger) })
 	mux.HandleFunc("POST "+servedPath, func(w http.ResponseWriter, _ *http.Request) {
 		// Whoever has stopped waiting needs no answer.
-		_ = json.NewEncoder(w).Encode(reply{Known: store.Served()})
+		_ = json.NewEncoder(w).Encode(reply{Known: store.CanStore()})
 	})
 	handle := func(path string, answer func(context.Context, *shard.Owner, question) (reply, error)) {
 		mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
--- a/shard/jobs.go
+++ b/shard/jobs.go
@@ -159,13 +159,13 @@
 		o.waiters = append(o.waiters, waiter{id, func() { answer <- outcome{true} }})
 	})
 	if !sent {
-		return false, member.ErrLost
+		return false, member.ErrNotOwner
 	}
 	select {
 	case a := <-answer:
 		return a.known, nil
 	case <-o.done:
-		return false, member.ErrLost
+		return false, member.ErrNotOwner
 	case <-ctx.Done():
 		return false, ctx.Err()
 	}
@@ -233,18 +233,18 @@
 	select {
 	case <-o.ready:
 	case <-o.done:
-		return none, member.ErrLost
+		return none, member.ErrNotOwner
 	case <-ctx.Done():
 		return none, ctx.Err()
 	}
 	if !o.enqueue(func(time.Time) { answer <- question() }) {
-		return none, member.ErrLost
+		return none, member.ErrNotOwner
 	}
 	select {
 	case a := <-answer:
 		return a, nil
 	case <-o.done:
-		return none, member.ErrLost
+		return none, member.ErrNotOwner
 	case <-ctx.Done():
 		return none, ctx.Err()
 	}
--- a/shard/owner.go
+++ b/shard/owner.go
@@ -260,7 +260,7 @@
 		}
 		changed = o.updateRegistryCoverage(changed)
 		if o.scheduler.Fenced() {
-			return member.ErrLost
+			return member.ErrNotOwner
 		}
 		wake = o.clock.After(o.tick(ctx))
 	}
--- a/shard/records.go
+++ b/shard/records.go
@@ -13,7 +13,7 @@
 // This file defines how the records of a batch are written.
 
 // maxEntries is how many entries of a transaction remain beside those that member.Writer adds.
-const maxEntries = pointport.MaxTxnEntries - member.HeadEntries
+const maxEntries = pointport.MaxTxnEntries - member.TxnOverhead
 
 // fastBatchEntries is the most entries of a batch while the store is fast: ten transactions.
 const fastBatchEntries = 10 * maxEntries
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -247,7 +247,7 @@
 	switch {
 	case err == nil:
 		return true
-	case errors.Is(err, member.ErrLost):
+	case errors.Is(err, member.ErrNotOwner):
 		event.StoreRefused.Log(s.logger, slog.Any("error", err))
 		s.cancel()
 	case ctx.Err() == nil:
