--- a/node/node.go
+++ b/node/node.go
@@ -218,7 +218,7 @@
 	}
 	return func(own member.Ownership) *shard.Owner {
 		return shard.Start(ctx, services, own, n.logger, shard.WithLease(n.params.TaskLease),
-			shard.WithMaxHold(n.params.MaxHold), shard.WithGangTime(n.params.GangTime), shard.WithFarFactor(n.params.FarFactor))
+			shard.WithMaxHold(n.params.MaxHold), shard.WithGangTimeout(n.params.GangTime), shard.WithRemoteDataSlowdown(n.params.FarFactor))
 	}
 }
 
--- a/shard/owner.go
+++ b/shard/owner.go
@@ -69,13 +69,13 @@
 
 // Incarnations provides the registered incarnations of a pool.
 type Incarnations interface {
-	// Of returns the registrations of the pool's instances, and a channel that
+	// InPool returns the registrations of the pool's instances, and a channel that
 	// is closed when any registration changes.
-	Of(pool string) ([]pointport.Incarnation, <-chan struct{})
-	// Sight returns during which time the registrations were read without
+	InPool(pool string) ([]pointport.Incarnation, <-chan struct{})
+	// Coverage returns during which time the registrations were read without
 	// failure. Each change known at the end of that time has already closed
 	// the channel that an earlier call of Of returned.
-	Sight() schedule.RegistryCoverage
+	Coverage() schedule.RegistryCoverage
 }
 
 // Services are the external services that an owner uses.
@@ -177,12 +177,12 @@
 // extended it.
 func WithMaxHold(d time.Duration) Option { return func(o *Owner) { o.maxHold = d } }
 
-// WithGangTime sets how long an instance waits for the other tasks of a gang to start.
-func WithGangTime(d time.Duration) Option { return func(o *Owner) { o.gangTimeout = d } }
+// WithGangTimeout sets how long an instance waits for the other tasks of a gang to start.
+func WithGangTimeout(d time.Duration) Option { return func(o *Owner) { o.gangTimeout = d } }
 
-// WithFarFactor sets by which factor a task runs longer when it is not in the rack of its
+// WithRemoteDataSlowdown sets by which factor a task runs longer when it is not in the rack of its
 // data.
-func WithFarFactor(f float64) Option { return func(o *Owner) { o.remoteDataSlowdown = f } }
+func WithRemoteDataSlowdown(f float64) Option { return func(o *Owner) { o.remoteDataSlowdown = f } }
 
 const (
 	// defaultMaxHold, defaultGangTimeout and defaultRemoteDataSlowdown apply if the
@@ -245,7 +245,7 @@
 	close(o.ready)
 	go o.watchOpenJobs(ctx, at)
 	wake := o.clock.After(0)
-	_, changed := o.fleet.Of(o.ownership.Pool)
+	_, changed := o.fleet.InPool(o.ownership.Pool)
 	o.refreshIncarnations()
 	for {
 		select {
@@ -282,7 +282,7 @@
 // The scheduler first gets every registration known by then. It returns the channel that is
 // closed at the next change.
 func (o *Owner) updateRegistryCoverage(changed <-chan struct{}) <-chan struct{} {
-	coverage := o.fleet.Sight()
+	coverage := o.fleet.Coverage()
 	select {
 	case <-changed:
 		changed = o.refreshIncarnations()
@@ -300,7 +300,7 @@
 }
 
 func (o *Owner) refreshIncarnations() <-chan struct{} {
-	all, changed := o.fleet.Of(o.ownership.Pool)
+	all, changed := o.fleet.InPool(o.ownership.Pool)
 	o.scheduler.SetIncarnations(o.clock.Now(), all)
 	return changed
 }
