--- a/claim/book_test.go
+++ b/claim/claimer_test.go
@@ -43,7 +43,7 @@
 					ticket.Settle(c.settle, c.status)
 				}
 				time.Sleep(3 * time.Second)
-				for name, book := range map[string]*claim.Book{"the same": a, "another": b} {
+				for name, book := range map[string]*claim.Claimer{"the same": a, "another": b} {
 					_, err = book.Claim(t.Context(), key(1))
 					var taken *claim.TakenError
 					if !errors.As(err, &taken) || taken.State != c.settle || taken.Status != c.status {
@@ -327,7 +327,7 @@
 		faults = faults[1:]
 		return f
 	})
-	books := make([]*claim.Book, 3)
+	books := make([]*claim.Claimer, 3)
 	stop := make([]context.CancelFunc, 3)
 	start := func(n, life int) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -60,7 +60,7 @@
 	configs  *changelog.Log[*config.State, config.Change]
 	assigns  map[pointport.ZoneID]*planner.AssignLog
 	jobs     map[pointport.ZoneID]*placer.JobLog
-	claims   *claim.Book
+	claims   *claim.Claimer
 	gateway  *gateway.Gateway
 	shares   *shares
 	feeder   *feeder
