--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -24,16 +24,16 @@
 	// entry instance must use the same number; docs/design/claims.md says why
 	// it is small.
 	DefaultPartitions = 1
-	// DefaultSegment is how many records seal a segment. It belongs to the stored
+	// DefaultSegmentSize is how many records seal a segment. It belongs to the stored
 	// form: entry instances that disagree on it would not see each other's
 	// claims, so it must not change while older ones run.
-	DefaultSegment = 256
+	DefaultSegmentSize = 256
 	// DefaultRetention is how long claims are kept.
 	DefaultRetention = 24 * time.Hour
-	// DefaultWrites is how many writes a second one entry instance makes.
-	DefaultWrites = 6
-	// DefaultGather is how long a claim waits for others to share its write.
-	DefaultGather = 3 * time.Millisecond
+	// DefaultWriteRate is how many writes a second one entry instance makes.
+	DefaultWriteRate = 6
+	// DefaultBatchDelay is how long a claim waits for others to share its write.
+	DefaultBatchDelay = 3 * time.Millisecond
 	// maxGather bounds how long claims gather after other writers were first.
 	maxGather = 200 * time.Millisecond
 	// outcomeDelay is how long an outcome waits for a write of claims.
@@ -44,9 +44,9 @@
 	maxPending = 4096
 	// maxBatch bounds the claims in one write.
 	maxBatch = 256
-	// StaleAfter is how long a claim may be in progress before its outcome
+	// InProgressTimeout is how long a claim may be in progress before its outcome
 	// counts as unknown. No request lasts as long.
-	StaleAfter = 2 * time.Hour
+	InProgressTimeout = 2 * time.Hour
 )
 
 // errBusy is the cause of a refusal for lack of room.
@@ -100,15 +100,15 @@
 // WithPartitions sets how many partitions there are.
 func WithPartitions(n int) Option { return func(b *Claimer) { b.partitions = n } }
 
-// WithSegment sets how many records seal a segment.
-func WithSegment(n int) Option { return func(b *Claimer) { b.size = n } }
+// WithSegmentSize sets how many records seal a segment.
+func WithSegmentSize(n int) Option { return func(b *Claimer) { b.size = n } }
 
 // WithRetention sets how long claims are kept.
 func WithRetention(d time.Duration) Option { return func(b *Claimer) { b.keep = d } }
 
-// WithWrites sets how many writes a second the book makes, and how long a
+// WithWriteRate sets how many writes a second the book makes, and how long a
 // claim waits for others to share its write.
-func WithWrites(perSecond float64, gather time.Duration) Option {
+func WithWriteRate(perSecond float64, gather time.Duration) Option {
 	return func(b *Claimer) {
 		b.limiter = rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 		b.gather = gather
@@ -120,9 +120,9 @@
 func Start(ctx context.Context, store Store, clock pointport.Clock, owner string, options ...Option) *Claimer {
 	b := &Claimer{
 		store: store, clock: clock, owner: owner, logger: slog.New(slog.DiscardHandler),
-		partitions: DefaultPartitions, size: DefaultSegment, keep: DefaultRetention,
+		partitions: DefaultPartitions, size: DefaultSegmentSize, keep: DefaultRetention,
 	}
-	WithWrites(DefaultWrites, DefaultGather)(b)
+	WithWriteRate(DefaultWriteRate, DefaultBatchDelay)(b)
 	for _, o := range options {
 		o(b)
 	}
@@ -192,9 +192,9 @@
 	}
 }
 
-// Settle records how the work of a ticket ended. Released frees the key, and
+// RecordOutcome records how the work of a ticket ended. Released frees the key, and
 // is only for work of which nothing was sent.
-func (t Ticket) Settle(s State, status int) {
+func (t Ticket) RecordOutcome(s State, status int) {
 	t.desk.settle(record{Key: t.key, At: t.desk.book.clock.Now().Unix(), State: s, Status: status, Token: t.token})
 }
 
