--- a/cli/join.go
+++ b/cli/join.go
@@ -139,7 +139,7 @@
 		},
 		Evacuations: node.Source[evacuation.Request]{Prefix: platform.EvacuationPrefix, Decode: platform.DecodeEvacuation},
 		Ingress: func(n *node.Node) http.Handler {
-			as := func(c customer.Caller) platform.Desk { return n.Desk().As(c) }
+			as := func(c customer.Caller) platform.Desk { return n.Desk().ForCaller(c) }
 			keys := platform.KeyState{Trusted: n.KeysTrusted, Newest: n.KeysNewest}
 			return platform.NewIngress(as, n.Catalog, logger, platform.WithKeyState(keys))
 		},
@@ -154,8 +154,8 @@
 		services.Advisor = figures.Advisor(platform.NewAdvisor(s.Advisor))
 	}
 	services.Metrics, services.Brief = figures.Handler(), figures.Brief()
-	services.Operators = func(d *intake.Desk, owners *peer.Owners, catalog func() *workload.Catalog) http.Handler {
-		return operator.NewWorkloads(d.As(customer.Operator()), owners, catalog)
+	services.Operators = func(d *intake.Service, owners *peer.Owners, catalog func() *workload.Catalog) http.Handler {
+		return operator.NewWorkloads(d.ForCaller(customer.Operator()), owners, catalog)
 	}
 	n, err := node.Start(ctx, services, node.Parameters{
 		Name: s.Name, Zone: s.Zone, Strength: strength(s),
--- a/node/node.go
+++ b/node/node.go
@@ -71,7 +71,7 @@
 	Metrics, Brief http.Handler
 	// Operators makes the handler of the operators' API, which is served beside the
 	// figures; nil for none.
-	Operators func(*intake.Desk, *peer.Owners, func() *workload.Catalog) http.Handler
+	Operators func(*intake.Service, *peer.Owners, func() *workload.Catalog) http.Handler
 	// PeerTransport carries questions to peers; nil for the network.
 	PeerTransport http.RoundTripper
 }
@@ -137,7 +137,7 @@
 	emptied  *evacuations
 	keeper   *member.PoolManager[*shard.Owner]
 	stewards *member.PoolManager[*steward.Steward]
-	desk     *intake.Desk
+	desk     *intake.Service
 	owners   *peer.Owners
 	peers    *http.Client // by which questions and orders go to peers
 	servers  []*http.Server
@@ -168,7 +168,7 @@
 	if s.Machines != nil {
 		n.startSteward(ctx, n.owners)
 	}
-	n.desk = intake.NewDesk(s.KV, n.owners, s.Clock, n.session.Reachable, logger, n.deskOptions()...)
+	n.desk = intake.NewService(s.KV, n.owners, s.Clock, n.session.Reachable, logger, n.deskOptions()...)
 	if err := n.listen(); err != nil {
 		return nil, err
 	}
@@ -177,10 +177,10 @@
 }
 
 // deskOptions returns what varies of the desk.
-func (n *Node) deskOptions() []intake.DeskOption {
-	options := []intake.DeskOption{intake.WithCustomers(n.configs.customers)}
+func (n *Node) deskOptions() []intake.Option {
+	options := []intake.Option{intake.WithCustomers(n.configs.customers)}
 	if n.params.Full != nil {
-		options = append(options, intake.WithFull(n.params.Full))
+		options = append(options, intake.WithLowMemory(n.params.Full))
 	}
 	return options
 }
@@ -284,7 +284,7 @@
 }
 
 // Desk returns what takes jobs.
-func (n *Node) Desk() *intake.Desk { return n.desk }
+func (n *Node) Desk() *intake.Service { return n.desk }
 
 // Catalog returns the configuration in force, nil while there is none.
 func (n *Node) Catalog() *workload.Catalog { return n.configs.Trusted() }
