--- a/intake/service.go
+++ b/intake/service.go
@@ -40,9 +40,9 @@
 
 // An Owners reaches the owners of pools, wherever they are.
 type Owners interface {
-	// Submitted tells a pool's owner of a job that was accepted by the change
+	// NotifySubmitted tells a pool's owner of a job that was accepted by the change
 	// that made revision at. It does not wait.
-	Submitted(pool, id, customer string, accepted []byte, at pointport.Revision)
+	NotifySubmitted(pool, id, customer string, accepted []byte, at pointport.Revision)
 	// Excess returns for how long a pool's owner wants no more jobs of a customer, zero if
 	// it does. It does not wait.
 	Excess(pool, customer string) time.Duration
@@ -52,9 +52,9 @@
 	// Status asks a pool's owner for a job; false if it does not know the job, or the
 	// caller may not.
 	Status(ctx context.Context, pool, id string, by customer.Caller) (workload.Status, bool, error)
-	// Keep has a peer keep a job and returns the peer's name. It fails with a
+	// StoreAtPeer has a peer keep a job and returns the peer's name. It fails with a
 	// *RefusedError or an *UnsureError.
-	Keep(ctx context.Context, s Submission) (peer string, err error)
+	StoreAtPeer(ctx context.Context, s Submission) (peer string, err error)
 	// Waiting asks a pool's owner how many jobs of a queue have not begun.
 	Waiting(ctx context.Context, pool, queue string) (int, error)
 }
@@ -107,25 +107,27 @@
 
 // A RefusedError says that a job was not taken and never runs by this attempt.
 type RefusedError struct {
-	ID    string
-	After time.Duration // when to come back
-	Cause string
+	ID         string
+	RetryAfter time.Duration // when to come back
+	Cause      string
 }
 
 func (e *RefusedError) Error() string {
-	return fmt.Sprintf("job %s is not taken: %s; come back in %v", e.ID, e.Cause, e.After)
+	return fmt.Sprintf("job %s is not taken: %s; come back in %v", e.ID, e.Cause, e.RetryAfter)
 }
 
-// An UnsureError says that it is not known whether a change took effect.
-type UnsureError struct {
+// An AmbiguousError says that it is not known whether a change took effect.
+type AmbiguousError struct {
 	ID  string
 	Err error
 }
 
-func (e *UnsureError) Error() string { return fmt.Sprintf("job %s: effect unknown: %v", e.ID, e.Err) }
+func (e *AmbiguousError) Error() string {
+	return fmt.Sprintf("job %s: effect unknown: %v", e.ID, e.Err)
+}
 
 // Unwrap returns the cause.
-func (e *UnsureError) Unwrap() error { return e.Err }
+func (e *AmbiguousError) Unwrap() error { return e.Err }
 
 // An UnknownJobError says that there is no such job, as far as its caller may know.
 type UnknownJobError struct {
@@ -139,13 +141,13 @@
 // An ExcessError says that a job was not taken, and never runs, because what its customer has
 // waiting already takes longer than any of it is of use.
 type ExcessError struct {
-	ID       string
-	Customer string
-	After    time.Duration // when to come back
+	ID         string
+	Customer   string
+	RetryAfter time.Duration // when to come back
 }
 
 func (e *ExcessError) Error() string {
-	return fmt.Sprintf("job %s is not taken: what %s has waiting already takes too long; come back in %v", e.ID, e.Customer, e.After)
+	return fmt.Sprintf("job %s is not taken: what %s has waiting already takes too long; come back in %v", e.ID, e.Customer, e.RetryAfter)
 }
 
 // A TakenError says that a job was not taken because its identity is another customer's.
@@ -268,7 +270,7 @@
 		select {
 		case <-d.clock.After(unsureRetry):
 		case <-ctx.Done():
-			return &UnsureError{ID: id, Err: err}
+			return &AmbiguousError{ID: id, Err: err}
 		}
 	}
 }
--- a/intake/submit.go
+++ b/intake/submit.go
@@ -60,7 +60,7 @@
 	s := Submission{ID: id, Queue: q.Name, Pool: q.Pool, By: d.caller, Accepted: accepted}
 	err = d.StoreJob(ctx, s)
 	var refused *RefusedError
-	var unsure *UnsureError
+	var unsure *AmbiguousError
 	if errors.As(err, &refused) || errors.As(err, &unsure) && ctx.Err() == nil {
 		err = d.handOn(ctx, s, err)
 	}
@@ -103,14 +103,14 @@
 		return nil
 	}
 	event.JobExcess.Log(d.logger, slog.String("job", id), slog.String("queue", q.Name), slog.String("customer", d.caller.Name), slog.Duration("after", after))
-	return &ExcessError{ID: id, Customer: d.caller.Name, After: after}
+	return &ExcessError{ID: id, Customer: d.caller.Name, RetryAfter: after}
 }
 
 // handOn has a peer keep a job that this member could not. cause is why; if it
 // leaves open whether the job is kept, only an acceptance makes that sure.
 func (d *Service) handOn(ctx context.Context, s Submission, cause error) error {
-	peer, err := d.owners.Keep(ctx, s)
-	var unsure *UnsureError
+	peer, err := d.owners.StoreAtPeer(ctx, s)
+	var unsure *AmbiguousError
 	var refused, refusedHere *RefusedError
 	switch {
 	case err == nil:
@@ -119,7 +119,7 @@
 	case errors.As(cause, &unsure):
 		return cause
 	case errors.As(err, &refused) && errors.As(cause, &refusedHere):
-		return &RefusedError{ID: s.ID, After: refused.After, Cause: refusedHere.Cause + "; nor does a peer store it: " + refused.Cause}
+		return &RefusedError{ID: s.ID, RetryAfter: refused.RetryAfter, Cause: refusedHere.Cause + "; nor does a peer store it: " + refused.Cause}
 	}
 	return err
 }
@@ -138,10 +138,10 @@
 		return &RevokedError{ID: s.ID}
 	}
 	if !d.reachable() {
-		return &RefusedError{ID: s.ID, After: RetryAfter, Cause: "the store gives no answer"}
+		return &RefusedError{ID: s.ID, RetryAfter: RetryAfter, Cause: "the store gives no answer"}
 	}
 	if d.full() {
-		return &RefusedError{ID: s.ID, After: RetryAfter, Cause: "the entry instance is short of memory"}
+		return &RefusedError{ID: s.ID, RetryAfter: RetryAfter, Cause: "the entry instance is short of memory"}
 	}
 	now := d.clock.Now()
 	txn, err := s.txn()
@@ -160,7 +160,7 @@
 	if kept.open {
 		// A job that was found may be kept by another pool than that which its queue has
 		// now, and two owners would run it.
-		d.owners.Submitted(cmp.Or(kept.pool, s.Pool), s.ID, s.By.Name, s.Accepted, kept.at)
+		d.owners.NotifySubmitted(cmp.Or(kept.pool, s.Pool), s.ID, s.By.Name, s.Accepted, kept.at)
 	}
 	return nil
 }
@@ -196,15 +196,15 @@
 		ambiguous := !errors.As(err, &unavailable) || unavailable.Ambiguous
 		unsure = unsure || ambiguous
 		if !unsure {
-			return keeping{}, &RefusedError{ID: id, After: RetryAfter, Cause: err.Error()}
+			return keeping{}, &RefusedError{ID: id, RetryAfter: RetryAfter, Cause: err.Error()}
 		}
 		if !d.reachable() {
-			return keeping{}, &UnsureError{ID: id, Err: err}
+			return keeping{}, &AmbiguousError{ID: id, Err: err}
 		}
 		select {
 		case <-d.clock.After(unsureRetry):
 		case <-ctx.Done():
-			return keeping{}, &UnsureError{ID: id, Err: err}
+			return keeping{}, &AmbiguousError{ID: id, Err: err}
 		}
 	}
 }
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -145,9 +145,9 @@
 	return r, json.NewDecoder(res.Body).Decode(&r)
 }
 
-// Submitted tells a pool's owner of an accepted job, and takes in whether it wants more of
+// NotifySubmitted tells a pool's owner of an accepted job, and takes in whether it wants more of
 // the customer.
-func (o *Owners) Submitted(pool, id, whose string, accepted []byte, at pointport.Revision) {
+func (o *Owners) NotifySubmitted(pool, id, whose string, accepted []byte, at pointport.Revision) {
 	if local, ok := o.keeper.Controller(pool); ok {
 		local.Submitted(id, accepted, at)
 		return
