--- a/node/customer_test.go
+++ b/node/customer_test.go
@@ -152,7 +152,7 @@
 // its return it knows the newest.
 func TestKeysTakenAwayAndPutIn(t *testing.T) {
 	const inForce = 2 * time.Second
-	for name, policy := range map[string]node.KeyPolicy{"strict": {Strict: true, Time: 3 * time.Second}, "not strict": {}} {
+	for name, policy := range map[string]node.KeyPolicy{"strict": {Strict: true, MaxConfigAge: 3 * time.Second}, "not strict": {}} {
 		t.Run(name, func(t *testing.T) {
 			bubble(t, 4, func(c *cluster) {
 				ask := func(n *node.Node, key string) int {
@@ -215,8 +215,8 @@
 		policy         node.KeyPolicy
 		before, beyond bool // whether keys are trusted after 3 s and after 8 s
 	}{
-		"strict":     {node.KeyPolicy{Strict: true, Time: 5 * time.Second}, true, false},
-		"not strict": {node.KeyPolicy{Time: 5 * time.Second}, true, true},
+		"strict":     {node.KeyPolicy{Strict: true, MaxConfigAge: 5 * time.Second}, true, false},
+		"not strict": {node.KeyPolicy{MaxConfigAge: 5 * time.Second}, true, true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
