--- a/cli/join.go
+++ b/cli/join.go
@@ -139,8 +139,8 @@
 		},
 		Evacuations: node.Source[evacuation.Request]{Prefix: platform.EvacuationPrefix, Decode: platform.DecodeEvacuation},
 		Ingress: func(n *node.Node) http.Handler {
-			as := func(c customer.Caller) platform.Desk { return n.Intake().ForCaller(c) }
-			keys := platform.KeyState{Trusted: n.KeysTrusted, Newest: n.KeysNewest}
+			as := func(c customer.Caller) platform.JobService { return n.Intake().ForCaller(c) }
+			keys := platform.KeyState{Trusted: n.KeysTrusted, UpToDate: n.KeysNewest}
 			return platform.NewIngress(as, n.Catalog, logger, platform.WithKeyState(keys))
 		},
 	}
