--- a/cli/join.go
+++ b/cli/join.go
@@ -123,7 +123,7 @@
 	logger := slog.New(figures.Events(limit)).With(slog.String("node", s.Name))
 	guard := heap.Start(ctx, clock.System{}, s.MemoryBytes, logger)
 	services := node.Services{
-		KV:       figures.KV(platform.NewStore(s.Store, platform.WithReceived(figures.FromStore))),
+		KV:       figures.KV(platform.NewStore(s.Store, platform.WithReceiveObserver(figures.FromStore))),
 		Executor: figures.Executor(platform.NewExecutor()),
 		Clock:    suspend.Clock(logger),
 		Config: node.Source[*workload.Catalog]{
@@ -135,7 +135,7 @@
 		},
 		Waves: node.WaveSource{
 			Source: node.Source[capacity.Wave]{Prefix: platform.WavePrefix, Decode: platform.DecodeWave},
-			Status: platform.WaveStatus,
+			Status: platform.EncodeWaveStatus,
 		},
 		Evacuations: node.Source[evacuation.Request]{Prefix: platform.EvacuationPrefix, Decode: platform.DecodeEvacuation},
 		Ingress: func(n *node.Node) http.Handler {
