--- a/assign/decide.go
+++ b/assign/decide.go
@@ -16,17 +16,17 @@
 // order it goes on.
 
 const (
-	// absentBound is how long an instance may be missing from the platform's
+	// absenceTimeout is how long an instance may be missing from the platform's
 	// list before it counts as failed. The list lags.
-	absentBound = 30 * time.Second
-	// forgetBound is how long a failed instance that is missing is remembered.
-	forgetBound = 10 * time.Minute
+	absenceTimeout = 30 * time.Second
+	// removalTimeout is how long a failed instance that is missing is remembered.
+	removalTimeout = 10 * time.Minute
 	// maxSteps bounds the steps of one change, so that its stored value stays far
 	// below what the store takes, also when a whole zone fails at once.
 	maxSteps = 500
-	// reportBound is how old an instance's report may be before its state
+	// maxReportAge is how old an instance's report may be before its state
 	// counts as unknown.
-	reportBound = time.Minute
+	maxReportAge = time.Minute
 )
 
 // A WaveOrder is a wave as an operator has it, and the version at which it was
@@ -60,15 +60,15 @@
 
 // A decision is a decision while it is made.
 type decision struct {
-	in     *Input
-	listed map[pointport.InstanceID]pointport.Instance
-	member map[pointport.InstanceID]Member
-	order  []pointport.InstanceID
-	steps  []Step
-	stepOf map[pointport.InstanceID]int
-	waves  map[string]Wave
-	pools  map[string]Pool
-	tpl    map[string]*config.Template
+	in        *Input
+	listed    map[pointport.InstanceID]pointport.Instance
+	members   map[pointport.InstanceID]Member
+	ids       []pointport.InstanceID
+	steps     []Step
+	stepIndex map[pointport.InstanceID]int
+	waves     map[string]Wave
+	pools     map[string]Pool
+	templates map[string]*config.Template
 	// byPool holds each pool's members by name, as they are now.
 	byPool map[string][]Member
 }
@@ -76,48 +76,48 @@
 // Decide returns what to do next, without ID, version, author and time.
 func Decide(in Input) Change {
 	d := newDecision(&in)
-	d.welcome()
+	d.addNewInstances()
 	d.observe()
-	d.releaseUnknown()
+	d.releaseRemovedPools()
 	for _, t := range in.Templates {
-		d.size(t)
+		d.resizePool(t)
 	}
 	for _, t := range in.Templates {
 		d.maintain(t)
 	}
-	return d.change()
+	return d.result()
 }
 
 func newDecision(in *Input) *decision {
 	d := &decision{
-		in:     in,
-		listed: make(map[pointport.InstanceID]pointport.Instance, len(in.Listed)),
-		member: make(map[pointport.InstanceID]Member, len(in.State.members)),
-		stepOf: make(map[pointport.InstanceID]int),
-		waves:  make(map[string]Wave),
-		pools:  make(map[string]Pool),
-		tpl:    make(map[string]*config.Template, len(in.Templates)),
-		byPool: make(map[string][]Member, len(in.Templates)+1),
+		in:        in,
+		listed:    make(map[pointport.InstanceID]pointport.Instance, len(in.Listed)),
+		members:   make(map[pointport.InstanceID]Member, len(in.State.members)),
+		stepIndex: make(map[pointport.InstanceID]int),
+		waves:     make(map[string]Wave),
+		pools:     make(map[string]Pool),
+		templates: make(map[string]*config.Template, len(in.Templates)),
+		byPool:    make(map[string][]Member, len(in.Templates)+1),
 	}
 	for _, i := range in.Listed {
 		d.listed[i.ID] = i
 	}
 	for id, m := range in.State.members {
-		d.member[id] = m
-		d.order = append(d.order, id)
+		d.members[id] = m
+		d.ids = append(d.ids, id)
 	}
-	sort.Slice(d.order, func(a, b int) bool { return d.order[a] < d.order[b] })
-	for _, id := range d.order {
-		m := d.member[id]
+	sort.Slice(d.ids, func(a, b int) bool { return d.ids[a] < d.ids[b] })
+	for _, id := range d.ids {
+		m := d.members[id]
 		d.byPool[m.Pool] = append(d.byPool[m.Pool], m)
 	}
 	for _, t := range in.Templates {
-		d.tpl[t.Name] = t
+		d.templates[t.Name] = t
 	}
 	return d
 }
 
-func (d *decision) change() Change {
+func (d *decision) result() Change {
 	c := Change{Steps: d.steps, Pools: d.pools}
 	names := make([]string, 0, len(d.waves))
 	for name := range d.waves {
@@ -130,39 +130,39 @@
 	return c
 }
 
-// set takes a step. A member's second step in one decision joins its first.
-func (d *decision) set(m Member, format string, args ...any) {
+// update takes a step. A member's second step in one decision joins its first.
+func (d *decision) update(m Member, format string, args ...any) {
 	reason := fmt.Sprintf(format, args...)
-	before, known := d.member[m.ID]
+	before, known := d.members[m.ID]
 	if m.Phase != before.Phase || !known {
 		m.Since = d.in.Now
 	}
-	d.member[m.ID] = m
+	d.members[m.ID] = m
 	if known {
-		d.leavePool(before)
+		d.removeFromPool(before)
 	}
-	d.joinPool(m)
-	if n, ok := d.stepOf[m.ID]; ok {
+	d.addToPool(m)
+	if n, ok := d.stepIndex[m.ID]; ok {
 		d.steps[n].After = &m
 		d.steps[n].Reason += "; " + reason
 		return
 	}
 	if !known {
-		d.order = append(d.order, m.ID)
+		d.ids = append(d.ids, m.ID)
 	}
-	d.stepOf[m.ID] = len(d.steps)
-	d.steps = append(d.steps, Step{Instance: m.ID, After: &m, From: describe(before), Reason: reason})
+	d.stepIndex[m.ID] = len(d.steps)
+	d.steps = append(d.steps, Step{Instance: m.ID, After: &m, From: phaseAndPool(before), Reason: reason})
 }
 
-// forget removes a member.
-func (d *decision) forget(id pointport.InstanceID, reason string) {
-	d.steps = append(d.steps, Step{Instance: id, From: describe(d.member[id]), Reason: reason})
-	d.leavePool(d.member[id])
-	delete(d.member, id)
+// remove removes a member.
+func (d *decision) remove(id pointport.InstanceID, reason string) {
+	d.steps = append(d.steps, Step{Instance: id, From: phaseAndPool(d.members[id]), Reason: reason})
+	d.removeFromPool(d.members[id])
+	delete(d.members, id)
 }
 
-// describe names a member's phase and pool.
-func describe(m Member) string {
+// phaseAndPool names a member's phase and pool.
+func phaseAndPool(m Member) string {
 	switch {
 	case m.ID == "":
 		return ""
@@ -176,14 +176,14 @@
 // What is left is decided next time.
 func (d *decision) full() bool { return len(d.steps) >= maxSteps }
 
-// each calls do for every member, in the order of their names, until the
+// forEach calls do for every member, in the order of their names, until the
 // decision is full.
-func (d *decision) each(do func(Member)) {
-	for _, id := range d.order {
+func (d *decision) forEach(do func(Member)) {
+	for _, id := range d.ids {
 		if d.full() {
 			return
 		}
-		if m, ok := d.member[id]; ok {
+		if m, ok := d.members[id]; ok {
 			do(m)
 		}
 	}
@@ -193,28 +193,28 @@
 // The slice is the decision's own and changes with the next step.
 func (d *decision) inPool(pool string) []Member { return d.byPool[pool] }
 
-// place returns where a member is, or would be, in its pool.
-func (d *decision) place(m Member) (int, bool) {
+// indexInPool returns where a member is, or would be, in its pool.
+func (d *decision) indexInPool(m Member) (int, bool) {
 	return slices.BinarySearchFunc(d.byPool[m.Pool], m.ID, func(m Member, id pointport.InstanceID) int {
 		return strings.Compare(string(m.ID), string(id))
 	})
 }
 
-func (d *decision) leavePool(m Member) {
-	if n, ok := d.place(m); ok {
+func (d *decision) removeFromPool(m Member) {
+	if n, ok := d.indexInPool(m); ok {
 		d.byPool[m.Pool] = slices.Delete(d.byPool[m.Pool], n, n+1)
 	}
 }
 
-func (d *decision) joinPool(m Member) {
-	n, _ := d.place(m)
+func (d *decision) addToPool(m Member) {
+	n, _ := d.indexInPool(m)
 	d.byPool[m.Pool] = slices.Insert(d.byPool[m.Pool], n, m)
 }
 
-// works reports whether a member is known to take work now.
-func (d *decision) works(m Member) bool {
+// isWorking reports whether a member is known to take work now.
+func (d *decision) isWorking(m Member) bool {
 	i, ok := d.listed[m.ID]
-	return m.Phase == Serving && ok && i.State == pointport.InstanceLive && d.in.Now.Sub(i.Reported) < reportBound
+	return m.Phase == Serving && ok && i.State == pointport.InstanceLive && d.in.Now.Sub(i.Reported) < maxReportAge
 }
 
 // wave returns how far a wave has come, as the decision has it.
--- a/assign/explain.go
+++ b/assign/explain.go
@@ -30,11 +30,11 @@
 
 // ExplainInstance explains a member.
 func ExplainInstance(m Member, t *config.Template) Explanation {
-	e := Explanation{Subject: "instance " + string(m.ID), Stands: describe(m)}
+	e := Explanation{Subject: "instance " + string(m.ID), Stands: phaseAndPool(m)}
 	e.fact("in this phase since %s", m.Since.UTC().Format("2006-01-02T15:04:05Z"))
 	e.fact("last maintained, or first seen, at %s", m.Maintained.UTC().Format("2006-01-02T15:04:05Z"))
 	e.fact("boots seen: %d; rack %s; address %s", m.Boots, m.Rack, m.Address)
-	b := noTemplate
+	b := defaultMaintenance
 	if t != nil {
 		b = t.Maintenance
 	}
@@ -52,7 +52,7 @@
 		e.next("it counts as failed after %v", b.ReturnBound)
 	case Failed:
 		e.next("it is used again once the platform lists it as live")
-		e.next("it is forgotten once it has been missing from the list for %v", forgetBound)
+		e.next("it is forgotten once it has been missing from the list for %v", removalTimeout)
 	}
 	return e
 }
@@ -65,7 +65,7 @@
 			phases[m.Phase]++
 		}
 	}
-	open := sharing(zones, zone, evacuated)
+	open := sharingZones(zones, zone, evacuated)
 	size, spare := ZoneSize(t, open, zone), ZoneSpare(t, open, zone)
 	e := Explanation{Subject: fmt.Sprintf("pool %s in zone %s", t.Name, zone)}
 	e.Stands = fmt.Sprintf("%d serving of %d needed and %d spare", phases[Serving], size, spare)
@@ -85,7 +85,7 @@
 		e.next("%d more are taken as spare instances of a fitting shape appear in the zone", missing)
 	}
 	if surplus := phases[Serving] - size - spare; surplus > 0 {
-		e.next("%d may go to pools that need them, or after %v of surplus", surplus, keepSurplus(t))
+		e.next("%d may go to pools that need them, or after %v of surplus", surplus, surplusRetention(t))
 	}
 	if room <= 0 {
 		e.next("no wave or move takes an instance until one comes back, the spare grows or the budget does")
--- a/assign/float.go
+++ b/assign/floating_budget.go
@@ -15,17 +15,17 @@
 	out := make(map[string]int)
 	for _, t := range in.Templates {
 		if FloatingBudget(t, in.Zones) > 0 || in.State.Pool(t.Name).Float > 0 {
-			out[t.Name] = d.wantFloat(t)
+			out[t.Name] = d.floatingBudgetDemand(t)
 		}
 	}
 	return out
 }
 
-func (d *decision) wantFloat(t *config.Template) int {
+func (d *decision) floatingBudgetDemand(t *config.Template) int {
 	zones, even := d.in.Zones, ZoneShare(t, d.in.Zones)
 	working := 0
 	for _, m := range d.inPool(t.Name) {
-		if d.works(m) {
+		if d.isWorking(m) {
 			working++
 		}
 	}
--- a/assign/forecast.go
+++ b/assign/forecast.go
@@ -30,10 +30,10 @@
 }
 
 const (
-	// mostRounds bounds a forecast.
-	mostRounds = 10000
-	// foreseenStep is the time between two looks in a forecast.
-	foreseenStep = time.Minute
+	// maxForecastRounds bounds a forecast.
+	maxForecastRounds = 10000
+	// forecastStep is the time between two looks in a forecast.
+	forecastStep = time.Minute
 )
 
 // NewForecast lets the decisions of in run to their end, as if every drain fell idle
@@ -42,58 +42,58 @@
 func NewForecast(in Input) Forecast {
 	f := Forecast{Zone: in.Zone}
 	before := in.State
-	w := newForeseen(in)
-	for f.Rounds = 0; f.Rounds < mostRounds; f.Rounds++ {
+	w := newSimulation(in)
+	for f.Rounds = 0; f.Rounds < maxForecastRounds; f.Rounds++ {
 		c := Decide(w.input())
 		if c.Empty() {
 			break
 		}
-		w.take(c, &f)
+		w.apply(c, &f)
 	}
 	for _, t := range in.Templates {
-		f.Pools = append(f.Pools, w.pool(t, before))
+		f.Pools = append(f.Pools, w.poolForecast(t, before))
 	}
 	return f
 }
 
-// A foreseen is a zone in a forecast.
-type foreseen struct {
+// A simulation is a zone in a forecast.
+type simulation struct {
 	in     Input
 	listed map[pointport.InstanceID]pointport.Instance
-	order  []pointport.InstanceID
+	ids    []pointport.InstanceID
 }
 
-// newForeseen lists every member as it is known, which is what the forecast
+// newSimulation lists every member as it is known, which is what the forecast
 // takes for true.
-func newForeseen(in Input) *foreseen {
-	w := &foreseen{in: in, listed: make(map[pointport.InstanceID]pointport.Instance)}
+func newSimulation(in Input) *simulation {
+	w := &simulation{in: in, listed: make(map[pointport.InstanceID]pointport.Instance)}
 	for _, m := range in.State.Members() {
 		i := pointport.Instance{ID: m.ID, Address: m.Address, Zone: m.Zone, Rack: m.Rack, Shape: m.Shape, Boots: m.Boots, State: pointport.InstanceLive}
 		if m.Phase == Failed {
 			i.State = pointport.InstanceDown
 		}
 		w.listed[m.ID] = i
-		w.order = append(w.order, m.ID)
+		w.ids = append(w.ids, m.ID)
 	}
 	return w
 }
 
-func (w *foreseen) input() Input {
+func (w *simulation) input() Input {
 	in := w.in
 	in.AbsentSince = nil
 	in.Listed = nil
 	in.IdleFor = make(map[pointport.InstanceID]time.Duration)
-	for _, id := range w.order {
+	for _, id := range w.ids {
 		i := w.listed[id]
 		i.Reported = in.Now
 		in.Listed = append(in.Listed, i)
-		in.IdleFor[id] = maxKeep
+		in.IdleFor[id] = maxSurplusRetention
 	}
 	return in
 }
 
-// take applies a change and lets its drains and reboots come to their end.
-func (w *foreseen) take(c Change, f *Forecast) {
+// apply applies a change and lets its drains and reboots come to their end.
+func (w *simulation) apply(c Change, f *Forecast) {
 	c.Version = w.in.State.Version() + 1
 	for _, s := range c.Steps {
 		was, _ := w.in.State.Member(s.Instance)
@@ -115,19 +115,19 @@
 		panic("assign: a forecast does not follow on itself: " + err.Error())
 	}
 	w.in.State = next
-	w.in.Now = w.in.Now.Add(foreseenStep)
+	w.in.Now = w.in.Now.Add(forecastStep)
 }
 
-func (w *foreseen) pool(t *config.Template, before *State) PoolForecast {
+func (w *simulation) poolForecast(t *config.Template, before *State) PoolForecast {
 	in := w.input()
 	d := newDecision(&in)
-	p := PoolForecast{Pool: t.Name, Need: d.need(t), Before: countIn(before, t.Name), After: countIn(in.State, t.Name)}
-	p.Missing = max(0, p.Need-len(d.held(t)))
-	p.Room = max(0, d.budgetRoom(t))
+	p := PoolForecast{Pool: t.Name, Need: d.required(t), Before: countMembers(before, t.Name), After: countMembers(in.State, t.Name)}
+	p.Missing = max(0, p.Need-len(d.countedMembers(t)))
+	p.Room = max(0, d.remainingBudget(t))
 	return p
 }
 
-func countIn(s *State, pool string) int {
+func countMembers(s *State, pool string) int {
 	n := 0
 	for _, m := range s.members {
 		if m.Pool == pool {
--- a/assign/maintain.go
+++ b/assign/maintain.go
@@ -9,13 +9,13 @@
 
 // This file defines maintenance waves: which instance is next, and when.
 
-// standingPrefix starts the name of the wave that maintains every instance of a
+// periodicWavePrefix starts the name of the wave that maintains every instance of a
 // pool once in its period, without an operator's hand.
-const standingPrefix = "standing."
+const periodicWavePrefix = "standing."
 
-// dueBefore is the part of the period that may be left when an instance is
+// earlyFraction is the part of the period that may be left when an instance is
 // taken, so that all are done in time.
-const dueBefore = 0.1
+const earlyFraction = 0.1
 
 // maintain starts the next steps of the waves over a pool.
 func (d *decision) maintain(t *config.Template) {
@@ -25,7 +25,7 @@
 		}
 	}
 	if t.Maintenance.Period.D() > 0 {
-		d.runStanding(t)
+		d.runPeriodicWave(t)
 	}
 }
 
@@ -46,12 +46,12 @@
 		w.Stopped, w.StoppedAt, w.FailedCount = "", 0, 0
 		d.waves[w.Name] = w
 	}
-	if d.stopWave(t, w, o) {
+	if d.stopWaveIfFailing(t, w, o) {
 		return
 	}
 	due := dueInWave(w)
-	d.start(t, w.Name, due, o.Wave.Racks)
-	d.endWave(t, w.Name, due)
+	d.startDrains(t, w.Name, due, o.Wave.Racks)
+	d.endWaveIfDone(t, w.Name, due)
 }
 
 // dueInWave reports whether a wave has still to maintain a member.
@@ -62,14 +62,14 @@
 // dueByPeriod reports whether a member is due by its pool's period.
 func (d *decision) dueByPeriod(t *config.Template) func(Member) bool {
 	period := t.Maintenance.Period.D()
-	early := time.Duration(dueBefore * float64(period))
+	early := time.Duration(earlyFraction * float64(period))
 	return func(m Member) bool {
 		return d.in.Now.Sub(m.Maintained) >= period-early && d.in.Now.Sub(m.Since) >= early
 	}
 }
 
-// stopWave stops a wave whose instances fail to come back.
-func (d *decision) stopWave(t *config.Template, w Wave, o WaveOrder) bool {
+// stopWaveIfFailing stops a wave whose instances fail to come back.
+func (d *decision) stopWaveIfFailing(t *config.Template, w Wave, o WaveOrder) bool {
 	if w.FailedCount < t.Maintenance.StopAfter {
 		return false
 	}
@@ -79,8 +79,8 @@
 	return true
 }
 
-// endWave marks a wave as ended when nothing is left of it.
-func (d *decision) endWave(t *config.Template, name string, due func(Member) bool) {
+// endWaveIfDone marks a wave as ended when nothing is left of it.
+func (d *decision) endWaveIfDone(t *config.Template, name string, due func(Member) bool) {
 	for _, m := range d.inPool(t.Name) {
 		if m.Wave == name || due(m) && m.Phase != Failed {
 			return
@@ -89,9 +89,9 @@
 	d.countWave(name, func(w *Wave) { w.Ended = d.in.Now })
 }
 
-// runStanding maintains what is due by the pool's period.
-func (d *decision) runStanding(t *config.Template) {
-	name := standingPrefix + t.Name
+// runPeriodicWave maintains what is due by the pool's period.
+func (d *decision) runPeriodicWave(t *config.Template) {
+	name := periodicWavePrefix + t.Name
 	w, ok := d.wave(name)
 	if !ok {
 		w = Wave{Name: name, Pool: t.Name, Started: d.in.Now}
@@ -100,12 +100,12 @@
 	if w.FailedCount >= t.Maintenance.StopAfter {
 		return
 	}
-	d.start(t, name, d.dueByPeriod(t), false)
+	d.startDrains(t, name, d.dueByPeriod(t), false)
 }
 
-// start takes instances out of service while speed and budget allow.
-func (d *decision) start(t *config.Template, wave string, due func(Member) bool, racks bool) {
-	room := min(d.speedRoom(t), d.budgetRoom(t))
+// startDrains takes instances out of service while speed and budget allow.
+func (d *decision) startDrains(t *config.Template, wave string, due func(Member) bool, racks bool) {
+	room := min(d.remainingSpeed(t), d.remainingBudget(t))
 	if room <= 0 {
 		return
 	}
@@ -115,12 +115,12 @@
 		}
 		room--
 		m.Phase, m.Wave = Draining, wave
-		d.set(m, "wave %s: last maintained %s; %d more may go now", wave, m.Maintained.UTC().Format(time.RFC3339), room)
+		d.update(m, "wave %s: last maintained %s; %d more may go now", wave, m.Maintained.UTC().Format(time.RFC3339), room)
 	}
 }
 
-// speedRoom returns how many more instances waves may take out of the pool.
-func (d *decision) speedRoom(t *config.Template) int {
+// remainingSpeed returns how many more instances waves may take out of the pool.
+func (d *decision) remainingSpeed(t *config.Template) int {
 	out := 0
 	for _, m := range d.inPool(t.Name) {
 		if m.Wave != "" {
@@ -131,12 +131,12 @@
 	return max(1, t.Maintenance.Speed.Up(size)) - out
 }
 
-// budgetRoom returns how many more instances may go out of service before the
+// remainingBudget returns how many more instances may go out of service before the
 // pool has less than its size less the zone's share of the budget.
-func (d *decision) budgetRoom(t *config.Template) int {
+func (d *decision) remainingBudget(t *config.Template) int {
 	working := 0
 	for _, m := range d.inPool(t.Name) {
-		if d.works(m) {
+		if d.isWorking(m) {
 			working++
 		}
 	}
@@ -152,7 +152,7 @@
 		if m.Wave != "" {
 			busy[m.Rack] = true
 		}
-		if d.works(m) && due(m) {
+		if d.isWorking(m) && due(m) {
 			out = append(out, m)
 		}
 	}
--- a/assign/observe.go
+++ b/assign/observe.go
@@ -11,25 +11,25 @@
 // instances, those that failed, and those whose step has come to its end.
 
 // Bounds for instances whose pool no longer exists.
-var noTemplate = config.Maintenance{
+var defaultMaintenance = config.Maintenance{
 	DrainQuiet: config.Of(3 * time.Second), DrainBound: config.Of(10 * time.Minute), ReturnBound: config.Of(15 * time.Minute),
 }
 
 // bounds returns the maintenance bounds of a member's pool.
 func (d *decision) bounds(m Member) config.Maintenance {
-	if t := d.tpl[m.Pool]; t != nil {
+	if t := d.templates[m.Pool]; t != nil {
 		return t.Maintenance
 	}
-	return noTemplate
+	return defaultMaintenance
 }
 
-// welcome takes in instances that were not known.
-func (d *decision) welcome() {
+// addNewInstances takes in instances that were not known.
+func (d *decision) addNewInstances() {
 	for _, i := range d.in.Listed {
-		if _, known := d.member[i.ID]; known || i.State != pointport.InstanceLive || d.full() {
+		if _, known := d.members[i.ID]; known || i.State != pointport.InstanceLive || d.full() {
 			continue
 		}
-		d.set(Member{
+		d.update(Member{
 			ID: i.ID, Address: i.Address, Zone: i.Zone, Rack: i.Rack, Shape: i.Shape, Boots: i.Boots,
 			Phase: Spare, Maintained: d.in.Now,
 		}, "first seen in the platform's list")
@@ -38,7 +38,7 @@
 
 // observe moves each member on by what the list says of it.
 func (d *decision) observe() {
-	d.each(func(m Member) {
+	d.forEach(func(m Member) {
 		i, listed := d.listed[m.ID]
 		if !listed {
 			d.observeAbsent(m)
@@ -64,11 +64,11 @@
 	}
 	gone := d.in.Now.Sub(since)
 	switch {
-	case m.Phase == Failed && gone >= forgetBound:
-		d.forget(m.ID, "missing from the platform's list for too long; it was replaced or removed")
+	case m.Phase == Failed && gone >= removalTimeout:
+		d.remove(m.ID, "missing from the platform's list for too long; it was replaced or removed")
 	case m.Phase == Rebooting:
-		d.returnBound(m)
-	case m.Phase != Failed && gone >= absentBound:
+		d.checkRebootTimeout(m)
+	case m.Phase != Failed && gone >= absenceTimeout:
 		d.fail(m, "missing from the platform's list for %v", gone.Round(time.Second))
 	}
 }
@@ -79,7 +79,7 @@
 		d.countWave(m.Wave, func(w *Wave) { w.FailedCount++ })
 	}
 	m.Phase, m.Wave, m.Moving = Failed, "", false
-	d.set(m, format, args...)
+	d.update(m, format, args...)
 }
 
 func (d *decision) observeUp(m Member, i pointport.Instance) {
@@ -88,7 +88,7 @@
 		d.fail(m, "the platform lists it as down")
 	case i.Address != m.Address || i.Boots != m.Boots:
 		m.Address, m.Boots = i.Address, i.Boots
-		d.set(m, "restarted by itself or by the platform")
+		d.update(m, "restarted by itself or by the platform")
 	}
 }
 
@@ -99,30 +99,30 @@
 	case i.State == pointport.InstanceDown:
 		d.fail(m, "went down while it drained")
 	case i.Boots != m.Boots:
-		m.Address, m.Boots, m.Phase, m.Wave, m.Moving, m.Maintained = i.Address, i.Boots, home(m), "", false, d.in.Now
-		d.set(m, "restarted while it drained, which is as good as maintenance")
+		m.Address, m.Boots, m.Phase, m.Wave, m.Moving, m.Maintained = i.Address, i.Boots, idlePhase(m), "", false, d.in.Now
+		d.update(m, "restarted while it drained, which is as good as maintenance")
 	case quiet && m.Moving:
 		m.Pool, m.Phase, m.Moving = "", Spare, false
-		d.set(m, "ran nothing for %v and leaves its pool", b.DrainQuiet)
+		d.update(m, "ran nothing for %v and leaves its pool", b.DrainQuiet)
 	case quiet:
 		m.Phase = Rebooting
-		d.set(m, "ran nothing for %v", b.DrainQuiet)
+		d.update(m, "ran nothing for %v", b.DrainQuiet)
 	case d.in.Now.Sub(m.Since) >= b.DrainBound.D():
-		d.passBy(m, b)
+		d.abandonDrain(m, b)
 	}
 }
 
-// passBy puts an instance that does not fall idle back to work.
-func (d *decision) passBy(m Member, b config.Maintenance) {
+// abandonDrain puts an instance that does not fall idle back to work.
+func (d *decision) abandonDrain(m Member, b config.Maintenance) {
 	if m.Wave != "" {
 		d.countWave(m.Wave, func(w *Wave) { w.PassedCount++ })
 	}
-	m.Phase, m.Passed, m.Wave, m.Moving = home(m), m.Wave, "", false
-	d.set(m, "still ran something after %v; it is passed by", b.DrainBound)
+	m.Phase, m.Passed, m.Wave, m.Moving = idlePhase(m), m.Wave, "", false
+	d.update(m, "still ran something after %v; it is passed by", b.DrainBound)
 }
 
-// home is the phase of a member that takes work, or could.
-func home(m Member) Phase {
+// idlePhase is the phase of a member that takes work, or could.
+func idlePhase(m Member) Phase {
 	if m.Pool == "" {
 		return Spare
 	}
@@ -131,18 +131,18 @@
 
 func (d *decision) observeRebooting(m Member, i pointport.Instance) {
 	if i.Boots <= m.Boots || i.State != pointport.InstanceLive {
-		d.returnBound(m)
+		d.checkRebootTimeout(m)
 		return
 	}
 	if m.Wave != "" {
 		d.countWave(m.Wave, func(w *Wave) { w.Done++ })
 	}
-	m.Address, m.Boots, m.Phase, m.Wave, m.Maintained = i.Address, i.Boots, home(m), "", d.in.Now
-	d.set(m, "came back after its reboot")
+	m.Address, m.Boots, m.Phase, m.Wave, m.Maintained = i.Address, i.Boots, idlePhase(m), "", d.in.Now
+	d.update(m, "came back after its reboot")
 }
 
-// returnBound fails a member whose reboot has taken too long.
-func (d *decision) returnBound(m Member) {
+// checkRebootTimeout fails a member whose reboot has taken too long.
+func (d *decision) checkRebootTimeout(m Member) {
 	b := d.bounds(m).ReturnBound
 	if d.in.Now.Sub(m.Since) >= b.D() {
 		d.fail(m, "did not come back within %v of its reboot", b)
@@ -150,26 +150,26 @@
 }
 
 func (d *decision) observeFailed(m Member, i pointport.Instance) {
-	if i.State != pointport.InstanceLive || d.in.Now.Sub(i.Reported) >= reportBound {
+	if i.State != pointport.InstanceLive || d.in.Now.Sub(i.Reported) >= maxReportAge {
 		return
 	}
-	m.Address, m.Boots, m.Phase = i.Address, i.Boots, home(m)
-	d.set(m, "is listed as live again")
+	m.Address, m.Boots, m.Phase = i.Address, i.Boots, idlePhase(m)
+	d.update(m, "is listed as live again")
 }
 
-// releaseUnknown drains the members of pools that no longer exist.
-func (d *decision) releaseUnknown() {
-	d.each(func(m Member) {
-		if m.Pool == "" || d.tpl[m.Pool] != nil {
+// releaseRemovedPools drains the members of pools that no longer exist.
+func (d *decision) releaseRemovedPools() {
+	d.forEach(func(m Member) {
+		if m.Pool == "" || d.templates[m.Pool] != nil {
 			return
 		}
 		switch m.Phase {
 		case Serving:
 			m.Phase, m.Moving = Draining, true
-			d.set(m, "its pool no longer exists")
+			d.update(m, "its pool no longer exists")
 		case Failed:
 			m.Pool = ""
-			d.set(m, "its pool no longer exists")
+			d.update(m, "its pool no longer exists")
 		}
 	})
 }
--- a/assign/size.go
+++ b/assign/size.go
@@ -26,8 +26,8 @@
 	return share
 }
 
-// offset spreads the remainders of pools over the zones.
-func offset(pool string) int {
+// remainderOffset spreads the remainders of pools over the zones.
+func remainderOffset(pool string) int {
 	n := 0
 	for _, c := range []byte(pool) {
 		n = n*31 + int(c)
@@ -38,12 +38,12 @@
 // ZoneSize returns how many instances of a pool should serve in zone, without
 // any spare.
 func ZoneSize(t *config.Template, zones []pointport.ZoneID, zone pointport.ZoneID) int {
-	return Split(t.Pool.Size, len(zones), indexOf(zones, zone), offset(t.Name))
+	return Split(t.Pool.Size, len(zones), indexOf(zones, zone), remainderOffset(t.Name))
 }
 
 // ZoneSpare returns how many spare instances a pool holds in zone.
 func ZoneSpare(t *config.Template, zones []pointport.ZoneID, zone pointport.ZoneID) int {
-	return Split(t.Pool.Spare.Up(t.Pool.Size), len(zones), indexOf(zones, zone), offset(t.Name)+t.Pool.Size)
+	return Split(t.Pool.Spare.Up(t.Pool.Size), len(zones), indexOf(zones, zone), remainderOffset(t.Name)+t.Pool.Size)
 }
 
 // ZoneShare returns the part of a pool's availability budget that each zone may
@@ -66,25 +66,25 @@
 	return 0
 }
 
-// need returns how many instances the pool should have in the zone. While others are
+// required returns how many instances the pool should have in the zone. While others are
 // evacuated it has their part as well, as far as it has instances; a zone that is evacuated
 // keeps its own, so that they are there once it is open again.
-func (d *decision) need(t *config.Template) int {
-	zones := sharing(d.in.Zones, d.in.Zone, d.in.Evacuations)
+func (d *decision) required(t *config.Template) int {
+	zones := sharingZones(d.in.Zones, d.in.Zone, d.in.Evacuations)
 	return ZoneSize(t, zones, d.in.Zone) + ZoneSpare(t, zones, d.in.Zone)
 }
 
-// sharing returns the zones over which pools are split for a zone.
-func sharing(zones []pointport.ZoneID, zone pointport.ZoneID, evacuated evacuation.Zones) []pointport.ZoneID {
+// sharingZones returns the zones over which pools are split for a zone.
+func sharingZones(zones []pointport.ZoneID, zone pointport.ZoneID, evacuated evacuation.Zones) []pointport.ZoneID {
 	if len(evacuated.Requests()) == 0 || evacuated.State(zone) == evacuation.Evacuated {
 		return zones
 	}
 	return slices.DeleteFunc(slices.Clone(zones), func(z pointport.ZoneID) bool { return evacuated.State(z) == evacuation.Evacuated })
 }
 
-// held returns the members that the pool can count on: those that serve, and
+// countedMembers returns the members that the pool can count on: those that serve, and
 // those that a wave will give back.
-func (d *decision) held(t *config.Template) []Member {
+func (d *decision) countedMembers(t *config.Template) []Member {
 	var out []Member
 	for _, m := range d.inPool(t.Name) {
 		if m.Phase != Failed && !m.Moving {
@@ -94,9 +94,9 @@
 	return out
 }
 
-// size fills the pool from spare instances, or lets surplus go.
-func (d *decision) size(t *config.Template) {
-	have, need := d.held(t), d.need(t)
+// resizePool fills the pool from spare instances, or lets surplus go.
+func (d *decision) resizePool(t *config.Template) {
+	have, need := d.countedMembers(t), d.required(t)
 	if len(have) < need {
 		d.fill(t, need-len(have))
 	}
@@ -108,17 +108,17 @@
 	for ; missing > 0 && !d.full(); missing-- {
 		m, ok := d.bestSpare(t)
 		if !ok {
-			d.askSurplus(t, missing)
+			d.drainSurplusElsewhere(t, missing)
 			return
 		}
 		m.Pool, m.Phase = t.Name, Serving
-		d.set(m, "pool %s has %d fewer than it needs", t.Name, missing)
+		d.update(m, "pool %s has %d fewer than it needs", t.Name, missing)
 	}
 }
 
 // bestSpare returns the spare instance that fits the pool and spreads it best.
 func (d *decision) bestSpare(t *config.Template) (Member, bool) {
-	racks := d.perRack(t)
+	racks := d.countPerRack(t)
 	var best Member
 	found := false
 	for _, m := range d.inPool("") {
@@ -133,7 +133,7 @@
 	return best, found
 }
 
-func (d *decision) perRack(t *config.Template) map[string]int {
+func (d *decision) countPerRack(t *config.Template) map[string]int {
 	racks := make(map[string]int)
 	for _, m := range d.inPool(t.Name) {
 		racks[m.Rack]++
@@ -141,23 +141,23 @@
 	return racks
 }
 
-// askSurplus makes pools with more than they need give it up for one that has
+// drainSurplusElsewhere makes pools with more than they need give it up for one that has
 // less, because no spare instance fits.
-func (d *decision) askSurplus(t *config.Template, missing int) {
+func (d *decision) drainSurplusElsewhere(t *config.Template, missing int) {
 	coming := 0
-	d.each(func(m Member) {
+	d.forEach(func(m Member) {
 		if m.Moving && m.Shape.Fits(t.Pool.Shape) {
 			coming++
 		}
 	})
 	for _, other := range d.in.Templates {
-		for surplus := len(d.held(other)) - d.need(other); surplus > 0 && coming < missing && !d.full(); surplus-- {
-			m, ok := d.leastMissed(other)
-			if !ok || !m.Shape.Fits(t.Pool.Shape) || d.budgetRoom(other) <= 0 {
+		for surplus := len(d.countedMembers(other)) - d.required(other); surplus > 0 && coming < missing && !d.full(); surplus-- {
+			m, ok := d.surplusCandidate(other)
+			if !ok || !m.Shape.Fits(t.Pool.Shape) || d.remainingBudget(other) <= 0 {
 				break
 			}
 			m.Phase, m.Moving = Draining, true
-			d.set(m, "pool %s has more than it needs and pool %s has %d fewer", other.Name, t.Name, missing)
+			d.update(m, "pool %s has more than it needs and pool %s has %d fewer", other.Name, t.Name, missing)
 			coming++
 		}
 	}
@@ -180,34 +180,34 @@
 		d.pools[t.Name] = p
 		return
 	}
-	if d.in.Now.Sub(p.SurplusSince) < keepSurplus(t) {
+	if d.in.Now.Sub(p.SurplusSince) < surplusRetention(t) {
 		return
 	}
 	for ; surplus > 0 && !d.full(); surplus-- {
-		m, ok := d.leastMissed(t)
-		if !ok || d.budgetRoom(t) <= 0 {
+		m, ok := d.surplusCandidate(t)
+		if !ok || d.remainingBudget(t) <= 0 {
 			return
 		}
 		m.Phase, m.Moving = Draining, true
-		d.set(m, "pool %s has had more than it needs for %v", t.Name, d.in.Now.Sub(p.SurplusSince).Round(time.Second))
+		d.update(m, "pool %s has had more than it needs for %v", t.Name, d.in.Now.Sub(p.SurplusSince).Round(time.Second))
 	}
 }
 
-// keepSurplus is how long surplus is kept: until its cost is that of a move.
-func keepSurplus(t *config.Template) time.Duration {
+// surplusRetention is how long surplus is kept: until its cost is that of a move.
+func surplusRetention(t *config.Template) time.Duration {
 	if t.Pool.BufferWeight == 0 {
-		return maxKeep
+		return maxSurplusRetention
 	}
 	hours := t.Pool.MoveWeight / t.Pool.BufferWeight
-	return min(time.Duration(hours*float64(time.Hour)), maxKeep)
+	return min(time.Duration(hours*float64(time.Hour)), maxSurplusRetention)
 }
 
-// maxKeep bounds how long surplus is kept.
-const maxKeep = 30 * 24 * time.Hour
+// maxSurplusRetention bounds how long surplus is kept.
+const maxSurplusRetention = 30 * 24 * time.Hour
 
-// leastMissed returns the serving member of the pool's fullest rack.
-func (d *decision) leastMissed(t *config.Template) (Member, bool) {
-	racks := d.perRack(t)
+// surplusCandidate returns the serving member of the pool's fullest rack.
+func (d *decision) surplusCandidate(t *config.Template) (Member, bool) {
+	racks := d.countPerRack(t)
 	var serving []Member
 	for _, m := range d.inPool(t.Name) {
 		if m.Phase == Serving {
