--- a/dispatch/grant.go
+++ b/dispatch/grant.go
@@ -12,10 +12,10 @@
 
 // A Grant is the right to send one request to one upstream.
 type Grant struct {
-	service  *Service
-	upstream *upstream
-	at       time.Time
-	ended    bool
+	service   *Service
+	upstream  *upstream
+	grantedAt time.Time
+	ended     bool
 }
 
 // Instance returns the upstream.
@@ -33,26 +33,26 @@
 	g.ended = true
 	now := s.clock.Now()
 	if latency == 0 {
-		latency = now.Sub(g.at)
+		latency = now.Sub(g.grantedAt)
 	}
 	g.upstream.inFlight--
-	s.learn(g.upstream, o, now, latency)
-	s.serveWaiting()
+	s.recordOutcome(g.upstream, o, now, latency)
+	s.grantWaiting()
 }
 
-func (s *Service) learn(u *upstream, o Outcome, now time.Time, latency time.Duration) {
+func (s *Service) recordOutcome(u *upstream, o Outcome, now time.Time, latency time.Duration) {
 	switch o {
 	case Succeeded:
-		if !u.until.IsZero() {
+		if !u.ejectedUntil.IsZero() {
 			event.UpstreamRestored.Log(s.logger, slog.String("service", s.name), slog.String("instance", string(u.instance.ID)))
 		}
-		u.succeed(now, latency, s.template.Upstream.Slots)
-		s.latency = blend(s.latency, latency, serviceWeight)
-		s.retries = min(s.retries+s.template.Retry.Ratio, maxRetries)
+		u.recordSuccess(now, latency, s.template.Upstream.Slots)
+		s.latency = movingAverage(s.latency, latency, serviceWeight)
+		s.retryBudget = min(s.retryBudget+s.template.Retry.Ratio, maxRetries)
 	case NotRun:
-		u.refuse(now)
+		u.recordRefusal(now)
 	case Failed:
-		if u.fail(latency, s.latency, s.template.Ejection.Failures) && s.mayEject(u, now) {
+		if u.recordFailure(latency, s.latency, s.template.Ejection.Failures) && s.mayEject(u, now) {
 			d := u.eject(now, s.template.Ejection.For.D())
 			event.UpstreamEjected.Log(s.logger, slog.String("service", s.name),
 				slog.String("instance", string(u.instance.ID)), slog.Duration("for", d))
@@ -62,12 +62,12 @@
 
 // mayEject reports whether one more upstream may be ejected.
 func (s *Service) mayEject(u *upstream, now time.Time) bool {
-	if !u.until.IsZero() {
+	if !u.ejectedUntil.IsZero() {
 		return true
 	}
 	ejected := 1
 	for _, v := range s.byID {
-		if now.Before(v.until) {
+		if now.Before(v.ejectedUntil) {
 			ejected++
 		}
 	}
--- a/dispatch/service.go
+++ b/dispatch/service.go
@@ -21,17 +21,17 @@
 const (
 	// serviceWeight is the weight of a new sample in the service's latency.
 	serviceWeight = 0.05
-	// capacityAge is how long a computed capacity stays good.
-	capacityAge = 100 * time.Millisecond
-	// firstRetries is how many retries a service starts with.
-	firstRetries = 10
+	// maxCapacityAge is how long a computed capacity stays good.
+	maxCapacityAge = 100 * time.Millisecond
+	// initialRetries is how many retries a service starts with.
+	initialRetries = 10
 	// maxRetries is how many may be saved up: enough for what is in flight at a
 	// few upstreams that are lost at once.
 	maxRetries = 100
-	// retryAfterEmpty is what callers are told when no upstream is known.
-	retryAfterEmpty = 2 * time.Second
-	// reserveFactor is how many times the mean latency a request must have left.
-	reserveFactor = 2
+	// retryAfterNoUpstream is what callers are told when no upstream is known.
+	retryAfterNoUpstream = 2 * time.Second
+	// requiredTimeFactor is how many times the mean latency a request must have left.
+	requiredTimeFactor = 2
 	// minRetryAfter is the least that callers are told to wait.
 	minRetryAfter = time.Second
 )
@@ -100,16 +100,16 @@
 	share   func(pointport.ZoneID) int
 	logger  *slog.Logger
 
-	mu         sync.Mutex
-	template   *config.Template
-	byID       map[pointport.InstanceID]*upstream
-	own, other []*upstream
-	waiting    queue.Fair[*waiter]
-	latency    time.Duration
-	retries    float64
-	capacity   float64
-	capacityAt time.Time
-	pressedAt  time.Time // when a request last found no room
+	mu                  sync.Mutex
+	template            *config.Template
+	byID                map[pointport.InstanceID]*upstream
+	ownZone, otherZones []*upstream
+	waiting             queue.Fair[*waiter]
+	latency             time.Duration
+	retryBudget         float64
+	capacity            float64
+	capacityAt          time.Time
+	saturatedAt         time.Time // when a request last found no room
 }
 
 // A waiter is a request in the queue.
@@ -143,10 +143,10 @@
 func New(name string, clock pointport.Clock, template *config.Template, options ...Option) *Service {
 	s := &Service{
 		name: name, clock: clock, chooser: choose.Forecast{}, template: template,
-		share:   func(pointport.ZoneID) int { return template.Upstream.Connections },
-		logger:  slog.New(slog.DiscardHandler),
-		byID:    make(map[pointport.InstanceID]*upstream),
-		retries: firstRetries,
+		share:       func(pointport.ZoneID) int { return template.Upstream.Connections },
+		logger:      slog.New(slog.DiscardHandler),
+		byID:        make(map[pointport.InstanceID]*upstream),
+		retryBudget: initialRetries,
 	}
 	for _, o := range options {
 		o(s)
@@ -162,12 +162,12 @@
 	s.template = template
 	old := s.byID
 	s.byID = make(map[pointport.InstanceID]*upstream, len(targets))
-	s.own, s.other = nil, nil
+	s.ownZone, s.otherZones = nil, nil
 	for _, t := range targets {
 		s.add(old[t.Instance.ID], t)
 	}
 	s.capacityAt = time.Time{}
-	s.serveWaiting()
+	s.grantWaiting()
 }
 
 func (s *Service) add(u *upstream, t Target) {
@@ -180,17 +180,17 @@
 	u.evacuated = t.Evacuated
 	s.byID[t.Instance.ID] = u
 	if u.ownZone {
-		s.own = append(s.own, u)
+		s.ownZone = append(s.ownZone, u)
 		return
 	}
-	s.other = append(s.other, u)
+	s.otherZones = append(s.otherZones, u)
 }
 
 // SaturatedAt returns when a request last found no upstream with room.
 func (s *Service) SaturatedAt() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.pressedAt
+	return s.saturatedAt
 }
 
 // MarkLeaving marks an upstream as leaving. It gets no new work.
@@ -216,7 +216,7 @@
 			return s.grant(u), nil
 		}
 	}
-	s.pressedAt = s.clock.Now()
+	s.saturatedAt = s.clock.Now()
 	if err := s.admit(r); err != nil {
 		s.mu.Unlock()
 		return nil, err
@@ -224,19 +224,19 @@
 	w := &waiter{request: r, result: make(chan result, 1)}
 	it := s.waiting.Push(w, r.Priority, r.Customer, r.Weight, 1)
 	// The last moment at which the request could still end in time.
-	patience := r.Deadline.Sub(s.clock.Now()) - s.reserve()
+	patience := r.Deadline.Sub(s.clock.Now()) - s.requiredTime()
 	s.mu.Unlock()
 	return s.wait(ctx, w, it, patience)
 }
 
-// early refuses what cannot be served or end in time, and returns how long r
+// checkFeasible refuses what cannot be served or end in time, and returns how long r
 // would wait.
-func (s *Service) early(r Request) (time.Duration, error) {
+func (s *Service) checkFeasible(r Request) (time.Duration, error) {
 	if !s.usable() {
-		return 0, &RefusedError{s.name, ReasonNoUpstream, retryAfterEmpty}
+		return 0, &RefusedError{s.name, ReasonNoUpstream, retryAfterNoUpstream}
 	}
-	forecast := s.forecast(r)
-	if s.clock.Now().Add(forecast + s.reserve()).After(r.Deadline) {
+	forecast := s.forecastWait(r)
+	if s.clock.Now().Add(forecast + s.requiredTime()).After(r.Deadline) {
 		return forecast, &RefusedError{s.name, ReasonTooLate, retryAfter(forecast)}
 	}
 	return forecast, nil
@@ -244,7 +244,7 @@
 
 // admit decides whether r may wait.
 func (s *Service) admit(r Request) error {
-	forecast, err := s.early(r)
+	forecast, err := s.checkFeasible(r)
 	if err != nil {
 		return err
 	}
@@ -262,9 +262,9 @@
 	return nil
 }
 
-// reserve is the time that a request must have left when it is sent. One that
+// requiredTime is the time that a request must have left when it is sent. One that
 // is sent later would run and then be too late.
-func (s *Service) reserve() time.Duration { return reserveFactor * s.latency }
+func (s *Service) requiredTime() time.Duration { return requiredTimeFactor * s.latency }
 
 // retryAfter is when a caller should ask again after a refusal: once what
 // waits now has been served, spread a little so that callers don't come back
@@ -277,18 +277,18 @@
 // usable reports whether any upstream may get work, now or after its ejection.
 func (s *Service) usable() bool {
 	for _, u := range s.byID {
-		if !u.closed() {
+		if !u.excluded() {
 			return true
 		}
 	}
 	return false
 }
 
-// forecast returns how long a new request would wait.
-func (s *Service) forecast(r Request) time.Duration {
+// forecastWait returns how long a new request would wait.
+func (s *Service) forecastWait(r Request) time.Duration {
 	now := s.clock.Now()
-	if now.Sub(s.capacityAt) >= capacityAge {
-		s.capacity, s.capacityAt = s.countCapacity(now), now
+	if now.Sub(s.capacityAt) >= maxCapacityAge {
+		s.capacity, s.capacityAt = s.computeCapacity(now), now
 	}
 	if s.capacity == 0 || s.latency == 0 {
 		return 0
@@ -297,11 +297,11 @@
 	return time.Duration(float64(ahead) * float64(s.latency) / s.capacity)
 }
 
-// countCapacity returns how many requests may be in flight at once.
-func (s *Service) countCapacity(now time.Time) float64 {
+// computeCapacity returns how many requests may be in flight at once.
+func (s *Service) computeCapacity(now time.Time) float64 {
 	n := 0
 	for _, u := range s.byID {
-		n += max(0, u.room(now, s.template.Upstream.Slots, s.share(u.instance.Zone))+u.inFlight)
+		n += max(0, u.freeCapacity(now, s.template.Upstream.Slots, s.share(u.instance.Zone))+u.inFlight)
 	}
 	return float64(n)
 }
@@ -317,7 +317,7 @@
 	}
 	s.mu.Lock()
 	if s.waiting.Remove(it) {
-		err := &RefusedError{s.name, reason, retryAfter(s.forecast(w.request))}
+		err := &RefusedError{s.name, reason, retryAfter(s.forecastWait(w.request))}
 		s.mu.Unlock()
 		return nil, err
 	}
@@ -334,9 +334,9 @@
 // takes the better, in its own availability zone while that has room.
 func (s *Service) pick(avoid []pointport.InstanceID) *upstream {
 	if all, ok := s.chooser.(pointport.Unlimited); ok {
-		return s.pickNext(all)
+		return s.pickUnlimited(all)
 	}
-	for _, group := range [][]*upstream{s.own, s.other} {
+	for _, group := range [][]*upstream{s.ownZone, s.otherZones} {
 		if u := s.pickFrom(group, avoid); u != nil {
 			return u
 		}
@@ -360,7 +360,7 @@
 		if u.instance.Zone != group[0].instance.Zone {
 			share = s.share(u.instance.Zone)
 		}
-		if slices.Contains(avoid, u.instance.ID) || u.room(now, s.template.Upstream.Slots, share) <= 0 {
+		if slices.Contains(avoid, u.instance.ID) || u.freeCapacity(now, s.template.Upstream.Slots, share) <= 0 {
 			continue
 		}
 		if first == nil {
@@ -375,11 +375,11 @@
 	return first
 }
 
-// pickNext ignores every limit but the signs that an upstream gets no new work.
-func (s *Service) pickNext(all pointport.Unlimited) *upstream {
-	group := slices.Concat(s.own, s.other)
+// pickUnlimited ignores every limit but the signs that an upstream gets no new work.
+func (s *Service) pickUnlimited(all pointport.Unlimited) *upstream {
+	group := slices.Concat(s.ownZone, s.otherZones)
 	for range group {
-		if u := group[all.Next(len(group))]; !u.closed() {
+		if u := group[all.Next(len(group))]; !u.excluded() {
 			return u
 		}
 	}
@@ -388,11 +388,11 @@
 
 func (s *Service) grant(u *upstream) *Grant {
 	u.inFlight++
-	return &Grant{service: s, upstream: u, at: s.clock.Now()}
+	return &Grant{service: s, upstream: u, grantedAt: s.clock.Now()}
 }
 
-// serveWaiting grants upstreams to waiting requests while there is room.
-func (s *Service) serveWaiting() {
+// grantWaiting grants upstreams to waiting requests while there is room.
+func (s *Service) grantWaiting() {
 	for s.waiting.Len() > 0 {
 		// Looked for before the request leaves the queue: the share of connections
 		// may fall between two looks.
@@ -415,10 +415,10 @@
 func (s *Service) TakeRetry() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.retries < 1 {
+	if s.retryBudget < 1 {
 		return false
 	}
-	s.retries--
+	s.retryBudget--
 	return true
 }
 
@@ -430,6 +430,6 @@
 	if s.waiting.Len() == 0 && s.pick(r.Avoid) != nil {
 		return nil
 	}
-	_, err := s.early(r)
+	_, err := s.checkFeasible(r)
 	return err
 }
--- a/dispatch/status.go
+++ b/dispatch/status.go
@@ -39,10 +39,10 @@
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	st := Status{Service: s.name, Waiting: s.waiting.Len(), Latency: s.latency}
-	for _, u := range slices.Concat(s.own, s.other) {
+	for _, u := range slices.Concat(s.ownZone, s.otherZones) {
 		st.Upstreams = append(st.Upstreams, UpstreamStatus{
 			Instance: u.instance.ID, Zone: u.instance.Zone, InFlight: u.inFlight, Limit: u.limit,
-			Latency: u.recent, Leaving: u.leaving, Evacuated: u.evacuated, Ejected: now.Before(u.until),
+			Latency: u.recentLatency, Leaving: u.leaving, Evacuated: u.evacuated, Ejected: now.Before(u.ejectedUntil),
 			Served: u.served, Failed: u.failed, Refused: u.refused,
 		})
 	}
