--- a/queue/fair.go
+++ b/queue/fair.go
@@ -18,11 +18,11 @@
 
 // This file defines the fair queue.
 
-// classes is how many classes there are, one for each rank of priority.
-const classes = config.Ranks
+// classCount is how many classes there are, one for each rank of priority.
+const classCount = config.Ranks
 
-// starveBound is how many turns in a row a class may be passed over.
-var starveBound = [classes]int{0, 4, 16}
+// maxSkipped is how many turns in a row a class may be passed over.
+var maxSkipped = [classCount]int{0, 4, 16}
 
 // An Item is something that waits in a Fair queue.
 type Item[T any] struct {
@@ -42,17 +42,17 @@
 // A Fair is a queue that is fair to customers. It is not safe for concurrent
 // use. The zero value is empty and ready.
 type Fair[T any] struct {
-	lines  [classes]line[T]
-	serial int64
-	length int
+	classes [classCount]classQueue[T]
+	serial  int64
+	length  int
 }
 
-// A line is the items of one class.
-type line[T any] struct {
-	items   itemHeap[T]
-	now     float64            // the virtual time: the start of what was served last
-	finish  map[string]float64 // each customer's last virtual finish
-	skipped int                // turns in a row that the class was passed over
+// A classQueue is the items of one class.
+type classQueue[T any] struct {
+	items       itemHeap[T]
+	virtualTime float64            // the virtual time: the start of what was served last
+	lastFinish  map[string]float64 // each customer's last virtual finish
+	skipped     int                // turns in a row that the class was passed over
 }
 
 // Len returns how many items wait.
@@ -64,10 +64,10 @@
 	c := p.Rank()
 	n := 0
 	for higher := range c {
-		n += len(f.lines[higher].items)
+		n += len(f.classes[higher].items)
 	}
-	l := &f.lines[c]
-	start := max(l.now, l.finish[customer])
+	l := &f.classes[c]
+	start := max(l.virtualTime, l.lastFinish[customer])
 	for _, it := range l.items {
 		if it.start <= start {
 			n++
@@ -78,9 +78,9 @@
 
 // Last returns the item that would be served after all others, or nil.
 func (f *Fair[T]) Last() *Item[T] {
-	for c := classes - 1; c >= 0; c-- {
+	for c := classCount - 1; c >= 0; c-- {
 		var last *Item[T]
-		for _, it := range f.lines[c].items {
+		for _, it := range f.classes[c].items {
 			if last == nil || it.start > last.start || it.start == last.start && it.serial > last.serial {
 				last = it
 			}
@@ -99,20 +99,20 @@
 	if c != it.class {
 		return c < it.class
 	}
-	l := &f.lines[c]
-	return max(l.now, l.finish[customer]) < it.start
+	l := &f.classes[c]
+	return max(l.virtualTime, l.lastFinish[customer]) < it.start
 }
 
 // Push adds value for a customer. The customer's weight and the item's cost
 // decide how soon its next item's turn comes.
 func (f *Fair[T]) Push(value T, p config.Priority, customer string, weight, cost float64) *Item[T] {
 	c := p.Rank()
-	l := &f.lines[c]
-	if l.finish == nil {
-		l.finish = make(map[string]float64)
+	l := &f.classes[c]
+	if l.lastFinish == nil {
+		l.lastFinish = make(map[string]float64)
 	}
-	start := max(l.now, l.finish[customer])
-	l.finish[customer] = start + cost/weight
+	start := max(l.virtualTime, l.lastFinish[customer])
+	l.lastFinish[customer] = start + cost/weight
 	f.serial++
 	it := &Item[T]{value: value, class: c, start: start, serial: f.serial}
 	heap.Push(&l.items, it)
@@ -122,33 +122,33 @@
 
 // Pop removes and returns the item whose turn it is, or nil.
 func (f *Fair[T]) Pop() *Item[T] {
-	c := f.turn()
+	c := f.nextClass()
 	if c < 0 {
 		return nil
 	}
-	for other := range f.lines {
-		if other != c && len(f.lines[other].items) > 0 {
-			f.lines[other].skipped++
+	for other := range f.classes {
+		if other != c && len(f.classes[other].items) > 0 {
+			f.classes[other].skipped++
 		}
 	}
-	l := &f.lines[c]
+	l := &f.classes[c]
 	l.skipped = 0
 	it := heap.Pop(&l.items).(*Item[T])
-	l.now = it.start
+	l.virtualTime = it.start
 	f.length--
-	l.forget()
+	l.pruneFinishTimes()
 	return it
 }
 
-// turn returns the class whose turn it is, or -1.
-func (f *Fair[T]) turn() int {
+// nextClass returns the class whose turn it is, or -1.
+func (f *Fair[T]) nextClass() int {
 	first := -1
-	for c := range f.lines {
-		l := &f.lines[c]
+	for c := range f.classes {
+		l := &f.classes[c]
 		if len(l.items) == 0 {
 			continue
 		}
-		if c > 0 && l.skipped >= starveBound[c] {
+		if c > 0 && l.skipped >= maxSkipped[c] {
 			return c
 		}
 		if first < 0 {
@@ -158,20 +158,20 @@
 	return first
 }
 
-// forget drops customers that have no claim left, so that the map stays no
+// pruneFinishTimes drops customers that have no claim left, so that the map stays no
 // larger than what waits.
-func (l *line[T]) forget() {
+func (l *classQueue[T]) pruneFinishTimes() {
 	if len(l.items) == 0 {
-		clear(l.finish)
-		l.now = 0
+		clear(l.lastFinish)
+		l.virtualTime = 0
 		return
 	}
-	if len(l.finish) <= 2*len(l.items)+classes {
+	if len(l.lastFinish) <= 2*len(l.items)+classCount {
 		return
 	}
-	for c, end := range l.finish {
-		if end <= l.now {
-			delete(l.finish, c)
+	for c, end := range l.lastFinish {
+		if end <= l.virtualTime {
+			delete(l.lastFinish, c)
 		}
 	}
 }
@@ -181,7 +181,7 @@
 	if it.index < 0 {
 		return false
 	}
-	heap.Remove(&f.lines[it.class].items, it.index)
+	heap.Remove(&f.classes[it.class].items, it.index)
 	f.length--
 	return true
 }
