--- a/hedge/kv.go
+++ b/hedge/kv.go
@@ -29,21 +29,21 @@
 	// overdueFactor is how many times the usual time of an answer passes until it
 	// counts as overdue.
 	overdueFactor = 3
-	// overdueLeast and overdueMost bound that time. The store answers in 4 ms as a
+	// minOverdue and overdueMost bound that time. The store answers in 4 ms as a
 	// rule, and a busy entry instance takes some tens to notice; a call is given up
 	// after a second.
-	overdueLeast = 50 * time.Millisecond
-	overdueMost  = 500 * time.Millisecond
-	// callsMost is how many calls are made for one answer, each after twice the wait
+	minOverdue = 50 * time.Millisecond
+	maxOverdue = 500 * time.Millisecond
+	// maxCalls is how many calls are made for one answer, each after twice the wait
 	// of the one before. While two in five answers are lost, two calls are not enough
 	// for one question in six, and four for one in forty.
-	callsMost = 4
-	// pauseMost is how long an answer that has begun may pause until the call is made
+	maxCalls = 4
+	// maxPause is how long an answer that has begun may pause until the call is made
 	// again. Parts of one come every few milliseconds on a link of 10 Mbit/s; a process
 	// may stand still for a tenth of a second.
-	pauseMost = 500 * time.Millisecond
-	// learnWeight is the weight of a new answer in the usual time.
-	learnWeight = 0.25
+	maxPause = 500 * time.Millisecond
+	// sampleWeight is the weight of a new answer in the usual time.
+	sampleWeight = 0.25
 )
 
 // A KV is a store whose overdue calls are made again, so that a lost answer costs
@@ -55,8 +55,8 @@
 	pointport.KV
 	clock pointport.Clock
 
-	mu    sync.Mutex
-	usual time.Duration // how long an answer takes
+	mu             sync.Mutex
+	typicalLatency time.Duration // how long an answer takes
 }
 
 // New returns kv with overdue calls made again.
@@ -66,12 +66,12 @@
 
 // Get returns the state of key.
 func (k *KV) Get(ctx context.Context, key string) (pointport.Entry, error) {
-	return race(ctx, k, reads, func(ctx context.Context) (pointport.Entry, error) { return k.KV.Get(ctx, key) })
+	return race(ctx, k, readOnly, func(ctx context.Context) (pointport.Entry, error) { return k.KV.Get(ctx, key) })
 }
 
 // Range returns the keys under prefix that come after the key named.
 func (k *KV) Range(ctx context.Context, prefix, after string) (pointport.Page, error) {
-	return race(ctx, k, reads, func(ctx context.Context) (pointport.Page, error) { return k.KV.Range(ctx, prefix, after) })
+	return race(ctx, k, readOnly, func(ctx context.Context) (pointport.Page, error) { return k.KV.Range(ctx, prefix, after) })
 }
 
 // Commit makes a change. If it is made by a call whose answer is lost, the next one
@@ -81,25 +81,25 @@
 	if len(txn.If) == 0 {
 		return k.KV.Commit(ctx, txn)
 	}
-	does := changes
+	does := mutating
 	if len(txn.Put)+len(txn.Delete) == 0 {
-		does = reads
+		does = readOnly
 	}
 	return race(ctx, k, does, func(ctx context.Context) (pointport.Revision, error) { return k.KV.Commit(ctx, txn) })
 }
 
-// overdue returns after how long an answer is overdue.
-func (k *KV) overdue() time.Duration {
+// overdueAfter returns after how long an answer is overdue.
+func (k *KV) overdueAfter() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return min(max(overdueFactor*k.usual, overdueLeast), overdueMost)
+	return min(max(overdueFactor*k.typicalLatency, minOverdue), maxOverdue)
 }
 
-// answered takes in how long an answer took.
-func (k *KV) answered(took time.Duration) {
+// recordLatency takes in how long an answer took.
+func (k *KV) recordLatency(took time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.usual += time.Duration(learnWeight * float64(took-k.usual))
+	k.typicalLatency += time.Duration(sampleWeight * float64(took-k.typicalLatency))
 }
 
 // An outcome is how a call ended.
@@ -108,40 +108,40 @@
 	err   error
 }
 
-// A kind says what a call does.
-type kind bool
+// A callKind says what a call does.
+type callKind bool
 
 const (
-	reads   kind = false
-	changes kind = true
+	readOnly callKind = false
+	mutating callKind = true
 )
 
-// A racing is the calls that are made for one answer.
-type racing[T any] struct {
+// A hedgedCall is the calls that are made for one answer.
+type hedgedCall[T any] struct {
 	kv       *KV
-	does     kind
+	kind     callKind
 	call     func(context.Context) (T, error)
 	outcomes chan outcome[T]
-	parts    chan int // numbers of calls of which a part of the answer has come
+	progress chan int // numbers of calls of which a part of the answer has come
 	cancels  []context.CancelFunc
 }
 
 // race makes a call, and again while its answer is overdue. The first answer counts;
 // if no call gets one, the error of one that may have taken effect.
-func race[T any](ctx context.Context, k *KV, does kind, call func(context.Context) (T, error)) (T, error) {
+func race[T any](ctx context.Context, k *KV, does callKind, call func(context.Context) (T, error)) (T, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel() // ends the slower calls
-	r := &racing[T]{kv: k, does: does, call: call, outcomes: make(chan outcome[T], callsMost), parts: make(chan int, 1)}
+	r := &hedgedCall[T]{kv: k, kind: does, call: call, outcomes: make(chan outcome[T], maxCalls), progress: make(chan int, 1)}
 	return r.run(ctx)
 }
 
 // run makes the calls and returns what came of them.
-func (r *racing[T]) run(ctx context.Context) (T, error) {
+func (r *hedgedCall[T]) run(ctx context.Context) (T, error) {
 	var failed outcome[T]
 	var heard time.Time // when a part of an answer came last
 	r.send(ctx)
 	pending := 1
-	wait := r.kv.overdue()
+	wait := r.kv.overdueAfter()
 	due := r.kv.clock.After(wait)
 	for {
 		select {
@@ -155,17 +155,17 @@
 			if pending--; pending == 0 {
 				return failed.value, failed.err
 			}
-		case n := <-r.parts:
+		case n := <-r.progress:
 			if heard.IsZero() {
-				r.keepOnly(n)
+				r.cancelOthers(n)
 			}
 			heard = r.kv.clock.Now()
 		case <-due:
-			if pause := r.kv.clock.Now().Sub(heard); !heard.IsZero() && pause < pauseMost {
-				due = r.kv.clock.After(pauseMost - pause)
+			if pause := r.kv.clock.Now().Sub(heard); !heard.IsZero() && pause < maxPause {
+				due = r.kv.clock.After(maxPause - pause)
 				continue
 			}
-			if len(r.cancels) == callsMost {
+			if len(r.cancels) == maxCalls {
 				due = nil
 				continue
 			}
@@ -179,17 +179,17 @@
 }
 
 // send makes the call once more.
-func (r *racing[T]) send(ctx context.Context) {
+func (r *hedgedCall[T]) send(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	number := len(r.cancels)
 	r.cancels = append(r.cancels, cancel)
 	from := r.kv.clock.Now()
 	var begun sync.Once
-	took := func() { r.kv.answered(r.kv.clock.Now().Sub(from)) }
+	took := func() { r.kv.recordLatency(r.kv.clock.Now().Sub(from)) }
 	ctx = pointport.WithProgress(ctx, func() {
 		begun.Do(took)
 		select {
-		case r.parts <- number:
+		case r.progress <- number:
 		default: // another part is about to be taken note of
 		}
 	})
@@ -202,10 +202,10 @@
 	}()
 }
 
-// keepOnly ends all calls but one whose answer is coming, if they change nothing. The
+// cancelOthers ends all calls but one whose answer is coming, if they change nothing. The
 // copies of an answer would share the link with it.
-func (r *racing[T]) keepOnly(number int) {
-	if r.does == changes {
+func (r *hedgedCall[T]) cancelOthers(number int) {
+	if r.kind == mutating {
 		return
 	}
 	for n, cancel := range r.cancels {
