--- a/quota/account.go
+++ b/quota/account.go
@@ -83,9 +83,9 @@
 	return sum
 }
 
-// told reports whether the owners of all pools have written what they use by a version or
+// reportedBy reports whether the owners of all pools have written what they use by a version or
 // a newer one.
-func (a Account) told(version int64, pools []string) bool {
+func (a Account) reportedBy(version int64, pools []string) bool {
 	for _, pool := range pools {
 		if r, ok := a.Rows[pool]; !ok || r.Version < version {
 			return false
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -13,11 +13,11 @@
 	// holdPercent of it, so that the next tasks need not wait for a change of the account
 	// and not each of them makes one.
 	growPercent, holdPercent = 110, 130
-	// leastStep is the least part of what floats, as a divisor, for which a row is lowered.
-	leastStep = 16
-	// keepTime is how long a pool holds what it does not need. Demand comes and goes by
+	// minShrinkDivisor is the least part of what floats, as a divisor, for which a row is lowered.
+	minShrinkDivisor = 16
+	// excessRetention is how long a pool holds what it does not need. Demand comes and goes by
 	// turns of some seconds, and each change is a call.
-	keepTime = time.Second
+	excessRetention = time.Second
 )
 
 // A Usage is what a pool uses of a customer's cap. Shapes are as tasks declare them.
@@ -48,32 +48,32 @@
 	account  Account
 	revision pointport.Revision // zero while there is no account
 	use      Usage
-	// lowered is the version by which the cap was last seen lowered, zero if it was not.
-	lowered int64
-	// excess is since when more is held than is needed, zero while it is not.
-	excess time.Time
-	// changing says that a change of the account is under way.
-	changing bool
-	// pledge is the row of a change that may have been made, or may yet be, and gives
+	// loweredVersion is the version by which the cap was last seen lowered, zero if it was not.
+	loweredVersion int64
+	// excessSince is since when more is held than is needed, zero while it is not.
+	excessSince time.Time
+	// inFlight says that a change of the account is under way.
+	inFlight bool
+	// pendingRow is the row of a change that may have been made, or may yet be, and gives
 	// something back; nil if there is none. It stands until the account is seen to have
 	// changed, since no change can be made of an older state.
-	pledge *pointport.Shape
-	// unsure says that a change of this state of the account may still be made.
-	unsure bool
+	pendingRow *pointport.Shape
+	// ambiguous says that a change of this state of the account may still be made.
+	ambiguous bool
 }
 
-// own returns what the pool surely holds.
-func (h *holding) own(pool string) pointport.Shape {
+// held returns what the pool surely holds.
+func (h *holding) held(pool string) pointport.Shape {
 	held := h.account.Rows[pool].Held
-	if h.pledge != nil {
-		held = least(held, *h.pledge)
+	if h.pendingRow != nil {
+		held = minShape(held, *h.pendingRow)
 	}
 	return held
 }
 
-// set takes in what the store has.
-func (h *holding) set(a Account, at pointport.Revision) {
-	h.account, h.revision, h.pledge, h.unsure = a, at, nil, false
+// update takes in what the store has.
+func (h *holding) update(a Account, at pointport.Revision) {
+	h.account, h.revision, h.pendingRow, h.ambiguous = a, at, nil, false
 }
 
 // NewLedger returns the ledger of a pool's owner, which must hear of the accounts before it
@@ -88,9 +88,9 @@
 		return
 	}
 	l.policy = p
-	for name, t := range p.terms {
+	for name, t := range p.limits {
 		h := l.holding(name)
-		h.lowered = max(h.lowered, t.Lowered)
+		h.loweredVersion = max(h.loweredVersion, t.Lowered)
 	}
 }
 
@@ -103,10 +103,10 @@
 	return h
 }
 
-// settled reports whether the owners of all pools have told what they use under the cap as
+// allReported reports whether the owners of all pools have told what they use under the cap as
 // it was lowered last.
-func (l *Ledger) settled(h *holding) bool {
-	return h.lowered == 0 || h.account.told(h.lowered, l.policy.pools)
+func (l *Ledger) allReported(h *holding) bool {
+	return h.loweredVersion == 0 || h.account.reportedBy(h.loweredVersion, l.policy.pools)
 }
 
 // Reset takes in all accounts. It returns the first that cannot be read, if any; what such a
@@ -117,8 +117,8 @@
 		there[e.Key()] = true
 	}
 	for name, h := range l.holdings {
-		if !there[Key(name)] && !h.changing {
-			h.set(Account{}, 0)
+		if !there[Key(name)] && !h.inFlight {
+			h.update(Account{}, 0)
 		}
 	}
 	l.loaded = true
@@ -129,14 +129,14 @@
 func (l *Ledger) Apply(entries []pointport.Entry) error {
 	var first error
 	for _, e := range entries {
-		if err := l.take(e); err != nil && first == nil {
+		if err := l.applyEntry(e); err != nil && first == nil {
 			first = err
 		}
 	}
 	return first
 }
 
-func (l *Ledger) take(e pointport.Entry) error {
+func (l *Ledger) applyEntry(e pointport.Entry) error {
 	name, ok := ParseKey(e.Key())
 	if !ok {
 		return nil
@@ -146,15 +146,15 @@
 		return nil // what is known is newer
 	}
 	if !e.Exists() {
-		h.set(Account{}, 0)
+		h.update(Account{}, 0)
 		return nil
 	}
 	a, err := decodeAccount(e.Value())
-	h.set(a, e.Revision())
+	h.update(a, e.Revision())
 	if err != nil {
 		return &AccountError{Customer: name, Err: err}
 	}
-	h.lowered = max(h.lowered, a.Lowered)
+	h.loweredVersion = max(h.loweredVersion, a.Lowered)
 	return nil
 }
 
@@ -178,26 +178,26 @@
 	if !l.policy.HasCaps() {
 		return nil
 	}
-	out := make(map[string]pointport.Shape, len(l.policy.terms))
-	for name, t := range l.policy.terms {
+	out := make(map[string]pointport.Shape, len(l.policy.limits))
+	for name, t := range l.policy.limits {
 		out[name] = l.allowed(l.holding(name), t)
 	}
 	return out
 }
 
-func (l *Ledger) allowed(h *holding, t Terms) pointport.Shape {
+func (l *Ledger) allowed(h *holding, t Limits) pointport.Shape {
 	if !l.loaded {
-		return t.bounded(pointport.Shape{})
+		return t.withUnbounded(pointport.Shape{})
 	}
-	if !l.settled(h) || !l.fits(h, t) {
-		return t.bounded(pointport.Shape{})
+	if !l.allReported(h) || !l.fits(h, t) {
+		return t.withUnbounded(pointport.Shape{})
 	}
-	return t.bounded(t.Even.Plus(h.own(l.pool)))
+	return t.withUnbounded(t.PerPool.Plus(h.held(l.pool)))
 }
 
 // fits reports whether what all pools hold fits into what floats.
-func (l *Ledger) fits(h *holding, t Terms) bool {
-	return t.bounded(t.Floating).Fits(h.account.held(l.policy.pools, ""))
+func (l *Ledger) fits(h *holding, t Limits) bool {
+	return t.withUnbounded(t.Floating).Fits(h.account.held(l.policy.pools, ""))
 }
 
 // Changes returns what is to be stored now, at most so many, and notes that it is under
@@ -212,57 +212,57 @@
 			break
 		}
 		h := l.holding(name)
-		if h.changing {
+		if h.inFlight {
 			continue
 		}
-		row, due := l.next(now, h, l.policy.terms[name])
+		row, due := l.nextRow(now, h, l.policy.limits[name])
 		if !due {
 			continue
 		}
-		h.changing = true
-		if !row.Held.Fits(h.own(l.pool)) {
-			given := least(row.Held, h.own(l.pool))
-			h.pledge = &given
+		h.inFlight = true
+		if !row.Held.Fits(h.held(l.pool)) {
+			given := minShape(row.Held, h.held(l.pool))
+			h.pendingRow = &given
 		}
 		out = append(out, Change{
 			Customer: name, Key: Key(name), Revision: h.revision,
-			Value: h.account.with(l.pool, row, h.lowered).encode(),
+			Value: h.account.with(l.pool, row, h.loweredVersion).encode(),
 		})
 	}
 	return out
 }
 
-// next returns the row that the pool should have, and whether that is to be stored.
-func (l *Ledger) next(now time.Time, h *holding, t Terms) (Row, bool) {
-	own := h.own(l.pool)
-	beyond := limitedTo(t, aboveZero(h.use.Used.Minus(t.Even)))
-	room := aboveZero(t.Floating.Minus(h.account.held(l.policy.pools, l.pool)))
+// nextRow returns the row that the pool should have, and whether that is to be stored.
+func (l *Ledger) nextRow(now time.Time, h *holding, t Limits) (Row, bool) {
+	own := h.held(l.pool)
+	beyond := cappedParts(t, nonNegative(h.use.Used.Minus(t.PerPool)))
+	room := nonNegative(t.Floating.Minus(h.account.held(l.policy.pools, l.pool)))
 	goalOf := func(percent int64) pointport.Shape {
-		wanted := least(h.use.Used.Plus(h.use.Wanted), t.bounded(t.Cap))
-		return limitedTo(t, most(beyond, least(aboveZero(scale(wanted, percent).Minus(t.Even)), room)))
+		wanted := minShape(h.use.Used.Plus(h.use.Wanted), t.withUnbounded(t.Cap))
+		return cappedParts(t, maxShape(beyond, minShape(nonNegative(percentOf(wanted, percent).Minus(t.PerPool)), room)))
 	}
 	goal := goalOf(holdPercent)
-	h.noteExcess(now, t, goal, own)
+	h.updateExcess(now, t, goal, own)
 	grows := !own.Fits(goalOf(growPercent))
-	shrinks := !h.excess.IsZero() && (now.Sub(h.excess) >= keepTime || !l.fits(h, t))
-	tells := h.lowered > h.account.Rows[l.pool].Version
+	shrinks := !h.excessSince.IsZero() && (now.Sub(h.excessSince) >= excessRetention || !l.fits(h, t))
+	tells := h.loweredVersion > h.account.Rows[l.pool].Version
 	switch {
 	case !grows && !shrinks && !tells:
 		return Row{}, false
 	case !shrinks:
-		goal = most(goal, own)
+		goal = maxShape(goal, own)
 	}
 	return Row{Version: l.policy.version, Held: goal}, true
 }
 
-// noteExcess notes whether more is held than should be, by so much that it is worth a call.
-func (h *holding) noteExcess(now time.Time, t Terms, goal, held pointport.Shape) {
-	step := each(t.Floating, t.Floating, func(f, _ int64) int64 { return f / leastStep })
+// updateExcess notes whether more is held than should be, by so much that it is worth a call.
+func (h *holding) updateExcess(now time.Time, t Limits, goal, held pointport.Shape) {
+	step := combine(t.Floating, t.Floating, func(f, _ int64) int64 { return f / minShrinkDivisor })
 	switch {
 	case goal.Plus(step).Fits(held) && (goal != pointport.Shape{} || held == pointport.Shape{}):
-		h.excess = time.Time{}
-	case h.excess.IsZero():
-		h.excess = now
+		h.excessSince = time.Time{}
+	case h.excessSince.IsZero():
+		h.excessSince = now
 	}
 }
 
@@ -279,26 +279,26 @@
 // HandleOutcome takes in what became of a change; at is the revision at which it was made.
 func (l *Ledger) HandleOutcome(c Change, at pointport.Revision, o Outcome) {
 	h := l.holding(c.Customer)
-	h.changing = false
+	h.inFlight = false
 	switch {
 	case o == Ambiguous && h.revision == c.Revision:
-		h.unsure = true
-	case o == NotCommitted && h.revision == c.Revision && !h.unsure:
-		h.pledge = nil
+		h.ambiguous = true
+	case o == NotCommitted && h.revision == c.Revision && !h.ambiguous:
+		h.pendingRow = nil
 	case o == Committed && at > h.revision:
 		a, err := decodeAccount(c.Value)
 		if err != nil {
 			panic("quota: what was encoded here can be read: " + err.Error())
 		}
-		h.set(a, at)
-		h.excess = time.Time{}
-		h.lowered = max(h.lowered, a.Lowered)
+		h.update(a, at)
+		h.excessSince = time.Time{}
+		h.loweredVersion = max(h.loweredVersion, a.Lowered)
 	}
 }
 
-// limitedTo returns a shape without the parts that have no bound.
-func limitedTo(t Terms, s pointport.Shape) pointport.Shape {
-	return each(t.Cap, s, func(limit, v int64) int64 {
+// cappedParts returns a shape without the parts that have no bound.
+func cappedParts(t Limits, s pointport.Shape) pointport.Shape {
+	return combine(t.Cap, s, func(limit, v int64) int64 {
 		if limit == 0 {
 			return 0
 		}
@@ -306,10 +306,10 @@
 	})
 }
 
-// aboveZero returns a shape without the parts that are below zero.
-func aboveZero(s pointport.Shape) pointport.Shape { return most(s, pointport.Shape{}) }
+// nonNegative returns a shape without the parts that are below zero.
+func nonNegative(s pointport.Shape) pointport.Shape { return maxShape(s, pointport.Shape{}) }
 
-// scale returns some percent of a shape.
-func scale(s pointport.Shape, percent int64) pointport.Shape {
-	return each(s, s, func(v, _ int64) int64 { return v * percent / 100 })
+// percentOf returns some percent of a shape.
+func percentOf(s pointport.Shape, percent int64) pointport.Shape {
+	return combine(s, s, func(v, _ int64) int64 { return v * percent / 100 })
 }
--- a/quota/policy.go
+++ b/quota/policy.go
@@ -10,17 +10,17 @@
 
 // This file defines what the configuration says of caps and weights.
 
-// evenShare is the divisor of the part of a cap that is split evenly over the pools. With a
+// evenDivisor is the divisor of the part of a cap that is split evenly over the pools. With a
 // quarter, a customer whose work comes to one pool of four at a time can use 0.81 of its cap
 // there, and at most 0.19 lie idle elsewhere; with a half it would be 0.63 and 0.38.
-const evenShare = 4
+const evenDivisor = 4
 
-// Terms are what holds for one customer under one version of the configuration.
-type Terms struct {
+// Limits are what holds for one customer under one version of the configuration.
+type Limits struct {
 	// Cap is what the customer may have running; a zero is no bound.
 	Cap pointport.Shape
-	// Even is each pool's own part of it.
-	Even pointport.Shape
+	// PerPool is each pool's own part of it.
+	PerPool pointport.Shape
 	// Floating is what is left for the accounts' rows.
 	Floating pointport.Shape
 	// Lowered is the version that last made Even or Floating smaller, as far as this
@@ -28,28 +28,28 @@
 	Lowered int64
 }
 
-func termsOf(limit pointport.Shape, pools int) Terms {
-	parts := int64(evenShare * max(1, pools))
-	even := each(limit, limit, func(l, _ int64) int64 { return l / parts })
-	floating := each(limit, even, func(l, e int64) int64 { return l - e*int64(max(1, pools)) })
-	return Terms{Cap: limit, Even: even, Floating: floating}
+func newLimits(limit pointport.Shape, pools int) Limits {
+	parts := int64(evenDivisor * max(1, pools))
+	even := combine(limit, limit, func(l, _ int64) int64 { return l / parts })
+	floating := combine(limit, even, func(l, e int64) int64 { return l - e*int64(max(1, pools)) })
+	return Limits{Cap: limit, PerPool: even, Floating: floating}
 }
 
-// limited reports whether there is any bound.
-func (t Terms) limited() bool { return t.Cap != (pointport.Shape{}) }
+// hasCap reports whether there is any bound.
+func (t Limits) hasCap() bool { return t.Cap != (pointport.Shape{}) }
 
-// tighter reports whether any bound is smaller than before.
-func (t Terms) tighter(before Terms) bool {
-	return !t.bounded(t.Even).Fits(before.bounded(before.Even)) || !t.bounded(t.Floating).Fits(before.bounded(before.Floating))
+// tighterThan reports whether any bound is smaller than before.
+func (t Limits) tighterThan(before Limits) bool {
+	return !t.withUnbounded(t.PerPool).Fits(before.withUnbounded(before.PerPool)) || !t.withUnbounded(t.Floating).Fits(before.withUnbounded(before.Floating))
 }
 
 // unbounded stands for a part of a shape that has no bound. Sums of some thousand of them
 // do not overflow.
 const unbounded = int64(1) << 48
 
-// bounded returns a shape of which the parts without a bound in the cap are unbounded.
-func (t Terms) bounded(s pointport.Shape) pointport.Shape {
-	return each(t.Cap, s, func(limit, v int64) int64 {
+// withUnbounded returns a shape of which the parts without a bound in the cap are unbounded.
+func (t Limits) withUnbounded(s pointport.Shape) pointport.Shape {
+	return combine(t.Cap, s, func(limit, v int64) int64 {
 		if limit == 0 {
 			return unbounded
 		}
@@ -62,31 +62,31 @@
 type Policy struct {
 	version int64
 	pools   []string
-	terms   map[string]Terms // of the customers that have a cap
-	names   []string         // of these customers, sorted
+	limits  map[string]Limits // of the customers that have a cap
+	names   []string          // of these customers, sorted
 	weights map[string]float64
 }
 
 // NewPolicy returns the policy of a version of the configuration whose work is done in
 // pools; before is the one of the version before, nil if it is not known.
 func NewPolicy(before *Policy, customers *customer.Directory, pools []string, version int64) *Policy {
-	p := &Policy{version: version, pools: slices.Clone(pools), terms: make(map[string]Terms), weights: make(map[string]float64)}
+	p := &Policy{version: version, pools: slices.Clone(pools), limits: make(map[string]Limits), weights: make(map[string]float64)}
 	for _, c := range customers.All() {
 		p.weights[c.Name] = c.Weight
-		t := termsOf(c.Cap, len(pools))
-		if !t.limited() {
+		t := newLimits(c.Cap, len(pools))
+		if !t.hasCap() {
 			continue
 		}
 		if before != nil {
-			was := before.terms[c.Name]
+			was := before.limits[c.Name]
 			t.Lowered = was.Lowered
-			if t.tighter(was) {
+			if t.tighterThan(was) {
 				t.Lowered = version
 			}
 		}
-		p.terms[c.Name] = t
+		p.limits[c.Name] = t
 	}
-	p.names = slices.Sorted(maps.Keys(p.terms))
+	p.names = slices.Sorted(maps.Keys(p.limits))
 	return p
 }
 
@@ -94,7 +94,7 @@
 func (p *Policy) Version() int64 { return p.version }
 
 // HasCaps reports whether any customer has a cap.
-func (p *Policy) HasCaps() bool { return p != nil && len(p.terms) > 0 }
+func (p *Policy) HasCaps() bool { return p != nil && len(p.limits) > 0 }
 
 // Weights returns the customers' weights by name. They must not be changed.
 func (p *Policy) Weights() map[string]float64 {
@@ -104,17 +104,17 @@
 	return p.weights
 }
 
-// Terms returns what holds for a customer; false if it has no cap.
-func (p *Policy) Terms(name string) (Terms, bool) {
+// Limits returns what holds for a customer; false if it has no cap.
+func (p *Policy) Limits(name string) (Limits, bool) {
 	if p == nil {
-		return Terms{}, false
+		return Limits{}, false
 	}
-	t, ok := p.terms[name]
+	t, ok := p.limits[name]
 	return t, ok
 }
 
-// each returns a shape each part of which is made of those of two.
-func each(a, b pointport.Shape, f func(a, b int64) int64) pointport.Shape {
+// combine returns a shape each part of which is made of those of two.
+func combine(a, b pointport.Shape, f func(a, b int64) int64) pointport.Shape {
 	return pointport.Shape{
 		CPUMilli:     f(a.CPUMilli, b.CPUMilli),
 		MemoryMiB:    f(a.MemoryMiB, b.MemoryMiB),
@@ -122,11 +122,11 @@
 	}
 }
 
-// most returns the larger of each part, least the smaller.
-func most(a, b pointport.Shape) pointport.Shape {
-	return each(a, b, func(a, b int64) int64 { return max(a, b) })
+// maxShape returns the larger of each part, least the smaller.
+func maxShape(a, b pointport.Shape) pointport.Shape {
+	return combine(a, b, func(a, b int64) int64 { return max(a, b) })
 }
 
-func least(a, b pointport.Shape) pointport.Shape {
-	return each(a, b, func(a, b int64) int64 { return min(a, b) })
+func minShape(a, b pointport.Shape) pointport.Shape {
+	return combine(a, b, func(a, b int64) int64 { return min(a, b) })
 }
