--- a/choose/choose.go
+++ b/choose/choose.go
@@ -35,11 +35,11 @@
 	if a.OwnZone() != b.OwnZone() {
 		return a.OwnZone()
 	}
-	return finish(a) < finish(b)
+	return forecastTime(a) < forecastTime(b)
 }
 
-// finish is the forecast of a new request's time, in nanoseconds.
-func finish(c pointport.Candidate) float64 {
+// forecastTime is the forecast of a new request's time, in nanoseconds.
+func forecastTime(c pointport.Candidate) float64 {
 	return float64(c.Latency()) * float64(c.Limit()+c.InFlight()) / float64(c.Limit())
 }
 
--- a/customer/directory.go
+++ b/customer/directory.go
@@ -35,29 +35,29 @@
 	byName map[string]*Customer
 	// byKey holds keys by the first bytes of their digest, so that what is compared with a
 	// caller's key is compared in constant time.
-	byKey map[uint64][]owned
+	byKey map[uint64][]keyOwner
 }
 
-// owned is a key and whose it is.
-type owned struct {
+// keyOwner is a key and whose it is.
+type keyOwner struct {
 	key   Digest
 	owner *Customer
 }
 
 // NewDirectory returns a directory of customers.
 func NewDirectory(all []Customer) *Directory {
-	d := &Directory{all: all, byName: make(map[string]*Customer, len(all)), byKey: make(map[uint64][]owned)}
+	d := &Directory{all: all, byName: make(map[string]*Customer, len(all)), byKey: make(map[uint64][]keyOwner)}
 	for n := range all {
 		c := &all[n]
 		d.byName[c.Name] = c
 		for _, k := range c.Keys {
-			d.byKey[prefix(k)] = append(d.byKey[prefix(k)], owned{k, c})
+			d.byKey[digestPrefix(k)] = append(d.byKey[digestPrefix(k)], keyOwner{k, c})
 		}
 	}
 	return d
 }
 
-func prefix(d Digest) uint64 { return binary.LittleEndian.Uint64(d[:]) }
+func digestPrefix(d Digest) uint64 { return binary.LittleEndian.Uint64(d[:]) }
 
 // Identify returns the customer that a key belongs to; false if it is nobody's.
 func (d *Directory) Identify(key Digest) (*Customer, bool) {
@@ -65,7 +65,7 @@
 		return nil, false
 	}
 	var found *Customer
-	for _, k := range d.byKey[prefix(key)] {
+	for _, k := range d.byKey[digestPrefix(key)] {
 		if subtle.ConstantTimeCompare(k.key[:], key[:]) == 1 {
 			found = k.owner
 		}
--- a/route/table.go
+++ b/route/table.go
@@ -70,15 +70,15 @@
 
 func find(matches []Match, path, method string) (Match, bool) {
 	for _, m := range matches {
-		if under(path, m.route.PathPrefix) && (len(m.route.Methods) == 0 || slices.Contains(m.route.Methods, method)) {
+		if isBelow(path, m.route.PathPrefix) && (len(m.route.Methods) == 0 || slices.Contains(m.route.Methods, method)) {
 			return m, true
 		}
 	}
 	return Match{}, false
 }
 
-// under reports whether path is prefix or lies below it.
-func under(path, prefix string) bool {
+// isBelow reports whether path is prefix or lies below it.
+func isBelow(path, prefix string) bool {
 	rest, ok := strings.CutPrefix(path, prefix)
 	return ok && (rest == "" || strings.HasSuffix(prefix, "/") || rest[0] == '/')
 }
--- a/share/share.go
+++ b/share/share.go
@@ -42,8 +42,8 @@
 	DefaultTTL = 15 * time.Second
 	// RenewalsPerTTL is how often a grant is renewed within its time.
 	RenewalsPerTTL = 3
-	// skew is how much slower another's clock may run than this one's.
-	skew = 1.1
+	// clockSkewFactor is how much slower another's clock may run than this one's.
+	clockSkewFactor = 1.1
 )
 
 // grant is what one entry instance has of the elastic part.
@@ -62,8 +62,8 @@
 	Grants map[string]grant `json:"grants"`
 }
 
-// sighting is when another's grant was last seen to change.
-type sighting struct {
+// observation is when another's grant was last seen to change.
+type observation struct {
 	beat pointport.Revision
 	at   time.Time
 }
@@ -82,14 +82,14 @@
 	ttl     time.Duration
 	used    func() int
 
-	others map[string]sighting
-	stored int // what the value grants to this holder, as last read or written
-	doubt  bool
+	others    map[string]observation
+	stored    int // what the value grants to this holder, as last read or written
+	ambiguous bool
 
-	mu    sync.Mutex
-	bound time.Duration // how long a request may last
-	limit int
-	until time.Time
+	mu             sync.Mutex
+	maxRequestTime time.Duration // how long a request may last
+	limit          int
+	validUntil     time.Time
 }
 
 // An Option changes a Holder.
@@ -100,7 +100,7 @@
 
 // WithMaxRequestTime sets how long a request may last. It must hold for all requests;
 // see SetBound.
-func WithMaxRequestTime(d time.Duration) Option { return func(h *Holder) { h.bound = d } }
+func WithMaxRequestTime(d time.Duration) Option { return func(h *Holder) { h.maxRequestTime = d } }
 
 // New returns a holder called name, which no other process is called, of the
 // elastic part of zone. The function used returns how many elastic connections
@@ -108,7 +108,7 @@
 func New(store pointport.Store, clock pointport.Clock, zone pointport.ZoneID, name string, elastic int, used func() int, options ...Option) *Holder {
 	h := &Holder{
 		store: store, clock: clock, key: Key(zone), name: name, elastic: elastic, used: used,
-		ttl: DefaultTTL, bound: time.Hour, others: make(map[string]sighting),
+		ttl: DefaultTTL, maxRequestTime: time.Hour, others: make(map[string]observation),
 	}
 	for _, o := range options {
 		o(h)
@@ -121,7 +121,7 @@
 func (h *Holder) ElasticLimit() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.clock.Steady().Before(h.until) {
+	if !h.clock.Steady().Before(h.validUntil) {
 		return 0
 	}
 	return h.limit
@@ -133,39 +133,39 @@
 func (h *Holder) SetMaxRequestTime(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if d > h.bound {
+	if d > h.maxRequestTime {
 		h.limit = 0
 	}
-	h.bound = d
+	h.maxRequestTime = d
 }
 
-// lower lowers the limit if it is higher.
-func (h *Holder) lower(limit int) {
+// lowerLimit lowers the limit if it is higher.
+func (h *Holder) lowerLimit(limit int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.limit = min(h.limit, limit)
 }
 
-// granted puts a grant in use that was written for requests of up to bound.
-func (h *Holder) granted(limit int, until time.Time, bound time.Duration) {
+// applyGrant puts a grant in use that was written for requests of up to bound.
+func (h *Holder) applyGrant(limit int, until time.Time, bound time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.until = until
+	h.validUntil = until
 	h.limit = limit
-	if h.bound > bound {
+	if h.maxRequestTime > bound {
 		h.limit = 0 // requests may last longer by now
 	}
 }
 
-func (h *Holder) requestBound() time.Duration {
+func (h *Holder) requestTime() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.bound
+	return h.maxRequestTime
 }
 
 // Idle reports whether the holder has nothing in the store and wants nothing,
 // so that a round would cost a read for no use.
-func (h *Holder) Idle(want int) bool { return want == 0 && h.stored == 0 && !h.doubt }
+func (h *Holder) Idle(want int) bool { return want == 0 && h.stored == 0 && !h.ambiguous }
 
 // Reconcile asks for as much as want, renews what is held, and gives back what is
 // not wanted once it is not used.
@@ -173,7 +173,7 @@
 	if h.Idle(want) {
 		return nil
 	}
-	h.lower(want)
+	h.lowerLimit(want)
 	from := h.clock.Steady()
 	e, err := h.store.Get(ctx, h.key)
 	if err != nil {
@@ -183,9 +183,9 @@
 	if err != nil {
 		return err
 	}
-	h.stored, h.doubt = doc.Grants[h.name].Extra, false
-	h.look(doc)
-	next := h.next(doc, want)
+	h.stored, h.ambiguous = doc.Grants[h.name].Extra, false
+	h.observeOthers(doc)
+	next := h.nextGrant(doc, want)
 	if next == 0 && h.stored == 0 {
 		return nil
 	}
@@ -205,32 +205,32 @@
 	return doc, nil
 }
 
-// look notes which of the others' grants have changed.
-func (h *Holder) look(doc document) {
+// observeOthers notes which of the others' grants have changed.
+func (h *Holder) observeOthers(doc document) {
 	now := h.clock.Now()
 	for name, g := range doc.Grants {
 		if s, ok := h.others[name]; !ok || s.beat != g.Beat {
-			h.others[name] = sighting{g.Beat, now}
+			h.others[name] = observation{g.Beat, now}
 		}
 	}
-	maps.DeleteFunc(h.others, func(name string, _ sighting) bool {
+	maps.DeleteFunc(h.others, func(name string, _ observation) bool {
 		_, ok := doc.Grants[name]
 		return !ok
 	})
 }
 
-// lapsed reports whether another's grant cannot be in use any more.
-func (h *Holder) lapsed(name string, g grant) bool {
+// expired reports whether another's grant cannot be in use any more.
+func (h *Holder) expired(name string, g grant) bool {
 	unchanged := h.clock.Now().Sub(h.others[name].at)
-	return unchanged > time.Duration(skew*float64(h.ttl+g.Bound))
+	return unchanged > time.Duration(clockSkewFactor*float64(h.ttl+g.Bound))
 }
 
-// next returns what this holder should be granted: as much as it wants and is
+// nextGrant returns what this holder should be granted: as much as it wants and is
 // free, but no less than it still uses.
-func (h *Holder) next(doc document, want int) int {
+func (h *Holder) nextGrant(doc document, want int) int {
 	free := h.elastic
 	for name, g := range doc.Grants {
-		if name != h.name && !h.lapsed(name, g) {
+		if name != h.name && !h.expired(name, g) {
 			free -= g.Extra
 		}
 	}
@@ -241,8 +241,8 @@
 }
 
 func (h *Holder) write(ctx context.Context, e pointport.Entry, doc document, next int, from time.Time) error {
-	maps.DeleteFunc(doc.Grants, func(name string, g grant) bool { return name != h.name && h.lapsed(name, g) })
-	bound := h.requestBound()
+	maps.DeleteFunc(doc.Grants, func(name string, g grant) bool { return name != h.name && h.expired(name, g) })
+	bound := h.requestTime()
 	if next == 0 {
 		delete(doc.Grants, h.name)
 	} else {
@@ -253,17 +253,17 @@
 		return err
 	}
 	// Until the answer is here, no more is used than either state allows.
-	h.lower(next)
+	h.lowerLimit(next)
 	_, err = h.store.CompareAndSwap(ctx, h.key, e.Revision(), data)
 	var conflict *pointport.ConflictError
 	switch {
 	case err == nil:
 		h.stored = next
-		h.granted(next, from.Add(h.ttl), bound)
+		h.applyGrant(next, from.Add(h.ttl), bound)
 		return nil
 	case errors.As(err, &conflict):
 		return nil // the next round reads again
 	}
-	h.doubt = true
+	h.ambiguous = true
 	return err
 }
