--- a/assign/bench_test.go
+++ b/assign/bench_test.go
@@ -13,15 +13,16 @@
 	"github.com/pointport/pointport/internal/measure"
 )
 
-// The benchmarks give the slopes of docs/CAPACITY.md that belong to a zone's
-// planner: state, time and stored bytes for each instance.
+// The benchmarks measure the costs per instance of a zone's planner that
+// docs/CAPACITY.md lists: memory, time and stored bytes.
 
 var sizes = []int{250, 500, 1000, 2000}
 
-// poolsPerZone is how many pools share a zone's instances: the letter's 51.
+// poolsPerZone is how many pools share a zone's instances.
 const poolsPerZone = 51
 
-// fleet returns the list of a zone of n instances and templates for its pools.
+// fleet returns the platform's list for a zone of n instances, and templates for
+// its pools.
 func fleet(n int, now time.Time) ([]pointport.Instance, []*config.Template) {
 	var list []pointport.Instance
 	for i := range n {
@@ -43,7 +44,7 @@
 	return list, templates
 }
 
-// settle returns the state of a zone at rest.
+// settle applies decisions until nothing is left to do and returns the state.
 func settle(in assign.Input) *assign.State {
 	for {
 		c := assign.Decide(in)
@@ -70,7 +71,7 @@
 	return in
 }
 
-// BenchmarkDecide measures a decision at rest.
+// BenchmarkDecide measures a decision that has nothing to do.
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range sizes {
 		in := inputOf(n)
@@ -83,9 +84,9 @@
 	}
 }
 
-// BenchmarkWantFloats measures how the floating budgets of all pools are worked
-// out, which goes before each decision.
-func BenchmarkWantFloats(b *testing.B) {
+// BenchmarkFloatingBudgetDemand measures FloatingBudgetDemand for all pools, which
+// runs before each decision.
+func BenchmarkFloatingBudgetDemand(b *testing.B) {
 	for _, n := range sizes {
 		in := inputOf(n)
 		in.Zones = []pointport.ZoneID{"zone-a", "zone-b", "zone-c"}
@@ -97,7 +98,7 @@
 	}
 }
 
-// BenchmarkState measures what a zone's state takes in memory and in the store.
+// BenchmarkState measures the size of a zone's state in memory and in the store.
 func BenchmarkState(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint("instances=", n), func(b *testing.B) {
@@ -107,14 +108,14 @@
 					b.Fatal(err)
 				}
 				before := measure.Heap()
-				var back assign.State
-				if err := json.Unmarshal(data, &back); err != nil {
+				var decoded assign.State
+				if err := json.Unmarshal(data, &decoded); err != nil {
 					b.Fatal(err)
 				}
 				after := measure.Heap()
 				b.ReportMetric(float64(len(data)), "stored-B")
 				b.ReportMetric(float64(after-before), "heap-B")
-				runtime.KeepAlive(&back)
+				runtime.KeepAlive(&decoded)
 			}
 		})
 	}
--- a/assign/decide.go
+++ b/assign/decide.go
@@ -12,53 +12,54 @@
 	"github.com/pointport/pointport/evacuation"
 )
 
-// This file defines the decision as a whole: what it looks at and in which
-// order it goes on.
+// This file defines the inputs of a decision and the order of its steps.
 
 const (
 	// absenceTimeout is how long an instance may be missing from the platform's
-	// list before it counts as failed. The list lags.
+	// list before it counts as failed. It allows for the lag of the list.
 	absenceTimeout = 30 * time.Second
-	// removalTimeout is how long a failed instance that is missing is remembered.
+	// removalTimeout is how long a failed instance may be missing from the list
+	// before its member is removed.
 	removalTimeout = 10 * time.Minute
 	// maxSteps bounds the steps of one change, so that its stored value stays far
-	// below what the store takes, also when a whole zone fails at once.
+	// below the store's size limit even when a whole zone fails at once.
 	maxSteps = 500
-	// maxReportAge is how old an instance's report may be before its state
-	// counts as unknown.
+	// maxReportAge is the age from which an instance's report no longer counts as
+	// evidence of its state.
 	maxReportAge = time.Minute
 )
 
-// A WaveOrder is a wave as an operator has it, and the version at which it was
-// last changed.
+// A WaveOrder is a maintenance wave as an operator configured it, and the
+// version of the configuration that last changed it.
 type WaveOrder struct {
 	Wave    *config.Wave
 	Version pointport.Version
 }
 
-// An Input is everything that a decision looks at.
+// An Input holds everything that a decision depends on.
 type Input struct {
 	Now       time.Time
 	Zone      pointport.ZoneID
-	Zones     []pointport.ZoneID // every zone, in an order that all planners share
+	Zones     []pointport.ZoneID // every zone, in the same order for all planners
 	State     *State
-	Templates []*config.Template // with the parameters that are in force
+	Templates []*config.Template // with the parameters in force
 	Waves     []WaveOrder
-	// Evacuations says which zones are to be left empty.
+	// Evacuations holds the zones that are to be emptied.
 	Evacuations evacuation.Zones
 	// Listed is the platform's list for the zone.
 	Listed []pointport.Instance
-	// IdleFor says for how long a draining instance has been seen to run nothing,
-	// by reports that came after its drain was told.
+	// IdleFor is how long each draining instance has reported that it runs nothing.
+	// Only reports made after the instance learned of its drain count.
 	IdleFor map[pointport.InstanceID]time.Duration
-	// AbsentSince says since when an instance has been missing from the list.
+	// AbsentSince is when each missing instance was first missing from the list.
 	AbsentSince map[pointport.InstanceID]time.Time
 	// Share returns how many of a pool's instances in this zone may be out of
-	// service. The shares of all zones add up to the pool's budget at most.
+	// service. The shares of all zones add up to at most the pool's budget.
 	Share func(t *config.Template) int
 }
 
-// A decision is a decision while it is made.
+// A decision holds the inputs of a decision, the state as its steps so far leave
+// it, and those steps.
 type decision struct {
 	in        *Input
 	listed    map[pointport.InstanceID]pointport.Instance
@@ -69,11 +70,13 @@
 	waves     map[string]Wave
 	pools     map[string]Pool
 	templates map[string]*config.Template
-	// byPool holds each pool's members by name, as they are now.
+	// byPool holds the members of each pool in order of their IDs, as the steps so
+	// far leave them.
 	byPool map[string][]Member
 }
 
-// Decide returns what to do next, without ID, version, author and time.
+// Decide returns the next change. Its ID, version, author and time are left for
+// the caller to set.
 func Decide(in Input) Change {
 	d := newDecision(&in)
 	d.addNewInstances()
@@ -130,7 +133,8 @@
 	return c
 }
 
-// update takes a step. A member's second step in one decision joins its first.
+// update adds a step that changes a member. A second step for the same member is
+// merged into its first.
 func (d *decision) update(m Member, format string, args ...any) {
 	reason := fmt.Sprintf(format, args...)
 	before, known := d.members[m.ID]
@@ -154,14 +158,15 @@
 	d.steps = append(d.steps, Step{Instance: m.ID, After: &m, From: phaseAndPool(before), Reason: reason})
 }
 
-// remove removes a member.
+// remove adds a step that removes a member.
 func (d *decision) remove(id pointport.InstanceID, reason string) {
 	d.steps = append(d.steps, Step{Instance: id, From: phaseAndPool(d.members[id]), Reason: reason})
 	d.removeFromPool(d.members[id])
 	delete(d.members, id)
 }
 
-// phaseAndPool names a member's phase and pool.
+// phaseAndPool returns a member's phase and pool as text, for example "serving in
+// web"; empty for no member.
 func phaseAndPool(m Member) string {
 	switch {
 	case m.ID == "":
@@ -173,11 +178,11 @@
 }
 
 // full reports whether the decision has as many steps as one change may hold.
-// What is left is decided next time.
+// The rest is left to the next decision.
 func (d *decision) full() bool { return len(d.steps) >= maxSteps }
 
-// forEach calls do for every member, in the order of their names, until the
-// decision is full.
+// forEach calls do for every member, in order of their IDs, until the decision is
+// full.
 func (d *decision) forEach(do func(Member)) {
 	for _, id := range d.ids {
 		if d.full() {
@@ -189,11 +194,13 @@
 	}
 }
 
-// inPool returns the members of a pool by name; those in none, if it is empty.
-// The slice is the decision's own and changes with the next step.
+// inPool returns the members of a pool in order of their IDs; an empty name
+// stands for the members of no pool. The slice belongs to the decision and is
+// valid until the next step.
 func (d *decision) inPool(pool string) []Member { return d.byPool[pool] }
 
-// indexInPool returns where a member is, or would be, in its pool.
+// indexInPool returns the index of a member in its pool's sorted members, or the
+// index at which it would be inserted, and whether it is there.
 func (d *decision) indexInPool(m Member) (int, bool) {
 	return slices.BinarySearchFunc(d.byPool[m.Pool], m.ID, func(m Member, id pointport.InstanceID) int {
 		return strings.Compare(string(m.ID), string(id))
@@ -211,13 +218,13 @@
 	d.byPool[m.Pool] = slices.Insert(d.byPool[m.Pool], n, m)
 }
 
-// isWorking reports whether a member is known to take work now.
+// isWorking reports whether a member serves and a recent report shows it live.
 func (d *decision) isWorking(m Member) bool {
 	i, ok := d.listed[m.ID]
 	return m.Phase == Serving && ok && i.State == pointport.InstanceLive && d.in.Now.Sub(i.Reported) < maxReportAge
 }
 
-// wave returns how far a wave has come, as the decision has it.
+// wave returns the progress of a wave with the decision's own changes.
 func (d *decision) wave(name string) (Wave, bool) {
 	if w, ok := d.waves[name]; ok {
 		return w, true
@@ -226,7 +233,7 @@
 	return w, ok
 }
 
-// countWave adds to a wave's counts.
+// countWave applies add to the progress of a wave, if the wave is known.
 func (d *decision) countWave(name string, add func(*Wave)) {
 	if w, ok := d.wave(name); ok {
 		add(&w)
--- a/assign/decide_test.go
+++ b/assign/decide_test.go
@@ -11,9 +11,10 @@
 	"github.com/pointport/pointport/evacuation"
 )
 
-// TestZoneLostFitsTheStore loses a zone of 2000 instances at once. No change may
-// come near the megabyte that the store takes, and all must be seen in the end.
-func TestZoneLostFitsTheStore(t *testing.T) {
+// TestZoneLossFitsStoreLimit fails all 2000 instances of a zone at once. A change
+// that held all their steps could exceed the store's limit of 1 MB for a value, so
+// the steps must be spread over several changes that together cover every instance.
+func TestZoneLossFitsStoreLimit(t *testing.T) {
 	const instances, most = 2000, 300 << 10
 	in := inputOf(instances)
 	for i := range in.Listed {
@@ -25,14 +26,14 @@
 			break
 		}
 		if round > 10 {
-			t.Fatal("the decisions do not come to rest")
+			t.Fatal("the decisions don't converge")
 		}
 		data, err := json.Marshal(c)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if len(data) > most {
-			t.Fatalf("a change has %d bytes, want at most %d", len(data), most)
+			t.Fatalf("a change takes %d bytes, want at most %d", len(data), most)
 		}
 		c.Version = in.State.Version() + 1
 		if in.State, err = in.State.Apply(c); err != nil {
@@ -41,13 +42,13 @@
 	}
 	for _, m := range in.State.Members() {
 		if m.Phase != assign.Failed {
-			t.Fatalf("%s is %s", m.ID, m.Phase)
+			t.Fatalf("%s is %s, want it failed", m.ID, m.Phase)
 		}
 	}
 }
 
-// TestLostInstanceIsReplaced fails an instance for good. A spare one must take
-// its place, and nothing else may move.
+// TestLostInstanceIsReplaced removes an instance from the platform's list for good.
+// Exactly one spare instance must replace it in its pool, and no other may move.
 func TestLostInstanceIsReplaced(t *testing.T) {
 	in := inputOf(250) // 51 pools of 4, and 46 spare instances
 	before := make(map[pointport.InstanceID]assign.Member)
@@ -65,7 +66,7 @@
 		if m.Pool != before[m.ID].Pool {
 			moved++
 			if m.Pool != pool || before[m.ID].Phase != assign.Spare {
-				t.Errorf("%s went from %q to %q", m.ID, before[m.ID].Pool, m.Pool)
+				t.Errorf("%s moved from pool %q to %q", m.ID, before[m.ID].Pool, m.Pool)
 			}
 		}
 	}
@@ -74,9 +75,9 @@
 	}
 }
 
-// TestForesee forecasts a pool that grows, one that must wait for another's
-// surplus, and a wave. It must change nothing, and end.
-func TestForesee(t *testing.T) {
+// TestForecast forecasts a pool that grows beyond the spare instances of its zone,
+// and a wave over another pool. The forecast must end and must not change the state.
+func TestForecast(t *testing.T) {
 	in := inputOf(250) // 51 pools of 4, and 46 spare instances
 	in.Now = in.Now.Add(time.Hour)
 	version := in.State.Version()
@@ -89,17 +90,18 @@
 		t.Errorf("%d moves and %d reboots, want 46 and 4", f.Moves, f.Reboots)
 	}
 	if p := f.Pools[0]; p.Before != 4 || p.After != 50 || p.Need != 60 || p.Missing != 10 {
-		t.Errorf("the pool that grows: %+v", p)
+		t.Errorf("the growing pool: %+v", p)
 	}
 	if in.State.Version() != version {
 		t.Error("the forecast changed the state")
 	}
 }
 
-// TestPartsOfEvacuatedZonesFallToOthers evacuates one zone of two. The other one takes spare
-// instances for its part, and gives them up by the rule for surplus only; the evacuated one
-// keeps what it has.
-func TestPartsOfEvacuatedZonesFallToOthers(t *testing.T) {
+// TestOtherZonesTakeOverEvacuatedPart evacuates one zone of two. The other zone must add
+// spare instances for the evacuated zone's part, and must not release them as soon as that
+// zone is open again, but only by the rule for surplus. The evacuated zone must keep its
+// instances.
+func TestOtherZonesTakeOverEvacuatedPart(t *testing.T) {
 	in := inputOf(250)
 	in.Zones, in.State = []pointport.ZoneID{"zone-a", "zone-b"}, assign.NewState()
 	in.State = settle(in)
@@ -114,7 +116,7 @@
 	}
 	before := serving(in)
 	if before != 102 {
-		t.Fatalf("%d instances serve to begin with, want half of the pools'", before)
+		t.Fatalf("%d instances serve at first, want half of the pools' 204", before)
 	}
 	other, own := in, in
 	other.Evacuations = evacuation.NewZones([]evacuation.Request{{Zone: "zone-b"}})
@@ -125,7 +127,7 @@
 	other.Evacuations = evacuation.None
 	other.State = settle(other)
 	if got := serving(other); got != 250-46 {
-		t.Errorf("%d instances serve as soon as the other zone is open, want those that do to be kept", got)
+		t.Errorf("%d instances serve right after the other zone was opened, want all 204 kept", got)
 	}
 	own.Evacuations = evacuation.NewZones([]evacuation.Request{{Zone: "zone-a"}})
 	if c := assign.Decide(own); !c.Empty() {
--- a/assign/floating_budget.go
+++ b/assign/floating_budget.go
@@ -4,12 +4,13 @@
 	"github.com/pointport/pointport/config"
 )
 
-// This file defines how much of the floating part of a budget a zone wants.
+// This file defines how much of the floating part of a budget a zone asks for.
 
-// FloatingBudgetDemand returns how much of each pool's floating budget the zone should
-// hold: what is out of service beyond its even share, and one more while
-// something is due and nothing more may go out. Pools without a floating budget
-// are left out, unless the zone holds some from before.
+// FloatingBudgetDemand returns how much of each pool's floating budget the zone
+// should hold: as many instances as are out of service beyond the zone's even
+// share, and one more while an instance is due for maintenance but the even share
+// is used up. Pools without a floating budget are omitted unless the zone still
+// holds some of an earlier one.
 func FloatingBudgetDemand(in Input) map[string]int {
 	d := newDecision(&in)
 	out := make(map[string]int)
@@ -29,15 +30,16 @@
 			working++
 		}
 	}
-	out := ZoneSize(t, zones, d.in.Zone) - working
-	want := max(0, out-even)
-	if out >= even && d.anyDue(t) {
+	outOfService := ZoneSize(t, zones, d.in.Zone) - working
+	want := max(0, outOfService-even)
+	if outOfService >= even && d.anyDue(t) {
 		want++
 	}
 	return min(want, FloatingBudget(t, zones))
 }
 
-// anyDue reports whether a wave over the pool has an instance left to take.
+// anyDue reports whether a wave over the pool, an operator's or the periodic one,
+// has an instance left to drain.
 func (d *decision) anyDue(t *config.Template) bool {
 	for _, o := range d.in.Waves {
 		w, ok := d.wave(o.Wave.Name)
--- a/assign/maintain.go
+++ b/assign/maintain.go
@@ -7,17 +7,17 @@
 	"github.com/pointport/pointport/config"
 )
 
-// This file defines maintenance waves: which instance is next, and when.
+// This file defines maintenance waves: which instance is drained next, and when.
 
-// periodicWavePrefix starts the name of the wave that maintains every instance of a
-// pool once in its period, without an operator's hand.
+// periodicWavePrefix starts the name of a pool's periodic wave, which maintains
+// every instance once in the pool's maintenance period without an operator's wave.
 const periodicWavePrefix = "standing."
 
-// earlyFraction is the part of the period that may be left when an instance is
-// taken, so that all are done in time.
+// earlyFraction is the fraction of the period by which an instance may be
+// maintained early, so that all are maintained in time.
 const earlyFraction = 0.1
 
-// maintain starts the next steps of the waves over a pool.
+// maintain starts the next drains of all waves over a pool.
 func (d *decision) maintain(t *config.Template) {
 	for _, o := range d.in.Waves {
 		if o.Wave.Template == t.Name {
@@ -29,7 +29,8 @@
 	}
 }
 
-// runWave moves one operator's wave on.
+// runWave starts, resumes, stops or ends an operator's wave and starts its next
+// drains.
 func (d *decision) runWave(t *config.Template, o WaveOrder) {
 	w, ok := d.wave(o.Wave.Name)
 	if !ok {
@@ -54,12 +55,14 @@
 	d.endWaveIfDone(t, w.Name, due)
 }
 
-// dueInWave reports whether a wave has still to maintain a member.
+// dueInWave returns a function that reports whether a wave still has to maintain a
+// member.
 func dueInWave(w Wave) func(Member) bool {
 	return func(m Member) bool { return m.Maintained.Before(w.Started) && m.Passed != w.Name }
 }
 
-// dueByPeriod reports whether a member is due by its pool's period.
+// dueByPeriod returns a function that reports whether a member is due for
+// maintenance by its pool's period.
 func (d *decision) dueByPeriod(t *config.Template) func(Member) bool {
 	period := t.Maintenance.Period.D()
 	early := time.Duration(earlyFraction * float64(period))
@@ -68,7 +71,8 @@
 	}
 }
 
-// stopWaveIfFailing stops a wave whose instances fail to come back.
+// stopWaveIfFailing stops a wave after too many of its instances have failed to
+// come back. It reports whether the wave is stopped.
 func (d *decision) stopWaveIfFailing(t *config.Template, w Wave, o WaveOrder) bool {
 	if w.FailedCount < t.Maintenance.StopAfter {
 		return false
@@ -79,7 +83,8 @@
 	return true
 }
 
-// endWaveIfDone marks a wave as ended when nothing is left of it.
+// endWaveIfDone marks a wave as ended once it has no instance in progress and none
+// left to drain. Failed instances don't count.
 func (d *decision) endWaveIfDone(t *config.Template, name string, due func(Member) bool) {
 	for _, m := range d.inPool(t.Name) {
 		if m.Wave == name || due(m) && m.Phase != Failed {
@@ -89,7 +94,7 @@
 	d.countWave(name, func(w *Wave) { w.Ended = d.in.Now })
 }
 
-// runPeriodicWave maintains what is due by the pool's period.
+// runPeriodicWave starts the drains of instances that are due by the pool's period.
 func (d *decision) runPeriodicWave(t *config.Template) {
 	name := periodicWavePrefix + t.Name
 	w, ok := d.wave(name)
@@ -103,36 +108,37 @@
 	d.startDrains(t, name, d.dueByPeriod(t), false)
 }
 
-// startDrains takes instances out of service while speed and budget allow.
+// startDrains drains due instances as far as the wave speed and the budget allow.
 func (d *decision) startDrains(t *config.Template, wave string, due func(Member) bool, racks bool) {
-	room := min(d.remainingSpeed(t), d.remainingBudget(t))
-	if room <= 0 {
+	left := min(d.remainingSpeed(t), d.remainingBudget(t))
+	if left <= 0 {
 		return
 	}
 	for _, m := range d.candidates(t, due, racks) {
-		if room == 0 || d.full() {
+		if left == 0 || d.full() {
 			return
 		}
-		room--
+		left--
 		m.Phase, m.Wave = Draining, wave
-		d.update(m, "wave %s: last maintained %s; %d more may go now", wave, m.Maintained.UTC().Format(time.RFC3339), room)
+		d.update(m, "wave %s: last maintained %s; %d more may be drained now", wave, m.Maintained.UTC().Format(time.RFC3339), left)
 	}
 }
 
-// remainingSpeed returns how many more instances waves may take out of the pool.
+// remainingSpeed returns how many more of the pool's instances may be in
+// maintenance under the template's wave speed.
 func (d *decision) remainingSpeed(t *config.Template) int {
-	out := 0
+	inMaintenance := 0
 	for _, m := range d.inPool(t.Name) {
 		if m.Wave != "" {
-			out++
+			inMaintenance++
 		}
 	}
 	size := ZoneSize(t, d.in.Zones, d.in.Zone)
-	return max(1, t.Maintenance.Speed.Up(size)) - out
+	return max(1, t.Maintenance.Speed.Up(size)) - inMaintenance
 }
 
-// remainingBudget returns how many more instances may go out of service before the
-// pool has less than its size less the zone's share of the budget.
+// remainingBudget returns how many more instances may go out of service before
+// fewer work than the pool's size minus the zone's share of the budget.
 func (d *decision) remainingBudget(t *config.Template) int {
 	working := 0
 	for _, m := range d.inPool(t.Name) {
@@ -143,8 +149,9 @@
 	return working - (ZoneSize(t, d.in.Zones, d.in.Zone) - d.in.Share(t))
 }
 
-// candidates returns the instances that are due, the longest waiting first.
-// With racks, those of racks that are under way come first.
+// candidates returns the working instances that are due, the least recently
+// maintained first. With racks set, it orders them rack by rack, beginning with
+// racks that already have an instance in maintenance.
 func (d *decision) candidates(t *config.Template, due func(Member) bool, racks bool) []Member {
 	busy := make(map[string]bool)
 	var out []Member
--- a/assign/observe.go
+++ b/assign/observe.go
@@ -7,15 +7,15 @@
 	"github.com/pointport/pointport/config"
 )
 
-// This file defines what a decision makes of the platform's list: new
-// instances, those that failed, and those whose step has come to its end.
+// This file defines how a decision applies the platform's list: it adds new
+// instances, marks failed ones, and advances drains and reboots.
 
-// Bounds for instances whose pool no longer exists.
+// defaultMaintenance holds the bounds for instances whose pool no longer exists.
 var defaultMaintenance = config.Maintenance{
 	DrainQuiet: config.Of(3 * time.Second), DrainBound: config.Of(10 * time.Minute), ReturnBound: config.Of(15 * time.Minute),
 }
 
-// bounds returns the maintenance bounds of a member's pool.
+// bounds returns the maintenance settings of a member's pool.
 func (d *decision) bounds(m Member) config.Maintenance {
 	if t := d.templates[m.Pool]; t != nil {
 		return t.Maintenance
@@ -23,7 +23,8 @@
 	return defaultMaintenance
 }
 
-// addNewInstances takes in instances that were not known.
+// addNewInstances adds listed live instances that the state lacks, as spare
+// members.
 func (d *decision) addNewInstances() {
 	for _, i := range d.in.Listed {
 		if _, known := d.members[i.ID]; known || i.State != pointport.InstanceLive || d.full() {
@@ -36,7 +37,7 @@
 	}
 }
 
-// observe moves each member on by what the list says of it.
+// observe updates each member by its entry in the list, or by its absence.
 func (d *decision) observe() {
 	d.forEach(func(m Member) {
 		i, listed := d.listed[m.ID]
@@ -57,23 +58,26 @@
 	})
 }
 
+// observeAbsent fails a member that is missing from the list for too long, and
+// removes it later.
 func (d *decision) observeAbsent(m Member) {
 	since, absent := d.in.AbsentSince[m.ID]
 	if !absent {
 		return
 	}
-	gone := d.in.Now.Sub(since)
+	missing := d.in.Now.Sub(since)
 	switch {
-	case m.Phase == Failed && gone >= removalTimeout:
-		d.remove(m.ID, "missing from the platform's list for too long; it was replaced or removed")
+	case m.Phase == Failed && missing >= removalTimeout:
+		d.remove(m.ID, "missing from the platform's list for too long; replaced or removed")
 	case m.Phase == Rebooting:
 		d.checkRebootTimeout(m)
-	case m.Phase != Failed && gone >= absenceTimeout:
-		d.fail(m, "missing from the platform's list for %v", gone.Round(time.Second))
+	case m.Phase != Failed && missing >= absenceTimeout:
+		d.fail(m, "missing from the platform's list for %v", missing.Round(time.Second))
 	}
 }
 
-// fail marks a member as failed. A wave that was maintaining it counts it.
+// fail marks a member as failed and counts it in the wave that was maintaining it,
+// if any.
 func (d *decision) fail(m Member, format string, args ...any) {
 	if m.Wave != "" {
 		d.countWave(m.Wave, func(w *Wave) { w.FailedCount++ })
@@ -82,53 +86,59 @@
 	d.update(m, format, args...)
 }
 
+// observeUp updates a spare or serving member.
 func (d *decision) observeUp(m Member, i pointport.Instance) {
 	switch {
 	case i.State == pointport.InstanceDown:
-		d.fail(m, "the platform lists it as down")
+		d.fail(m, "listed as down by the platform")
 	case i.Address != m.Address || i.Boots != m.Boots:
 		m.Address, m.Boots = i.Address, i.Boots
 		d.update(m, "restarted by itself or by the platform")
 	}
 }
 
+// observeDraining moves a draining member on once it is idle: out of its pool, or to
+// its reboot. A restart by itself counts as maintenance.
 func (d *decision) observeDraining(m Member, i pointport.Instance) {
 	b := d.bounds(m)
-	quiet := d.in.IdleFor[m.ID] >= b.DrainQuiet.D()
+	idle := d.in.IdleFor[m.ID] >= b.DrainQuiet.D()
 	switch {
 	case i.State == pointport.InstanceDown:
 		d.fail(m, "went down while it drained")
 	case i.Boots != m.Boots:
-		m.Address, m.Boots, m.Phase, m.Wave, m.Moving, m.Maintained = i.Address, i.Boots, idlePhase(m), "", false, d.in.Now
-		d.update(m, "restarted while it drained, which is as good as maintenance")
-	case quiet && m.Moving:
+		m.Address, m.Boots, m.Phase, m.Wave, m.Moving, m.Maintained = i.Address, i.Boots, defaultPhase(m), "", false, d.in.Now
+		d.update(m, "restarted while it drained, which counts as maintenance")
+	case idle && m.Moving:
 		m.Pool, m.Phase, m.Moving = "", Spare, false
-		d.update(m, "ran nothing for %v and leaves its pool", b.DrainQuiet)
-	case quiet:
+		d.update(m, "idle for %v; leaves its pool", b.DrainQuiet)
+	case idle:
 		m.Phase = Rebooting
-		d.update(m, "ran nothing for %v", b.DrainQuiet)
+		d.update(m, "idle for %v", b.DrainQuiet)
 	case d.in.Now.Sub(m.Since) >= b.DrainBound.D():
 		d.abandonDrain(m, b)
 	}
 }
 
-// abandonDrain puts an instance that does not fall idle back to work.
+// abandonDrain returns an instance that does not become idle to service and makes
+// its wave skip it.
 func (d *decision) abandonDrain(m Member, b config.Maintenance) {
 	if m.Wave != "" {
 		d.countWave(m.Wave, func(w *Wave) { w.PassedCount++ })
 	}
-	m.Phase, m.Passed, m.Wave, m.Moving = idlePhase(m), m.Wave, "", false
-	d.update(m, "still ran something after %v; it is passed by", b.DrainBound)
+	m.Phase, m.Passed, m.Wave, m.Moving = defaultPhase(m), m.Wave, "", false
+	d.update(m, "not idle after %v; drain abandoned", b.DrainBound)
 }
 
-// idlePhase is the phase of a member that takes work, or could.
-func idlePhase(m Member) Phase {
+// defaultPhase returns the phase of a working member outside maintenance.
+func defaultPhase(m Member) Phase {
 	if m.Pool == "" {
 		return Spare
 	}
 	return Serving
 }
 
+// observeRebooting returns a member to service once it is live with a higher boot
+// count.
 func (d *decision) observeRebooting(m Member, i pointport.Instance) {
 	if i.Boots <= m.Boots || i.State != pointport.InstanceLive {
 		d.checkRebootTimeout(m)
@@ -137,11 +147,11 @@
 	if m.Wave != "" {
 		d.countWave(m.Wave, func(w *Wave) { w.Done++ })
 	}
-	m.Address, m.Boots, m.Phase, m.Wave, m.Maintained = i.Address, i.Boots, idlePhase(m), "", d.in.Now
+	m.Address, m.Boots, m.Phase, m.Wave, m.Maintained = i.Address, i.Boots, defaultPhase(m), "", d.in.Now
 	d.update(m, "came back after its reboot")
 }
 
-// checkRebootTimeout fails a member whose reboot has taken too long.
+// checkRebootTimeout fails a member whose reboot takes too long.
 func (d *decision) checkRebootTimeout(m Member) {
 	b := d.bounds(m).ReturnBound
 	if d.in.Now.Sub(m.Since) >= b.D() {
@@ -149,15 +159,18 @@
 	}
 }
 
+// observeFailed returns a failed member to service once a recent report shows it
+// live.
 func (d *decision) observeFailed(m Member, i pointport.Instance) {
 	if i.State != pointport.InstanceLive || d.in.Now.Sub(i.Reported) >= maxReportAge {
 		return
 	}
-	m.Address, m.Boots, m.Phase = i.Address, i.Boots, idlePhase(m)
-	d.update(m, "is listed as live again")
+	m.Address, m.Boots, m.Phase = i.Address, i.Boots, defaultPhase(m)
+	d.update(m, "listed as live again")
 }
 
-// releaseRemovedPools drains the members of pools that no longer exist.
+// releaseRemovedPools drains the serving members of pools that no longer exist, and
+// takes failed ones out of them.
 func (d *decision) releaseRemovedPools() {
 	d.forEach(func(m Member) {
 		if m.Pool == "" || d.templates[m.Pool] != nil {
--- a/assign/size.go
+++ b/assign/size.go
@@ -10,11 +10,11 @@
 	"github.com/pointport/pointport/evacuation"
 )
 
-// This file defines how many instances a pool has in the zone, and which.
+// This file defines how many instances a pool gets in the zone, and which.
 
-// Split returns part n of total split over parts as evenly as whole numbers
-// allow. The remainder goes to the parts from offset on, so that different
-// pools do not all favour the same zone.
+// Split divides total into parts as evenly as whole numbers allow and returns part
+// n. The remainder goes to the parts from offset on, one each, so that different
+// pools don't all give it to the same zone.
 func Split(total, parts, n, offset int) int {
 	if parts == 0 {
 		return 0
@@ -26,7 +26,8 @@
 	return share
 }
 
-// remainderOffset spreads the remainders of pools over the zones.
+// remainderOffset returns a hash of the pool's name. Used as an offset of Split, it
+// spreads the remainders of pools over the zones.
 func remainderOffset(pool string) int {
 	n := 0
 	for _, c := range []byte(pool) {
@@ -36,23 +37,24 @@
 }
 
 // ZoneSize returns how many instances of a pool should serve in zone, without
-// any spare.
+// spare instances.
 func ZoneSize(t *config.Template, zones []pointport.ZoneID, zone pointport.ZoneID) int {
 	return Split(t.Pool.Size, len(zones), indexOf(zones, zone), remainderOffset(t.Name))
 }
 
-// ZoneSpare returns how many spare instances a pool holds in zone.
+// ZoneSpare returns how many spare instances a pool should hold in zone.
 func ZoneSpare(t *config.Template, zones []pointport.ZoneID, zone pointport.ZoneID) int {
 	return Split(t.Pool.Spare.Up(t.Pool.Size), len(zones), indexOf(zones, zone), remainderOffset(t.Name)+t.Pool.Size)
 }
 
 // ZoneShare returns the part of a pool's availability budget that each zone may
-// always spend: an even split, rounded down.
+// always use: an even split, rounded down.
 func ZoneShare(t *config.Template, zones []pointport.ZoneID) int {
 	return t.Maintenance.Budget.Down(t.Pool.Size) / max(1, len(zones))
 }
 
-// FloatingBudget returns the rest of the budget, which zones hold in turn.
+// FloatingBudget returns the remainder of a pool's availability budget after the
+// even split. Zones hold parts of it while they need them.
 func FloatingBudget(t *config.Template, zones []pointport.ZoneID) int {
 	return t.Maintenance.Budget.Down(t.Pool.Size) - ZoneShare(t, zones)*max(1, len(zones))
 }
@@ -66,15 +68,16 @@
 	return 0
 }
 
-// required returns how many instances the pool should have in the zone. While others are
-// evacuated it has their part as well, as far as it has instances; a zone that is evacuated
-// keeps its own, so that they are there once it is open again.
+// required returns how many instances the pool should have in the zone. While other zones
+// are evacuated, the zone also takes over their part, as far as it has instances. An
+// evacuated zone keeps its own part, so that its instances are there once it is open again.
 func (d *decision) required(t *config.Template) int {
 	zones := sharingZones(d.in.Zones, d.in.Zone, d.in.Evacuations)
 	return ZoneSize(t, zones, d.in.Zone) + ZoneSpare(t, zones, d.in.Zone)
 }
 
-// sharingZones returns the zones over which pools are split for a zone.
+// sharingZones returns the zones over which pools are split, as seen by one zone: all
+// zones if that zone is evacuated itself, else those that are not evacuated.
 func sharingZones(zones []pointport.ZoneID, zone pointport.ZoneID, evacuated evacuation.Zones) []pointport.ZoneID {
 	if len(evacuated.Requests()) == 0 || evacuated.State(zone) == evacuation.Evacuated {
 		return zones
@@ -82,8 +85,8 @@
 	return slices.DeleteFunc(slices.Clone(zones), func(z pointport.ZoneID) bool { return evacuated.State(z) == evacuation.Evacuated })
 }
 
-// countedMembers returns the members that the pool can count on: those that serve, and
-// those that a wave will give back.
+// countedMembers returns the members that count towards the pool's required number:
+// those that serve, and those that return to it after maintenance.
 func (d *decision) countedMembers(t *config.Template) []Member {
 	var out []Member
 	for _, m := range d.inPool(t.Name) {
@@ -94,16 +97,17 @@
 	return out
 }
 
-// resizePool fills the pool from spare instances, or lets surplus go.
+// resizePool adds spare instances to a pool that has too few, or releases surplus.
 func (d *decision) resizePool(t *config.Template) {
-	have, need := d.countedMembers(t), d.required(t)
-	if len(have) < need {
-		d.fill(t, need-len(have))
+	have, required := d.countedMembers(t), d.required(t)
+	if len(have) < required {
+		d.fill(t, required-len(have))
 	}
-	d.shrink(t, len(have)-need)
+	d.shrink(t, len(have)-required)
 }
 
-// fill takes spare instances into the pool, where it has the fewest.
+// fill adds spare instances to the pool, preferring racks where it has the fewest
+// members.
 func (d *decision) fill(t *config.Template, missing int) {
 	for ; missing > 0 && !d.full(); missing-- {
 		m, ok := d.bestSpare(t)
@@ -116,7 +120,8 @@
 	}
 }
 
-// bestSpare returns the spare instance that fits the pool and spreads it best.
+// bestSpare returns the live spare instance that fits the pool's shape and whose
+// rack has the fewest members of the pool.
 func (d *decision) bestSpare(t *config.Template) (Member, bool) {
 	racks := d.countPerRack(t)
 	var best Member
@@ -141,31 +146,31 @@
 	return racks
 }
 
-// drainSurplusElsewhere makes pools with more than they need give it up for one that has
-// less, because no spare instance fits.
+// drainSurplusElsewhere drains surplus instances of other pools for a pool that has
+// too few, because no spare instance fits it.
 func (d *decision) drainSurplusElsewhere(t *config.Template, missing int) {
-	coming := 0
+	arriving := 0
 	d.forEach(func(m Member) {
 		if m.Moving && m.Shape.Fits(t.Pool.Shape) {
-			coming++
+			arriving++
 		}
 	})
 	for _, other := range d.in.Templates {
-		for surplus := len(d.countedMembers(other)) - d.required(other); surplus > 0 && coming < missing && !d.full(); surplus-- {
+		for surplus := len(d.countedMembers(other)) - d.required(other); surplus > 0 && arriving < missing && !d.full(); surplus-- {
 			m, ok := d.surplusCandidate(other)
 			if !ok || !m.Shape.Fits(t.Pool.Shape) || d.remainingBudget(other) <= 0 {
 				break
 			}
 			m.Phase, m.Moving = Draining, true
 			d.update(m, "pool %s has more than it needs and pool %s has %d fewer", other.Name, t.Name, missing)
-			coming++
+			arriving++
 		}
 	}
 }
 
-// shrink lets surplus go once keeping it has cost as much as a move does. That
-// is never more than twice the cost of the best that foresight could do, and a
-// pool that shrinks and grows again soon moves nothing.
+// shrink releases surplus once keeping it has cost as much as a move does. The
+// total cost is then at most twice that of the best choice made with knowledge of
+// the future, and a pool that shrinks and soon grows again moves nothing.
 func (d *decision) shrink(t *config.Template, surplus int) {
 	p := d.in.State.pools[t.Name]
 	if surplus <= 0 {
@@ -193,7 +198,8 @@
 	}
 }
 
-// surplusRetention is how long surplus is kept: until its cost is that of a move.
+// surplusRetention returns how long surplus is kept: until keeping an instance has
+// cost as much as moving it.
 func surplusRetention(t *config.Template) time.Duration {
 	if t.Pool.BufferWeight == 0 {
 		return maxSurplusRetention
@@ -202,10 +208,11 @@
 	return min(time.Duration(hours*float64(time.Hour)), maxSurplusRetention)
 }
 
-// maxSurplusRetention bounds how long surplus is kept.
+// maxSurplusRetention bounds surplusRetention.
 const maxSurplusRetention = 30 * 24 * time.Hour
 
-// surplusCandidate returns the serving member of the pool's fullest rack.
+// surplusCandidate returns a serving member of the rack that has the most members of
+// the pool.
 func (d *decision) surplusCandidate(t *config.Template) (Member, bool) {
 	racks := d.countPerRack(t)
 	var serving []Member
--- a/assign/state.go
+++ b/assign/state.go
@@ -12,16 +12,16 @@
 
 // This file defines members, steps and the state of an availability zone.
 
-// A Phase says what an instance is doing for its pool.
+// A Phase is the stage of an instance in its pool and its maintenance.
 type Phase string
 
 // The phases of an instance.
 const (
-	Spare     Phase = "spare"     // in no pool, ready for one
+	Spare     Phase = "spare"     // in no pool, available
 	Serving   Phase = "serving"   // takes work
 	Draining  Phase = "draining"  // takes no new work
 	Rebooting Phase = "rebooting" // is being restarted
-	Failed    Phase = "failed"    // is not known to work
+	Failed    Phase = "failed"    // down, missing, or not back from a reboot
 )
 
 // A Member is one instance of the zone. Its fields are exported because a codec
@@ -39,29 +39,30 @@
 	Phase Phase  `json:"phase"`
 	// Since is when the phase began.
 	Since time.Time `json:"since"`
-	// Wave is the wave that is maintaining the instance.
+	// Wave is the wave that is maintaining the instance; empty for none.
 	Wave string `json:"wave,omitempty"`
-	// Moving says that the instance drains in order to leave its pool.
+	// Moving reports whether the instance drains in order to leave its pool.
 	Moving bool `json:"moving,omitempty"`
-	// Maintained is when the instance last came back from maintenance, or when
-	// it was first seen.
+	// Maintained is when the instance last came back from maintenance, or was
+	// first seen.
 	Maintained time.Time `json:"maintained"`
-	// Passed is the wave that gave up on draining the instance.
+	// Passed is the wave that skipped the instance because it did not become idle.
 	Passed string `json:"passed,omitempty"`
 }
 
-// A Step changes one member. Its fields are exported for the codec.
+// A Step changes one member. Its fields are exported because a codec reads and
+// writes them.
 type Step struct {
 	Instance pointport.InstanceID `json:"instance"`
-	// After is the member as the step leaves it; nil if it is forgotten.
+	// After is the member as the step leaves it; nil if the step removes it.
 	After *Member `json:"after,omitempty"`
-	// From names the phase and pool before, for whoever reads the trail.
+	// From is the phase and pool before the step, for readers of the audit trail.
 	From   string `json:"from,omitempty"`
 	Reason string `json:"reason"`
 }
 
-// A Wave is how far a wave has come in the zone. Its fields are exported for
-// the codec.
+// A Wave is the progress of a maintenance wave in the zone. Its fields are
+// exported because a codec reads and writes them.
 type Wave struct {
 	Name    string    `json:"name"`
 	Pool    string    `json:"pool"`
@@ -70,26 +71,29 @@
 	Done    int       `json:"done"`
 	// FailedCount is how many instances did not come back from it.
 	FailedCount int `json:"failed"`
+	// PassedCount is how many instances it skipped because they did not become idle.
 	PassedCount int `json:"passed"`
-	// Stopped is why the wave stopped itself; empty if it did not.
+	// Stopped is why the wave was stopped for failures; empty if it was not.
 	Stopped string `json:"stopped,omitempty"`
-	// StoppedAt is the configuration's version at which it did. A later
-	// version of the wave starts it again.
+	// StoppedAt is the configuration's version at which that happened. A later
+	// version of the wave resumes it.
 	StoppedAt pointport.Version `json:"stoppedAt,omitempty"`
 }
 
-// A Pool is what is kept of a pool besides its members. Its fields are
-// exported for the codec.
+// A Pool is the state of a pool besides its members. Its fields are exported
+// because a codec reads and writes them.
 type Pool struct {
-	// SurplusSince is when the pool came to have more than it needs.
+	// SurplusSince is when the pool began to have more than it needs; zero if it
+	// has no surplus.
 	SurplusSince time.Time `json:"surplusSince,omitzero"`
-	// Float is how much of the budget the zone holds beyond its even share. The
-	// ledger of all zones holds at least as much for it.
+	// Float is how much of the floating budget the zone holds. The ledger that all
+	// zones share records at least as much for it.
 	Float int `json:"float,omitempty"`
 }
 
-// A Change is a set of steps that are taken together. Its fields are exported
-// for the codec.
+// A Change is a set of steps that are applied together, and the waves and pools
+// that change with them. Its fields are exported because a codec reads and writes
+// them.
 type Change struct {
 	ID      string            `json:"id"`
 	Version pointport.Version `json:"version"`
@@ -100,17 +104,17 @@
 	Pools   map[string]Pool   `json:"pools,omitempty"`
 }
 
-// ChangeID returns the change's own name.
+// ChangeID returns the ID of the change.
 func (c Change) ChangeID() string { return c.ID }
 
-// ChangeVersion returns the version that the change makes.
+// ChangeVersion returns the version of the state that the change produces.
 func (c Change) ChangeVersion() pointport.Version { return c.Version }
 
 // Empty reports whether the change changes nothing.
 func (c Change) Empty() bool { return len(c.Steps) == 0 && len(c.Waves) == 0 && len(c.Pools) == 0 }
 
-// A State is what is known of the instances of a zone at one version. It is
-// never changed.
+// A State holds the members, waves and pools of a zone at one version. It is
+// immutable.
 type State struct {
 	version pointport.Version
 	members map[pointport.InstanceID]Member
@@ -130,13 +134,13 @@
 // Version returns the version of the state.
 func (s *State) Version() pointport.Version { return s.version }
 
-// Member returns what is known of an instance.
+// Member returns the member of an instance, and whether there is one.
 func (s *State) Member(id pointport.InstanceID) (Member, bool) {
 	m, ok := s.members[id]
 	return m, ok
 }
 
-// Members returns every member by name.
+// Members returns all members in order of their IDs.
 func (s *State) Members() []Member {
 	out := make([]Member, 0, len(s.members))
 	for _, m := range s.members {
@@ -146,16 +150,17 @@
 	return out
 }
 
-// Pool returns what is kept of a pool besides its members.
+// Pool returns the state of a pool besides its members; the zero Pool if none is
+// stored.
 func (s *State) Pool(name string) Pool { return s.pools[name] }
 
-// Wave returns how far a wave has come.
+// Wave returns the progress of a wave, and whether the wave is known.
 func (s *State) Wave(name string) (Wave, bool) {
 	w, ok := s.waves[name]
 	return w, ok
 }
 
-// Waves returns every wave by name.
+// Waves returns the progress of all waves in order of their names.
 func (s *State) Waves() []Wave {
 	out := make([]Wave, 0, len(s.waves))
 	for _, w := range s.waves {
@@ -165,7 +170,8 @@
 	return out
 }
 
-// Apply returns the state after c. It fails if c is not the next version.
+// Apply returns the state after c. It returns an error if c's version is not the
+// next one.
 func (s *State) Apply(c Change) (*State, error) {
 	if c.Version != s.version+1 {
 		return nil, fmt.Errorf("change %s has version %d, which does not follow %d", c.ID, c.Version, s.version)
@@ -191,7 +197,7 @@
 	return next, nil
 }
 
-// stateDocument is a State as it is stored.
+// stateDocument is the stored form of a State.
 type stateDocument struct {
 	Version pointport.Version               `json:"version"`
 	Members map[pointport.InstanceID]Member `json:"members"`
@@ -199,12 +205,12 @@
 	Pools   map[string]Pool                 `json:"pools"`
 }
 
-// MarshalJSON writes the whole state.
+// MarshalJSON returns the stored form of the state.
 func (s *State) MarshalJSON() ([]byte, error) {
 	return json.Marshal(stateDocument{s.version, s.members, s.waves, s.pools})
 }
 
-// UnmarshalJSON reads a whole state.
+// UnmarshalJSON replaces the state by a stored one.
 func (s *State) UnmarshalJSON(data []byte) error {
 	d := stateDocument{Members: map[pointport.InstanceID]Member{}, Waves: map[string]Wave{}, Pools: map[string]Pool{}}
 	if err := json.Unmarshal(data, &d); err != nil {
