--- a/choose/choose.go
+++ b/choose/choose.go
@@ -1,5 +1,5 @@
-// Package choose implements pointport.Chooser: Forecast for use, LeastInFlight
-// and RoundRobin as the baselines that it is measured against.
+// Package choose implements pointport.Chooser: Forecast for production, and
+// LeastInFlight and RoundRobin as baselines for comparison.
 package choose
 
 import (
@@ -8,19 +8,18 @@
 	"github.com/pointport/pointport"
 )
 
-// Forecast prefers the upstream where a new request is forecast to end first:
-// the time that a request takes there, stretched by what is in flight against
-// the limit. It prefers its own availability zone outright while that has room.
+// Forecast prefers the upstream where a new request is forecast to end first. The
+// forecast is the upstream's latency, scaled by the ratio of its requests in flight
+// to its limit. An upstream in the own availability zone is always preferred.
 //
-// The forecast of the finish time in place of a queue's length is taken from
-// the work on heterogeneous workstation clusters that docs/design/routing.md
-// cites.
+// Comparing forecast finish times instead of queue lengths follows the work on
+// heterogeneous workstation clusters that docs/design/routing.md cites.
 type Forecast struct{}
 
 // LeastInFlight prefers the upstream with the fewest requests in flight.
 type LeastInFlight struct{}
 
-// RoundRobin takes every upstream in turn and knows no limit.
+// RoundRobin uses every upstream in turn and ignores limits.
 type RoundRobin struct{ next atomic.Uint64 }
 
 var (
@@ -38,7 +37,7 @@
 	return forecastTime(a) < forecastTime(b)
 }
 
-// forecastTime is the forecast of a new request's time, in nanoseconds.
+// forecastTime returns the forecast duration of a new request, in nanoseconds.
 func forecastTime(c pointport.Candidate) float64 {
 	return float64(c.Latency()) * float64(c.Limit()+c.InFlight()) / float64(c.Limit())
 }
@@ -46,8 +45,8 @@
 // Better reports whether a has fewer requests in flight than b.
 func (LeastInFlight) Better(a, b pointport.Candidate) bool { return a.InFlight() < b.InFlight() }
 
-// Better never prefers one over the other.
+// Better returns false: RoundRobin chooses by Next.
 func (*RoundRobin) Better(pointport.Candidate, pointport.Candidate) bool { return false }
 
-// Next returns the index after the last one.
+// Next returns the index after the one returned last, modulo n.
 func (r *RoundRobin) Next(n int) int { return int(r.next.Add(1) % uint64(n)) }
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/pointport/pointport/internal/measure"
 )
 
-// BenchmarkAcquire measures a grant and its end, by the number of upstreams,
-// and what a service takes in memory.
+// BenchmarkAcquire measures the time to acquire and end a grant, and the memory of
+// a service, for several numbers of upstreams.
 func BenchmarkAcquire(b *testing.B) {
 	objects, err := config.Parse("bench", []byte("kind: Template\nname: tips\n"))
 	if err != nil {
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -1,15 +1,19 @@
 // Package dispatch decides which upstream runs a request, and when.
 //
-// The model: a Service has a set of upstreams and a queue. Acquire grants an
-// upstream at once if one has room, and else waits its turn or is refused.
-// Ending a grant reports how it went, which moves the upstream's limit, its
-// ejection and the next waiting request.
-//
-// Invariants: a grant never exceeds the upstream's slots nor this entry
-// instance's share of its connections; an upstream that is known to be leaving, or
-// whose availability zone is evacuated, gets no new grant; a bounded part of the upstreams may be ejected at once;
-// every request that waits gets a grant or a refusal, exactly one.
-//
-// The package does no input or output: what a grant is used for is the
-// caller's business.
+// A Service has a set of upstreams and a queue of requests. Acquire grants an
+// upstream at once if one has free capacity. Otherwise the request waits for its
+// turn or is refused. Ending a grant reports the outcome of the request, which
+// adapts the upstream's concurrency limit, ejects the upstream or ends its
+// ejection, and lets the next waiting request go.
+//
+// Invariants:
+//
+//   - The grants of an upstream never exceed its slots or this entry instance's
+//     share of its connections.
+//   - An upstream that is known to be leaving, or whose availability zone is
+//     evacuated, gets no new grant.
+//   - Only a bounded fraction of the upstreams is ejected at once.
+//   - Every request that waits gets exactly one grant or refusal.
+//
+// The package does no input or output. The caller sends the requests.
 package dispatch
--- a/dispatch/evacuation_test.go
+++ b/dispatch/evacuation_test.go
@@ -11,18 +11,19 @@
 	"github.com/pointport/pointport/dispatch"
 )
 
-// Upstreams of an evacuated availability zone get no request, whatever chooses among them,
-// until the zone is open again; with no others, requests are refused at once.
-func TestEvacuatedUpstreamsGetNothing(t *testing.T) {
+// TestEvacuatedUpstreamsGetNoRequests checks that no chooser, including one that ignores
+// limits, picks an upstream in an evacuated availability zone until the zone is open again.
+// If all upstreams are evacuated, requests must be refused at once instead of waiting.
+func TestEvacuatedUpstreamsGetNoRequests(t *testing.T) {
 	options := map[string][]dispatch.Option{
-		"by forecast": nil,
-		"in turn":     {dispatch.WithChooser(&choose.RoundRobin{})},
+		"forecast":    nil,
+		"round-robin": {dispatch.WithChooser(&choose.RoundRobin{})},
 	}
-	for name, chosen := range options {
+	for name, opts := range options {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				tpl := template(t, "")
-				s := dispatch.New("tips", clock.System{}, tpl, chosen...)
+				s := dispatch.New("tips", clock.System{}, tpl, opts...)
 				all := targets(4)
 				for i := range all {
 					all[i].Instance.Zone = "zone-b"
@@ -35,7 +36,7 @@
 				for range 100 {
 					g := acquire(t, s, request(time.Minute))
 					if got := g.Instance(); got.Zone == "zone-a" {
-						t.Fatalf("a request went to %s", got.ID)
+						t.Fatalf("a request went to %s in an evacuated zone", got.ID)
 					}
 					g.End(dispatch.Succeeded, time.Millisecond)
 				}
--- a/dispatch/grant.go
+++ b/dispatch/grant.go
@@ -8,7 +8,7 @@
 	"github.com/pointport/pointport/event"
 )
 
-// This file defines the grant and what is learned from its end.
+// This file defines grants and how a service learns from their outcomes.
 
 // A Grant is the right to send one request to one upstream.
 type Grant struct {
@@ -18,11 +18,11 @@
 	ended     bool
 }
 
-// Instance returns the upstream.
+// Instance returns the instance that the request is to be sent to.
 func (g *Grant) Instance() pointport.Instance { return g.upstream.instance }
 
-// End gives the upstream back and says how the request went. A latency of zero
-// means the time since the grant. Ending twice changes nothing.
+// End releases the grant and records the outcome of its request. A latency of zero
+// stands for the time since the grant. Further calls have no effect.
 func (g *Grant) End(o Outcome, latency time.Duration) {
 	s := g.service
 	s.mu.Lock()
@@ -40,6 +40,7 @@
 	s.grantWaiting()
 }
 
+// recordOutcome updates the upstream, the service's latency and the retry budget.
 func (s *Service) recordOutcome(u *upstream, o Outcome, now time.Time, latency time.Duration) {
 	switch o {
 	case Succeeded:
@@ -53,14 +54,16 @@
 		u.recordRefusal(now)
 	case Failed:
 		if u.recordFailure(latency, s.latency, s.template.Ejection.Failures) && s.mayEject(u, now) {
-			d := u.eject(now, s.template.Ejection.For.D())
+			duration := u.eject(now, s.template.Ejection.For.D())
 			event.UpstreamEjected.Log(s.logger, slog.String("service", s.name),
-				slog.String("instance", string(u.instance.ID)), slog.Duration("for", d))
+				slog.String("instance", string(u.instance.ID)), slog.Duration("for", duration))
 		}
 	}
 }
 
-// mayEject reports whether one more upstream may be ejected.
+// mayEject reports whether u may be ejected without exceeding the fraction of
+// upstreams that may be ejected at once. An upstream whose ejection has not ended in
+// a success may always be ejected again.
 func (s *Service) mayEject(u *upstream, now time.Time) bool {
 	if !u.ejectedUntil.IsZero() {
 		return true
--- a/dispatch/service.go
+++ b/dispatch/service.go
@@ -16,27 +16,29 @@
 	"github.com/pointport/pointport/queue"
 )
 
-// This file defines the service: its upstreams, who gets one and who waits.
+// This file defines the service: its upstreams, and how requests are granted,
+// queued and refused.
 
 const (
-	// serviceWeight is the weight of a new sample in the service's latency.
+	// serviceWeight is the weight of a new sample in the service's mean latency.
 	serviceWeight = 0.05
-	// maxCapacityAge is how long a computed capacity stays good.
+	// maxCapacityAge is how long a computed capacity is used.
 	maxCapacityAge = 100 * time.Millisecond
-	// initialRetries is how many retries a service starts with.
+	// initialRetries is the retry budget of a new service.
 	initialRetries = 10
-	// maxRetries is how many may be saved up: enough for what is in flight at a
-	// few upstreams that are lost at once.
+	// maxRetries bounds the retry budget. It covers the requests in flight at a few
+	// upstreams that are lost at once.
 	maxRetries = 100
-	// retryAfterNoUpstream is what callers are told when no upstream is known.
+	// retryAfterNoUpstream is the RetryAfter of refusals for want of an upstream.
 	retryAfterNoUpstream = 2 * time.Second
-	// requiredTimeFactor is how many times the mean latency a request must have left.
+	// requiredTimeFactor times the mean latency is the time that a request must have
+	// left before its deadline when it is sent.
 	requiredTimeFactor = 2
-	// minRetryAfter is the least that callers are told to wait.
+	// minRetryAfter is the least RetryAfter after a forecast wait.
 	minRetryAfter = time.Second
 )
 
-// A Reason says why a request was refused before it was sent.
+// A Reason is why a request was refused before it was sent.
 type Reason string
 
 // The reasons for a refusal.
@@ -48,50 +50,50 @@
 	ReasonCallerGone Reason = "the caller has gone"
 )
 
-// A RefusedError says that a request was refused before any byte of it was
-// sent. It comes from Acquire.
+// A RefusedError reports that a request was refused before any byte of it was sent.
+// Acquire and CheckAdmission return it.
 type RefusedError struct {
 	Service    string
 	Reason     Reason
-	RetryAfter time.Duration // when it makes sense to ask again; zero if never
+	RetryAfter time.Duration // how long to wait before a retry; zero if a retry is pointless
 }
 
 func (e *RefusedError) Error() string {
 	return fmt.Sprintf("service %s: %s", e.Service, e.Reason)
 }
 
-// A Request is what Acquire needs to know.
+// A Request describes a request for Acquire.
 type Request struct {
 	Customer string
-	Weight   float64 // the customer's share against others'; zero counts as one
+	Weight   float64 // the customer's weight in fair queueing; zero counts as one
 	Priority config.Priority
 	Deadline time.Time
-	// Avoid names upstreams that have already failed this request. They are
-	// used only if no other has room.
+	// Avoid lists upstreams that have already failed this request. They are used
+	// only if no other has free capacity.
 	Avoid []pointport.InstanceID
 }
 
-// An Outcome says how a granted request went.
+// An Outcome is how a granted request ended.
 type Outcome int
 
 // The outcomes of a granted request.
 const (
 	Succeeded Outcome = iota // the upstream answered
 	Failed                   // the upstream failed
-	NotRun                   // the upstream said that it did not run the request
-	Abandoned                // nothing can be said about the upstream
+	NotRun                   // the upstream reported that it did not run the request
+	Abandoned                // the request ended without a result that concerns the upstream
 )
 
 // A Target is an instance that the service may use.
 type Target struct {
 	Instance pointport.Instance
-	Leaving  bool // no new work, but what is in flight goes on
-	// Evacuated says that its availability zone is to be left empty: the same, until a later
-	// Update says otherwise.
+	Leaving  bool // gets no new work; requests in flight continue
+	// Evacuated reports whether its availability zone is evacuated. It has the effect of
+	// Leaving, but a later Update can undo it.
 	Evacuated bool
 }
 
-// A Service spreads requests over upstreams. It is safe for concurrent use.
+// A Service distributes requests over upstreams. It is safe for concurrent use.
 type Service struct {
 	name    string
 	clock   pointport.Clock
@@ -109,13 +111,13 @@
 	retryBudget         float64
 	capacity            float64
 	capacityAt          time.Time
-	saturatedAt         time.Time // when a request last found no room
+	saturatedAt         time.Time // see SaturatedAt
 }
 
 // A waiter is a request in the queue.
 type waiter struct {
 	request Request
-	result  chan result // holds one
+	result  chan result // has a buffer of one
 }
 
 type result struct {
@@ -123,10 +125,10 @@
 	err   error
 }
 
-// An Option changes a Service.
+// An Option configures a Service.
 type Option func(*Service)
 
-// WithChooser sets the choice among upstreams.
+// WithChooser sets the chooser among upstreams.
 func WithChooser(c pointport.Chooser) Option { return func(s *Service) { s.chooser = c } }
 
 // WithZone sets the availability zone of this entry instance.
@@ -136,7 +138,7 @@
 // upstream of an availability zone.
 func WithShare(share func(pointport.ZoneID) int) Option { return func(s *Service) { s.share = share } }
 
-// WithLogger sets where events go.
+// WithLogger sets the logger for events.
 func WithLogger(l *slog.Logger) Option { return func(s *Service) { s.logger = l } }
 
 // New returns a service without upstreams.
@@ -154,8 +156,8 @@
 	return s
 }
 
-// Update replaces the service's template and upstreams. What is known of an
-// upstream is kept while its address and boots stay the same.
+// Update replaces the service's template and upstreams. The state of an upstream is
+// kept while its address and boot count stay the same.
 func (s *Service) Update(template *config.Template, targets []Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -170,12 +172,13 @@
 	s.grantWaiting()
 }
 
+// add adds an upstream for t, with the state of u if that is the same boot.
 func (s *Service) add(u *upstream, t Target) {
 	if u == nil || u.instance.Address != t.Instance.Address || u.instance.Boots != t.Instance.Boots {
 		u = newUpstream(t.Instance, t.Instance.Zone == s.zone, s.template)
 	}
-	// A sign of leaving stays until the instance has booted again, because the
-	// platform's list lags behind it.
+	// An upstream stays marked as leaving until it has booted again, because the
+	// platform's list lags behind MarkLeaving.
 	u.leaving = u.leaving || t.Leaving
 	u.evacuated = t.Evacuated
 	s.byID[t.Instance.ID] = u
@@ -186,14 +189,16 @@
 	s.otherZones = append(s.otherZones, u)
 }
 
-// SaturatedAt returns when a request last found no upstream with room.
+// SaturatedAt returns when a request last found no upstream with free capacity, or
+// found others already waiting; zero if none has.
 func (s *Service) SaturatedAt() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.saturatedAt
 }
 
-// MarkLeaving marks an upstream as leaving. It gets no new work.
+// MarkLeaving marks an upstream as leaving. It gets no new work until it has booted
+// again.
 func (s *Service) MarkLeaving(id pointport.InstanceID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -203,8 +208,8 @@
 	}
 }
 
-// Acquire grants an upstream to r, at once or after its turn in the queue. It
-// fails with a *RefusedError.
+// Acquire grants an upstream to r, at once or after its turn in the queue. Its errors
+// are of type *RefusedError.
 func (s *Service) Acquire(ctx context.Context, r Request) (*Grant, error) {
 	if r.Weight == 0 {
 		r.Weight = 1
@@ -222,15 +227,15 @@
 		return nil, err
 	}
 	w := &waiter{request: r, result: make(chan result, 1)}
-	it := s.waiting.Push(w, r.Priority, r.Customer, r.Weight, 1)
-	// The last moment at which the request could still end in time.
-	patience := r.Deadline.Sub(s.clock.Now()) - s.requiredTime()
+	item := s.waiting.Push(w, r.Priority, r.Customer, r.Weight, 1)
+	// The request waits only as long as it could still end before its deadline.
+	maxWait := r.Deadline.Sub(s.clock.Now()) - s.requiredTime()
 	s.mu.Unlock()
-	return s.wait(ctx, w, it, patience)
+	return s.wait(ctx, w, item, maxWait)
 }
 
-// checkFeasible refuses what cannot be served or end in time, and returns how long r
-// would wait.
+// checkFeasible returns how long r would wait, and a *RefusedError if no upstream is
+// in use or r could not end before its deadline.
 func (s *Service) checkFeasible(r Request) (time.Duration, error) {
 	if !s.usable() {
 		return 0, &RefusedError{s.name, ReasonNoUpstream, retryAfterNoUpstream}
@@ -242,7 +247,8 @@
 	return forecast, nil
 }
 
-// admit decides whether r may wait.
+// admit returns an error if r may not wait in the queue. If the queue is full, it may
+// evict another request for r.
 func (s *Service) admit(r Request) error {
 	forecast, err := s.checkFeasible(r)
 	if err != nil {
@@ -251,8 +257,8 @@
 	if s.waiting.Len() < s.template.Queue {
 		return nil
 	}
-	// A full queue gives up what would be served last, which is never the
-	// turn of a customer that asks for less than its share.
+	// A full queue evicts the request that would be served last. That is never one
+	// of a customer that uses less than its share.
 	last := s.waiting.Last()
 	if !s.waiting.Before(r.Priority, r.Customer, last) {
 		return &RefusedError{s.name, ReasonQueueFull, retryAfter(forecast)}
@@ -262,19 +268,19 @@
 	return nil
 }
 
-// requiredTime is the time that a request must have left when it is sent. One that
-// is sent later would run and then be too late.
+// requiredTime returns the time that a request must have left before its deadline
+// when it is sent. A request sent later would run, but end too late.
 func (s *Service) requiredTime() time.Duration { return requiredTimeFactor * s.latency }
 
-// retryAfter is when a caller should ask again after a refusal: once what
-// waits now has been served, spread a little so that callers don't come back
-// together.
+// retryAfter returns how long a caller should wait after a refusal: until the
+// requests that wait now are served, with random jitter of up to half as much again so
+// that callers don't retry at the same time.
 func retryAfter(forecast time.Duration) time.Duration {
 	d := max(forecast, minRetryAfter)
 	return d + time.Duration(rand.Int64N(int64(d)/2+1))
 }
 
-// usable reports whether any upstream may get work, now or after its ejection.
+// usable reports whether any upstream may get work, now or once its ejection ends.
 func (s *Service) usable() bool {
 	for _, u := range s.byID {
 		if !u.excluded() {
@@ -284,7 +290,7 @@
 	return false
 }
 
-// forecastWait returns how long a new request would wait.
+// forecastWait returns how long a new request would wait; zero while that is unknown.
 func (s *Service) forecastWait(r Request) time.Duration {
 	now := s.clock.Now()
 	if now.Sub(s.capacityAt) >= maxCapacityAge {
@@ -306,17 +312,18 @@
 	return float64(n)
 }
 
-func (s *Service) wait(ctx context.Context, w *waiter, it *queue.Item[*waiter], patience time.Duration) (*Grant, error) {
+// wait waits until w is granted an upstream, its context ends, or maxWait has passed.
+func (s *Service) wait(ctx context.Context, w *waiter, item *queue.Item[*waiter], maxWait time.Duration) (*Grant, error) {
 	reason := ReasonCallerGone
 	select {
 	case r := <-w.result:
 		return r.grant, r.err
 	case <-ctx.Done():
-	case <-s.clock.After(patience):
+	case <-s.clock.After(maxWait):
 		reason = ReasonDeadline
 	}
 	s.mu.Lock()
-	if s.waiting.Remove(it) {
+	if s.waiting.Remove(item) {
 		err := &RefusedError{s.name, reason, retryAfter(s.forecastWait(w.request))}
 		s.mu.Unlock()
 		return nil, err
@@ -330,11 +337,12 @@
 	return r.grant, r.err
 }
 
-// pick returns an upstream with room, or nil. It looks at two by chance and
-// takes the better, in its own availability zone while that has room.
+// pick returns an upstream with free capacity, or nil. It compares two random ones and
+// returns the better. Upstreams in other availability zones are used only if the own
+// zone has no free capacity.
 func (s *Service) pick(avoid []pointport.InstanceID) *upstream {
-	if all, ok := s.chooser.(pointport.Unlimited); ok {
-		return s.pickUnlimited(all)
+	if unlimited, ok := s.chooser.(pointport.Unlimited); ok {
+		return s.pickUnlimited(unlimited)
 	}
 	for _, group := range [][]*upstream{s.ownZone, s.otherZones} {
 		if u := s.pickFrom(group, avoid); u != nil {
@@ -347,6 +355,8 @@
 	return nil
 }
 
+// pickFrom returns the better of the first two upstreams of a group with free
+// capacity, from a random position on; nil if there is none.
 func (s *Service) pickFrom(group []*upstream, avoid []pointport.InstanceID) *upstream {
 	if len(group) == 0 {
 		return nil
@@ -375,27 +385,30 @@
 	return first
 }
 
-// pickUnlimited ignores every limit but the signs that an upstream gets no new work.
-func (s *Service) pickUnlimited(all pointport.Unlimited) *upstream {
+// pickUnlimited returns the chooser's next upstream regardless of limits and
+// ejections, but skips upstreams that may get no new work.
+func (s *Service) pickUnlimited(chooser pointport.Unlimited) *upstream {
 	group := slices.Concat(s.ownZone, s.otherZones)
 	for range group {
-		if u := group[all.Next(len(group))]; !u.excluded() {
+		if u := group[chooser.Next(len(group))]; !u.excluded() {
 			return u
 		}
 	}
 	return nil
 }
 
+// grant counts a request in flight at u and returns its grant.
 func (s *Service) grant(u *upstream) *Grant {
 	u.inFlight++
 	return &Grant{service: s, upstream: u, grantedAt: s.clock.Now()}
 }
 
-// grantWaiting grants upstreams to waiting requests while there is room.
+// grantWaiting grants upstreams to waiting requests while there is free capacity.
 func (s *Service) grantWaiting() {
 	for s.waiting.Len() > 0 {
-		// Looked for before the request leaves the queue: the share of connections
-		// may fall between two looks.
+		// The upstream is picked before the request leaves the queue: the share of
+		// connections may fall between two calls of pick, and a request that had left
+		// the queue without an upstream would never be answered.
 		u := s.pick(nil)
 		if u == nil {
 			return
@@ -410,8 +423,8 @@
 	}
 }
 
-// TakeRetry reports whether the service's budget allows one more retry, and
-// spends it.
+// TakeRetry reports whether the service's retry budget allows one more retry, and
+// deducts it.
 func (s *Service) TakeRetry() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -422,8 +435,10 @@
 	return true
 }
 
-// CheckAdmission reports whether a request would be refused at once. It saves the work
-// that comes before Acquire, and promises nothing.
+// CheckAdmission returns the error with which Acquire would now refuse r at once, or
+// nil. It spares the work that precedes Acquire for requests that would be refused, but
+// guarantees nothing: it does not check whether the queue is full, and Acquire may
+// still refuse r.
 func (s *Service) CheckAdmission(r Request) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/dispatch/service_test.go
+++ b/dispatch/service_test.go
@@ -20,8 +20,8 @@
 	_ "github.com/pointport/pointport/internal/fixedseed"
 )
 
-// The tests run in bubbles of testing/synctest, in which the machine's clock
-// stands still while anything runs.
+// The tests run in bubbles of testing/synctest, whose clock advances only while all
+// goroutines of the bubble are blocked.
 
 func template(t *testing.T, text string) *config.Template {
 	t.Helper()
@@ -71,9 +71,10 @@
 	return ""
 }
 
-// TestFastFailureAttractsNothing lets one upstream of four fail everything at
-// once, which makes it look the least busy.
-func TestFastFailureAttractsNothing(t *testing.T) {
+// TestFastFailingUpstreamGetsFewRequests lets one upstream of four fail every request
+// immediately. It then has the fewest requests in flight and the shortest latency, and
+// without ejection and the latency penalty for failures would attract most requests.
+func TestFastFailingUpstreamGetsFewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newService(t, "", 4)
 		failed := 0
@@ -97,13 +98,13 @@
 		}
 		wg.Wait()
 		if failed > 10 {
-			t.Errorf("%d of 1000 requests went to the upstream that fails everything", failed)
+			t.Errorf("%d of 1000 requests went to the failing upstream, want at most 10", failed)
 		}
 	})
 }
 
-// TestEjectionIsBounded lets every upstream fail. A wrong verdict on all of
-// them must leave some in use.
+// TestEjectionIsBounded lets every upstream fail, as when the fault lies elsewhere. Only
+// the configured fraction of the upstreams may be ejected, so that some stay in use.
 func TestEjectionIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newService(t, "ejection: {failures: 2, most: 0.5}\n", 4)
@@ -122,8 +123,9 @@
 	})
 }
 
-// TestEjectedUpstreamIsTried lets an upstream fail and mend.
-func TestEjectedUpstreamIsTried(t *testing.T) {
+// TestEjectedUpstreamIsRestored ejects an upstream that then recovers. After the ejection
+// it must get a trial request, and the trial's success must end the ejection.
+func TestEjectedUpstreamIsRestored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newService(t, "ejection: {failures: 2, for: 10s}\n", 2)
 		for !s.Status().Upstreams[0].Ejected && !s.Status().Upstreams[1].Ejected {
@@ -131,7 +133,7 @@
 		}
 		time.Sleep(11 * time.Second)
 		var grants []*dispatch.Grant
-		for range 5 { // four in the other upstream, one as a trial
+		for range 5 { // four for the other upstream, one as a trial
 			grants = append(grants, acquire(t, s, request(time.Minute)))
 		}
 		for _, g := range grants {
@@ -145,8 +147,9 @@
 	})
 }
 
-// TestLeavingWhileQueued marks an upstream as leaving while requests wait. They
-// must go to the other one.
+// TestLeavingWhileQueued marks an upstream as leaving while requests wait and it still
+// has one in flight. The capacity that this request frees must not be granted to the
+// waiting requests; all of them must go to the other upstream.
 func TestLeavingWhileQueued(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newService(t, "upstream: {slots: 2}\n", 2)
@@ -181,7 +184,8 @@
 	})
 }
 
-// TestLeavingStaysUntilBoot keeps a sign of leaving against a list that lags.
+// TestLeavingStaysUntilBoot updates a leaving upstream from a list that lags and doesn't
+// show it as leaving yet. It must get no request until its boot count has changed.
 func TestLeavingStaysUntilBoot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newService(t, "", 1)
@@ -198,29 +202,30 @@
 	})
 }
 
-// TestRefusals refuses at once what cannot end in time, and in the end what
-// waited in vain.
+// TestRefusals checks that a request that cannot end before its deadline is refused at
+// once, that a waiting request is refused as soon as it can no longer end in time, and
+// that a full queue refuses with a time for a retry.
 func TestRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newService(t, "upstream: {slots: 1}\nqueue: 3\n", 1)
 		g := acquire(t, s, request(time.Minute))
 		time.Sleep(time.Second)
 		g.End(dispatch.Succeeded, 0)
-		// A request takes a second now, two are kept in reserve, and one is in
-		// flight.
+		// The mean latency is now 1 s, so a request needs 2 s left when it is sent. One
+		// request is in flight.
 		g = acquire(t, s, request(time.Minute))
 		begin := time.Now()
 		if _, err := s.Acquire(t.Context(), request(1500*time.Millisecond)); reasonOf(err) != dispatch.ReasonTooLate {
-			t.Errorf("a second and a half is not enough: got %v", err)
+			t.Errorf("a request with 1.5 s left: got %v, want it refused as too late", err)
 		}
 		if d := time.Since(begin); d != 0 {
 			t.Errorf("the refusal took %v", d)
 		}
 		if _, err := s.Acquire(t.Context(), request(4*time.Second)); reasonOf(err) != dispatch.ReasonDeadline {
-			t.Errorf("nothing ended in four seconds: got %v", err)
+			t.Errorf("a request that waits until its deadline: got %v, want it refused for its deadline", err)
 		}
 		if d := time.Since(begin); d != 2*time.Second {
-			t.Errorf("the refusal came after %v, want 2s: two seconds before the deadline it was lost", d)
+			t.Errorf("the refusal came after %v, want 2s: the request needs the 2s before its deadline", d)
 		}
 		for range 3 {
 			go func() { _, _ = s.Acquire(t.Context(), request(time.Hour)) }()
@@ -229,15 +234,15 @@
 		_, err := s.Acquire(t.Context(), request(time.Hour))
 		var refused *dispatch.RefusedError
 		if !errors.As(err, &refused) || refused.Reason != dispatch.ReasonQueueFull || refused.RetryAfter <= 0 {
-			t.Errorf("got %v, want a full queue and when to come back", err)
+			t.Errorf("got %v, want a full queue and a time for a retry", err)
 		}
 		g.End(dispatch.Succeeded, time.Second)
 	})
 }
 
-// TestFullQueueGivesUpTheBurst lets a customer into a queue that another's
-// burst has filled.
-func TestFullQueueGivesUpTheBurst(t *testing.T) {
+// TestFullQueueEvictsBurst fills the queue with one customer's burst. A request of another
+// customer must evict one of the burst instead of being refused.
+func TestFullQueueEvictsBurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newService(t, "upstream: {slots: 1}\nqueue: 10\n", 1)
 		g := acquire(t, s, request(time.Hour))
@@ -259,18 +264,19 @@
 		}
 		enter("small")
 		if err := <-results; reasonOf(err) != dispatch.ReasonQueueFull {
-			t.Errorf("got %v, want one request of the burst given up", err)
+			t.Errorf("got %v, want one request of the burst evicted", err)
 		}
 		g.End(dispatch.Succeeded, time.Millisecond)
 		for range 10 {
 			if err := <-results; err != nil {
-				t.Errorf("a request that waited: %v", err)
+				t.Errorf("a waiting request failed: %v", err)
 			}
 		}
 	})
 }
 
-// TestOwnZoneFirst uses other zones only when the own one has no room.
+// TestOwnZoneFirst checks that other zones are used only when the own one has no free
+// capacity.
 func TestOwnZoneFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tpl := template(t, "upstream: {slots: 2}\n")
@@ -287,16 +293,17 @@
 	})
 }
 
-// TestLimitFollowsCongestion lowers the limit while others crowd the upstream,
-// and raises it again afterwards. Work that has become slower by itself must
-// not be taken for congestion for long.
+// TestLimitFollowsCongestion checks that the limit falls while other entry instances load
+// the upstream, and rises again afterwards. Work that itself becomes slower must not be
+// mistaken for congestion for long: the limit must recover.
 func TestLimitFollowsCongestion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const slots, rounds = 8, 400
 		s := newService(t, "", 1)
-		// drive fills the upstream again and again while others have some requests
-		// in flight there, and returns the least and the last limit.
-		drive := func(run time.Duration, others int) (least, last float64) {
+		// drive fills the upstream up to its limit in each round while other entry
+		// instances have requests in flight there. It returns the least and the last
+		// limit.
+		drive := func(work time.Duration, otherRequests int) (least, last float64) {
 			least = slots
 			for range rounds {
 				limit := s.Status().Upstreams[0].Limit
@@ -305,8 +312,8 @@
 				for range int(limit) {
 					grants = append(grants, acquire(t, s, request(time.Hour)))
 				}
-				crowd := max(1, float64(int(limit)+others)/slots)
-				time.Sleep(time.Duration(float64(run) * crowd))
+				slowdown := max(1, float64(int(limit)+otherRequests)/slots)
+				time.Sleep(time.Duration(float64(work) * slowdown))
 				for _, g := range grants {
 					g.End(dispatch.Succeeded, 0)
 				}
@@ -317,7 +324,7 @@
 			t.Errorf("alone the limit is %v, want all %d slots", got, slots)
 		}
 		if least, _ := drive(20*time.Millisecond, 16); least > slots/2 {
-			t.Errorf("in a crowd the limit fell to %v only", least)
+			t.Errorf("under congestion the limit fell only to %v, want at most half of the slots", least)
 		}
 		if _, got := drive(20*time.Millisecond, 0); got != slots {
 			t.Errorf("alone again the limit is %v, want all %d slots", got, slots)
@@ -328,7 +335,7 @@
 	})
 }
 
-// TestRetryBudget lets retries through in proportion to successes.
+// TestRetryBudget checks that the retry budget grows in proportion to successes.
 func TestRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newService(t, "retry: {ratio: 0.1}\n", 1)
@@ -347,14 +354,15 @@
 	})
 }
 
-// TestBounds runs any interleaving of requests, ends, leavings and changes of
-// share, and checks the bounds of what is in flight and that each request gets
-// one answer.
+// TestBounds runs random interleavings of requests, their ends, departures of upstreams
+// and changes of the connection share. It checks that no upstream gets more requests than
+// its slots and the share allow or any once it is leaving, and that each request gets one
+// answer.
 func TestBounds(t *testing.T) {
-	type act struct{ Kind, N int }
+	type action struct{ Kind, N int }
 	rapid.Check(t, func(rt *rapid.T) {
-		acts := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) act {
-			return act{rapid.IntRange(0, 9).Draw(t, "kind"), rapid.IntRange(0, 1000).Draw(t, "n")}
+		actions := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) action {
+			return action{rapid.IntRange(0, 9).Draw(t, "kind"), rapid.IntRange(0, 1000).Draw(t, "n")}
 		}), 1, 80).Draw(rt, "acts")
 		var problem string
 		synctest.Test(t, func(t *testing.T) {
@@ -364,11 +372,11 @@
 			s := newService(t, "upstream: {slots: 3}\nqueue: 5\n", upstreams, dispatch.WithShare(func(pointport.ZoneID) int { return int(allowed.Load()) }))
 			var mu sync.Mutex
 			held := []*dispatch.Grant{}
-			asked, answered := 0, 0
+			requested, answered := 0, 0
 			inFlight := make(map[pointport.InstanceID]int)
 			leaving := make(map[pointport.InstanceID]bool)
-			ask := func(n int) {
-				asked++
+			startRequest := func(n int) {
+				requested++
 				r := request(time.Duration(n) * time.Millisecond)
 				r.Priority = []config.Priority{config.Urgent, config.Normal, config.Bulk}[n%3]
 				r.Customer = fmt.Sprint(n % 2)
@@ -385,7 +393,7 @@
 					u := g.Instance().ID
 					inFlight[u]++
 					if share := int(allowed.Load()); inFlight[u] > min(slots, share) || leaving[u] {
-						problem = fmt.Sprintf("%s has %d in flight with share %d, leaving %v", u, inFlight[u], share, leaving[u])
+						problem = fmt.Sprintf("%s has %d in flight with a share of %d, leaving: %v", u, inFlight[u], share, leaving[u])
 					}
 					held = append(held, g)
 				}()
@@ -402,15 +410,15 @@
 				g.End(dispatch.Outcome(n%4), time.Duration(n)*time.Millisecond)
 			}
 			setShare := func(n int) { allowed.Store(int64(n)) }
-			open := func() int {
+			heldCount := func() int {
 				mu.Lock()
 				defer mu.Unlock()
 				return len(held)
 			}
-			for _, a := range acts {
+			for _, a := range actions {
 				switch a.Kind {
 				case 0, 1, 2, 3:
-					ask(a.N)
+					startRequest(a.N)
 				case 4, 5, 6:
 					end(a.N)
 				case 7:
@@ -424,17 +432,17 @@
 				}
 				synctest.Wait()
 			}
-			for open() > 0 {
+			for heldCount() > 0 {
 				end(0)
 				synctest.Wait()
 			}
 			time.Sleep(2 * time.Second)
-			for open() > 0 {
+			for heldCount() > 0 {
 				end(0)
 				synctest.Wait()
 			}
-			if asked != answered && problem == "" {
-				problem = fmt.Sprintf("%d requests got %d answers", asked, answered)
+			if requested != answered && problem == "" {
+				problem = fmt.Sprintf("%d requests got %d answers", requested, answered)
 			}
 		})
 		if problem != "" {
@@ -443,13 +451,13 @@
 	})
 }
 
-// TestShareFallsAtAnyLook lets the share of connections change at every look. A
-// request that has left the queue must get its grant all the same. (Once it got
-// none, because the share had fallen between two looks, and waited for ever.)
-func TestShareFallsAtAnyLook(t *testing.T) {
+// TestShareChangesBetweenPicks changes the share of connections at every call. If a
+// request left the queue before its upstream was picked, the share could fall in between:
+// the request would get no upstream and wait for ever. Every request must get an answer.
+func TestShareChangesBetweenPicks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		chance := rand.New(rand.NewPCG(1, 2))
-		s := newService(t, "upstream: {slots: 1}\n", 1, dispatch.WithShare(func(pointport.ZoneID) int { return chance.IntN(2) }))
+		random := rand.New(rand.NewPCG(1, 2))
+		s := newService(t, "upstream: {slots: 1}\n", 1, dispatch.WithShare(func(pointport.ZoneID) int { return random.IntN(2) }))
 		const requests = 20
 		results := make(chan error, requests)
 		for range requests {
@@ -462,7 +470,7 @@
 				results <- err
 			}()
 		}
-		for range 1000 { // the feeder looks again and again
+		for range 1000 { // each update retries the waiting requests
 			time.Sleep(100 * time.Millisecond)
 			s.Update(template(t, "upstream: {slots: 1}\n"), targets(1))
 		}
--- a/dispatch/status.go
+++ b/dispatch/status.go
@@ -7,9 +7,9 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines what a query shows of a service.
+// This file defines the status of a service for queries.
 
-// An UpstreamStatus is what a query shows of one upstream.
+// An UpstreamStatus is the status of one upstream.
 type UpstreamStatus struct {
 	Instance pointport.InstanceID `json:"instance"`
 	Zone     pointport.ZoneID     `json:"zone"`
@@ -17,7 +17,7 @@
 	Limit    float64              `json:"limit"`
 	Latency  time.Duration        `json:"latency"` // in nanoseconds
 	Leaving  bool                 `json:"leaving"`
-	// Evacuated says that its availability zone is to be left empty.
+	// Evacuated reports whether its availability zone is evacuated.
 	Evacuated bool  `json:"evacuated,omitempty"`
 	Ejected   bool  `json:"ejected"`
 	Served    int64 `json:"served"`
@@ -25,7 +25,7 @@
 	Refused   int64 `json:"refused"`
 }
 
-// A Status is what a query shows of a service on this entry instance.
+// A Status is the status of a service on this entry instance.
 type Status struct {
 	Service   string           `json:"service"`
 	Waiting   int              `json:"waiting"`
@@ -33,7 +33,7 @@
 	Upstreams []UpstreamStatus `json:"upstreams"`
 }
 
-// Status returns the state of the service.
+// Status returns the status of the service and of each of its upstreams.
 func (s *Service) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/dispatch/upstream.go
+++ b/dispatch/upstream.go
@@ -7,48 +7,51 @@
 	"github.com/pointport/pointport/config"
 )
 
-// This file defines what is known of one upstream: its limit, its latency and
-// its ejection.
+// This file defines the state of one upstream: its concurrency limit, its latency
+// and its ejection.
 
 const (
 	// recentWeight is the weight of a new sample in the recent latency.
 	recentWeight = 0.1
-	// baselineWeight is its weight in the baseline, which only rises while the limit
-	// is at its floor: by then what is slow is the work, and not a queue that
-	// this entry instance makes.
+	// baselineWeight is the weight of the recent latency when the baseline rises.
+	// The baseline rises only while the limit is at its floor: then the work itself
+	// is slow, and not a queue that this entry instance causes at the upstream.
 	baselineWeight = 0.05
-	// floorFraction is the part of the slots below which congestion lowers no limit.
+	// floorFraction is the fraction of the slots below which congestion does not
+	// lower the limit.
 	floorFraction = 0.25
-	// congestionFactor is how far the recent latency may exceed the baseline before
-	// the limit falls.
+	// congestionFactor is the ratio of the recent latency to the baseline above
+	// which the limit is lowered.
 	congestionFactor = 2.0
-	// congestionDecrease and cutByRefusal are what the limit falls to.
+	// congestionDecrease and refusalDecrease are the factors by which congestion and
+	// a refusal lower the limit.
 	congestionDecrease = 0.9
 	refusalDecrease    = 0.7
-	// failureLatencyFactor is how much slower than the service a failure counts.
+	// failureLatencyFactor times the service's latency is the least latency that a
+	// failure counts as.
 	failureLatencyFactor = 4
-	// initialLatency is assumed before anything was measured.
+	// initialLatency is the latency assumed for an upstream without samples.
 	initialLatency = 20 * time.Millisecond
-	// maxEjection bounds how long an upstream is left alone at a time.
+	// maxEjection bounds the duration of one ejection.
 	maxEjection = 5 * time.Minute
 )
 
-// An upstream is one instance as this entry instance sees it.
+// An upstream is the state of one instance as observed by this entry instance.
 type upstream struct {
 	instance pointport.Instance
 	ownZone  bool
 	leaving  bool
-	// evacuated says that its availability zone is to be left empty.
+	// evacuated reports whether its availability zone is evacuated.
 	evacuated bool
 	inFlight  int
 
-	limit           float64 // adapts between 1 and the slots
+	limit           float64 // concurrency limit, adapted between 1 and the slots
 	limitLoweredAt  time.Time
-	recentLatency   time.Duration // latency, failures counted as slow
-	baselineLatency time.Duration // latency when there is no queue at the upstream
-	failuresInRow   int           // failures in a row
-	ejectionsInRow  int           // ejections in a row
-	ejectedUntil    time.Time     // when the ejection ends; zero if it is not ejected
+	recentLatency   time.Duration // moving average, with failures counted as slow
+	baselineLatency time.Duration // latency without a queue at the upstream
+	failuresInRow   int           // reset by a success or an ejection
+	ejectionsInRow  int           // reset by a success
+	ejectedUntil    time.Time     // zero after a success or before any ejection
 	served          int64
 	failed          int64
 	refused         int64
@@ -58,10 +61,13 @@
 	return &upstream{instance: i, ownZone: ownZone, limit: max(1, float64(t.Upstream.Slots)/2)}
 }
 
-// excluded reports whether the upstream gets no new work, whatever room it has.
+// excluded reports whether the upstream gets no new work regardless of its free
+// capacity.
 func (u *upstream) excluded() bool { return u.leaving || u.evacuated }
 
-// freeCapacity returns how many more requests the upstream may get now.
+// freeCapacity returns how many more requests the upstream may get now, given its
+// slots and this entry instance's share of its connections. It is negative if the
+// limits have fallen below what is in flight.
 func (u *upstream) freeCapacity(now time.Time, slots, share int) int {
 	if u.excluded() {
 		return 0
@@ -70,13 +76,14 @@
 		if now.Before(u.ejectedUntil) {
 			return 0
 		}
-		// The ejection is over; one request at a time tries the upstream.
+		// The ejection is over, but no request has succeeded since: allow one trial
+		// request at a time.
 		return min(1, share) - u.inFlight
 	}
 	return min(int(u.limit), slots, share) - u.inFlight
 }
 
-// candidate returns the upstream as a Chooser sees it.
+// candidate returns the upstream's data for a Chooser.
 func (u *upstream) candidate() pointport.Candidate {
 	latency := u.recentLatency
 	if latency == 0 {
@@ -85,7 +92,9 @@
 	return pointport.NewCandidate(u.inFlight, max(1, int(u.limit)), latency, u.ownZone)
 }
 
-// recordSuccess takes in the latency of a request that went well.
+// recordSuccess records a request that succeeded and its latency. It ends an
+// ejection, and raises the limit if all of it was in use, or lowers it if the latency
+// shows congestion.
 func (u *upstream) recordSuccess(now time.Time, latency time.Duration, slots int) {
 	saturated := u.inFlight+1 >= int(u.limit)
 	u.served++
@@ -106,16 +115,19 @@
 	}
 }
 
-// recordRefusal takes in that the upstream did not run a request for lack of room.
+// recordRefusal records that the upstream did not run a request for lack of
+// capacity, and lowers the limit.
 func (u *upstream) recordRefusal(now time.Time) {
 	u.refused++
 	u.lowerLimit(now, refusalDecrease, 1)
 }
 
-// congestionFloor is the least that congestion lowers a limit to.
+// congestionFloor returns the limit below which congestion does not lower it.
 func congestionFloor(slots int) float64 { return max(1, floorFraction*float64(slots)) }
 
-// lowerLimit lowers the limit, at most once for each round of requests.
+// lowerLimit multiplies the limit by factor, but doesn't lower it below least. It
+// acts at most once per recent latency, so that the requests in flight at the same
+// time lower the limit only once.
 func (u *upstream) lowerLimit(now time.Time, factor, least float64) {
 	if now.Sub(u.limitLoweredAt) < u.recentLatency {
 		return
@@ -124,8 +136,10 @@
 	u.limit = max(min(u.limit, least), u.limit*factor)
 }
 
-// recordFailure takes in a failure, which counts as slow whatever time it took. It
-// reports whether the upstream has failed often enough to be ejected.
+// recordFailure records a failed request. A failure counts as slow even if it came
+// fast, so that an upstream that fails quickly doesn't look fast. It reports whether
+// the upstream has failed often enough in a row to be ejected, or failed again after
+// an ejection.
 func (u *upstream) recordFailure(latency, service time.Duration, after int) bool {
 	u.failed++
 	u.failuresInRow++
@@ -133,15 +147,18 @@
 	return u.failuresInRow >= after || !u.ejectedUntil.IsZero()
 }
 
-// eject leaves the upstream alone, longer each time in a row.
+// eject ejects the upstream and returns for how long. The duration starts at first
+// and doubles with each ejection in a row.
 func (u *upstream) eject(now time.Time, first time.Duration) time.Duration {
-	d := min(first<<min(u.ejectionsInRow, 16), maxEjection)
+	duration := min(first<<min(u.ejectionsInRow, 16), maxEjection)
 	u.ejectionsInRow++
 	u.failuresInRow = 0
-	u.ejectedUntil = now.Add(d)
-	return d
+	u.ejectedUntil = now.Add(duration)
+	return duration
 }
 
+// movingAverage returns the exponential moving average after a sample. An average of
+// zero is replaced by the sample.
 func movingAverage(old, sample time.Duration, weight float64) time.Duration {
 	if old == 0 {
 		return sample
--- a/queue/fair.go
+++ b/queue/fair.go
@@ -1,13 +1,14 @@
-// Package queue holds what waits, in the order in which it should be served.
+// Package queue implements a priority queue that is fair to customers.
 //
-// The model: items wait in one of three classes. Within a class, customers
-// share by start-time fair queueing: each item gets a virtual start no earlier
-// than its customer's last virtual finish, and the least start goes first, so a
-// customer's burst waits behind itself. A higher class goes first, but a lower
-// class that has been passed over a set number of times gets the next turn.
+// Items wait in one of three priority classes. Within a class, customers share
+// turns by start-time fair queueing: each item gets a virtual start time no
+// earlier than its customer's last virtual finish time, and the item with the
+// least start time is served first, so a customer's burst delays only that
+// customer. A higher class is served first, but a lower class that has been
+// skipped a set number of times in a row gets the next turn.
 //
-// Invariants: an item leaves the queue exactly once; no class waits for more
-// than its bound of turns while it holds items.
+// Invariants: an item leaves the queue exactly once; a class that holds items is
+// skipped at most its maximum number of turns in a row.
 package queue
 
 import (
@@ -16,50 +17,49 @@
 	"github.com/pointport/pointport/config"
 )
 
-// This file defines the fair queue.
-
-// classCount is how many classes there are, one for each rank of priority.
+// classCount is the number of classes, one for each rank of priority.
 const classCount = config.Ranks
 
-// maxSkipped is how many turns in a row a class may be passed over.
+// maxSkipped is how many turns in a row each class may be skipped. Class 0 is the
+// highest and is never skipped but for such turns of others.
 var maxSkipped = [classCount]int{0, 4, 16}
 
-// An Item is something that waits in a Fair queue.
+// An Item is an entry of a Fair queue.
 type Item[T any] struct {
 	value  T
 	class  int
 	start  float64
 	serial int64
-	index  int // in its class's heap, or -1
+	index  int // in its class's heap; -1 once it has left
 }
 
-// Value returns what waits.
+// Value returns the value that was pushed.
 func (i *Item[T]) Value() T { return i.value }
 
-// Queued reports whether the item still waits.
+// Queued reports whether the item is still in the queue.
 func (i *Item[T]) Queued() bool { return i.index >= 0 }
 
-// A Fair is a queue that is fair to customers. It is not safe for concurrent
-// use. The zero value is empty and ready.
+// A Fair is a queue that is fair to customers. It is not safe for concurrent use.
+// The zero value is an empty queue.
 type Fair[T any] struct {
 	classes [classCount]classQueue[T]
 	serial  int64
 	length  int
 }
 
-// A classQueue is the items of one class.
+// A classQueue holds the items of one class.
 type classQueue[T any] struct {
 	items       itemHeap[T]
-	virtualTime float64            // the virtual time: the start of what was served last
-	lastFinish  map[string]float64 // each customer's last virtual finish
-	skipped     int                // turns in a row that the class was passed over
+	virtualTime float64            // virtual start time of the item served last
+	lastFinish  map[string]float64 // last virtual finish time of each customer
+	skipped     int                // turns in a row that the class was skipped
 }
 
-// Len returns how many items wait.
+// Len returns the number of items in the queue.
 func (f *Fair[T]) Len() int { return f.length }
 
-// Ahead returns how many items wait that would be served before a new item of
-// priority p for a customer, turns of lower classes aside.
+// Ahead returns how many items in the queue would be served before a new item of
+// priority p for a customer. It ignores the turns of lower classes.
 func (f *Fair[T]) Ahead(p config.Priority, customer string) int {
 	c := p.Rank()
 	n := 0
@@ -76,7 +76,7 @@
 	return n
 }
 
-// Last returns the item that would be served after all others, or nil.
+// Last returns the item of the lowest class that would be served last, or nil.
 func (f *Fair[T]) Last() *Item[T] {
 	for c := classCount - 1; c >= 0; c-- {
 		var last *Item[T]
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// Before reports whether a new item of priority p for a customer would be
-// served before it.
+// Before reports whether a new item of priority p for a customer would be served
+// before it. It ignores the turns of lower classes.
 func (f *Fair[T]) Before(p config.Priority, customer string, it *Item[T]) bool {
 	c := p.Rank()
 	if c != it.class {
@@ -103,8 +103,8 @@
 	return max(l.virtualTime, l.lastFinish[customer]) < it.start
 }
 
-// Push adds value for a customer. The customer's weight and the item's cost
-// decide how soon its next item's turn comes.
+// Push adds value for a customer. The customer's next item gets a virtual start time
+// later by cost divided by weight.
 func (f *Fair[T]) Push(value T, p config.Priority, customer string, weight, cost float64) *Item[T] {
 	c := p.Rank()
 	l := &f.classes[c]
@@ -120,7 +120,7 @@
 	return it
 }
 
-// Pop removes and returns the item whose turn it is, or nil.
+// Pop removes and returns the next item to serve, or nil.
 func (f *Fair[T]) Pop() *Item[T] {
 	c := f.nextClass()
 	if c < 0 {
@@ -140,7 +140,7 @@
 	return it
 }
 
-// nextClass returns the class whose turn it is, or -1.
+// nextClass returns the class to serve next, or -1 if the queue is empty.
 func (f *Fair[T]) nextClass() int {
 	first := -1
 	for c := range f.classes {
@@ -158,8 +158,8 @@
 	return first
 }
 
-// pruneFinishTimes drops customers that have no claim left, so that the map stays no
-// larger than what waits.
+// pruneFinishTimes removes finish times that no longer affect the start of a
+// customer's next item. It keeps the map's size in proportion to the items that wait.
 func (l *classQueue[T]) pruneFinishTimes() {
 	if len(l.items) == 0 {
 		clear(l.lastFinish)
@@ -176,7 +176,8 @@
 	}
 }
 
-// Remove takes an item out before its turn. It reports whether it still waited.
+// Remove removes an item before its turn. It reports whether the item was still in
+// the queue.
 func (f *Fair[T]) Remove(it *Item[T]) bool {
 	if it.index < 0 {
 		return false
@@ -186,7 +187,7 @@
 	return true
 }
 
-// An itemHeap orders items by their virtual start, then by arrival.
+// An itemHeap orders items by virtual start time, then by arrival.
 type itemHeap[T any] []*Item[T]
 
 func (h itemHeap[T]) Len() int { return len(h) }
--- a/queue/fair_test.go
+++ b/queue/fair_test.go
@@ -12,45 +12,46 @@
 
 var priorities = []config.Priority{config.Urgent, config.Normal, config.Bulk}
 
-// TestEveryItemLeavesOnce pushes, pops and removes in any order.
+// TestEveryItemLeavesOnce pushes, pops and removes items in random order. Each item must
+// leave exactly once, and Pop must return an item while any waits.
 func TestEveryItemLeavesOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q queue.Fair[int]
-		in := make(map[int]*queue.Item[int])
+		waiting := make(map[int]*queue.Item[int])
 		next := 0
 		leave := func(n int) {
-			if in[n] == nil {
+			if waiting[n] == nil {
 				t.Fatalf("item %d left twice", n)
 			}
-			delete(in, n)
+			delete(waiting, n)
 		}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "act") {
 			case 0, 1:
 				p := rapid.SampledFrom(priorities).Draw(t, "priority")
 				c := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "customer")
-				in[next] = q.Push(next, p, c, rapid.Float64Range(0.1, 10).Draw(t, "weight"), 1)
+				waiting[next] = q.Push(next, p, c, rapid.Float64Range(0.1, 10).Draw(t, "weight"), 1)
 				next++
 			case 2:
 				if it := q.Pop(); it != nil {
 					leave(it.Value())
-				} else if len(in) > 0 {
-					t.Fatalf("%d items wait and none is popped", len(in))
+				} else if len(waiting) > 0 {
+					t.Fatalf("%d items wait, but Pop returned none", len(waiting))
 				}
 			case 3:
 				if last := q.Last(); last != nil && q.Remove(last) {
 					leave(last.Value())
 				}
 			}
-			if q.Len() != len(in) {
-				t.Fatalf("the queue has %d items, want %d", q.Len(), len(in))
+			if q.Len() != len(waiting) {
+				t.Fatalf("the queue has %d items, want %d", q.Len(), len(waiting))
 			}
 		}
 	})
 }
 
-// TestCustomersShare gives two customers with a long backlog turns by weight,
-// however long one's backlog is.
+// TestCustomersShare checks that two customers with a backlog get turns in proportion to
+// their weights, regardless of how much longer one backlog is.
 func TestCustomersShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q queue.Fair[string]
@@ -72,26 +73,28 @@
 	})
 }
 
-// TestNewcomerWaitsForNoBurst lets a customer in after another's burst.
-func TestNewcomerWaitsForNoBurst(t *testing.T) {
+// TestNewCustomerDoesNotWaitForBurst pushes an item of one customer behind another
+// customer's burst. It must get the next turn.
+func TestNewCustomerDoesNotWaitForBurst(t *testing.T) {
 	var q queue.Fair[string]
 	for range 1000 {
 		q.Push("burst", config.Normal, "burst", 1, 1)
 	}
 	q.Pop()
 	if n := q.Ahead(config.Normal, "other"); n != 0 {
-		t.Errorf("%d items are ahead of a newcomer, want none", n)
+		t.Errorf("%d items are ahead of a new customer, want none", n)
 	}
 	if n := q.Ahead(config.Normal, "burst"); n != 999 {
-		t.Errorf("%d items are ahead of the burst's next, want 999", n)
+		t.Errorf("%d items are ahead of the burst's next item, want 999", n)
 	}
 	q.Push("other", config.Normal, "other", 1, 1)
 	if got := q.Pop().Value(); got != "other" {
-		t.Errorf("the next turn went to %q", got)
+		t.Errorf("the next turn went to %q, want the new customer", got)
 	}
 }
 
-// TestClasses serves urgent work first and never starves the rest.
+// TestClasses checks that urgent items get most turns, and that the lower classes still
+// get theirs instead of being starved.
 func TestClasses(t *testing.T) {
 	var q queue.Fair[config.Priority]
 	for range 400 {
@@ -104,9 +107,9 @@
 		got[q.Pop().Value()]++
 	}
 	if got[config.Urgent] < 120 {
-		t.Errorf("urgent work got %d of 170 turns", got[config.Urgent])
+		t.Errorf("urgent items got %d of 170 turns, want at least 120", got[config.Urgent])
 	}
 	if got[config.Normal] < 20 || got[config.Bulk] < 8 {
-		t.Errorf("normal work got %d and bulk %d of 170 turns", got[config.Normal], got[config.Bulk])
+		t.Errorf("normal items got %d and bulk items %d of 170 turns, want at least 20 and 8", got[config.Normal], got[config.Bulk])
 	}
 }
--- a/route/table.go
+++ b/route/table.go
@@ -1,8 +1,8 @@
 // Package route finds the service for a request.
 //
-// The model: a Table is built from templates and never changed. The most
-// specific route wins: a named host before any host, then the longer path
-// prefix, then named methods before any method.
+// A Table is built from templates and immutable. The most specific matching route
+// wins: a route with a host over one without, then the longer path prefix, then a
+// route with methods over one without.
 package route
 
 import (
@@ -14,9 +14,7 @@
 	"github.com/pointport/pointport/config"
 )
 
-// This file defines the table and the match.
-
-// A Match is the route that a request takes.
+// A Match is the route found for a request, with its template.
 type Match struct {
 	template *config.Template
 	route    *config.Route
@@ -25,15 +23,15 @@
 // Template returns the template of the service.
 func (m Match) Template() *config.Template { return m.template }
 
-// Route returns how the request is to be treated.
+// Route returns the route, which holds the settings for the request.
 func (m Match) Route() *config.Route { return m.route }
 
-// A Table finds routes. It is never changed once it is made.
+// A Table finds routes. It is immutable and safe for concurrent use.
 type Table struct {
 	byHost map[string][]Match // most specific first; "" for any host
 }
 
-// New returns the table of templates.
+// New returns the table of the routes of templates.
 func New(templates []*config.Template) *Table {
 	t := &Table{byHost: make(map[string][]Match)}
 	for _, tpl := range templates {
@@ -56,7 +54,8 @@
 	return len(a.Methods) > 0 && len(b.Methods) == 0
 }
 
-// Find returns the route of a request. The host may carry a port.
+// Find returns the route for a request, and whether there is one. The host may
+// include a port, which is ignored.
 func (t *Table) Find(host, path, method string) (Match, bool) {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -77,7 +76,7 @@
 	return Match{}, false
 }
 
-// isBelow reports whether path is prefix or lies below it.
+// isBelow reports whether path equals prefix or lies below it, by whole path elements.
 func isBelow(path, prefix string) bool {
 	rest, ok := strings.CutPrefix(path, prefix)
 	return ok && (rest == "" || strings.HasSuffix(prefix, "/") || rest[0] == '/')
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -26,6 +26,9 @@
   - {host: Split.example, pathPrefix: /}
 `
 
+// TestMostSpecificWins checks the precedence of hosts, path prefixes and methods, that a
+// prefix matches whole path elements only, and that hosts are compared without port and
+// case.
 func TestMostSpecificWins(t *testing.T) {
 	objects, err := config.Parse("test", []byte(templates))
 	if err != nil {
@@ -47,7 +50,7 @@
 	} {
 		m, ok := table.Find(c.host, c.path, c.method)
 		if !ok || m.Template().Name != c.want {
-			t.Errorf("%s %s%s: got %v, want %s", c.method, c.host, c.path, ok, c.want)
+			t.Errorf("%s %s%s: found %v, want route of %s", c.method, c.host, c.path, ok, c.want)
 		}
 	}
 	if _, ok := route.New(nil).Find("a.example", "/", "GET"); ok {
