--- a/hedge/kv.go
+++ b/hedge/kv.go
@@ -1,16 +1,16 @@
-// Package hedge asks the platform's store again when an answer is overdue.
+// Package hedge repeats calls to the platform's store whose answer is overdue.
 //
-// The model: most answers begin within milliseconds. One that does not begin within a
-// few times the usual is taken for lost, or stuck in a connection that has gone
-// silent, and the same call is made again on another connection. Whichever answers
-// first counts. An answer that has begun is not overdue, however long the rest takes.
+// Most answers begin within milliseconds. If one doesn't begin within a few times the
+// typical latency, it may be lost or stuck in a connection that has gone silent, and
+// the same call is made again on another connection. The first answer counts. An
+// answer that has begun is not overdue, however long the rest takes.
 //
 // Invariants:
 //
-//   - While an answer is coming, no other call is made or goes on for it that only
-//     reads: a link carries one copy of a large answer at a time.
-//   - Only calls are made again that change nothing, or that change something under a
-//     condition which the change itself ends, so that it is made at most once.
+//   - While the answer to a read is arriving, no other call for it is made or
+//     continues, so that a link carries only one copy of a large answer at a time.
+//   - A call is repeated only if it changes nothing, or if its change invalidates its
+//     own condition, so that the change is made at most once.
 //   - A call that may have taken effect is never reported as one without effect.
 package hedge
 
@@ -23,92 +23,90 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines the store as it is seen through hedged calls.
-
 const (
-	// overdueFactor is how many times the usual time of an answer passes until it
-	// counts as overdue.
+	// overdueFactor times the typical latency is the time after which an answer is
+	// overdue.
 	overdueFactor = 3
-	// minOverdue and overdueMost bound that time. The store answers in 4 ms as a
-	// rule, and a busy entry instance takes some tens to notice; a call is given up
-	// after a second.
+	// minOverdue and maxOverdue bound that time. The store usually answers in 4 ms, but
+	// a busy entry instance may take some tens of milliseconds to process the answer.
+	// A call times out after 1 s.
 	minOverdue = 50 * time.Millisecond
 	maxOverdue = 500 * time.Millisecond
-	// maxCalls is how many calls are made for one answer, each after twice the wait
-	// of the one before. While two in five answers are lost, two calls are not enough
-	// for one question in six, and four for one in forty.
+	// maxCalls bounds the calls for one answer. The wait doubles with each call. If two
+	// in five answers are lost, two calls leave one request in six without an answer,
+	// and four calls one in forty.
 	maxCalls = 4
-	// maxPause is how long an answer that has begun may pause until the call is made
-	// again. Parts of one come every few milliseconds on a link of 10 Mbit/s; a process
-	// may stand still for a tenth of a second.
+	// maxPause is how long an answer that has begun may pause before the call is made
+	// again. Parts of an answer arrive every few milliseconds on a link of 10 Mbit/s,
+	// and a process may be suspended for 0.1 s.
 	maxPause = 500 * time.Millisecond
-	// sampleWeight is the weight of a new answer in the usual time.
+	// sampleWeight is the weight of a new sample in the typical latency.
 	sampleWeight = 0.25
 )
 
-// A KV is a store whose overdue calls are made again, so that a lost answer costs
-// some 0.05 s in place of the second after which a call is given up. Days of 49
-// instances on which 40% of the changes get no answer for some seconds, or all open
-// connections go silent, are worth 0.55 with it and 0.26 without (16 days). It is safe
-// for concurrent use.
+// A KV is a store whose overdue calls are made again. A lost answer then costs about
+// 0.05 s instead of the 1 s after which a call times out. With 49 instances, the score
+// of a day on which 40% of the changes get no answer for some seconds, or all open
+// connections go silent, is 0.55 with a KV and 0.26 without (over 16 days). A KV is
+// safe for concurrent use.
 type KV struct {
 	pointport.KV
 	clock pointport.Clock
 
 	mu             sync.Mutex
-	typicalLatency time.Duration // how long an answer takes
+	typicalLatency time.Duration // moving average of the time until an answer begins
 }
 
-// New returns kv with overdue calls made again.
+// New returns a KV that repeats overdue calls to kv.
 func New(kv pointport.KV, clock pointport.Clock) *KV { return &KV{KV: kv, clock: clock} }
 
 var _ pointport.KV = (*KV)(nil)
 
-// Get returns the state of key.
+// Get returns the entry of key.
 func (k *KV) Get(ctx context.Context, key string) (pointport.Entry, error) {
 	return race(ctx, k, readOnly, func(ctx context.Context) (pointport.Entry, error) { return k.KV.Get(ctx, key) })
 }
 
-// Range returns the keys under prefix that come after the key named.
+// Range returns a page of the entries under prefix whose keys follow after.
 func (k *KV) Range(ctx context.Context, prefix, after string) (pointport.Page, error) {
 	return race(ctx, k, readOnly, func(ctx context.Context) (pointport.Page, error) { return k.KV.Range(ctx, prefix, after) })
 }
 
-// Commit makes a change. If it is made by a call whose answer is lost, the next one
-// fails with a *pointport.TxnConflictError: its caller finds in the entries whose
-// change it was. A change without a condition is sent once.
+// Commit makes a change. If the call that made it loses its answer, the repeated call
+// fails with a *pointport.TxnConflictError; its entries show the caller whose change
+// was made. A change without a condition could be made twice, so it is sent only once.
 func (k *KV) Commit(ctx context.Context, txn pointport.Txn) (pointport.Revision, error) {
 	if len(txn.If) == 0 {
 		return k.KV.Commit(ctx, txn)
 	}
-	does := mutating
+	kind := mutating
 	if len(txn.Put)+len(txn.Delete) == 0 {
-		does = readOnly
+		kind = readOnly
 	}
-	return race(ctx, k, does, func(ctx context.Context) (pointport.Revision, error) { return k.KV.Commit(ctx, txn) })
+	return race(ctx, k, kind, func(ctx context.Context) (pointport.Revision, error) { return k.KV.Commit(ctx, txn) })
 }
 
-// overdueAfter returns after how long an answer is overdue.
+// overdueAfter returns the time after which an answer is overdue.
 func (k *KV) overdueAfter() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return min(max(overdueFactor*k.typicalLatency, minOverdue), maxOverdue)
 }
 
-// recordLatency takes in how long an answer took.
-func (k *KV) recordLatency(took time.Duration) {
+// recordLatency adds the time until an answer began to the typical latency.
+func (k *KV) recordLatency(latency time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.typicalLatency += time.Duration(sampleWeight * float64(took-k.typicalLatency))
+	k.typicalLatency += time.Duration(sampleWeight * float64(latency-k.typicalLatency))
 }
 
-// An outcome is how a call ended.
+// An outcome is the result of one call.
 type outcome[T any] struct {
 	value T
 	err   error
 }
 
-// A callKind says what a call does.
+// A callKind tells whether a call may change the store.
 type callKind bool
 
 const (
@@ -116,33 +114,34 @@
 	mutating callKind = true
 )
 
-// A hedgedCall is the calls that are made for one answer.
+// A hedgedCall holds the calls made for one answer.
 type hedgedCall[T any] struct {
 	kv       *KV
 	kind     callKind
 	call     func(context.Context) (T, error)
 	outcomes chan outcome[T]
-	progress chan int // numbers of calls of which a part of the answer has come
+	progress chan int // number of a call when a part of its answer arrives
 	cancels  []context.CancelFunc
 }
 
-// race makes a call, and again while its answer is overdue. The first answer counts;
-// if no call gets one, the error of one that may have taken effect.
-func race[T any](ctx context.Context, k *KV, does callKind, call func(context.Context) (T, error)) (T, error) {
+// race makes a call, repeats it while its answer is overdue, and returns the first
+// answer. If no call gets an answer, it returns the error of one that may have taken
+// effect, if any.
+func race[T any](ctx context.Context, k *KV, kind callKind, call func(context.Context) (T, error)) (T, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel() // ends the slower calls
-	r := &hedgedCall[T]{kv: k, kind: does, call: call, outcomes: make(chan outcome[T], maxCalls), progress: make(chan int, 1)}
+	defer cancel() // cancels the slower calls
+	r := &hedgedCall[T]{kv: k, kind: kind, call: call, outcomes: make(chan outcome[T], maxCalls), progress: make(chan int, 1)}
 	return r.run(ctx)
 }
 
-// run makes the calls and returns what came of them.
+// run makes the calls and returns their result.
 func (r *hedgedCall[T]) run(ctx context.Context) (T, error) {
 	var failed outcome[T]
-	var heard time.Time // when a part of an answer came last
+	var lastPart time.Time // when a part of an answer last arrived
 	r.send(ctx)
 	pending := 1
 	wait := r.kv.overdueAfter()
-	due := r.kv.clock.After(wait)
+	timer := r.kv.clock.After(wait)
 	for {
 		select {
 		case o := <-r.outcomes:
@@ -156,54 +155,54 @@
 				return failed.value, failed.err
 			}
 		case n := <-r.progress:
-			if heard.IsZero() {
+			if lastPart.IsZero() {
 				r.cancelOthers(n)
 			}
-			heard = r.kv.clock.Now()
-		case <-due:
-			if pause := r.kv.clock.Now().Sub(heard); !heard.IsZero() && pause < maxPause {
-				due = r.kv.clock.After(maxPause - pause)
+			lastPart = r.kv.clock.Now()
+		case <-timer:
+			if pause := r.kv.clock.Now().Sub(lastPart); !lastPart.IsZero() && pause < maxPause {
+				timer = r.kv.clock.After(maxPause - pause)
 				continue
 			}
 			if len(r.cancels) == maxCalls {
-				due = nil
+				timer = nil
 				continue
 			}
-			heard = time.Time{}
+			lastPart = time.Time{}
 			r.send(ctx)
 			pending++
 			wait *= 2
-			due = r.kv.clock.After(wait)
+			timer = r.kv.clock.After(wait)
 		}
 	}
 }
 
-// send makes the call once more.
+// send starts one more call.
 func (r *hedgedCall[T]) send(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	number := len(r.cancels)
 	r.cancels = append(r.cancels, cancel)
-	from := r.kv.clock.Now()
+	start := r.kv.clock.Now()
 	var begun sync.Once
-	took := func() { r.kv.recordLatency(r.kv.clock.Now().Sub(from)) }
+	record := func() { r.kv.recordLatency(r.kv.clock.Now().Sub(start)) }
 	ctx = pointport.WithProgress(ctx, func() {
-		begun.Do(took)
+		begun.Do(record)
 		select {
 		case r.progress <- number:
-		default: // another part is about to be taken note of
+		default: // another part is already waiting to be processed
 		}
 	})
 	go func() {
 		value, err := r.call(ctx)
 		if !unanswered(err) {
-			begun.Do(took)
+			begun.Do(record)
 		}
 		r.outcomes <- outcome[T]{value, err}
 	}()
 }
 
-// cancelOthers ends all calls but one whose answer is coming, if they change nothing. The
-// copies of an answer would share the link with it.
+// cancelOthers cancels all calls except one whose answer is arriving, if they change
+// nothing: further copies of the answer would compete with it for the link.
 func (r *hedgedCall[T]) cancelOthers(number int) {
 	if r.kind == mutating {
 		return
@@ -215,13 +214,14 @@
 	}
 }
 
-// unanswered reports whether a call got no usable answer.
+// unanswered reports whether err means that a call got no usable answer.
 func unanswered(err error) bool {
 	var unavailable *pointport.UnavailableError
 	return errors.As(err, &unavailable) || errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)
 }
 
-// ambiguous reports whether a call that got no usable answer may have taken effect.
+// ambiguous reports whether err means that a call without a usable answer may have
+// taken effect.
 func ambiguous(err error) bool {
 	var unavailable *pointport.UnavailableError
 	return errors.As(err, &unavailable) && unavailable.Ambiguous
--- a/hedge/kv_test.go
+++ b/hedge/kv_test.go
@@ -14,9 +14,9 @@
 	"github.com/pointport/pointport/memory"
 )
 
-// play has a store treat its first calls by some faults, in order, and all later ones
-// well.
-func play(t *testing.T, test func(ctx context.Context, kv, reliable pointport.KV, calls *atomic.Int64), faults ...memory.Fault) {
+// withFaults runs test with a hedged store whose first calls meet the given faults, in
+// order; later calls succeed. The store reliable holds the same data without faults.
+func withFaults(t *testing.T, test func(ctx context.Context, kv, reliable pointport.KV, calls *atomic.Int64), faults ...memory.Fault) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
@@ -29,7 +29,7 @@
 		}
 		kv := hedge.New(store.KV(memory.WithFaults(inject)), clock.System{})
 		test(t.Context(), kv, store.KV(), &calls)
-		time.Sleep(time.Minute) // until late calls are done
+		time.Sleep(time.Minute) // until late calls have ended
 	})
 }
 
@@ -38,71 +38,77 @@
 	Put: []pointport.Put{{Key: "k", Value: []byte("v")}},
 }
 
-// soon is within which time an answer comes although the first one is lost.
-const soon = 100 * time.Millisecond
+// maxDelay bounds the time until an answer although the first one is lost.
+const maxDelay = 100 * time.Millisecond
 
-func TestLostAnswersAreFoundOutSoon(t *testing.T) {
-	for name, fault := range map[string]memory.Fault{"never made": memory.FaultLostCall, "made later": memory.FaultLate} {
+// TestLostAnswerIsReplacedQuickly loses the first call or its answer. The repeated call
+// must give a result long before the first one times out: success, or a conflict that
+// shows that the first call's change was made.
+func TestLostAnswerIsReplacedQuickly(t *testing.T) {
+	for name, fault := range map[string]memory.Fault{"call lost": memory.FaultLostCall, "call delayed": memory.FaultLate} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(ctx context.Context, kv, _ pointport.KV, _ *atomic.Int64) {
+			withFaults(t, func(ctx context.Context, kv, _ pointport.KV, _ *atomic.Int64) {
 				from := time.Now()
-				if _, err := kv.Commit(ctx, create); err != nil || time.Since(from) > soon {
-					t.Errorf("%v after %v, want success within %v", err, time.Since(from), soon)
+				if _, err := kv.Commit(ctx, create); err != nil || time.Since(from) > maxDelay {
+					t.Errorf("%v after %v, want success within %v", err, time.Since(from), maxDelay)
 				}
 			}, fault)
 		})
 	}
-	t.Run("made", func(t *testing.T) {
-		play(t, func(ctx context.Context, kv, _ pointport.KV, _ *atomic.Int64) {
+	t.Run("answer lost", func(t *testing.T) {
+		withFaults(t, func(ctx context.Context, kv, _ pointport.KV, _ *atomic.Int64) {
 			from := time.Now()
 			_, err := kv.Commit(ctx, create)
 			var conflict *pointport.TxnConflictError
-			if !errors.As(err, &conflict) || len(conflict.Entries) != 1 || string(conflict.Entries[0].Value()) != "v" || time.Since(from) > soon {
-				t.Errorf("%v after %v, want a conflict that shows the change within %v", err, time.Since(from), soon)
+			if !errors.As(err, &conflict) || len(conflict.Entries) != 1 || string(conflict.Entries[0].Value()) != "v" || time.Since(from) > maxDelay {
+				t.Errorf("%v after %v, want a conflict that shows the change within %v", err, time.Since(from), maxDelay)
 			}
 		}, memory.FaultLostAnswer)
 	})
 	t.Run("read", func(t *testing.T) {
-		play(t, func(ctx context.Context, kv, _ pointport.KV, _ *atomic.Int64) {
+		withFaults(t, func(ctx context.Context, kv, _ pointport.KV, _ *atomic.Int64) {
 			from := time.Now()
-			if _, err := kv.Get(ctx, "k"); err != nil || time.Since(from) > soon {
-				t.Errorf("%v after %v, want an answer within %v", err, time.Since(from), soon)
+			if _, err := kv.Get(ctx, "k"); err != nil || time.Since(from) > maxDelay {
+				t.Errorf("%v after %v, want an answer within %v", err, time.Since(from), maxDelay)
 			}
 		}, memory.FaultLostCall)
 	})
 }
 
-// A change that nothing keeps from being made twice is sent once.
+// TestUnconditionalChangeIsSentOnce checks that a change without a condition is not
+// repeated, since a repeated call could make it twice.
 func TestUnconditionalChangeIsSentOnce(t *testing.T) {
-	play(t, func(ctx context.Context, kv, _ pointport.KV, calls *atomic.Int64) {
+	withFaults(t, func(ctx context.Context, kv, _ pointport.KV, calls *atomic.Int64) {
 		_, err := kv.Commit(ctx, pointport.Txn{Put: create.Put})
 		var unavailable *pointport.UnavailableError
 		if !errors.As(err, &unavailable) || calls.Load() != 1 {
-			t.Errorf("%v after %d calls, want no answer after one", err, calls.Load())
+			t.Errorf("%v after %d calls, want it unavailable after one call", err, calls.Load())
 		}
 	}, memory.FaultLostAnswer)
 }
 
-// Whichever of two calls is refused, a change that may have been made is not reported
-// as not made.
-func TestDoubtIsKept(t *testing.T) {
+// TestAmbiguityIsKept loses or delays the first call or its answer, and refuses or loses
+// the repeated calls. The change may have been made by the first call, so the error must be
+// ambiguous whichever call ends last.
+func TestAmbiguityIsKept(t *testing.T) {
 	for _, faults := range [][]memory.Fault{
 		{memory.FaultLostAnswer, memory.FaultBefore, memory.FaultBefore, memory.FaultBefore},
 		{memory.FaultLostCall, memory.FaultLostCall, memory.FaultLostCall, memory.FaultLostCall},
 		{memory.FaultLate, memory.FaultBefore, memory.FaultBefore, memory.FaultBefore},
 	} {
-		play(t, func(ctx context.Context, kv, _ pointport.KV, _ *atomic.Int64) {
+		withFaults(t, func(ctx context.Context, kv, _ pointport.KV, _ *atomic.Int64) {
 			_, err := kv.Commit(ctx, create)
 			var unavailable *pointport.UnavailableError
 			if !errors.As(err, &unavailable) || !unavailable.Ambiguous {
-				t.Errorf("faults %v: %v, want an answer that leaves it open", faults, err)
+				t.Errorf("faults %v: %v, want an ambiguous error", faults, err)
 			}
 		}, faults...)
 	}
 }
 
-// A store that is slow as such is asked once, when that is known.
-func TestSlowStoreIsNotAskedTwice(t *testing.T) {
+// TestSlowStoreGetsFewRepeatedCalls reads from a store that answers reliably but slower
+// than the initial overdue time. Once its latency is learned, calls must not be repeated.
+func TestSlowStoreGetsFewRepeatedCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var calls atomic.Int64
 		count := func(string, string) memory.Fault { calls.Add(1); return memory.FaultNone }
@@ -114,7 +120,7 @@
 			}
 		}
 		if got := calls.Load(); got > 26 {
-			t.Errorf("%d calls for 20 questions", got)
+			t.Errorf("%d calls for 20 reads, want at most 26", got)
 		}
 	})
 }
--- a/hedge/progress_test.go
+++ b/hedge/progress_test.go
@@ -12,30 +12,30 @@
 	"github.com/pointport/pointport/hedge"
 )
 
-// This file tests answers that take long to come whole.
+// This file tests answers whose parts arrive over a long time.
 
-// A thinKV is a store whose answers take long to come. It counts what it is asked.
-type thinKV struct {
+// A slowKV is a store whose answers arrive slowly. It counts its calls.
+type slowKV struct {
 	pointport.KV
-	begins time.Duration // until the first part of an answer
-	parts  int           // how many come, one each 0.1 s; then silence unless whole
-	whole  bool
+	firstPart time.Duration // until the first part of an answer
+	parts     int           // how many arrive, one every 0.1 s
+	complete  bool          // whether the answer ends after its parts; if not, nothing more arrives
 
-	calls, given atomic.Int64 // calls, and those of them that were given up
+	calls, cancelled atomic.Int64 // all calls, and those that were cancelled
 }
 
-func (k *thinKV) Get(ctx context.Context, _ string) (pointport.Entry, error) {
+func (k *slowKV) Get(ctx context.Context, _ string) (pointport.Entry, error) {
 	k.calls.Add(1)
 	wait := func(d time.Duration) error {
 		select {
 		case <-time.After(d):
 			return nil
 		case <-ctx.Done():
-			k.given.Add(1)
+			k.cancelled.Add(1)
 			return &pointport.UnavailableError{Op: "get", Err: ctx.Err()}
 		}
 	}
-	if err := wait(k.begins); err != nil {
+	if err := wait(k.firstPart); err != nil {
 		return pointport.Entry{}, err
 	}
 	for range k.parts {
@@ -44,7 +44,7 @@
 			return pointport.Entry{}, err
 		}
 	}
-	if !k.whole {
+	if !k.complete {
 		if err := wait(time.Hour); err != nil {
 			return pointport.Entry{}, err
 		}
@@ -52,46 +52,50 @@
 	return pointport.NewEntry("k", []byte("v"), 1), nil
 }
 
-func get(t *testing.T, thin *thinKV, within time.Duration) (took time.Duration, err error) {
+// get reads a key through a hedged store and returns how long that took.
+func get(t *testing.T, slow *slowKV, within time.Duration) (took time.Duration, err error) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), within)
 		defer cancel()
 		from := time.Now()
-		_, err = hedge.New(thin, clock.System{}).Get(ctx, "k")
+		_, err = hedge.New(slow, clock.System{}).Get(ctx, "k")
 		took = time.Since(from)
 		synctest.Wait()
 	})
 	return took, err
 }
 
-// Four copies of an answer that fills its link for a second take four seconds there;
-// each would be given up before it is whole.
-func TestAnswerThatComesIsNotAskedForAgain(t *testing.T) {
-	thin := &thinKV{parts: 20, whole: true}
-	if took, err := get(t, thin, time.Minute); err != nil || took != 2*time.Second || thin.calls.Load() != 1 {
-		t.Errorf("%v after %v and %d calls, want the answer of the only one after 2 s", err, took, thin.calls.Load())
+// TestArrivingAnswerIsNotRequestedAgain reads an answer whose parts keep arriving. Repeated
+// calls would share the link: four copies of an answer that fills the link for 1 s take 4 s,
+// and each would time out before it is complete.
+func TestArrivingAnswerIsNotRequestedAgain(t *testing.T) {
+	slow := &slowKV{parts: 20, complete: true}
+	if took, err := get(t, slow, time.Minute); err != nil || took != 2*time.Second || slow.calls.Load() != 1 {
+		t.Errorf("%v after %v and %d calls, want an answer after 2 s and one call", err, took, slow.calls.Load())
 	}
 }
 
-// Calls that were made before an answer began are given up for it.
-func TestOneCopyOfAnswerComes(t *testing.T) {
-	thin := &thinKV{begins: 200 * time.Millisecond, parts: 20, whole: true}
-	if _, err := get(t, thin, time.Minute); err != nil {
+// TestOtherCallsAreCancelledOnceAnswerBegins delays an answer so that the call is repeated
+// before it begins. Once one answer begins, all other calls must be cancelled.
+func TestOtherCallsAreCancelledOnceAnswerBegins(t *testing.T) {
+	slow := &slowKV{firstPart: 200 * time.Millisecond, parts: 20, complete: true}
+	if _, err := get(t, slow, time.Minute); err != nil {
 		t.Fatal(err)
 	}
-	if calls, given := thin.calls.Load(), thin.given.Load(); calls < 2 || given != calls-1 {
-		t.Errorf("%d of %d calls were given up, want all but one of at least two", given, calls)
+	if calls, cancelled := slow.calls.Load(), slow.cancelled.Load(); calls < 2 || cancelled != calls-1 {
+		t.Errorf("%d of %d calls were cancelled, want all but one of at least two", cancelled, calls)
 	}
 }
 
-// A connection may go silent within an answer.
-func TestAnswerThatStopsIsAskedForAgain(t *testing.T) {
-	thin := &thinKV{parts: 3}
-	if _, err := get(t, thin, 2*time.Second); err == nil {
-		t.Error("an answer that never came whole counts")
+// TestStalledAnswerIsRequestedAgain lets a connection go silent in the middle of an answer.
+// The call must be repeated after the pause instead of waiting for the rest.
+func TestStalledAnswerIsRequestedAgain(t *testing.T) {
+	slow := &slowKV{parts: 3}
+	if _, err := get(t, slow, 2*time.Second); err == nil {
+		t.Error("an incomplete answer was returned")
 	}
-	if got := thin.calls.Load(); got < 2 {
-		t.Errorf("%d call in 2 s, want another after the silence", got)
+	if got := slow.calls.Load(); got < 2 {
+		t.Errorf("%d calls in 2 s, want a repeated call after the pause", got)
 	}
 }
--- a/queue/fair.go
+++ b/queue/fair.go
@@ -20,8 +20,8 @@
 // classCount is the number of classes, one for each rank of priority.
 const classCount = config.Ranks
 
-// maxSkipped is how many turns in a row each class may be skipped. Class 0 is the
-// highest and is never skipped but for such turns of others.
+// maxSkipped is how many turns in a row each class may be skipped. Class 0 has no
+// bound: it is the highest and is skipped only when a lower class reaches its bound.
 var maxSkipped = [classCount]int{0, 4, 16}
 
 // An Item is an entry of a Fair queue.
--- a/quota/account.go
+++ b/quota/account.go
@@ -10,15 +10,16 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines a customer's account as it is stored.
+// This file defines the stored account of a customer.
 
-// Prefix starts the keys of accounts.
+// Prefix is the prefix of the keys of all accounts.
 const Prefix = "quota/"
 
 // Key returns the key of a customer's account.
 func Key(name string) string { return Prefix + url.PathEscape(name) }
 
-// ParseKey returns the customer whose account a key is of; false if it is none.
+// ParseKey returns the customer whose account is stored under key; false if key is not
+// one of an account.
 func ParseKey(key string) (string, bool) {
 	escaped, ok := strings.CutPrefix(key, Prefix)
 	if !ok {
@@ -28,33 +29,35 @@
 	return name, err == nil
 }
 
-// A Row is what a pool holds of the floating part of a cap. Its fields are exported because
-// a codec reads and writes them.
+// A Row is the part of a cap's floating part that one pool holds. Its fields are exported
+// because a codec reads and writes them.
 type Row struct {
-	// Version is that of the configuration by which the pool's owner has written the row.
+	// Version is the version of the configuration that the pool's owner applied when it
+	// wrote the row.
 	Version int64           `json:"v"`
 	Held    pointport.Shape `json:"held"`
 }
 
-// An Account is what the pools hold of a customer's cap. Its fields are exported because a
+// An Account holds the rows of all pools for one customer. Its fields are exported because a
 // codec reads and writes them.
 type Account struct {
-	// Lowered is the newest version by which an owner has seen the cap lowered.
+	// Lowered is the newest version of the configuration that lowered the cap, as far as
+	// any owner has seen.
 	Lowered int64          `json:"lowered,omitempty"`
-	Rows    map[string]Row `json:"rows"`
+	Rows    map[string]Row `json:"rows"` // by pool
 }
 
 // encode returns the stored form.
 func (a Account) encode() []byte {
 	data, err := json.Marshal(a)
 	if err != nil {
-		panic("quota: an account has a JSON form: " + err.Error())
+		panic("quota: encoding an account: " + err.Error())
 	}
 	return data
 }
 
-// decodeAccount reads the stored form. An account with a row below nothing is none: it
-// would let others hold more than there is.
+// decodeAccount reads the stored form. It rejects an account with a negative row, which
+// would let other pools hold more than the cap.
 func decodeAccount(data []byte) (Account, error) {
 	var a Account
 	if err := json.Unmarshal(data, &a); err != nil {
@@ -62,18 +65,19 @@
 	}
 	for pool, r := range a.Rows {
 		if !r.Held.Fits(pointport.Shape{}) {
-			return Account{}, fmt.Errorf("rows[%q].held is %v: must not be below zero", pool, r.Held)
+			return Account{}, fmt.Errorf("rows[%q].held is %v: must not be negative", pool, r.Held)
 		}
 	}
 	return a, nil
 }
 
-// held returns what pools hold together, except the one named. A pool that the configuration
-// has no more may have a row that nobody will lower.
+// held returns the sum that the given pools hold, without the pool except. Rows of other
+// pools don't count: a pool that the configuration no longer has may have left a row that
+// no owner will lower.
 func (a Account) held(pools []string, except string) pointport.Shape {
 	var sum pointport.Shape
 	if len(a.Rows) == 0 {
-		return sum // as of most customers, which are asked about with each plan
+		return sum // the common case, evaluated for every customer with each plan
 	}
 	for _, pool := range pools {
 		if pool != except {
@@ -83,8 +87,8 @@
 	return sum
 }
 
-// reportedBy reports whether the owners of all pools have written what they use by a version or
-// a newer one.
+// reportedBy reports whether the owners of all pools have written their rows under the given
+// version of the configuration or a newer one.
 func (a Account) reportedBy(version int64, pools []string) bool {
 	for _, pool := range pools {
 		if r, ok := a.Rows[pool]; !ok || r.Version < version {
@@ -94,7 +98,8 @@
 	return true
 }
 
-// with returns a copy with another row of a pool.
+// with returns a copy of the account with a pool's row replaced and Lowered raised to
+// lowered if it is older.
 func (a Account) with(pool string, r Row, lowered int64) Account {
 	rows := maps.Clone(a.Rows)
 	if rows == nil {
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -6,27 +6,29 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines what the owner of one pool may use of customers' caps.
+// This file defines how much of each customer's cap the owner of one pool may use.
 
 const (
-	// growPercent of what is used and wanted must be held, or else as much is asked for as
-	// holdPercent of it, so that the next tasks need not wait for a change of the account
-	// and not each of them makes one.
+	// A pool that holds less than growPercent of what it uses and wants asks for
+	// holdPercent of it. The margins spare the next tasks the wait for a change of the
+	// account, and avoid a change for every task.
 	growPercent, holdPercent = 110, 130
-	// minShrinkDivisor is the least part of what floats, as a divisor, for which a row is lowered.
+	// minShrinkDivisor sets the least excess for which a row is lowered: the floating part
+	// divided by it.
 	minShrinkDivisor = 16
-	// excessRetention is how long a pool holds what it does not need. Demand comes and goes by
-	// turns of some seconds, and each change is a call.
+	// excessRetention is how long a pool keeps what it does not need. Demand fluctuates
+	// within some seconds, and each change of the account costs a call.
 	excessRetention = time.Second
 )
 
-// A Usage is what a pool uses of a customer's cap. Shapes are as tasks declare them.
+// A Usage is what a pool uses of a customer's cap, as tasks declare it.
 type Usage struct {
-	// Used is taken by runs, Wanted by tasks that wait for the cap alone.
+	// Used is the need of running tasks, Wanted that of tasks that wait only for the cap.
 	Used, Wanted pointport.Shape
 }
 
-// A Change is to be made of an account, if it is still at a revision.
+// A Change is a compare-and-swap of an account: Value is to be stored under Key if that is
+// still at Revision.
 type Change struct {
 	Customer string
 	Key      string
@@ -34,8 +36,8 @@
 	Value    []byte
 }
 
-// A Ledger says what the owner of a pool may use of customers' caps, and what to store for
-// that. It is not safe for concurrent use.
+// A Ledger tracks how much of customers' caps the owner of a pool may use, and which changes
+// of accounts to store for that. It is not safe for concurrent use.
 type Ledger struct {
 	pool     string
 	policy   *Policy
@@ -43,26 +45,28 @@
 	holdings map[string]*holding
 }
 
-// A holding is one customer's part in the pool.
+// A holding is the state of one customer's account in the pool's ledger.
 type holding struct {
 	account  Account
 	revision pointport.Revision // zero while there is no account
-	use      Usage
-	// loweredVersion is the version by which the cap was last seen lowered, zero if it was not.
+	usage    Usage
+	// loweredVersion is the version of the configuration that last lowered the cap; zero
+	// if none is known.
 	loweredVersion int64
-	// excessSince is since when more is held than is needed, zero while it is not.
+	// excessSince is when the pool began to hold more than it needs; zero while it doesn't.
 	excessSince time.Time
-	// inFlight says that a change of the account is under way.
+	// inFlight reports whether a change of the account is in flight.
 	inFlight bool
-	// pendingRow is the row of a change that may have been made, or may yet be, and gives
-	// something back; nil if there is none. It stands until the account is seen to have
-	// changed, since no change can be made of an older state.
+	// pendingRow is the row of a change that lowers what the pool holds and that may have
+	// been made or may yet be made; nil if there is none. It is kept until a newer revision
+	// of the account is seen: from then on the compare-and-swap of the change fails.
 	pendingRow *pointport.Shape
-	// ambiguous says that a change of this state of the account may still be made.
+	// ambiguous reports whether an earlier change of this revision of the account may still
+	// be made.
 	ambiguous bool
 }
 
-// held returns what the pool surely holds.
+// held returns what the pool holds for certain: the lower of its stored and its pending row.
 func (h *holding) held(pool string) pointport.Shape {
 	held := h.account.Rows[pool].Held
 	if h.pendingRow != nil {
@@ -71,29 +75,30 @@
 	return held
 }
 
-// update takes in what the store has.
+// update sets the account as read from the store, at its revision.
 func (h *holding) update(a Account, at pointport.Revision) {
 	h.account, h.revision, h.pendingRow, h.ambiguous = a, at, nil, false
 }
 
-// NewLedger returns the ledger of a pool's owner, which must hear of the accounts before it
-// allows anything.
+// NewLedger returns the ledger of a pool's owner. It allows nothing of any cap before Reset
+// has provided the accounts.
 func NewLedger(pool string) *Ledger {
 	return &Ledger{pool: pool, holdings: make(map[string]*holding)}
 }
 
-// SetPolicy takes in the newest configuration.
+// SetPolicy sets the policy of the newest configuration.
 func (l *Ledger) SetPolicy(p *Policy) {
 	if p == l.policy {
 		return
 	}
 	l.policy = p
-	for name, t := range p.limits {
+	for name, limits := range p.limits {
 		h := l.holding(name)
-		h.loweredVersion = max(h.loweredVersion, t.Lowered)
+		h.loweredVersion = max(h.loweredVersion, limits.Lowered)
 	}
 }
 
+// holding returns the holding of a customer, and creates it if there is none.
 func (l *Ledger) holding(name string) *holding {
 	h := l.holdings[name]
 	if h == nil {
@@ -103,21 +108,22 @@
 	return h
 }
 
-// allReported reports whether the owners of all pools have told what they use under the cap as
-// it was lowered last.
+// allReported reports whether the owners of all pools have written their rows since the cap
+// was last lowered.
 func (l *Ledger) allReported(h *holding) bool {
 	return h.loweredVersion == 0 || h.account.reportedBy(h.loweredVersion, l.policy.pools)
 }
 
-// Reset takes in all accounts. It returns the first that cannot be read, if any; what such a
-// one held counts as held by nobody, since nobody can use it.
+// Reset replaces all accounts by entries. It returns an *AccountError for the first account
+// that cannot be decoded, if any. Such an account counts as empty, since no owner can use
+// what it held.
 func (l *Ledger) Reset(entries []pointport.Entry) error {
-	there := make(map[string]bool, len(entries))
+	stored := make(map[string]bool, len(entries))
 	for _, e := range entries {
-		there[e.Key()] = true
+		stored[e.Key()] = true
 	}
 	for name, h := range l.holdings {
-		if !there[Key(name)] && !h.inFlight {
+		if !stored[Key(name)] && !h.inFlight {
 			h.update(Account{}, 0)
 		}
 	}
@@ -125,7 +131,7 @@
 	return l.Apply(entries)
 }
 
-// Apply takes in changed accounts.
+// Apply updates the accounts that have changed. It returns an error like Reset.
 func (l *Ledger) Apply(entries []pointport.Entry) error {
 	var first error
 	for _, e := range entries {
@@ -136,6 +142,7 @@
 	return first
 }
 
+// applyEntry updates the account of one entry, unless a newer one is known.
 func (l *Ledger) applyEntry(e pointport.Entry) error {
 	name, ok := ParseKey(e.Key())
 	if !ok {
@@ -143,7 +150,7 @@
 	}
 	h := l.holding(name)
 	if e.Exists() && e.Revision() <= h.revision {
-		return nil // what is known is newer
+		return nil // the known account is as new or newer
 	}
 	if !e.Exists() {
 		h.update(Account{}, 0)
@@ -158,7 +165,7 @@
 	return nil
 }
 
-// An AccountError says that a stored account cannot be read.
+// An AccountError reports a stored account that cannot be decoded.
 type AccountError struct {
 	Customer string
 	Err      error
@@ -169,39 +176,42 @@
 // Unwrap returns the cause.
 func (e *AccountError) Unwrap() error { return e.Err }
 
-// SetUsage takes in what the pool uses of a customer's cap.
-func (l *Ledger) SetUsage(name string, u Usage) { l.holding(name).use = u }
+// SetUsage sets what the pool uses of a customer's cap.
+func (l *Ledger) SetUsage(name string, u Usage) { l.holding(name).usage = u }
 
-// Allowed returns how much of each cap the pool may use, by customer; customers that are
-// not in it have none.
+// Allowed returns how much of each cap the pool may use, by customer. Customers without a
+// cap are omitted.
 func (l *Ledger) Allowed() map[string]pointport.Shape {
 	if !l.policy.HasCaps() {
 		return nil
 	}
 	out := make(map[string]pointport.Shape, len(l.policy.limits))
-	for name, t := range l.policy.limits {
-		out[name] = l.allowed(l.holding(name), t)
+	for name, limits := range l.policy.limits {
+		out[name] = l.allowed(l.holding(name), limits)
 	}
 	return out
 }
 
-func (l *Ledger) allowed(h *holding, t Limits) pointport.Shape {
+// allowed returns how much of a customer's cap the pool may use: nothing before the accounts
+// are loaded, before all owners have reported on a lowered cap, or while the rows don't fit;
+// else its even part and what it holds.
+func (l *Ledger) allowed(h *holding, limits Limits) pointport.Shape {
 	if !l.loaded {
-		return t.withUnbounded(pointport.Shape{})
+		return limits.withUnbounded(pointport.Shape{})
 	}
-	if !l.allReported(h) || !l.fits(h, t) {
-		return t.withUnbounded(pointport.Shape{})
+	if !l.allReported(h) || !l.fits(h, limits) {
+		return limits.withUnbounded(pointport.Shape{})
 	}
-	return t.withUnbounded(t.PerPool.Plus(h.held(l.pool)))
+	return limits.withUnbounded(limits.PerPool.Plus(h.held(l.pool)))
 }
 
-// fits reports whether what all pools hold fits into what floats.
-func (l *Ledger) fits(h *holding, t Limits) bool {
-	return t.withUnbounded(t.Floating).Fits(h.account.held(l.policy.pools, ""))
+// fits reports whether the rows of all pools fit into the floating part of the cap.
+func (l *Ledger) fits(h *holding, limits Limits) bool {
+	return limits.withUnbounded(limits.Floating).Fits(h.account.held(l.policy.pools, ""))
 }
 
-// Changes returns what is to be stored now, at most so many, and notes that it is under
-// way until Changed is told.
+// Changes returns at most atMost changes to store now. Each is in flight until HandleOutcome
+// is called for it, and its account gets no other change meanwhile.
 func (l *Ledger) Changes(now time.Time, atMost int) []Change {
 	if !l.loaded || !l.policy.HasCaps() {
 		return nil
@@ -221,8 +231,8 @@
 		}
 		h.inFlight = true
 		if !row.Held.Fits(h.held(l.pool)) {
-			given := minShape(row.Held, h.held(l.pool))
-			h.pendingRow = &given
+			lowered := minShape(row.Held, h.held(l.pool))
+			h.pendingRow = &lowered
 		}
 		out = append(out, Change{
 			Customer: name, Key: Key(name), Revision: h.revision,
@@ -232,51 +242,54 @@
 	return out
 }
 
-// nextRow returns the row that the pool should have, and whether that is to be stored.
-func (l *Ledger) nextRow(now time.Time, h *holding, t Limits) (Row, bool) {
-	own := h.held(l.pool)
-	beyond := cappedParts(t, nonNegative(h.use.Used.Minus(t.PerPool)))
-	room := nonNegative(t.Floating.Minus(h.account.held(l.policy.pools, l.pool)))
-	goalOf := func(percent int64) pointport.Shape {
-		wanted := minShape(h.use.Used.Plus(h.use.Wanted), t.withUnbounded(t.Cap))
-		return cappedParts(t, maxShape(beyond, minShape(nonNegative(percentOf(wanted, percent).Minus(t.PerPool)), room)))
+// nextRow returns the row that the pool should have, and whether to store it: if the pool
+// needs more, has had an excess for long enough, or has not reported on a lowered cap yet.
+func (l *Ledger) nextRow(now time.Time, h *holding, limits Limits) (Row, bool) {
+	held := h.held(l.pool)
+	needed := cappedParts(limits, nonNegative(h.usage.Used.Minus(limits.PerPool)))
+	available := nonNegative(limits.Floating.Minus(h.account.held(l.policy.pools, l.pool)))
+	targetFor := func(percent int64) pointport.Shape {
+		wanted := minShape(h.usage.Used.Plus(h.usage.Wanted), limits.withUnbounded(limits.Cap))
+		return cappedParts(limits, maxShape(needed, minShape(nonNegative(percentOf(wanted, percent).Minus(limits.PerPool)), available)))
 	}
-	goal := goalOf(holdPercent)
-	h.updateExcess(now, t, goal, own)
-	grows := !own.Fits(goalOf(growPercent))
-	shrinks := !h.excessSince.IsZero() && (now.Sub(h.excessSince) >= excessRetention || !l.fits(h, t))
-	tells := h.loweredVersion > h.account.Rows[l.pool].Version
+	target := targetFor(holdPercent)
+	h.updateExcess(now, limits, target, held)
+	grows := !held.Fits(targetFor(growPercent))
+	shrinks := !h.excessSince.IsZero() && (now.Sub(h.excessSince) >= excessRetention || !l.fits(h, limits))
+	reports := h.loweredVersion > h.account.Rows[l.pool].Version
 	switch {
-	case !grows && !shrinks && !tells:
+	case !grows && !shrinks && !reports:
 		return Row{}, false
 	case !shrinks:
-		goal = maxShape(goal, own)
+		target = maxShape(target, held)
 	}
-	return Row{Version: l.policy.version, Held: goal}, true
+	return Row{Version: l.policy.version, Held: target}, true
 }
 
-// updateExcess notes whether more is held than should be, by so much that it is worth a call.
-func (h *holding) updateExcess(now time.Time, t Limits, goal, held pointport.Shape) {
-	step := combine(t.Floating, t.Floating, func(f, _ int64) int64 { return f / minShrinkDivisor })
+// updateExcess sets or clears excessSince. A pool has an excess if it holds more than target
+// by enough to be worth a call, or anything while target is zero.
+func (h *holding) updateExcess(now time.Time, limits Limits, target, held pointport.Shape) {
+	step := combine(limits.Floating, limits.Floating, func(f, _ int64) int64 { return f / minShrinkDivisor })
 	switch {
-	case goal.Plus(step).Fits(held) && (goal != pointport.Shape{} || held == pointport.Shape{}):
+	case target.Plus(step).Fits(held) && (target != pointport.Shape{} || held == pointport.Shape{}):
 		h.excessSince = time.Time{}
 	case h.excessSince.IsZero():
 		h.excessSince = now
 	}
 }
 
-// An Outcome says what became of a change.
+// An Outcome is the result of storing a change.
 type Outcome uint8
 
 // The outcomes of a change.
 const (
 	Committed    Outcome = iota
-	NotCommitted         // and it never will be; Apply is told what the store has, if that is known
-	Ambiguous            // it may have been made, or may be yet
+	NotCommitted         // and never will be; the caller passes the current account to Apply if it is known
+	Ambiguous            // may have been made, or may yet be made
 )
 
-// HandleOutcome takes in what became of a change; at is the revision at which it was made.
+// HandleOutcome records the outcome of a change; at is the revision that it produced, if it
+// was committed.
 func (l *Ledger) HandleOutcome(c Change, at pointport.Revision, o Outcome) {
 	h := l.holding(c.Customer)
 	h.inFlight = false
@@ -288,7 +301,7 @@
 	case o == Committed && at > h.revision:
 		a, err := decodeAccount(c.Value)
 		if err != nil {
-			panic("quota: what was encoded here can be read: " + err.Error())
+			panic("quota: decoding an account encoded here: " + err.Error())
 		}
 		h.update(a, at)
 		h.excessSince = time.Time{}
@@ -296,9 +309,9 @@
 	}
 }
 
-// cappedParts returns a shape without the parts that have no bound.
-func cappedParts(t Limits, s pointport.Shape) pointport.Shape {
-	return combine(t.Cap, s, func(limit, v int64) int64 {
+// cappedParts returns a shape with the parts that the cap doesn't bound set to zero.
+func cappedParts(limits Limits, s pointport.Shape) pointport.Shape {
+	return combine(limits.Cap, s, func(limit, v int64) int64 {
 		if limit == 0 {
 			return 0
 		}
@@ -306,10 +319,10 @@
 	})
 }
 
-// nonNegative returns a shape without the parts that are below zero.
+// nonNegative returns a shape with its negative parts set to zero.
 func nonNegative(s pointport.Shape) pointport.Shape { return maxShape(s, pointport.Shape{}) }
 
-// percentOf returns some percent of a shape.
+// percentOf returns percent hundredths of a shape, rounded towards zero.
 func percentOf(s pointport.Shape, percent int64) pointport.Shape {
 	return combine(s, s, func(v, _ int64) int64 { return v * percent / 100 })
 }
--- a/quota/policy.go
+++ b/quota/policy.go
@@ -8,48 +8,50 @@
 	"github.com/pointport/pointport/customer"
 )
 
-// This file defines what the configuration says of caps and weights.
+// This file defines the caps and weights of one version of the configuration.
 
-// evenDivisor is the divisor of the part of a cap that is split evenly over the pools. With a
-// quarter, a customer whose work comes to one pool of four at a time can use 0.81 of its cap
-// there, and at most 0.19 lie idle elsewhere; with a half it would be 0.63 and 0.38.
+// evenDivisor is the divisor that gives the part of a cap that is split evenly over the
+// pools: a quarter. A customer whose work is all in one pool of four can then use 0.81 of its
+// cap there, and at most 0.19 is idle in the other pools. With a half instead of a quarter,
+// these would be 0.63 and 0.38.
 const evenDivisor = 4
 
-// Limits are what holds for one customer under one version of the configuration.
+// Limits are the limits of one customer under one version of the configuration.
 type Limits struct {
-	// Cap is what the customer may have running; a zero is no bound.
+	// Cap is what the customer's running tasks may take in all pools; zero means no bound.
 	Cap pointport.Shape
-	// PerPool is each pool's own part of it.
+	// PerPool is the even part of the cap that each pool may use.
 	PerPool pointport.Shape
-	// Floating is what is left for the accounts' rows.
+	// Floating is the rest of the cap, which the rows of the account share.
 	Floating pointport.Shape
-	// Lowered is the version that last made Even or Floating smaller, as far as this
-	// process has seen; zero for none.
+	// Lowered is the version that last lowered PerPool or Floating, as far as this process
+	// has seen; zero for none.
 	Lowered int64
 }
 
+// newLimits splits a cap into even parts for pools and the floating rest.
 func newLimits(limit pointport.Shape, pools int) Limits {
 	parts := int64(evenDivisor * max(1, pools))
-	even := combine(limit, limit, func(l, _ int64) int64 { return l / parts })
-	floating := combine(limit, even, func(l, e int64) int64 { return l - e*int64(max(1, pools)) })
-	return Limits{Cap: limit, PerPool: even, Floating: floating}
+	perPool := combine(limit, limit, func(l, _ int64) int64 { return l / parts })
+	floating := combine(limit, perPool, func(l, e int64) int64 { return l - e*int64(max(1, pools)) })
+	return Limits{Cap: limit, PerPool: perPool, Floating: floating}
 }
 
-// hasCap reports whether there is any bound.
-func (t Limits) hasCap() bool { return t.Cap != (pointport.Shape{}) }
+// hasCap reports whether any part of the cap is bounded.
+func (l Limits) hasCap() bool { return l.Cap != (pointport.Shape{}) }
 
-// tighterThan reports whether any bound is smaller than before.
-func (t Limits) tighterThan(before Limits) bool {
-	return !t.withUnbounded(t.PerPool).Fits(before.withUnbounded(before.PerPool)) || !t.withUnbounded(t.Floating).Fits(before.withUnbounded(before.Floating))
+// tighterThan reports whether PerPool or Floating is lower in any part than before.
+func (l Limits) tighterThan(before Limits) bool {
+	return !l.withUnbounded(l.PerPool).Fits(before.withUnbounded(before.PerPool)) || !l.withUnbounded(l.Floating).Fits(before.withUnbounded(before.Floating))
 }
 
-// unbounded stands for a part of a shape that has no bound. Sums of some thousand of them
-// do not overflow.
+// unbounded stands for the value of a part without a bound. It is small enough that a sum of
+// some thousand of them doesn't overflow.
 const unbounded = int64(1) << 48
 
-// withUnbounded returns a shape of which the parts without a bound in the cap are unbounded.
-func (t Limits) withUnbounded(s pointport.Shape) pointport.Shape {
-	return combine(t.Cap, s, func(limit, v int64) int64 {
+// withUnbounded returns a shape with the parts that the cap doesn't bound set to unbounded.
+func (l Limits) withUnbounded(s pointport.Shape) pointport.Shape {
+	return combine(l.Cap, s, func(limit, v int64) int64 {
 		if limit == 0 {
 			return unbounded
 		}
@@ -57,8 +59,8 @@
 	})
 }
 
-// A Policy is what one version of the configuration says of all customers. It is never
-// changed.
+// A Policy holds the limits and weights of all customers under one version of the
+// configuration. It is immutable. A nil Policy has neither caps nor weights.
 type Policy struct {
 	version int64
 	pools   []string
@@ -67,24 +69,25 @@
 	weights map[string]float64
 }
 
-// NewPolicy returns the policy of a version of the configuration whose work is done in
-// pools; before is the one of the version before, nil if it is not known.
+// NewPolicy returns the policy for a version of the configuration whose tasks run in pools.
+// It compares the limits with those of before, the policy of the preceding version; nil if
+// that is not known.
 func NewPolicy(before *Policy, customers *customer.Directory, pools []string, version int64) *Policy {
 	p := &Policy{version: version, pools: slices.Clone(pools), limits: make(map[string]Limits), weights: make(map[string]float64)}
 	for _, c := range customers.All() {
 		p.weights[c.Name] = c.Weight
-		t := newLimits(c.Cap, len(pools))
-		if !t.hasCap() {
+		limits := newLimits(c.Cap, len(pools))
+		if !limits.hasCap() {
 			continue
 		}
 		if before != nil {
-			was := before.limits[c.Name]
-			t.Lowered = was.Lowered
-			if t.tighterThan(was) {
-				t.Lowered = version
+			previous := before.limits[c.Name]
+			limits.Lowered = previous.Lowered
+			if limits.tighterThan(previous) {
+				limits.Lowered = version
 			}
 		}
-		p.limits[c.Name] = t
+		p.limits[c.Name] = limits
 	}
 	p.names = slices.Sorted(maps.Keys(p.limits))
 	return p
@@ -104,16 +107,16 @@
 	return p.weights
 }
 
-// Limits returns what holds for a customer; false if it has no cap.
+// Limits returns the limits of a customer; false if it has no cap.
 func (p *Policy) Limits(name string) (Limits, bool) {
 	if p == nil {
 		return Limits{}, false
 	}
-	t, ok := p.limits[name]
-	return t, ok
+	limits, ok := p.limits[name]
+	return limits, ok
 }
 
-// combine returns a shape each part of which is made of those of two.
+// combine returns the shape whose parts are f of the same parts of a and b.
 func combine(a, b pointport.Shape, f func(a, b int64) int64) pointport.Shape {
 	return pointport.Shape{
 		CPUMilli:     f(a.CPUMilli, b.CPUMilli),
@@ -122,11 +125,12 @@
 	}
 }
 
-// maxShape returns the larger of each part, least the smaller.
+// maxShape returns the larger value of each part.
 func maxShape(a, b pointport.Shape) pointport.Shape {
 	return combine(a, b, func(a, b int64) int64 { return max(a, b) })
 }
 
+// minShape returns the smaller value of each part.
 func minShape(a, b pointport.Shape) pointport.Shape {
 	return combine(a, b, func(a, b int64) int64 { return min(a, b) })
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -22,70 +22,70 @@
 	return customer.NewDirectory([]customer.Customer{{Name: name, Cap: limit}})
 }
 
-// A world is three owners, the store that holds the customer's account, and the reference:
-// one sum of what runs.
-type world struct {
+// A simulation holds the owners of three pools, the store with the customer's account, and the
+// caps against which the sum of all running tasks is checked.
+type simulation struct {
 	now      time.Time
 	revision pointport.Revision
 	value    []byte
 	owners   []*owner
-	// caps holds the caps that count, with when each stopped being the newest.
-	caps []countingCap
-	// late are changes that may yet be made.
-	late []lateChange
+	// caps holds every cap so far, with the time until which it is in force.
+	caps []activeCap
+	// delayed holds sent changes that the store has not made yet but still may.
+	delayed []delayedChange
 }
 
-// A lateChange is one that the owner of a pool has sent.
-type lateChange struct {
+// A delayedChange is a change that the owner of a pool has sent.
+type delayedChange struct {
 	pool string
 	quota.Change
 }
 
-type countingCap struct {
+type activeCap struct {
 	limit int64 // cores
 	until time.Time
 }
 
-// An owner is that of one pool, with what runs there.
+// An owner is the owner of one pool, with the tasks that run there.
 type owner struct {
-	pool    string
-	ledger  *quota.Ledger
-	policy  *quota.Policy
-	learnBy time.Time // when the newest configuration must be known
-	next    *quota.Policy
-	runs    []int64
-	flight  []quota.Change
+	pool       string
+	ledger     *quota.Ledger
+	policy     *quota.Policy
+	policyBy   time.Time // when the owner learns nextPolicy at the latest
+	nextPolicy *quota.Policy
+	runs       []int64 // cores of each running task
+	inFlight   []quota.Change
 }
 
-func newWorld(limit int64) *world {
-	w := &world{now: time.Unix(1000, 0), caps: []countingCap{{limit: limit}}}
+func newSimulation(limit int64) *simulation {
+	s := &simulation{now: time.Unix(1000, 0), caps: []activeCap{{limit: limit}}}
 	for _, pool := range poolNames {
 		o := &owner{pool: pool, policy: quota.NewPolicy(nil, directory(cores(limit)), poolNames, 1)}
-		w.owners = append(w.owners, o)
-		w.restart(o)
+		s.owners = append(s.owners, o)
+		s.replaceOwner(o)
 	}
-	return w
+	return s
 }
 
-// restart has another owner take a pool; what runs there goes on. No change of the former
-// one can be made any more, since each depends on its ownership.
-func (w *world) restart(o *owner) {
-	w.late = slices.DeleteFunc(w.late, func(c lateChange) bool { return c.pool == o.pool })
-	o.flight = nil
+// replaceOwner gives a pool a new owner; its tasks keep running. Changes of the former owner can
+// no longer be made, since each depends on its ownership.
+func (s *simulation) replaceOwner(o *owner) {
+	s.delayed = slices.DeleteFunc(s.delayed, func(c delayedChange) bool { return c.pool == o.pool })
+	o.inFlight = nil
 	o.ledger = quota.NewLedger(o.pool)
 	o.ledger.SetPolicy(o.policy)
-	_ = o.ledger.Reset(w.entries())
-	w.use(o, 0)
+	_ = o.ledger.Reset(s.entries())
+	s.setUsage(o, 0)
 }
 
-func (w *world) entries() []pointport.Entry {
-	if w.revision == 0 {
+func (s *simulation) entries() []pointport.Entry {
+	if s.revision == 0 {
 		return nil
 	}
-	return []pointport.Entry{pointport.NewEntry(quota.Key(name), w.value, w.revision)}
+	return []pointport.Entry{pointport.NewEntry(quota.Key(name), s.value, s.revision)}
 }
 
-func (w *world) use(o *owner, wanted int64) {
+func (s *simulation) setUsage(o *owner, wanted int64) {
 	o.ledger.SetUsage(name, quota.Usage{Used: cores(o.used()), Wanted: cores(wanted)})
 }
 
@@ -97,241 +97,246 @@
 	return sum
 }
 
-// store makes a change if the account is as it says.
-func (w *world) store(c quota.Change) bool {
-	if c.Revision != w.revision {
+// commit makes a change if the account is still at the change's revision.
+func (s *simulation) commit(c quota.Change) bool {
+	if c.Revision != s.revision {
 		return false
 	}
-	w.revision++
-	w.value = c.Value
+	s.revision++
+	s.value = c.Value
 	return true
 }
 
-// running is the reference: what runs in all pools.
-func (w *world) running() int64 {
+// running returns the cores of the running tasks in all pools.
+func (s *simulation) running() int64 {
 	var sum int64
-	for _, o := range w.owners {
+	for _, o := range s.owners {
 		sum += o.used()
 	}
 	return sum
 }
 
-// limit returns the highest cap that counts.
-func (w *world) limit() int64 {
+// maxLimit returns the highest cap that is in force, in cores.
+func (s *simulation) maxLimit() int64 {
 	var most int64
-	for _, c := range w.caps {
-		if c.until.IsZero() || w.now.Before(c.until) {
+	for _, c := range s.caps {
+		if c.until.IsZero() || s.now.Before(c.until) {
 			most = max(most, c.limit)
 		}
 	}
 	return most
 }
 
-// formerCounts is for how long a former cap counts, learnTime within what time each owner
-// knows a new one.
+// formerCapTime is how long a cap stays in force after it was replaced, and policyDelay the time
+// within which each owner learns of the new one.
 const (
-	formerCounts = 2 * time.Second
-	learnTime    = time.Second
+	formerCapTime = 2 * time.Second
+	policyDelay   = time.Second
 )
 
-// Whatever owners start, end, store, hear late or not at all, whoever takes their pools, and
-// however the cap changes: no start lifts what runs past the cap.
+// TestNeverPastTheCap runs random sequences in which owners start and end tasks, change accounts,
+// learn of changes late or not at all, lose answers and are replaced, and in which the cap
+// changes. No task start may raise the running total above the highest cap in force.
 func TestNeverPastTheCap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Int64Range(4, 200).Draw(t, "cap")
-		w := newWorld(limit)
+		s := newSimulation(limit)
 		version := int64(1)
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
-			w.now = w.now.Add(time.Duration(rapid.SampledFrom([]int{0, 10, 100, 600}).Draw(t, "ms")) * time.Millisecond)
-			for _, o := range w.owners {
-				if o.next != nil && !w.now.Before(o.learnBy) {
-					w.learn(o)
+			s.now = s.now.Add(time.Duration(rapid.SampledFrom([]int{0, 10, 100, 600}).Draw(t, "ms")) * time.Millisecond)
+			for _, o := range s.owners {
+				if o.nextPolicy != nil && !s.now.Before(o.policyBy) {
+					s.learnPolicy(o)
 				}
 			}
-			o := rapid.SampledFrom(w.owners).Draw(t, "pool")
-			switch rapid.SampledFrom([]string{"start", "start", "fill", "fill", "end", "empty", "change", "change", "answer", "all", "hear", "learn", "cap", "restart", "late"}).Draw(t, "op") {
+			o := rapid.SampledFrom(s.owners).Draw(t, "pool")
+			switch rapid.SampledFrom([]string{"start", "start", "fill", "fill", "end", "empty", "change", "change", "outcome", "all", "read", "learn", "cap", "replace", "delayed"}).Draw(t, "op") {
 			case "start":
-				w.start(t, o, rapid.Int64Range(1, 8).Draw(t, "cores"))
+				s.startTask(t, o, rapid.Int64Range(1, 8).Draw(t, "cores"))
 			case "fill":
 				need := rapid.Int64Range(1, 8).Draw(t, "cores")
-				for w.start(t, o, need) {
+				for s.startTask(t, o, need) {
 				}
 			case "empty":
 				o.runs = nil
-				w.use(o, 0)
+				s.setUsage(o, 0)
 			case "all":
-				for _, o := range w.owners {
-					o.flight = append(o.flight, o.ledger.Changes(w.now, 8)...)
-					w.answer(t, o)
+				for _, o := range s.owners {
+					o.inFlight = append(o.inFlight, o.ledger.Changes(s.now, 8)...)
+					s.finishChange(t, o)
 				}
 			case "end":
 				if len(o.runs) > 0 {
 					o.runs = o.runs[1:]
-					w.use(o, 0)
+					s.setUsage(o, 0)
 				}
 			case "change":
-				o.flight = append(o.flight, o.ledger.Changes(w.now, 8)...)
-			case "answer":
-				w.answer(t, o)
-			case "hear":
-				_ = o.ledger.Apply(w.entries())
+				o.inFlight = append(o.inFlight, o.ledger.Changes(s.now, 8)...)
+			case "outcome":
+				s.finishChange(t, o)
+			case "read":
+				_ = o.ledger.Apply(s.entries())
 			case "learn":
-				w.learn(o)
+				s.learnPolicy(o)
 			case "cap":
-				for _, o := range w.owners {
-					w.learn(o)
+				for _, o := range s.owners {
+					s.learnPolicy(o)
 				}
 				version++
 				limit = rapid.Int64Range(4, 200).Draw(t, "cap")
-				w.caps[len(w.caps)-1].until = w.now.Add(formerCounts)
-				w.caps = append(w.caps, countingCap{limit: limit})
-				for _, o := range w.owners {
-					o.next = quota.NewPolicy(o.policy, directory(cores(limit)), poolNames, version)
-					o.learnBy = w.now.Add(learnTime)
+				s.caps[len(s.caps)-1].until = s.now.Add(formerCapTime)
+				s.caps = append(s.caps, activeCap{limit: limit})
+				for _, o := range s.owners {
+					o.nextPolicy = quota.NewPolicy(o.policy, directory(cores(limit)), poolNames, version)
+					o.policyBy = s.now.Add(policyDelay)
 				}
-			case "restart":
-				w.restart(o)
-			case "late":
-				for _, c := range w.late {
-					w.store(c.Change)
+			case "replace":
+				s.replaceOwner(o)
+			case "delayed":
+				for _, c := range s.delayed {
+					s.commit(c.Change)
 				}
-				w.late = nil
+				s.delayed = nil
 			}
 		}
 	})
 }
 
-// start starts a task in an owner's pool; false if the customer's cap does not allow it.
-func (w *world) start(t *rapid.T, o *owner, need int64) bool {
+// startTask starts a task in an owner's pool. It reports whether the customer's cap allows it.
+func (s *simulation) startTask(t *rapid.T, o *owner, need int64) bool {
 	allowed := o.ledger.Allowed()[name]
 	if !allowed.Fits(cores(o.used() + need)) {
-		w.use(o, 20*need)
+		s.setUsage(o, 20*need)
 		return false
 	}
 	o.runs = append(o.runs, need)
-	w.use(o, 0)
-	if got := w.running(); got > w.limit() {
-		t.Fatalf("a start in %s lifts what runs to %d cores of %d; account %s", o.pool, got, w.limit(), w.value)
+	s.setUsage(o, 0)
+	if got := s.running(); got > s.maxLimit() {
+		t.Fatalf("a start in %s raises the running total to %d cores, want at most %d; account %s", o.pool, got, s.maxLimit(), s.value)
 	}
 	return true
 }
 
-// learn has an owner know the newest configuration.
-func (w *world) learn(o *owner) {
-	if o.next == nil {
+// learnPolicy makes an owner apply the newest configuration, if it has not yet.
+func (s *simulation) learnPolicy(o *owner) {
+	if o.nextPolicy == nil {
 		return
 	}
-	o.policy, o.next = o.next, nil
+	o.policy, o.nextPolicy = o.nextPolicy, nil
 	o.ledger.SetPolicy(o.policy)
 }
 
-// answer has the store carry out the oldest change of an owner, or not, and say so, or not.
-func (w *world) answer(t *rapid.T, o *owner) {
-	if len(o.flight) == 0 {
+// finishChange makes, delays or rejects the oldest change in flight of an owner, and tells the
+// owner the outcome, or that it is ambiguous.
+func (s *simulation) finishChange(t *rapid.T, o *owner) {
+	if len(o.inFlight) == 0 {
 		return
 	}
-	c := o.flight[0]
-	o.flight = o.flight[1:]
-	switch rapid.SampledFrom([]string{"answered", "answered", "lost", "refused", "late"}).Draw(t, "fate") {
-	case "answered":
-		if w.store(c) {
-			o.ledger.HandleOutcome(c, w.revision, quota.Committed)
+	c := o.inFlight[0]
+	o.inFlight = o.inFlight[1:]
+	switch rapid.SampledFrom([]string{"committed", "committed", "answer lost", "rejected", "delayed"}).Draw(t, "outcome") {
+	case "committed":
+		if s.commit(c) {
+			o.ledger.HandleOutcome(c, s.revision, quota.Committed)
 			return
 		}
-		_ = o.ledger.Apply(w.entries())
+		_ = o.ledger.Apply(s.entries())
 		o.ledger.HandleOutcome(c, 0, quota.NotCommitted)
-	case "lost":
-		w.store(c)
+	case "answer lost":
+		s.commit(c)
 		o.ledger.HandleOutcome(c, 0, quota.Ambiguous)
-	case "refused":
+	case "rejected":
 		o.ledger.HandleOutcome(c, 0, quota.NotCommitted)
-	case "late":
-		w.late = append(w.late, lateChange{o.pool, c})
+	case "delayed":
+		s.delayed = append(s.delayed, delayedChange{o.pool, c})
 		o.ledger.HandleOutcome(c, 0, quota.Ambiguous)
 	}
 }
 
-// settle has all owners learn, change and hear until nothing is left to do.
-func (w *world) settle() {
+// converge lets all owners learn the newest configuration, make their changes and read the
+// account until nothing is left to do.
+func (s *simulation) converge() {
 	for range 20 {
-		w.now = w.now.Add(300 * time.Millisecond)
-		for _, o := range w.owners {
-			w.learn(o)
-			for _, c := range o.ledger.Changes(w.now, 8) {
-				if w.store(c) {
-					o.ledger.HandleOutcome(c, w.revision, quota.Committed)
+		s.now = s.now.Add(300 * time.Millisecond)
+		for _, o := range s.owners {
+			s.learnPolicy(o)
+			for _, c := range o.ledger.Changes(s.now, 8) {
+				if s.commit(c) {
+					o.ledger.HandleOutcome(c, s.revision, quota.Committed)
 					continue
 				}
-				_ = o.ledger.Apply(w.entries())
+				_ = o.ledger.Apply(s.entries())
 				o.ledger.HandleOutcome(c, 0, quota.NotCommitted)
 			}
 		}
-		for _, o := range w.owners {
-			_ = o.ledger.Apply(w.entries())
+		for _, o := range s.owners {
+			_ = o.ledger.Apply(s.entries())
 		}
 	}
 }
 
-// A customer whose work comes to one pool of three gets most of its cap there, gives it back
-// when it has gone, and one that stays within its even parts stores nothing.
-func TestCapFollowsTheWork(t *testing.T) {
-	w := newWorld(120)
-	for _, o := range w.owners {
+// TestCapFollowsDemand checks that a customer within its even parts stores nothing, that one
+// whose tasks are all in one pool of three can use most of its cap there, and that the pool
+// returns it when the tasks have moved to another pool.
+func TestCapFollowsDemand(t *testing.T) {
+	s := newSimulation(120)
+	for _, o := range s.owners {
 		o.runs = []int64{8}
-		w.use(o, 0)
+		s.setUsage(o, 0)
 	}
-	w.settle()
-	if w.revision != 0 {
-		t.Errorf("%s was stored for a customer within its even parts", w.value)
+	s.converge()
+	if s.revision != 0 {
+		t.Errorf("%s was stored for a customer within its even parts, want nothing", s.value)
 	}
-	busy := w.owners[0]
-	w.use(busy, 200)
-	w.settle()
+	busy := s.owners[0]
+	s.setUsage(busy, 200)
+	s.converge()
 	if got := busy.ledger.Allowed()[name].CPUMilli; got != 100_000 {
-		t.Errorf("the pool with the work may use %d thousandths of 120 cores, want 100,000: all but the even parts of two", got)
+		t.Errorf("the pool with the demand may use %d millicores of 120 cores, want 100,000: all but the even parts of the other two", got)
 	}
-	w.use(busy, 0)
-	other := w.owners[1]
-	w.use(other, 200)
-	w.settle()
+	s.setUsage(busy, 0)
+	other := s.owners[1]
+	s.setUsage(other, 200)
+	s.converge()
 	if got := other.ledger.Allowed()[name].CPUMilli; got < 99_000 {
-		t.Errorf("the pool to which the work has moved may use %d thousandths, want nearly 100,000", got)
+		t.Errorf("the pool to which the demand has moved may use %d millicores, want at least 99,000", got)
 	}
 }
 
-// While more runs than a lowered cap allows, nothing starts anywhere; once enough has ended,
-// all may go on.
+// TestLoweredCap lowers a cap below what is running. Nothing may start in any pool until enough
+// tasks have ended; after that all pools may start tasks again.
 func TestLoweredCap(t *testing.T) {
-	w := newWorld(120)
-	for _, o := range w.owners {
+	s := newSimulation(120)
+	for _, o := range s.owners {
 		for range 4 {
 			o.runs = append(o.runs, 8)
 		}
-		w.use(o, 8)
+		s.setUsage(o, 8)
 	}
-	w.settle()
-	for _, o := range w.owners {
-		o.next = quota.NewPolicy(o.policy, directory(cores(40)), poolNames, 2)
+	s.converge()
+	for _, o := range s.owners {
+		o.nextPolicy = quota.NewPolicy(o.policy, directory(cores(40)), poolNames, 2)
 	}
-	w.settle()
-	for _, o := range w.owners {
+	s.converge()
+	for _, o := range s.owners {
 		if got := o.ledger.Allowed()[name].CPUMilli; got != 0 {
-			t.Errorf("pool %s may use %d thousandths while 96 cores run of 40", o.pool, got)
+			t.Errorf("pool %s may use %d millicores while 96 cores of 40 are running, want 0", o.pool, got)
 		}
 	}
-	for _, o := range w.owners {
+	for _, o := range s.owners {
 		o.runs = o.runs[:1]
-		w.use(o, 0)
+		s.setUsage(o, 0)
 	}
-	w.settle()
-	for _, o := range w.owners {
+	s.converge()
+	for _, o := range s.owners {
 		if got := o.ledger.Allowed()[name].CPUMilli; got < 8_000 {
-			t.Errorf("pool %s may use %d thousandths although 24 cores run of 40", o.pool, got)
+			t.Errorf("pool %s may use %d millicores while 24 cores of 40 are running, want at least 8,000", o.pool, got)
 		}
 	}
 }
 
-// What cannot be read as an account is none, and ends in no panic.
+// FuzzAccount checks that no stored value makes the ledger panic or allow more than the cap or
+// less than nothing. A value that cannot be decoded counts as no account.
 func FuzzAccount(f *testing.F) {
 	f.Add([]byte(`{"rows":{"shift":{"v":1,"held":{"cpuMilli":1,"memoryMiB":2,"accelerators":0}}}}`))
 	f.Add([]byte(`{"rows":{"shift":{"v":1,"held":{"cpuMilli":-1}}}}`))
@@ -341,7 +346,7 @@
 		l.SetPolicy(quota.NewPolicy(nil, directory(cores(8)), poolNames, 1))
 		_ = l.Reset([]pointport.Entry{pointport.NewEntry(quota.Key(name), value, 1)})
 		if got := l.Allowed()[name].CPUMilli; got < 0 || got > 8_000 {
-			t.Errorf("account %s allows %d thousandths of 8 cores", value, got)
+			t.Errorf("account %s allows %d millicores of 8 cores", value, got)
 		}
 	})
 }
