--- a/customer/customer_test.go
+++ b/customer/customer_test.go
@@ -11,7 +11,8 @@
 	"github.com/pointport/pointport/customer"
 )
 
-// A directory finds a key's owner exactly if the key is one of its customers'.
+// TestIdentify checks on random directories that every key is found as its customer's, and
+// that other keys are not found.
 func TestIdentify(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		keys := rapid.SliceOfDistinct(rapid.StringMatching("[a-z0-9]{20}"), rapid.ID[string]).Draw(t, "keys")
@@ -32,18 +33,19 @@
 		d := customer.NewDirectory(all)
 		for k, want := range owners {
 			if got, ok := d.Identify(customer.DigestOf(k)); !ok || got.Name != want {
-				t.Fatalf("key of %s is found as %v", want, got)
+				t.Fatalf("a key of %s is found as one of %v", want, got)
 			}
 		}
-		stranger := rapid.StringMatching("[a-z0-9]{0,22}").Draw(t, "stranger")
-		if got, ok := d.Identify(customer.DigestOf(stranger)); ok != (owners[stranger] != "") {
-			t.Fatalf("%q is found as %v", stranger, got)
+		other := rapid.StringMatching("[a-z0-9]{0,22}").Draw(t, "other")
+		if got, ok := d.Identify(customer.DigestOf(other)); ok != (owners[other] != "") {
+			t.Fatalf("key %q is found as one of %v", other, got)
 		}
 	})
 }
 
-// No format of a customer, a directory or a caller shows more of a key than its
-// fingerprint, and what is stored holds the digest alone.
+// TestKeysAreNotShown checks that formatting a digest, a customer or a caller prints only the
+// key's fingerprint, that a stored directory doesn't contain the key, and that it still finds
+// the key when it is read back.
 func TestKeysAreNotShown(t *testing.T) {
 	const key = "pqk8bdk9eevyxq2yyaza"
 	digest := customer.DigestOf(key)
@@ -67,7 +69,8 @@
 	}
 }
 
-// A newer configuration has the last word on a key, an older one says nothing.
+// TestRevoked checks that only a configuration newer than the one in which a key was found can
+// revoke it: by removing the key or by assigning it to another customer.
 func TestRevoked(t *testing.T) {
 	digest := customer.DigestOf("a")
 	with := customer.NewDirectory([]customer.Customer{{Name: "bistro", Keys: []customer.Digest{digest}}})
@@ -81,9 +84,9 @@
 		version int64
 		want    bool
 	}{
-		{"newer, still there", caller, with, 6, false},
-		{"newer, taken away", caller, without, 6, true},
-		{"newer, given to another", caller, moved, 6, true},
+		{"newer, unchanged", caller, with, 6, false},
+		{"newer, removed", caller, without, 6, true},
+		{"newer, moved to another customer", caller, moved, 6, true},
 		{"same", caller, without, 5, false},
 		{"older", caller, without, 4, false},
 		{"no key", customer.Caller{}, without, 6, false},
@@ -95,7 +98,8 @@
 	}
 }
 
-// What a digest is read from never ends in a panic, and a digest is read as it was written.
+// FuzzDigest checks that no text makes UnmarshalText panic, and that a text that it accepts is
+// also what MarshalText returns, except for the case of letters.
 func FuzzDigest(f *testing.F) {
 	f.Add("")
 	f.Add(strings.Repeat("0", 64))
@@ -106,13 +110,13 @@
 		}
 		again, err := d.MarshalText()
 		if err != nil || !strings.EqualFold(string(again), text) {
-			t.Errorf("%q is written as %q, %v", text, again, err)
+			t.Errorf("%q is marshaled as %q, %v", text, again, err)
 		}
 	})
 }
 
-// BenchmarkIdentify: a look-up takes 35, 43 and 37 ns with 20, 2,000 and 20,000 keys (one
-// run). There was none before.
+// BenchmarkIdentify measures a lookup in directories of several sizes. It should hardly depend
+// on the size: it takes 35, 43 and 37 ns with 20, 2,000 and 20,000 keys (one run).
 func BenchmarkIdentify(b *testing.B) {
 	for _, keys := range []int{20, 2000, 20000} {
 		b.Run(fmt.Sprint(keys), func(b *testing.B) {
--- a/customer/directory.go
+++ b/customer/directory.go
@@ -8,37 +8,37 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines the customers of one version of the configuration.
-
-// A Customer is one of those whose requests are served. Its fields are exported because a
-// codec reads and writes them; a Customer is not changed once it is in a Directory.
+// A Customer is an entry of a Directory, in which it must not be changed. Its fields are
+// exported because a codec reads and writes them.
 type Customer struct {
 	Name string   `json:"name"`
 	Keys []Digest `json:"keys,omitempty"`
-	// Weight is the customer's share of what there is while all is full, beside the
-	// weights of others.
+	// Weight is the customer's share of a saturated resource, relative to the weights of
+	// the other customers.
 	Weight float64 `json:"weight,omitempty"`
-	// Cap is what the customer's tasks may take in all pools together; a zero is no
-	// bound.
+	// Cap is what the customer's running tasks may take in all pools together; zero means
+	// no bound.
 	Cap pointport.Shape `json:"cap,omitzero"`
 }
 
-// CapAllows reports whether the cap allows as much at once.
+// CapAllows reports whether need alone fits into the cap.
 func (c *Customer) CapAllows(need pointport.Shape) bool {
 	within := func(limit, need int64) bool { return limit == 0 || need <= limit }
 	return within(c.Cap.CPUMilli, need.CPUMilli) && within(c.Cap.MemoryMiB, need.MemoryMiB) && within(c.Cap.Accelerators, need.Accelerators)
 }
 
-// A Directory holds customers. A nil Directory holds none.
+// A Directory holds the customers of one version of the configuration. A nil Directory
+// holds none.
 type Directory struct {
 	all    []Customer
 	byName map[string]*Customer
-	// byKey holds keys by the first bytes of their digest, so that what is compared with a
-	// caller's key is compared in constant time.
+	// byKey holds keys by the first bytes of their digests. Only the few keys with the same
+	// prefix are compared with a caller's key, so that each comparison can take constant
+	// time.
 	byKey map[uint64][]keyOwner
 }
 
-// keyOwner is a key and whose it is.
+// keyOwner is a key and the customer that it belongs to.
 type keyOwner struct {
 	key   Digest
 	owner *Customer
@@ -57,9 +57,10 @@
 	return d
 }
 
+// digestPrefix returns the first bytes of a digest, the key of byKey.
 func digestPrefix(d Digest) uint64 { return binary.LittleEndian.Uint64(d[:]) }
 
-// Identify returns the customer that a key belongs to; false if it is nobody's.
+// Identify returns the customer that a key belongs to; false if there is none.
 func (d *Directory) Identify(key Digest) (*Customer, bool) {
 	if d == nil {
 		return nil, false
@@ -73,7 +74,7 @@
 	return found, found != nil
 }
 
-// Find returns the customer of a name; false if there is none.
+// Find returns the customer with the given name; false if there is none.
 func (d *Directory) Find(name string) (*Customer, bool) {
 	if d == nil {
 		return nil, false
@@ -82,7 +83,8 @@
 	return c, ok
 }
 
-// All returns the customers in the order of the configuration. They must not be changed.
+// All returns the customers in the order of the configuration. The slice must not be
+// changed.
 func (d *Directory) All() []Customer {
 	if d == nil {
 		return nil
@@ -90,13 +92,13 @@
 	return d.all
 }
 
-// Len returns how many customers there are.
+// Len returns the number of customers.
 func (d *Directory) Len() int { return len(d.All()) }
 
-// MarshalJSON returns the customers as a list.
+// MarshalJSON returns the customers as a JSON array.
 func (d *Directory) MarshalJSON() ([]byte, error) { return json.Marshal(d.All()) }
 
-// UnmarshalJSON reads a list of customers.
+// UnmarshalJSON replaces the directory by one of the customers in a JSON array.
 func (d *Directory) UnmarshalJSON(data []byte) error {
 	var all []Customer
 	if err := json.Unmarshal(data, &all); err != nil {
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -254,7 +254,7 @@
 }
 
 // converge lets all owners learn the newest configuration, make their changes and read the
-// account until nothing is left to do.
+// account, for as many rounds as it takes until nothing is left to do.
 func (s *simulation) converge() {
 	for range 20 {
 		s.now = s.now.Add(300 * time.Millisecond)
--- a/share/share.go
+++ b/share/share.go
@@ -1,26 +1,28 @@
-// Package share divides an upstream's connections among the entry instances
-// that use it.
+// Package share divides the connections of upstreams among the entry instances
+// that use them.
 //
-// The model: an upstream accepts a fixed number of connections from all entry
-// instances together. Most of them are fixed shares, which no one has to ask
-// for. The rest is elastic: an entry instance that needs more leases some of it
-// for all upstreams of an availability zone, in one value of the store.
+// An upstream accepts a limited number of connections from all entry instances
+// together. Most of them are divided into fixed shares, which an entry instance
+// may use without asking. The rest is elastic: an entry instance that needs more
+// leases a part of it, which holds for all upstreams of an availability zone. The
+// leases of a zone are stored in one value.
 //
 // Invariants:
 //
-//   - The fixed shares and the elastic part together are no more than what an
-//     upstream accepts. That is settings, checked once.
-//   - What the value grants never adds up to more than the elastic part, since
-//     every change of it is a compare-and-swap.
-//   - An entry instance uses a grant only until its lease lapses by its own
-//     clock, counted from before the write. It lowers its use before it gives a
-//     grant back.
-//   - Others take a lapsed grant only after they have seen it unchanged for
-//     longer than the lease and longer than any request that it may still serve.
+//   - The fixed shares and the elastic part together don't exceed what an upstream
+//     accepts. The settings guarantee that; it is checked once.
+//   - The grants in the value never add up to more than the elastic part, since
+//     every change of the value is a compare-and-swap.
+//   - An entry instance uses a grant only until its lease expires by its own
+//     clock, counted from before the write. It lowers its use before it returns a
+//     grant.
+//   - Other entry instances reuse an expired grant only after they have seen it
+//     unchanged for longer than the lease plus the longest request that may still
+//     run under it.
 //
-// So connections stay within the bound while members come, go, pause and are
-// cut off, without any agreement on time. An entry instance that is cut off
-// goes on with its fixed share.
+// So the number of connections stays within the limit while entry instances start,
+// stop, pause and lose their connection to the store, without synchronized clocks.
+// An entry instance that cannot reach the store continues with its fixed share.
 package share
 
 import (
@@ -35,34 +37,34 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines the value and the holder of a grant.
-
 const (
-	// DefaultTTL is how long a grant lasts unrenewed.
+	// DefaultTTL is the default lease duration of a grant.
 	DefaultTTL = 15 * time.Second
-	// RenewalsPerTTL is how often a grant is renewed within its time.
+	// RenewalsPerTTL is how often a grant is renewed within its lease duration.
 	RenewalsPerTTL = 3
-	// clockSkewFactor is how much slower another's clock may run than this one's.
+	// clockSkewFactor is how much slower the clock of another entry instance may run
+	// than this one's.
 	clockSkewFactor = 1.1
 )
 
-// grant is what one entry instance has of the elastic part.
+// grant is the part of the elastic connections that is leased to one entry instance.
 type grant struct {
 	Extra int `json:"extra"`
-	// Beat is the revision that the last renewal followed on, so that others see
-	// that the holder is alive. It never comes twice, also not after the grant
-	// was given back and made anew between two looks of another.
+	// Beat is the value's revision before the last renewal. It changes with each
+	// renewal and so shows others that the holder is alive. Since revisions never
+	// repeat, it also differs after the grant was returned and taken again between two
+	// reads by another entry instance.
 	Beat pointport.Revision `json:"beat"`
-	// Bound is how long a request of the holder may last, in nanoseconds.
+	// Bound is the longest duration of the holder's requests, in nanoseconds.
 	Bound time.Duration `json:"bound"`
 }
 
-// document is the stored value of one availability zone.
+// document is the stored value of one availability zone, with grants by holder.
 type document struct {
 	Grants map[string]grant `json:"grants"`
 }
 
-// observation is when another's grant was last seen to change.
+// observation is when the grant of another holder was last seen to change.
 type observation struct {
 	beat pointport.Revision
 	at   time.Time
@@ -71,8 +73,8 @@
 // Key returns the key of a zone's value.
 func Key(zone pointport.ZoneID) string { return "share." + string(zone) }
 
-// A Holder is one entry instance's part of a zone's connections. It is safe for
-// concurrent use; Round is called by one goroutine.
+// A Holder leases elastic connections of one zone for one entry instance. It is safe
+// for concurrent use, but Idle and Reconcile must be called by a single goroutine.
 type Holder struct {
 	store   pointport.Store
 	clock   pointport.Clock
@@ -83,28 +85,28 @@
 	used    func() int
 
 	others    map[string]observation
-	stored    int // what the value grants to this holder, as last read or written
-	ambiguous bool
+	stored    int  // this holder's grant as last read or written
+	ambiguous bool // whether the last write may have been made without an answer
 
 	mu             sync.Mutex
-	maxRequestTime time.Duration // how long a request may last
+	maxRequestTime time.Duration // longest duration of a request
 	limit          int
 	validUntil     time.Time
 }
 
-// An Option changes a Holder.
+// An Option configures a Holder.
 type Option func(*Holder)
 
-// WithTTL sets how long a grant lasts unrenewed.
+// WithTTL sets the lease duration of a grant.
 func WithTTL(d time.Duration) Option { return func(h *Holder) { h.ttl = d } }
 
-// WithMaxRequestTime sets how long a request may last. It must hold for all requests;
-// see SetBound.
+// WithMaxRequestTime sets the longest duration of a request; the default is one hour.
+// It must hold for all requests. See SetMaxRequestTime.
 func WithMaxRequestTime(d time.Duration) Option { return func(h *Holder) { h.maxRequestTime = d } }
 
-// New returns a holder called name, which no other process is called, of the
-// elastic part of zone. The function used returns how many elastic connections
-// the busiest upstream of the zone has from this entry instance now.
+// New returns a holder for the elastic part of zone. Its name must be unique among all
+// processes. The function used returns the current number of elastic connections from
+// this entry instance to the zone's busiest upstream.
 func New(store pointport.Store, clock pointport.Clock, zone pointport.ZoneID, name string, elastic int, used func() int, options ...Option) *Holder {
 	h := &Holder{
 		store: store, clock: clock, key: Key(zone), name: name, elastic: elastic, used: used,
@@ -116,8 +118,8 @@
 	return h
 }
 
-// ElasticLimit returns how many elastic connections this entry instance may have to
-// each upstream of the zone now.
+// ElasticLimit returns how many elastic connections this entry instance may now have
+// to each upstream of the zone.
 func (h *Holder) ElasticLimit() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -127,9 +129,9 @@
 	return h.limit
 }
 
-// SetMaxRequestTime changes how long a request may last. Before requests may last
-// longer, nothing elastic is used until the value says so. It may be called
-// while a round goes on.
+// SetMaxRequestTime changes the longest duration of a request. After an increase, no
+// elastic connection is used until the stored grant contains the new duration. It may
+// be called during Reconcile.
 func (h *Holder) SetMaxRequestTime(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -139,42 +141,45 @@
 	h.maxRequestTime = d
 }
 
-// lowerLimit lowers the limit if it is higher.
+// lowerLimit lowers the limit to at most limit.
 func (h *Holder) lowerLimit(limit int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.limit = min(h.limit, limit)
 }
 
-// applyGrant puts a grant in use that was written for requests of up to bound.
+// applyGrant starts the use of a grant that was stored for requests of at most bound.
 func (h *Holder) applyGrant(limit int, until time.Time, bound time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.validUntil = until
 	h.limit = limit
 	if h.maxRequestTime > bound {
-		h.limit = 0 // requests may last longer by now
+		h.limit = 0 // SetMaxRequestTime was called during the write
 	}
 }
 
+// requestTime returns the longest duration of a request.
 func (h *Holder) requestTime() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.maxRequestTime
 }
 
-// Idle reports whether the holder has nothing in the store and wants nothing,
-// so that a round would cost a read for no use.
+// Idle reports whether the holder has no grant in the store and wants none, so that
+// Reconcile has nothing to do and need not read the store.
 func (h *Holder) Idle(want int) bool { return want == 0 && h.stored == 0 && !h.ambiguous }
 
-// Reconcile asks for as much as want, renews what is held, and gives back what is
-// not wanted once it is not used.
+// Reconcile requests a grant of want connections, renews the grant that is held, and
+// returns what is not wanted once it is no longer used. Its errors come from the store
+// or from decoding the value. If another holder changes the value at the same time, it
+// returns nil and the next call tries again.
 func (h *Holder) Reconcile(ctx context.Context, want int) error {
 	if h.Idle(want) {
 		return nil
 	}
 	h.lowerLimit(want)
-	from := h.clock.Steady()
+	start := h.clock.Steady()
 	e, err := h.store.Get(ctx, h.key)
 	if err != nil {
 		return err
@@ -189,9 +194,10 @@
 	if next == 0 && h.stored == 0 {
 		return nil
 	}
-	return h.write(ctx, e, doc, next, from)
+	return h.write(ctx, e, doc, next, start)
 }
 
+// decode returns the document of an entry.
 func decode(e pointport.Entry) (document, error) {
 	doc := document{}
 	if e.Exists() {
@@ -205,7 +211,7 @@
 	return doc, nil
 }
 
-// observeOthers notes which of the others' grants have changed.
+// observeOthers records which grants of other holders have changed.
 func (h *Holder) observeOthers(doc document) {
 	now := h.clock.Now()
 	for name, g := range doc.Grants {
@@ -219,13 +225,13 @@
 	})
 }
 
-// expired reports whether another's grant cannot be in use any more.
+// expired reports whether the grant of another holder can no longer be in use.
 func (h *Holder) expired(name string, g grant) bool {
 	unchanged := h.clock.Now().Sub(h.others[name].at)
 	return unchanged > time.Duration(clockSkewFactor*float64(h.ttl+g.Bound))
 }
 
-// nextGrant returns what this holder should be granted: as much as it wants and is
+// nextGrant returns the size of this holder's next grant: as much as it wants and is
 // free, but no less than it still uses.
 func (h *Holder) nextGrant(doc document, want int) int {
 	free := h.elastic
@@ -235,12 +241,13 @@
 		}
 	}
 	next := min(want, max(0, free))
-	// What is used may exceed the limit until requests end. It can only be
-	// kept from what was granted before.
+	// Until requests end, more may be in use than the limit allows. Such use is
+	// covered only by the previous grant, so no more than that is kept.
 	return max(next, min(h.used(), h.stored))
 }
 
-func (h *Holder) write(ctx context.Context, e pointport.Entry, doc document, next int, from time.Time) error {
+// write stores the next grant, without the expired grants of others, and applies it.
+func (h *Holder) write(ctx context.Context, e pointport.Entry, doc document, next int, start time.Time) error {
 	maps.DeleteFunc(doc.Grants, func(name string, g grant) bool { return name != h.name && h.expired(name, g) })
 	bound := h.requestTime()
 	if next == 0 {
@@ -252,17 +259,18 @@
 	if err != nil {
 		return err
 	}
-	// Until the answer is here, no more is used than either state allows.
+	// Until the result is known, use no more than both the old and the new grant
+	// allow.
 	h.lowerLimit(next)
 	_, err = h.store.CompareAndSwap(ctx, h.key, e.Revision(), data)
 	var conflict *pointport.ConflictError
 	switch {
 	case err == nil:
 		h.stored = next
-		h.applyGrant(next, from.Add(h.ttl), bound)
+		h.applyGrant(next, start.Add(h.ttl), bound)
 		return nil
 	case errors.As(err, &conflict):
-		return nil // the next round reads again
+		return nil // the next call reads the value again
 	}
 	h.ambiguous = true
 	return err
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -28,9 +28,9 @@
 	want   int
 }
 
-// use opens as many connections as allowed, each for a request of length d, and
-// closes those whose request has ended unless they are used again.
-func (m *member) use(d time.Duration) {
+// use closes the connections whose request has ended and opens as many as wanted and
+// allowed, each for a request of duration d.
+func (m *member) use(duration time.Duration) {
 	var open []time.Time
 	for _, end := range m.conns {
 		if end.After(m.now()) {
@@ -38,7 +38,7 @@
 		}
 	}
 	for len(open) < min(m.want, m.holder.ElasticLimit()) {
-		open = append(open, m.now().Add(d))
+		open = append(open, m.now().Add(duration))
 	}
 	m.conns = open
 }
@@ -59,9 +59,10 @@
 	return m
 }
 
-// TestNeverMoreThanElastic runs entry instances that come, go for ever, pause
-// and lose answers, and adds up the connections that are open at any moment.
-func TestNeverMoreThanElastic(t *testing.T) {
+// TestOpenConnectionsStayWithinElasticPart runs random sequences in which entry instances
+// start, stop for ever, pause, and get errors or no answers from the store. The sum of
+// their open elastic connections must never exceed the elastic part.
+func TestOpenConnectionsStayWithinElasticPart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := clock.NewFake(time.Unix(0, 0))
 		fault := memory.FaultNone
@@ -90,9 +91,10 @@
 	})
 }
 
-// TestOneTakesAll lets one entry instance have what nobody else wants, and
-// gives it back for another.
-func TestOneTakesAll(t *testing.T) {
+// TestWholeElasticPartMovesBetweenHolders lets one entry instance hold the whole elastic
+// part. Another one must get none of it until the first returns it, and an entry instance
+// that needs nothing must not write to the store.
+func TestWholeElasticPartMovesBetweenHolders(t *testing.T) {
 	c := clock.NewFake(time.Unix(0, 0))
 	store := memory.New(c)
 	a, b := newMember(store, c, "a"), newMember(store, c, "b")
@@ -106,23 +108,25 @@
 		t.Errorf("a got %d, want all %d", got, elastic)
 	}
 	if got := round(b, 8); got != 0 {
-		t.Errorf("b got %d while a has all", got)
+		t.Errorf("b got %d while a holds all, want none", got)
 	}
 	round(a, 0)
 	if got := round(b, 8); got != 8 {
-		t.Errorf("b got %d after a gave back, want 8", got)
+		t.Errorf("b got %d after a returned its grant, want 8", got)
 	}
 	writes := store.Counts().Writes
 	for range 10 {
 		round(a, 0)
 	}
 	if n := store.Counts().Writes - writes; n != 0 {
-		t.Errorf("an entry instance that needs nothing wrote %d times", n)
+		t.Errorf("an entry instance that needs nothing wrote %d times, want none", n)
 	}
 }
 
-// TestGivesBackOnlyWhatIsUnused keeps a grant while requests still use it.
-func TestGivesBackOnlyWhatIsUnused(t *testing.T) {
+// TestGrantInUseIsNotReturned checks that a grant is kept while requests still use it,
+// although it is no longer wanted. Otherwise another entry instance would use the same
+// connections.
+func TestGrantInUseIsNotReturned(t *testing.T) {
 	c := clock.NewFake(time.Unix(0, 0))
 	store := memory.New(c)
 	a, b := newMember(store, c, "a"), newMember(store, c, "b")
@@ -138,13 +142,14 @@
 		t.Fatal(err)
 	}
 	if got := b.holder.ElasticLimit(); got != 0 {
-		t.Errorf("b got %d while a's requests go on", got)
+		t.Errorf("b got %d while a's requests still run, want none", got)
 	}
 }
 
-// TestLapse lets a holder be cut off. It must stop by itself, and others must
-// get its part, but only once its last request must have ended.
-func TestLapse(t *testing.T) {
+// TestGrantExpires stops the renewals of a holder, as when it can't reach the store. It must
+// stop using its grant by itself when the lease ends. Another holder must get the grant, but
+// only after every request that the first one may have sent has ended.
+func TestGrantExpires(t *testing.T) {
 	c := clock.NewFake(time.Unix(0, 0))
 	store := memory.New(c)
 	a, b := newMember(store, c, "a"), newMember(store, c, "b")
@@ -163,17 +168,18 @@
 		c.Advance(5 * time.Second)
 	}
 	if got[ttl+bound] != 0 {
-		t.Errorf("b took a's grant after %v", ttl+bound)
+		t.Errorf("b got a's grant after %v, while a's requests may still run", ttl+bound)
 	}
 	if got[ttl+bound+10*time.Second] != elastic {
-		t.Errorf("b has %d long after a lapsed, want %d", got[ttl+bound+10*time.Second], elastic)
+		t.Errorf("b has %d long after a's grant expired, want %d", got[ttl+bound+10*time.Second], elastic)
 	}
 }
 
-// TestGivenBackAndTakenAgain gives a grant back and takes it anew between two
-// looks of another, which must not take it for one that was unchanged all the
-// time. (A count of renewals, which began anew, once let that happen.)
-func TestGivenBackAndTakenAgain(t *testing.T) {
+// TestGrantReturnedAndTakenAgain returns a grant and takes it again between two reads by
+// another holder. That holder must not mistake it for an unchanged grant, which would count
+// as expired. This would happen if Beat were a count of renewals, which restarts with a new
+// grant.
+func TestGrantReturnedAndTakenAgain(t *testing.T) {
 	c := clock.NewFake(time.Unix(0, 0))
 	store := memory.New(c)
 	a, b := newMember(store, c, "a"), newMember(store, c, "b")
@@ -183,7 +189,7 @@
 		}
 	}
 	round(a, elastic)
-	round(b, elastic) // sees a's first grant
+	round(b, elastic) // observes a's first grant
 	round(a, 0)
 	c.Advance(2 * (ttl + bound))
 	round(a, elastic)
@@ -193,9 +199,10 @@
 	}
 }
 
-// TestLongerRequests keeps a holder from using its grant for requests that last
-// longer than the value says.
-func TestLongerRequests(t *testing.T) {
+// TestLongerRequestsNeedNewGrant raises the longest request duration. The holder must not use
+// its grant until the stored value contains the new duration: others would reuse the grant
+// while its longer requests still run.
+func TestLongerRequestsNeedNewGrant(t *testing.T) {
 	c := clock.NewFake(time.Unix(0, 0))
 	m := newMember(memory.New(c), c, "a")
 	if err := m.holder.Reconcile(t.Context(), elastic); err != nil {
@@ -203,12 +210,12 @@
 	}
 	m.holder.SetMaxRequestTime(2 * bound)
 	if got := m.holder.ElasticLimit(); got != 0 {
-		t.Errorf("%d connections are used before the value says how long", got)
+		t.Errorf("%d connections are allowed before the value contains the new duration, want none", got)
 	}
 	if err := m.holder.Reconcile(t.Context(), elastic); err != nil {
 		t.Fatal(err)
 	}
 	if got := m.holder.ElasticLimit(); got != elastic {
-		t.Errorf("got %d back, want %d", got, elastic)
+		t.Errorf("got %d after renewal, want %d", got, elastic)
 	}
 }
