--- a/assign/decide.go
+++ b/assign/decide.go
@@ -58,8 +58,8 @@
 	Share func(t *config.Template) int
 }
 
-// A decision holds the inputs of a decision, the state as its steps so far leave
-// it, and those steps.
+// A decision collects the steps of one change. Its members and byPool reflect the
+// steps so far; its waves and pools hold only those that change.
 type decision struct {
 	in        *Input
 	listed    map[pointport.InstanceID]pointport.Instance
--- a/assign/observe.go
+++ b/assign/observe.go
@@ -98,7 +98,7 @@
 }
 
 // observeDraining moves a draining member on once it is idle: out of its pool, or to
-// its reboot. A restart by itself counts as maintenance.
+// its reboot. If it restarts by itself meanwhile, that counts as maintenance.
 func (d *decision) observeDraining(m Member, i pointport.Instance) {
 	b := d.bounds(m)
 	idle := d.in.IdleFor[m.ID] >= b.DrainQuiet.D()
@@ -119,8 +119,8 @@
 	}
 }
 
-// abandonDrain returns an instance that does not become idle to service and makes
-// its wave skip it.
+// abandonDrain ends the drain of an instance that doesn't become idle: it returns to
+// service, and its wave skips it.
 func (d *decision) abandonDrain(m Member, b config.Maintenance) {
 	if m.Wave != "" {
 		d.countWave(m.Wave, func(w *Wave) { w.PassedCount++ })
--- a/dispatch/service.go
+++ b/dispatch/service.go
@@ -190,7 +190,7 @@
 }
 
 // SaturatedAt returns when a request last found no upstream with free capacity, or
-// found others already waiting; zero if none has.
+// found others already waiting; the zero time if none has.
 func (s *Service) SaturatedAt() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/dispatch/upstream.go
+++ b/dispatch/upstream.go
@@ -51,7 +51,7 @@
 	baselineLatency time.Duration // latency without a queue at the upstream
 	failuresInRow   int           // reset by a success or an ejection
 	ejectionsInRow  int           // reset by a success
-	ejectedUntil    time.Time     // zero after a success or before any ejection
+	ejectedUntil    time.Time     // end of the last ejection; zero if there was none or a request succeeded since
 	served          int64
 	failed          int64
 	refused         int64
@@ -148,7 +148,7 @@
 }
 
 // eject ejects the upstream and returns for how long. The duration starts at first
-// and doubles with each ejection in a row.
+// and doubles with each ejection in a row, up to maxEjection.
 func (u *upstream) eject(now time.Time, first time.Duration) time.Duration {
 	duration := min(first<<min(u.ejectionsInRow, 16), maxEjection)
 	u.ejectionsInRow++
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -114,7 +114,8 @@
 	return h.loweredVersion == 0 || h.account.reportedBy(h.loweredVersion, l.policy.pools)
 }
 
-// Reset replaces all accounts by entries. It returns an *AccountError for the first account
+// Reset replaces all accounts by entries, except that a missing account is kept while a
+// change of it is in flight. It returns an *AccountError for the first account
 // that cannot be decoded, if any. Such an account counts as empty, since no owner can use
 // what it held.
 func (l *Ledger) Reset(entries []pointport.Entry) error {
--- a/share/share.go
+++ b/share/share.go
@@ -64,7 +64,8 @@
 	Grants map[string]grant `json:"grants"`
 }
 
-// observation is when the grant of another holder was last seen to change.
+// observation is the last change seen in the grant of another holder, and when it was
+// seen.
 type observation struct {
 	beat pointport.Revision
 	at   time.Time
@@ -91,7 +92,7 @@
 	mu             sync.Mutex
 	maxRequestTime time.Duration // longest duration of a request
 	limit          int
-	validUntil     time.Time
+	validUntil     time.Time // by the clock's Steady time
 }
 
 // An Option configures a Holder.
