--- a/assign/decide.go
+++ b/assign/decide.go
@@ -58,12 +58,12 @@
 	Share func(t *config.Template) int
 }
 
-// A decision collects the steps of one change. Its members and byPool reflect the
+// A decision collects the steps of one change. Its byID and byPool reflect the
 // steps so far; its waves and pools hold only those that change.
 type decision struct {
 	in        *Input
 	listed    map[pointport.InstanceID]pointport.Instance
-	members   map[pointport.InstanceID]Member
+	byID      map[pointport.InstanceID]Member
 	ids       []pointport.InstanceID
 	steps     []Step
 	stepIndex map[pointport.InstanceID]int
@@ -95,7 +95,7 @@
 	d := &decision{
 		in:        in,
 		listed:    make(map[pointport.InstanceID]pointport.Instance, len(in.Listed)),
-		members:   make(map[pointport.InstanceID]Member, len(in.State.members)),
+		byID:      make(map[pointport.InstanceID]Member, len(in.State.members)),
 		stepIndex: make(map[pointport.InstanceID]int),
 		waves:     make(map[string]Wave),
 		pools:     make(map[string]Pool),
@@ -106,12 +106,12 @@
 		d.listed[i.ID] = i
 	}
 	for id, m := range in.State.members {
-		d.members[id] = m
+		d.byID[id] = m
 		d.ids = append(d.ids, id)
 	}
 	sort.Slice(d.ids, func(a, b int) bool { return d.ids[a] < d.ids[b] })
 	for _, id := range d.ids {
-		m := d.members[id]
+		m := d.byID[id]
 		d.byPool[m.Pool] = append(d.byPool[m.Pool], m)
 	}
 	for _, t := range in.Templates {
@@ -137,11 +137,11 @@
 // merged into its first.
 func (d *decision) update(m Member, format string, args ...any) {
 	reason := fmt.Sprintf(format, args...)
-	before, known := d.members[m.ID]
+	before, known := d.byID[m.ID]
 	if m.Phase != before.Phase || !known {
 		m.Since = d.in.Now
 	}
-	d.members[m.ID] = m
+	d.byID[m.ID] = m
 	if known {
 		d.removeFromPool(before)
 	}
@@ -160,9 +160,9 @@
 
 // remove adds a step that removes a member.
 func (d *decision) remove(id pointport.InstanceID, reason string) {
-	d.steps = append(d.steps, Step{Instance: id, From: phaseAndPool(d.members[id]), Reason: reason})
-	d.removeFromPool(d.members[id])
-	delete(d.members, id)
+	d.steps = append(d.steps, Step{Instance: id, From: phaseAndPool(d.byID[id]), Reason: reason})
+	d.removeFromPool(d.byID[id])
+	delete(d.byID, id)
 }
 
 // phaseAndPool returns a member's phase and pool as text, for example "serving in
@@ -188,7 +188,7 @@
 		if d.full() {
 			return
 		}
-		if m, ok := d.members[id]; ok {
+		if m, ok := d.byID[id]; ok {
 			do(m)
 		}
 	}
--- a/assign/observe.go
+++ b/assign/observe.go
@@ -27,7 +27,7 @@
 // members.
 func (d *decision) addNewInstances() {
 	for _, i := range d.in.Listed {
-		if _, known := d.members[i.ID]; known || i.State != pointport.InstanceLive || d.full() {
+		if _, known := d.byID[i.ID]; known || i.State != pointport.InstanceLive || d.full() {
 			continue
 		}
 		d.update(Member{
--- a/dispatch/service.go
+++ b/dispatch/service.go
@@ -34,7 +34,7 @@
 	// requiredTimeFactor times the mean latency is the time that a request must have
 	// left before its deadline when it is sent.
 	requiredTimeFactor = 2
-	// minRetryAfter is the least RetryAfter after a forecast wait.
+	// minRetryAfter is the least RetryAfter after an expected wait.
 	minRetryAfter = time.Second
 )
 
@@ -102,16 +102,16 @@
 	share   func(pointport.ZoneID) int
 	logger  *slog.Logger
 
-	mu                  sync.Mutex
-	template            *config.Template
-	byID                map[pointport.InstanceID]*upstream
-	ownZone, otherZones []*upstream
-	waiting             queue.Fair[*waiter]
-	latency             time.Duration
-	retryBudget         float64
-	capacity            float64
-	capacityAt          time.Time
-	saturatedAt         time.Time // see SaturatedAt
+	mu                   sync.Mutex
+	template             *config.Template
+	byID                 map[pointport.InstanceID]*upstream
+	sameZone, otherZones []*upstream
+	waiting              queue.Fair[*waiter]
+	latency              time.Duration
+	retryBudget          float64
+	capacity             float64
+	capacityAt           time.Time
+	saturatedAt          time.Time // see SaturatedAt
 }
 
 // A waiter is a request in the queue.
@@ -164,7 +164,7 @@
 	s.template = template
 	old := s.byID
 	s.byID = make(map[pointport.InstanceID]*upstream, len(targets))
-	s.ownZone, s.otherZones = nil, nil
+	s.sameZone, s.otherZones = nil, nil
 	for _, t := range targets {
 		s.add(old[t.Instance.ID], t)
 	}
@@ -183,7 +183,7 @@
 	u.evacuated = t.Evacuated
 	s.byID[t.Instance.ID] = u
 	if u.ownZone {
-		s.ownZone = append(s.ownZone, u)
+		s.sameZone = append(s.sameZone, u)
 		return
 	}
 	s.otherZones = append(s.otherZones, u)
@@ -240,17 +240,17 @@
 	if !s.usable() {
 		return 0, &RefusedError{s.name, ReasonNoUpstream, retryAfterNoUpstream}
 	}
-	forecast := s.forecastWait(r)
-	if s.clock.Now().Add(forecast + s.requiredTime()).After(r.Deadline) {
-		return forecast, &RefusedError{s.name, ReasonTooLate, retryAfter(forecast)}
+	expectedWait := s.expectedWait(r)
+	if s.clock.Now().Add(expectedWait + s.requiredTime()).After(r.Deadline) {
+		return expectedWait, &RefusedError{s.name, ReasonTooLate, retryAfter(expectedWait)}
 	}
-	return forecast, nil
+	return expectedWait, nil
 }
 
 // admit returns an error if r may not wait in the queue. If the queue is full, it may
 // evict another request for r.
 func (s *Service) admit(r Request) error {
-	forecast, err := s.checkFeasible(r)
+	expectedWait, err := s.checkFeasible(r)
 	if err != nil {
 		return err
 	}
@@ -261,10 +261,10 @@
 	// of a customer that uses less than its share.
 	last := s.waiting.Last()
 	if !s.waiting.Before(r.Priority, r.Customer, last) {
-		return &RefusedError{s.name, ReasonQueueFull, retryAfter(forecast)}
+		return &RefusedError{s.name, ReasonQueueFull, retryAfter(expectedWait)}
 	}
 	s.waiting.Remove(last)
-	last.Value().result <- result{err: &RefusedError{s.name, ReasonQueueFull, retryAfter(forecast)}}
+	last.Value().result <- result{err: &RefusedError{s.name, ReasonQueueFull, retryAfter(expectedWait)}}
 	return nil
 }
 
@@ -275,8 +275,8 @@
 // retryAfter returns how long a caller should wait after a refusal: until the
 // requests that wait now are served, with random jitter of up to half as much again so
 // that callers don't retry at the same time.
-func retryAfter(forecast time.Duration) time.Duration {
-	d := max(forecast, minRetryAfter)
+func retryAfter(expectedWait time.Duration) time.Duration {
+	d := max(expectedWait, minRetryAfter)
 	return d + time.Duration(rand.Int64N(int64(d)/2+1))
 }
 
@@ -290,8 +290,8 @@
 	return false
 }
 
-// forecastWait returns how long a new request would wait; zero while that is unknown.
-func (s *Service) forecastWait(r Request) time.Duration {
+// expectedWait returns how long a new request would wait; zero while that is unknown.
+func (s *Service) expectedWait(r Request) time.Duration {
 	now := s.clock.Now()
 	if now.Sub(s.capacityAt) >= maxCapacityAge {
 		s.capacity, s.capacityAt = s.computeCapacity(now), now
@@ -324,7 +324,7 @@
 	}
 	s.mu.Lock()
 	if s.waiting.Remove(item) {
-		err := &RefusedError{s.name, reason, retryAfter(s.forecastWait(w.request))}
+		err := &RefusedError{s.name, reason, retryAfter(s.expectedWait(w.request))}
 		s.mu.Unlock()
 		return nil, err
 	}
@@ -344,7 +344,7 @@
 	if unlimited, ok := s.chooser.(pointport.Unlimited); ok {
 		return s.pickUnlimited(unlimited)
 	}
-	for _, group := range [][]*upstream{s.ownZone, s.otherZones} {
+	for _, group := range [][]*upstream{s.sameZone, s.otherZones} {
 		if u := s.pickFrom(group, avoid); u != nil {
 			return u
 		}
@@ -388,7 +388,7 @@
 // pickUnlimited returns the chooser's next upstream regardless of limits and
 // ejections, but skips upstreams that may get no new work.
 func (s *Service) pickUnlimited(chooser pointport.Unlimited) *upstream {
-	group := slices.Concat(s.ownZone, s.otherZones)
+	group := slices.Concat(s.sameZone, s.otherZones)
 	for range group {
 		if u := group[chooser.Next(len(group))]; !u.excluded() {
 			return u
--- a/dispatch/status.go
+++ b/dispatch/status.go
@@ -39,7 +39,7 @@
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	st := Status{Service: s.name, Waiting: s.waiting.Len(), Latency: s.latency}
-	for _, u := range slices.Concat(s.ownZone, s.otherZones) {
+	for _, u := range slices.Concat(s.sameZone, s.otherZones) {
 		st.Upstreams = append(st.Upstreams, UpstreamStatus{
 			Instance: u.instance.ID, Zone: u.instance.Zone, InFlight: u.inFlight, Limit: u.limit,
 			Latency: u.recentLatency, Leaving: u.leaving, Evacuated: u.evacuated, Ejected: now.Before(u.ejectedUntil),
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -66,8 +66,8 @@
 	ambiguous bool
 }
 
-// held returns what the pool holds for certain: the lower of its stored and its pending row.
-func (h *holding) held(pool string) pointport.Shape {
+// confirmed returns what the pool holds for certain: the lower of its stored and its pending row.
+func (h *holding) confirmed(pool string) pointport.Shape {
 	held := h.account.Rows[pool].Held
 	if h.pendingRow != nil {
 		held = minShape(held, *h.pendingRow)
@@ -92,7 +92,7 @@
 		return
 	}
 	l.policy = p
-	for name, limits := range p.limits {
+	for name, limits := range p.byCustomer {
 		h := l.holding(name)
 		h.loweredVersion = max(h.loweredVersion, limits.Lowered)
 	}
@@ -186,8 +186,8 @@
 	if !l.policy.HasCaps() {
 		return nil
 	}
-	out := make(map[string]pointport.Shape, len(l.policy.limits))
-	for name, limits := range l.policy.limits {
+	out := make(map[string]pointport.Shape, len(l.policy.byCustomer))
+	for name, limits := range l.policy.byCustomer {
 		out[name] = l.allowed(l.holding(name), limits)
 	}
 	return out
@@ -203,7 +203,7 @@
 	if !l.allReported(h) || !l.fits(h, limits) {
 		return limits.withUnbounded(pointport.Shape{})
 	}
-	return limits.withUnbounded(limits.PerPool.Plus(h.held(l.pool)))
+	return limits.withUnbounded(limits.PerPool.Plus(h.confirmed(l.pool)))
 }
 
 // fits reports whether the rows of all pools fit into the floating part of the cap.
@@ -226,13 +226,13 @@
 		if h.inFlight {
 			continue
 		}
-		row, due := l.nextRow(now, h, l.policy.limits[name])
+		row, due := l.nextRow(now, h, l.policy.byCustomer[name])
 		if !due {
 			continue
 		}
 		h.inFlight = true
-		if !row.Held.Fits(h.held(l.pool)) {
-			lowered := minShape(row.Held, h.held(l.pool))
+		if !row.Held.Fits(h.confirmed(l.pool)) {
+			lowered := minShape(row.Held, h.confirmed(l.pool))
 			h.pendingRow = &lowered
 		}
 		out = append(out, Change{
@@ -246,7 +246,7 @@
 // nextRow returns the row that the pool should have, and whether to store it: if the pool
 // needs more, has had an excess for long enough, or has not reported on a lowered cap yet.
 func (l *Ledger) nextRow(now time.Time, h *holding, limits Limits) (Row, bool) {
-	held := h.held(l.pool)
+	confirmed := h.confirmed(l.pool)
 	needed := cappedParts(limits, nonNegative(h.usage.Used.Minus(limits.PerPool)))
 	available := nonNegative(limits.Floating.Minus(h.account.held(l.policy.pools, l.pool)))
 	targetFor := func(percent int64) pointport.Shape {
@@ -254,15 +254,15 @@
 		return cappedParts(limits, maxShape(needed, minShape(nonNegative(percentOf(wanted, percent).Minus(limits.PerPool)), available)))
 	}
 	target := targetFor(holdPercent)
-	h.updateExcess(now, limits, target, held)
-	grows := !held.Fits(targetFor(growPercent))
+	h.updateExcess(now, limits, target, confirmed)
+	grows := !confirmed.Fits(targetFor(growPercent))
 	shrinks := !h.excessSince.IsZero() && (now.Sub(h.excessSince) >= excessRetention || !l.fits(h, limits))
 	reports := h.loweredVersion > h.account.Rows[l.pool].Version
 	switch {
 	case !grows && !shrinks && !reports:
 		return Row{}, false
 	case !shrinks:
-		target = maxShape(target, held)
+		target = maxShape(target, confirmed)
 	}
 	return Row{Version: l.policy.version, Held: target}, true
 }
--- a/quota/policy.go
+++ b/quota/policy.go
@@ -62,18 +62,18 @@
 // A Policy holds the limits and weights of all customers under one version of the
 // configuration. It is immutable. A nil Policy has neither caps nor weights.
 type Policy struct {
-	version int64
-	pools   []string
-	limits  map[string]Limits // of the customers that have a cap
-	names   []string          // of these customers, sorted
-	weights map[string]float64
+	version    int64
+	pools      []string
+	byCustomer map[string]Limits // of the customers that have a cap
+	names      []string          // of these customers, sorted
+	weights    map[string]float64
 }
 
 // NewPolicy returns the policy for a version of the configuration whose tasks run in pools.
 // It compares the limits with those of before, the policy of the preceding version; nil if
 // that is not known.
 func NewPolicy(before *Policy, customers *customer.Directory, pools []string, version int64) *Policy {
-	p := &Policy{version: version, pools: slices.Clone(pools), limits: make(map[string]Limits), weights: make(map[string]float64)}
+	p := &Policy{version: version, pools: slices.Clone(pools), byCustomer: make(map[string]Limits), weights: make(map[string]float64)}
 	for _, c := range customers.All() {
 		p.weights[c.Name] = c.Weight
 		limits := newLimits(c.Cap, len(pools))
@@ -81,15 +81,15 @@
 			continue
 		}
 		if before != nil {
-			previous := before.limits[c.Name]
+			previous := before.byCustomer[c.Name]
 			limits.Lowered = previous.Lowered
 			if limits.tighterThan(previous) {
 				limits.Lowered = version
 			}
 		}
-		p.limits[c.Name] = limits
+		p.byCustomer[c.Name] = limits
 	}
-	p.names = slices.Sorted(maps.Keys(p.limits))
+	p.names = slices.Sorted(maps.Keys(p.byCustomer))
 	return p
 }
 
@@ -97,7 +97,7 @@
 func (p *Policy) Version() int64 { return p.version }
 
 // HasCaps reports whether any customer has a cap.
-func (p *Policy) HasCaps() bool { return p != nil && len(p.limits) > 0 }
+func (p *Policy) HasCaps() bool { return p != nil && len(p.byCustomer) > 0 }
 
 // Weights returns the customers' weights by name. They must not be changed.
 func (p *Policy) Weights() map[string]float64 {
@@ -112,7 +112,7 @@
 	if p == nil {
 		return Limits{}, false
 	}
-	limits, ok := p.limits[name]
+	limits, ok := p.byCustomer[name]
 	return limits, ok
 }
 
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -116,8 +116,8 @@
 	return sum
 }
 
-// maxLimit returns the highest cap that is in force, in cores.
-func (s *simulation) maxLimit() int64 {
+// limit returns the highest cap that is in force, in cores.
+func (s *simulation) limit() int64 {
 	var most int64
 	for _, c := range s.caps {
 		if c.until.IsZero() || s.now.Before(c.until) {
@@ -211,8 +211,8 @@
 	}
 	o.runs = append(o.runs, need)
 	s.setUsage(o, 0)
-	if got := s.running(); got > s.maxLimit() {
-		t.Fatalf("a start in %s raises the running total to %d cores, want at most %d; account %s", o.pool, got, s.maxLimit(), s.value)
+	if got := s.running(); got > s.limit() {
+		t.Fatalf("a start in %s raises the running total to %d cores, want at most %d; account %s", o.pool, got, s.limit(), s.value)
 	}
 	return true
 }
--- a/share/share.go
+++ b/share/share.go
@@ -150,12 +150,12 @@
 }
 
 // applyGrant starts the use of a grant that was stored for requests of at most bound.
-func (h *Holder) applyGrant(limit int, until time.Time, bound time.Duration) {
+func (h *Holder) applyGrant(limit int, validUntil time.Time, maxRequestTime time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.validUntil = until
+	h.validUntil = validUntil
 	h.limit = limit
-	if h.maxRequestTime > bound {
+	if h.maxRequestTime > maxRequestTime {
 		h.limit = 0 // SetMaxRequestTime was called during the write
 	}
 }
@@ -191,7 +191,7 @@
 	}
 	h.stored, h.ambiguous = doc.Grants[h.name].Extra, false
 	h.observeOthers(doc)
-	next := h.nextGrant(doc, want)
+	next := h.next(doc, want)
 	if next == 0 && h.stored == 0 {
 		return nil
 	}
@@ -232,9 +232,9 @@
 	return unchanged > time.Duration(clockSkewFactor*float64(h.ttl+g.Bound))
 }
 
-// nextGrant returns the size of this holder's next grant: as much as it wants and is
+// next returns the size of this holder's next grant: as much as it wants and is
 // free, but no less than it still uses.
-func (h *Holder) nextGrant(doc document, want int) int {
+func (h *Holder) next(doc document, want int) int {
 	free := h.elastic
 	for name, g := range doc.Grants {
 		if name != h.name && !h.expired(name, g) {
