--- a/elect/elect.go
+++ b/elect/elect.go
@@ -78,14 +78,14 @@
 // pause is how long to wait before the lease is asked for again. While another
 // has it, asking more often than once in its time would only cost calls.
 func (c *Candidate) pause() time.Duration {
-	if c.Other() != "" {
+	if c.OtherHolder() != "" {
 		return c.ttl
 	}
 	return c.ttl / renewals
 }
 
-// Other returns who else had the lease when it was last asked for, or nothing.
-func (c *Candidate) Other() string {
+// OtherHolder returns who else had the lease when it was last asked for, or nothing.
+func (c *Candidate) OtherHolder() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.other
--- a/elect/elect_test.go
+++ b/elect/elect_test.go
@@ -26,8 +26,8 @@
 		time.Sleep(time.Millisecond)
 		second := start(t.Context(), store, "second")
 		time.Sleep(time.Minute)
-		if !first.Held() || second.Held() || second.Other() != "first" {
-			t.Errorf("first %v, second %v, the second knows %q", first.Held(), second.Held(), second.Other())
+		if !first.Held() || second.Held() || second.OtherHolder() != "first" {
+			t.Errorf("first %v, second %v, the second knows %q", first.Held(), second.Held(), second.OtherHolder())
 		}
 		stop()
 		time.Sleep(ttl + time.Millisecond)
--- a/member/watch.go
+++ b/member/follow.go
@@ -15,13 +15,13 @@
 	// to changes for a while and a connection may be cut off in silence, so a
 	// watch that hears nothing is never trusted for long.
 	watchWait = time.Second
-	// DefaultReread is how often all keys under a prefix are read again, whatever
+	// DefaultRereadInterval is how often all keys under a prefix are read again, whatever
 	// the watches say. Nothing is known to need that: a change that a watch did not
 	// tell is told by the next one, or the store says that it has forgotten it. Every
 	// 3 s, such readings were 235 of the 331 KB that an entry instance without a pool
 	// received in a minute among 47, and 2.9 of the 14.1 MB of the busiest owner beside
 	// 372 instances.
-	DefaultReread = 15 * time.Second
+	DefaultRereadInterval = 15 * time.Second
 	// rereadRest is how many times as long as such a reading took passes until the
 	// next, at least. Registrations of 350 instances are some 150 KB, worked out from the
 	// platform's example, 0.12 s of a link of 10 Mbit/s; at 8,000, readings every 3 s
@@ -48,44 +48,46 @@
 // A FollowOption changes a Follower.
 type FollowOption func(*Follower)
 
-// From has the follower begin at a revision as of which its caller has read all
+// FromRevision has the follower begin at a revision as of which its caller has read all
 // keys.
-func From(at pointport.Revision) FollowOption { return func(f *Follower) { f.at = at } }
+func FromRevision(at pointport.Revision) FollowOption { return func(f *Follower) { f.at = at } }
 
-// Rest sets how long to wait after a change before the next is asked for, where
+// PauseAfterChange sets how long to wait after a change before the next is asked for, where
 // changes are many and need not be known at once.
-func Rest(d time.Duration) FollowOption {
-	return RestAfter(func([]pointport.Entry) time.Duration { return d })
+func PauseAfterChange(d time.Duration) FollowOption {
+	return PauseAfterChanges(func([]pointport.Entry) time.Duration { return d })
 }
 
-// RestAfter sets how long to wait after some changes before the next are asked for.
-func RestAfter(rest func(changes []pointport.Entry) time.Duration) FollowOption {
+// PauseAfterChanges sets how long to wait after some changes before the next are asked for.
+func PauseAfterChanges(rest func(changes []pointport.Entry) time.Duration) FollowOption {
 	return func(f *Follower) { f.rest = rest }
 }
 
-// Wait sets for how long a watch may wait, where many follow the same keys.
-func Wait(wait func() time.Duration) FollowOption { return func(f *Follower) { f.wait = wait } }
+// WatchTimeout sets for how long a watch may wait, where many follow the same keys.
+func WatchTimeout(wait func() time.Duration) FollowOption { return func(f *Follower) { f.wait = wait } }
 
-// Reread sets how often all keys are read again at most, where many follow many keys.
-func Reread(every func() time.Duration) FollowOption { return func(f *Follower) { f.every = every } }
+// RereadInterval sets how often all keys are read again at most, where many follow many keys.
+func RereadInterval(every func() time.Duration) FollowOption {
+	return func(f *Follower) { f.every = every }
+}
 
 // defaultReread returns how often all keys are read again by default.
-func defaultReread() time.Duration { return DefaultReread }
+func defaultReread() time.Duration { return DefaultRereadInterval }
 
-// WakeOn has all keys read again as soon as the channel that back returns is closed: the
+// RereadOn has all keys read again as soon as the channel that back returns is closed: the
 // store answers again, and a question that was put while it did not may wait for its
 // time to pass, up to 1.7 s with its repetitions.
-func WakeOn(back func() <-chan struct{}) FollowOption { return func(f *Follower) { f.back = back } }
+func RereadOn(back func() <-chan struct{}) FollowOption { return func(f *Follower) { f.back = back } }
 
-// Heard has a function told of each question to the store what became of it: nil once its
+// OnResult has a function told of each question to the store what became of it: nil once its
 // answer was taken in.
-func Heard(heard func(error)) FollowOption { return func(f *Follower) { f.heard = heard } }
+func OnResult(heard func(error)) FollowOption { return func(f *Follower) { f.heard = heard } }
 
 // Follow follows the keys under prefix until ctx ends. reset is called with all
 // keys when they are read, apply with each change; a deleted key is an entry
 // that does not exist.
 func Follow(ctx context.Context, kv pointport.KV, clock pointport.Clock, prefix string, reset, apply func([]pointport.Entry), options ...FollowOption) {
-	f := &Follower{kv: kv, clock: clock, prefix: prefix, reset: reset, apply: apply, reread: DefaultReread, every: defaultReread, back: never, rest: noRest, wait: defaultWait, heard: func(error) {}}
+	f := &Follower{kv: kv, clock: clock, prefix: prefix, reset: reset, apply: apply, reread: DefaultRereadInterval, every: defaultReread, back: never, rest: noRest, wait: defaultWait, heard: func(error) {}}
 	for _, o := range options {
 		o(f)
 	}
--- a/member/key.go
+++ b/member/follow_key.go
@@ -14,10 +14,10 @@
 // link over which it comes.
 
 const (
-	// DefaultRecheck is how often a key that is followed is made sure of, whatever the
+	// DefaultRecheckInterval is how often a key that is followed is made sure of, whatever the
 	// watch says. A watch asks from the state that is known, so it tells later what it did
 	// not hear while the store was deaf to changes, or fails because that is forgotten.
-	DefaultRecheck = time.Second
+	DefaultRecheckInterval = time.Second
 	// glance is how long a watch waits that is to answer at once, the least that the store
 	// takes. It is a reading call, of which the store takes five times as many as of
 	// transactions.
@@ -51,16 +51,18 @@
 // A KeyOption changes how a key is followed.
 type KeyOption func(*keyFollower)
 
-// Recheck sets how often the key is made sure of, which is a writing call to the store.
-func Recheck(every func() time.Duration) KeyOption {
+// RecheckInterval sets how often the key is made sure of, which is a writing call to the store.
+func RecheckInterval(every func() time.Duration) KeyOption {
 	return func(f *keyFollower) { f.every = every }
 }
 
-// KeyWait sets for how long a watch of the key may wait, where many follow it.
-func KeyWait(wait func() time.Duration) KeyOption { return func(f *keyFollower) { f.wait = wait } }
+// KeyWatchTimeout sets for how long a watch of the key may wait, where many follow it.
+func KeyWatchTimeout(wait func() time.Duration) KeyOption {
+	return func(f *keyFollower) { f.wait = wait }
+}
 
 // defaultRecheck returns how often a key is made sure of by default.
-func defaultRecheck() time.Duration { return DefaultRecheck }
+func defaultRecheck() time.Duration { return DefaultRecheckInterval }
 
 // FollowKey follows a key until ctx ends. take is called with the key whenever it has
 // changed, heard with how each question to the store ended: with nil, what is known is
--- a/member/key_test.go
+++ b/member/follow_key_test.go
@@ -153,7 +153,7 @@
 // At rest few of the questions of a follower that makes sure seldom are writing calls.
 func TestKeyIsMadeSureOfSeldom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := follow(t.Context(), member.Recheck(func() time.Duration { return 15 * time.Second }))
+		f := follow(t.Context(), member.RecheckInterval(func() time.Duration { return 15 * time.Second }))
 		time.Sleep(time.Second)
 		all, checks := f.asked(), f.commits()
 		time.Sleep(60 * time.Second)
@@ -171,7 +171,7 @@
 func TestChangeInADeafSecondIsKnownInTime(t *testing.T) {
 	for offset := time.Duration(0); offset < 2*time.Second; offset += 170 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
-			f := follow(t.Context(), member.Recheck(func() time.Duration { return 15 * time.Second }))
+			f := follow(t.Context(), member.RecheckInterval(func() time.Duration { return 15 * time.Second }))
 			f.put(t, "1")
 			time.Sleep(3*time.Second + offset)
 			f.store.SetDeaf(true)
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -72,7 +72,7 @@
 		if err != nil || second.Fence <= first.Fence {
 			t.Errorf("fence %d after %d, error %v", second.Fence, first.Fence, err)
 		}
-		if err := a.roster.Check(ctx, first); !errors.Is(err, member.ErrLost) {
+		if err := a.roster.Check(ctx, first); !errors.Is(err, member.ErrNotOwner) {
 			t.Errorf("check of a lost ownership: %v", err)
 		}
 		settle(b)
@@ -161,7 +161,7 @@
 			return fmt.Sprintf("change %d was made by an owner that lost its key", i)
 		case err == nil:
 			last = next
-		case errors.Is(err, member.ErrLost) && i < deposedAt:
+		case errors.Is(err, member.ErrNotOwner) && i < deposedAt:
 			return fmt.Sprintf("change %d: %v, and nobody else took over", i, err)
 		}
 		if got := value(); err == nil && got != last {
@@ -224,7 +224,7 @@
 		if _, err := kv.Commit(ctx, pointport.Txn{Delete: []string{"x/1"}}); err != nil {
 			t.Error(err)
 		}
-		time.Sleep(member.DefaultReread + 2*time.Second)
+		time.Sleep(member.DefaultRereadInterval + 2*time.Second)
 		if got := knows(); len(got) != 1 || got["x/2"] != "b" {
 			t.Errorf("while deaf it knows %v", got)
 		}
--- a/member/ownership.go
+++ b/member/ownership.go
@@ -55,8 +55,8 @@
 	return o.proof.until.Sub(now)
 }
 
-// ErrLost says that another member owns the pool, or nobody.
-var ErrLost = errors.New("this member does not own the pool any more")
+// ErrNotOwner says that another member owns the pool, or nobody.
+var ErrNotOwner = errors.New("this member does not own the pool any more")
 
 // ErrNoLease says that this member has no lease under which it could own.
 var ErrNoLease = errors.New("this member has no lease")
@@ -131,7 +131,7 @@
 	}
 	if e.Revision() != own.Revision {
 		r.apply([]pointport.Entry{e})
-		return ErrLost
+		return ErrNotOwner
 	}
 	own.prove(from)
 	return nil
--- a/member/keeper.go
+++ b/member/pool_manager.go
@@ -40,9 +40,9 @@
 	lineEvery = 2 * time.Second
 )
 
-// A Tenant does the work of a pool's owner until it is stopped or finds that it
+// A Controller does the work of a pool's owner until it is stopped or finds that it
 // owns the pool no more.
-type Tenant interface {
+type Controller interface {
 	// Ownership returns what the tenant owns.
 	Ownership() Ownership
 	// Stop ends the tenant.
@@ -61,14 +61,14 @@
 }
 
 // unfit reports whether a tenant says that others should have its pool.
-func unfit(t Tenant) bool {
+func unfit(t Controller) bool {
 	d, ok := t.(Doubter)
 	return ok && d.Unfit()
 }
 
-// A Keeper runs the tenants of the pools that this member owns. It is safe for
+// A PoolManager runs the tenants of the pools that this member owns. It is safe for
 // concurrent use.
-type Keeper[T Tenant] struct {
+type PoolManager[T Controller] struct {
 	clock   pointport.Clock
 	session *Session
 	roster  *Roster
@@ -93,10 +93,10 @@
 	stopped bool
 }
 
-// StartKeeper returns a keeper that works until ctx ends. pools tells which
+// StartPoolManager returns a keeper that works until ctx ends. pools tells which
 // pools there are, and start starts the tenant of one.
-func StartKeeper[T Tenant](ctx context.Context, clock pointport.Clock, session *Session, roster *Roster, pools func() []string, start func(Ownership) T, logger *slog.Logger) *Keeper[T] {
-	k := &Keeper[T]{
+func StartPoolManager[T Controller](ctx context.Context, clock pointport.Clock, session *Session, roster *Roster, pools func() []string, start func(Ownership) T, logger *slog.Logger) *PoolManager[T] {
+	k := &PoolManager[T]{
 		clock: clock, session: session, roster: roster, pools: pools, start: start, logger: logger,
 		tenants: make(map[string]T), orphans: make(map[string]time.Time), since: make(map[string]time.Time),
 		shunned: make(map[string]time.Time),
@@ -116,23 +116,23 @@
 	return k
 }
 
-// Tenant returns the tenant of a pool; false if this member has none.
-func (k *Keeper[T]) Tenant(pool string) (T, bool) {
+// Controller returns the tenant of a pool; false if this member has none.
+func (k *PoolManager[T]) Controller(pool string) (T, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	t, ok := k.tenants[pool]
 	return t, ok
 }
 
-// Tenants returns all tenants of this member.
-func (k *Keeper[T]) Tenants() []T {
+// Controllers returns all tenants of this member.
+func (k *PoolManager[T]) Controllers() []T {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.Collect(maps.Values(k.tenants))
 }
 
 // Count returns how many tenants this member has.
-func (k *Keeper[T]) Count() int {
+func (k *PoolManager[T]) Count() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.tenants)
@@ -140,7 +140,7 @@
 
 // round ends tenants that own nothing any more and takes what is free. It
 // returns when to look again.
-func (k *Keeper[T]) round(ctx context.Context) time.Duration {
+func (k *PoolManager[T]) round(ctx context.Context) time.Duration {
 	k.reap()
 	next := keeperTick
 	if !k.roster.Known() || k.ended() {
@@ -158,7 +158,7 @@
 
 // next reports whether this member is found to be among the next to take a pool. One that
 // is stays so until it is far behind, so that leases are not exchanged to and fro.
-func (k *Keeper[T]) next(now time.Time) bool {
+func (k *PoolManager[T]) next(now time.Time) bool {
 	settles, _ := k.session.Settles()
 	if now.Before(settles.Add(lineAfter)) || now.Sub(k.lined) < lineEvery {
 		return false
@@ -177,21 +177,21 @@
 }
 
 // ended reports whether the keeper was stopped.
-func (k *Keeper[T]) ended() bool {
+func (k *PoolManager[T]) ended() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.stopped
 }
 
 // reap forgets the tenants that have ended.
-func (k *Keeper[T]) reap() {
+func (k *PoolManager[T]) reap() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for pool, t := range k.tenants {
 		select {
 		case <-t.Done():
 			event.PoolLost.Log(k.logger, slog.String("pool", pool), slog.Any("reason", t.Err()))
-			if errors.Is(t.Err(), ErrLost) {
+			if errors.Is(t.Err(), ErrNotOwner) {
 				k.roster.forget(t.Ownership())
 			}
 			delete(k.tenants, pool)
@@ -201,8 +201,8 @@
 }
 
 // tend looks after one pool, and returns when to look again.
-func (k *Keeper[T]) tend(ctx context.Context, pool string, now time.Time) time.Duration {
-	mine, mineToo := k.Tenant(pool)
+func (k *PoolManager[T]) tend(ctx context.Context, pool string, now time.Time) time.Duration {
+	mine, mineToo := k.Controller(pool)
 	holder, held := k.roster.Holding(pool)
 	switch {
 	case held && mineToo && holder.Fence > mine.Ownership().Fence:
@@ -248,7 +248,7 @@
 // turn returns when this member may take a pool that has no owner, and whether only if
 // it has no other: by rank, once the roster is complete. Until then its former owner may
 // take it, and a member that has just started a single one.
-func (k *Keeper[T]) turn(pool string, now time.Time) (at time.Time, only bool) {
+func (k *PoolManager[T]) turn(pool string, now time.Time) (at time.Time, only bool) {
 	since, ok := k.orphans[pool]
 	if !ok {
 		since = now
@@ -277,20 +277,20 @@
 // in line for it, where the roster had been complete for so long when it lost that one. If they are gone
 // as well, the store may have been away for so short a time that only short leases have
 // ended, and their members are about to come back.
-func (k *Keeper[T]) behind(pool string, complete time.Duration) bool {
+func (k *PoolManager[T]) behind(pool string, complete time.Duration) bool {
 	formed := lineAfter + lineEvery + keeperTick
 	return complete > formed && !k.session.short() && k.roster.HadOwner(pool)
 }
 
 // giveAway ends a tenant and gives its pool up to a member that has less to do.
-func (k *Keeper[T]) giveAway(ctx context.Context, t T) {
+func (k *PoolManager[T]) giveAway(ctx context.Context, t T) {
 	t.Stop()
 	<-t.Done()
 	k.release(ctx, t.Ownership())
 }
 
 // release gives up an ownership. If that fails, the key goes with the lease.
-func (k *Keeper[T]) release(ctx context.Context, own Ownership) {
+func (k *PoolManager[T]) release(ctx context.Context, own Ownership) {
 	if err := k.roster.Release(ctx, own); err != nil {
 		event.PoolUnproven.Log(k.logger, slog.String("pool", own.Pool), slog.Any("error", err))
 	}
@@ -305,7 +305,7 @@
 // for a call and a second one if the first gets no answer, however slow the store is.
 // With fixed times an ownership went unproven again and again, and its pool stood
 // still, while the store took 0.3 s for an answer.
-func (k *Keeper[T]) check(ctx context.Context, t T) time.Duration {
+func (k *PoolManager[T]) check(ctx context.Context, t T) time.Duration {
 	own := t.Ownership()
 	ttl := k.session.TTL()
 	reserve := max(ttl/proofShare, ttl/(2*proofShare)+2*k.took)
@@ -316,7 +316,7 @@
 	err := k.roster.Check(ctx, own)
 	k.took = k.clock.Now().Sub(from)
 	switch {
-	case errors.Is(err, ErrLost):
+	case errors.Is(err, ErrNotOwner):
 		t.Stop()
 		<-t.Done()
 		return 0 // it may be this member's turn to take the pool
@@ -327,7 +327,7 @@
 	return min(max(own.left()-reserve, 0), keeperTick)
 }
 
-func (k *Keeper[T]) take(ctx context.Context, pool string) time.Duration {
+func (k *PoolManager[T]) take(ctx context.Context, pool string) time.Duration {
 	own, err := k.roster.Take(ctx, pool)
 	if err == nil {
 		return k.begin(ctx, own)
@@ -344,7 +344,7 @@
 
 // begin starts the tenant of a pool that this member has come to own, or gives
 // the pool up if none may begin. It returns when to look again.
-func (k *Keeper[T]) begin(ctx context.Context, own Ownership) time.Duration {
+func (k *PoolManager[T]) begin(ctx context.Context, own Ownership) time.Duration {
 	if k.admit(own) {
 		return time.Millisecond
 	}
@@ -356,7 +356,7 @@
 // begun under that fence before. Orders of that one may still be under way, and nothing
 // would tell them from those of another: a task that is taken for waiting because its
 // instance does not run it would run twice once they arrive.
-func (k *Keeper[T]) admit(own Ownership) bool {
+func (k *PoolManager[T]) admit(own Ownership) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.stopped {
@@ -377,7 +377,7 @@
 }
 
 // Stop ends all tenants and takes no pool any more.
-func (k *Keeper[T]) Stop() {
+func (k *PoolManager[T]) Stop() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.stopped = true
--- a/member/keeper_test.go
+++ b/member/pool_manager_test.go
@@ -55,14 +55,14 @@
 				s := member.StartSession(ctx, kv, clock.System{}, member.DefaultTTL, quiet)
 				r := member.StartRoster(ctx, kv, clock.System{}, s, member.Member{Name: "a", Strength: 1}, quiet)
 				pools := func() []string { return []string{"p", "q"} }
-				k := member.StartKeeper(ctx, clock.System{}, s, r, pools, newTenant, quiet)
+				k := member.StartPoolManager(ctx, clock.System{}, s, r, pools, newTenant, quiet)
 				time.Sleep(3 * time.Second)
 				unproven := 0
 				const samples = 1000
 				for range samples {
 					time.Sleep(10 * time.Millisecond)
 					for _, pool := range pools() {
-						if own, ok := k.Tenant(pool); !ok || !own.Ownership().Proven() {
+						if own, ok := k.Controller(pool); !ok || !own.Ownership().Proven() {
 							unproven++
 						}
 					}
@@ -94,7 +94,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
 				store := memory.New(clock.System{})
-				var keepers []*member.Keeper[doubter]
+				var keepers []*member.PoolManager[doubter]
 				var unfit []*atomic.Bool
 				for n := range members {
 					name := string(rune('a' + n))
@@ -103,7 +103,7 @@
 					r := member.StartRoster(ctx, kv, clock.System{}, s, member.Member{Name: name, Strength: 1}, quiet)
 					says := &atomic.Bool{}
 					unfit = append(unfit, says)
-					keepers = append(keepers, member.StartKeeper(ctx, clock.System{}, s, r, func() []string { return []string{"p"} }, func(own member.Ownership) doubter {
+					keepers = append(keepers, member.StartPoolManager(ctx, clock.System{}, s, r, func() []string { return []string{"p"} }, func(own member.Ownership) doubter {
 						return doubter{newTenant(own), says}
 					}, quiet))
 				}
@@ -125,10 +125,10 @@
 }
 
 // holderOf returns which of some keepers has the pool.
-func holderOf(t *testing.T, keepers []*member.Keeper[doubter]) int {
+func holderOf(t *testing.T, keepers []*member.PoolManager[doubter]) int {
 	t.Helper()
 	for n, k := range keepers {
-		if _, ok := k.Tenant("p"); ok {
+		if _, ok := k.Controller("p"); ok {
 			return n
 		}
 	}
@@ -194,7 +194,7 @@
 		kv := hedge.New(store.KV(memory.WithFaults(fault)), clock.System{})
 		s := member.StartSession(ctx, kv, clock.System{}, member.DefaultTTL, quiet)
 		roster := member.StartRoster(ctx, kv, clock.System{}, s, member.Member{Name: name, Strength: 1}, quiet)
-		member.StartKeeper(ctx, clock.System{}, s, roster, func() []string { return names }, r.starter(name), quiet)
+		member.StartPoolManager(ctx, clock.System{}, s, roster, func() []string { return names }, r.starter(name), quiet)
 	}
 	const lasts = 4 * time.Second
 	for end := time.Now().Add(lasts); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
--- a/member/rest_test.go
+++ b/member/rest_test.go
@@ -89,7 +89,7 @@
 
 // A worker is a member that looks after pools.
 type worker struct {
-	keeper *member.Keeper[*tenant]
+	keeper *member.PoolManager[*tenant]
 	cancel context.CancelFunc
 }
 
@@ -98,7 +98,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	s := member.StartSession(ctx, kv, clock.System{}, member.DefaultTTL, quiet)
 	r := member.StartRoster(ctx, kv, clock.System{}, s, member.Member{Name: name, Strength: 1}, quiet)
-	k := member.StartKeeper(ctx, clock.System{}, s, r, func() []string { return pools }, newTenant, quiet)
+	k := member.StartPoolManager(ctx, clock.System{}, s, r, func() []string { return pools }, newTenant, quiet)
 	return &worker{k, cancel}
 }
 
@@ -153,7 +153,7 @@
 	t.Helper()
 	out := make(map[string]pointport.Fence)
 	for _, w := range workers {
-		for _, tenant := range w.keeper.Tenants() {
+		for _, tenant := range w.keeper.Controllers() {
 			own := tenant.Ownership()
 			if _, ok := out[own.Pool]; ok {
 				t.Errorf("%s is owned twice", own.Pool)
--- a/member/roster.go
+++ b/member/roster.go
@@ -70,7 +70,7 @@
 		refused: make(map[string]pointport.Revision), changed: make(chan struct{}),
 	}
 	session.guard(r.engaged)
-	go Follow(ctx, kv, clock, rosterPrefix, r.reset, r.apply, WakeOn(session.Back), Wait(r.watchWait), Reread(r.reread), RestAfter(r.watchRest))
+	go Follow(ctx, kv, clock, rosterPrefix, r.reset, r.apply, RereadOn(session.Back), WatchTimeout(r.watchWait), RereadInterval(r.reread), PauseAfterChanges(r.watchRest))
 	go func() {
 		var pause backoff
 		for ctx.Err() == nil {
@@ -116,7 +116,7 @@
 
 // reread returns how often all keys are read again at most.
 func (r *Roster) reread() time.Duration {
-	return max(DefaultReread, time.Duration(r.Size())*rereadShare)
+	return max(DefaultRereadInterval, time.Duration(r.Size())*rereadShare)
 }
 
 // watchRest returns how long to wait after some changes until the next are asked for.
--- a/member/writer.go
+++ b/member/writer.go
@@ -16,9 +16,9 @@
 // pool's head, so that a transaction that was delayed cannot undo a later one.
 
 const (
-	// HeadEntries is how many entries of a transaction the owner's key and the
+	// TxnOverhead is how many entries of a transaction the owner's key and the
 	// head take: two conditions and a put.
-	HeadEntries = 3
+	TxnOverhead = 3
 	// writeRetryFirst is how long to wait before a change is sent again to a
 	// store that gave no answer, writeRetryMost the bound of its doubling.
 	writeRetryFirst = 20 * time.Millisecond
@@ -127,5 +127,5 @@
 			return nil
 		}
 	}
-	return ErrLost
+	return ErrNotOwner
 }
--- a/node/follow.go
+++ b/node/follow.go
@@ -56,7 +56,7 @@
 
 // configRecheck returns how often one of so many members makes sure of the configuration.
 func configRecheck(members int) time.Duration {
-	return min(max(time.Duration(members)*configRecheckShare, member.DefaultRecheck), configRecheckMost)
+	return min(max(time.Duration(members)*configRecheckShare, member.DefaultRecheckInterval), configRecheckMost)
 }
 
 // A Source says where a kind of thing is in the store and how to read it.
@@ -86,7 +86,7 @@
 	c := &configs{source: source, clock: clock, logger: logger, confirmed: clocks.NewInterval(clock)}
 	c.wait = func() time.Duration { return configWait(size(), within) }
 	recheck := func() time.Duration { return configRecheck(size()) }
-	go member.FollowKey(ctx, kv, clock, source.Prefix, c.take, c.heard, member.Recheck(recheck), member.KeyWait(c.wait))
+	go member.FollowKey(ctx, kv, clock, source.Prefix, c.take, c.heard, member.RecheckInterval(recheck), member.KeyWatchTimeout(c.wait))
 	return c
 }
 
@@ -222,7 +222,7 @@
 	f := &fleet{entries: newEntries(source.Decode, event.RegistrationUnreadable, logger), changed: make(chan struct{})}
 	heard := func(err error) { f.heard(clock.Now(), err) }
 	f.start = func() {
-		go member.Follow(ctx, kv, clock, source.Prefix, f.reset, f.apply, member.Rest(fleetRest), member.Heard(heard))
+		go member.Follow(ctx, kv, clock, source.Prefix, f.reset, f.apply, member.PauseAfterChange(fleetRest), member.OnResult(heard))
 	}
 	return f
 }
@@ -241,8 +241,8 @@
 	f.sight.Until = now
 }
 
-// Sight returns how well the registrations are known.
-func (f *fleet) Sight() schedule.RegistryCoverage {
+// Coverage returns how well the registrations are known.
+func (f *fleet) Coverage() schedule.RegistryCoverage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.sight
@@ -260,9 +260,9 @@
 	f.changed = make(chan struct{})
 }
 
-// Of returns the registrations of a pool's instances, and a channel that is
+// InPool returns the registrations of a pool's instances, and a channel that is
 // closed when any registration changes.
-func (f *fleet) Of(pool string) ([]pointport.Incarnation, <-chan struct{}) {
+func (f *fleet) InPool(pool string) ([]pointport.Incarnation, <-chan struct{}) {
 	f.once.Do(f.start)
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -156,8 +156,8 @@
 		time.Sleep(700 * time.Millisecond) // until the member has looked after its pools
 		c.store.SetDeaf(false)
 		lost := c.logs.about("pool lost")
-		if !strings.Contains(lost, "pool=shift") || !strings.Contains(lost, member.ErrLost.Error()) {
-			t.Errorf("want the pool lost because %q, have:\n%s", member.ErrLost, c.logs.about("pool=shift"))
+		if !strings.Contains(lost, "pool=shift") || !strings.Contains(lost, member.ErrNotOwner.Error()) {
+			t.Errorf("want the pool lost because %q, have:\n%s", member.ErrNotOwner, c.logs.about("pool=shift"))
 		}
 		c.eventually(n, queue(t, n, "shift-close"), "00000000000000cc", workload.Completed, 20*time.Second)
 	})
--- a/node/inherit_test.go
+++ b/node/inherit_test.go
@@ -30,7 +30,7 @@
 		c.kill(owner)
 		time.Sleep(100 * time.Millisecond)
 		c.put(workload.ProgressKey("shift", id), []byte("written by another version"))
-		time.Sleep(member.DefaultReread + 5*time.Second)
+		time.Sleep(member.DefaultRereadInterval + 5*time.Second)
 		if got := c.fleet.Started(id + ".0.0.0"); got != 1 {
 			t.Errorf("a task that is done was started %d times, want once", got)
 		}
--- a/peer/excess.go
+++ b/peer/excess.go
@@ -32,7 +32,7 @@
 	if customer == "" {
 		return 0
 	}
-	if local, ok := o.keeper.Tenant(pool); ok {
+	if local, ok := o.keeper.Controller(pool); ok {
 		return local.Excess(customer)
 	}
 	return o.crowded.left(crowdKey{pool, customer})
--- a/peer/keep.go
+++ b/peer/keep.go
@@ -38,9 +38,9 @@
 	errNoneServed = errors.New("the store serves none that was asked")
 )
 
-// Keep has a peer store a job and returns the peer's name. Which is asked first depends
+// StoreAtPeer has a peer store a job and returns the peer's name. Which is asked first depends
 // on the job, so that peers share the work. A job is stored once however many are asked.
-func (o *Owners) Keep(ctx context.Context, s intake.Submission) (string, error) {
+func (o *Owners) StoreAtPeer(ctx context.Context, s intake.Submission) (string, error) {
 	var unsure error
 	helpers, cause := o.helpers(ctx, s)
 	for _, m := range helpers {
@@ -66,9 +66,9 @@
 		}
 	}
 	if unsure != nil {
-		return "", &intake.UnsureError{ID: s.ID, Err: unsure}
+		return "", &intake.AmbiguousError{ID: s.ID, Err: unsure}
 	}
-	return "", &intake.RefusedError{ID: s.ID, After: intake.RetryAfter, Cause: cause.Error()}
+	return "", &intake.RefusedError{ID: s.ID, RetryAfter: intake.RetryAfter, Cause: cause.Error()}
 }
 
 // helpers returns the peers that can store a job as far as is known, or why there are
@@ -145,7 +145,7 @@
 		http.Error(w, "no job to store", http.StatusBadRequest)
 		return
 	}
-	err := store.Keep(r.Context(), *q.Keep)
+	err := store.StoreJob(r.Context(), *q.Keep)
 	var refused *intake.RefusedError
 	var revoked *intake.RevokedError
 	var taken *intake.TakenError
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -94,7 +94,7 @@
 
 // Owners reaches the owners of pools. It is safe for concurrent use.
 type Owners struct {
-	keeper  *member.Keeper[*shard.Owner]
+	keeper  *member.PoolManager[*shard.Owner]
 	roster  *member.Roster
 	http    *http.Client
 	timeout time.Duration
@@ -108,7 +108,7 @@
 
 // NewOwners returns a way to the owners: those that keeper runs, and others as
 // the roster names them.
-func NewOwners(keeper *member.Keeper[*shard.Owner], roster *member.Roster, client *http.Client, clock pointport.Clock, logger *slog.Logger) *Owners {
+func NewOwners(keeper *member.PoolManager[*shard.Owner], roster *member.Roster, client *http.Client, clock pointport.Clock, logger *slog.Logger) *Owners {
 	return &Owners{keeper: keeper, roster: roster, http: client, timeout: DefaultTimeout, resting: newDeadlines[string](clock), served: newDeadlines[string](clock), crowded: newDeadlines[crowdKey](clock), logger: logger}
 }
 
@@ -145,10 +145,10 @@
 	return r, json.NewDecoder(res.Body).Decode(&r)
 }
 
-// Submitted tells a pool's owner of an accepted job, and takes in whether it wants more of
+// NotifySubmitted tells a pool's owner of an accepted job, and takes in whether it wants more of
 // the customer.
-func (o *Owners) Submitted(pool, id, whose string, accepted []byte, at pointport.Revision) {
-	if local, ok := o.keeper.Tenant(pool); ok {
+func (o *Owners) NotifySubmitted(pool, id, whose string, accepted []byte, at pointport.Revision) {
+	if local, ok := o.keeper.Controller(pool); ok {
 		local.Submitted(id, accepted, at)
 		return
 	}
@@ -166,7 +166,7 @@
 
 // Cancel has a pool's owner cancel a job.
 func (o *Owners) Cancel(ctx context.Context, pool, id string, by customer.Caller) (bool, error) {
-	if local, ok := o.keeper.Tenant(pool); ok {
+	if local, ok := o.keeper.Controller(pool); ok {
 		return local.Cancel(ctx, id, by)
 	}
 	r, err := o.ask(ctx, cancelPath, question{Pool: pool, Job: id, By: by})
@@ -175,7 +175,7 @@
 
 // Status asks a pool's owner for a job.
 func (o *Owners) Status(ctx context.Context, pool, id string, by customer.Caller) (workload.Status, bool, error) {
-	if local, ok := o.keeper.Tenant(pool); ok {
+	if local, ok := o.keeper.Controller(pool); ok {
 		return local.Status(ctx, id, by)
 	}
 	r, err := o.ask(ctx, statusPath, question{Pool: pool, Job: id, By: by})
@@ -184,7 +184,7 @@
 
 // Waiting asks a pool's owner how many jobs of a queue have not begun.
 func (o *Owners) Waiting(ctx context.Context, pool, queue string) (int, error) {
-	if local, ok := o.keeper.Tenant(pool); ok {
+	if local, ok := o.keeper.Controller(pool); ok {
 		return local.Waiting(ctx, queue)
 	}
 	r, err := o.ask(ctx, waitingPath, question{Pool: pool, Queue: queue})
@@ -193,7 +193,7 @@
 
 // Survey asks a pool's owner how the pool stands.
 func (o *Owners) Survey(ctx context.Context, pool string, req schedule.SurveyRequest) (schedule.Survey, error) {
-	if local, ok := o.keeper.Tenant(pool); ok {
+	if local, ok := o.keeper.Controller(pool); ok {
 		return local.Survey(ctx, req)
 	}
 	r, err := o.ask(ctx, surveyPath, question{Pool: pool, Survey: &req})
@@ -202,7 +202,7 @@
 
 // Explain asks a pool's owner how a job stands and why.
 func (o *Owners) Explain(ctx context.Context, pool, id string) (schedule.Explanation, bool, error) {
-	if local, ok := o.keeper.Tenant(pool); ok {
+	if local, ok := o.keeper.Controller(pool); ok {
 		return local.Explain(ctx, id)
 	}
 	r, err := o.ask(ctx, explainPath, question{Pool: pool, Job: id})
@@ -211,7 +211,7 @@
 
 // ExplainCustomer asks a pool's owner how a customer stands.
 func (o *Owners) ExplainCustomer(ctx context.Context, pool, name string) (schedule.CustomerExplanation, error) {
-	if local, ok := o.keeper.Tenant(pool); ok {
+	if local, ok := o.keeper.Controller(pool); ok {
 		return local.ExplainCustomer(ctx, name)
 	}
 	r, err := o.ask(ctx, standingPath, question{Pool: pool, By: customer.Caller{Name: name}})
@@ -220,21 +220,21 @@
 
 // A Store keeps jobs.
 type Store interface {
-	// Keep stores a job. It fails with an *intake.RefusedError or an
+	// StoreJob stores a job. It fails with an *intake.RefusedError or an
 	// *intake.UnsureError.
-	Keep(ctx context.Context, s intake.Submission) error
-	// Served reports whether it can keep a job at present.
-	Served() bool
+	StoreJob(ctx context.Context, s intake.Submission) error
+	// CanStore reports whether it can keep a job at present.
+	CanStore() bool
 }
 
 // Handler returns the other end: it answers for the owners that keeper runs, and
 // stores jobs for members that cannot.
-func Handler(keeper *member.Keeper[*shard.Owner], store Store, logger *slog.Logger) http.Handler {
+func Handler(keeper *member.PoolManager[*shard.Owner], store Store, logger *slog.Logger) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+keepPath, func(w http.ResponseWriter, r *http.Request) { keep(w, r, store, logger) })
 	mux.HandleFunc("POST "+servedPath, func(w http.ResponseWriter, _ *http.Request) {
 		// Whoever has stopped waiting needs no answer.
-		_ = json.NewEncoder(w).Encode(reply{Known: store.Served()})
+		_ = json.NewEncoder(w).Encode(reply{Known: store.CanStore()})
 	})
 	handle := func(path string, answer func(context.Context, *shard.Owner, question) (reply, error)) {
 		mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
@@ -243,7 +243,7 @@
 				http.Error(w, err.Error(), http.StatusBadRequest)
 				return
 			}
-			owner, ok := keeper.Tenant(q.Pool)
+			owner, ok := keeper.Controller(q.Pool)
 			if !ok {
 				http.Error(w, ErrNoOwner.Error(), http.StatusServiceUnavailable)
 				return
--- a/shard/load.go
+++ b/shard/load.go
@@ -125,7 +125,7 @@
 	take := func(entries []pointport.Entry) {
 		o.do(func(time.Time) { o.take(entries, nil) })
 	}
-	member.Follow(ctx, o.kv, o.clock, workload.OpenPrefix(o.own.Pool), take, take, member.From(at), member.Rest(openRest))
+	member.Follow(ctx, o.kv, o.clock, workload.OpenPrefix(o.own.Pool), take, take, member.FromRevision(at), member.PauseAfterChange(openRest))
 }
 
 // Submitted tells the owner of a job that was accepted at a revision; accepted
@@ -158,13 +158,13 @@
 		o.waiters = append(o.waiters, waiter{id, func() { answer <- outcome{true} }})
 	})
 	if !sent {
-		return false, member.ErrLost
+		return false, member.ErrNotOwner
 	}
 	select {
 	case a := <-answer:
 		return a.known, nil
 	case <-o.done:
-		return false, member.ErrLost
+		return false, member.ErrNotOwner
 	case <-ctx.Done():
 		return false, ctx.Err()
 	}
@@ -230,18 +230,18 @@
 	select {
 	case <-o.ready:
 	case <-o.done:
-		return none, member.ErrLost
+		return none, member.ErrNotOwner
 	case <-ctx.Done():
 		return none, ctx.Err()
 	}
 	if !o.do(func(time.Time) { answer <- question() }) {
-		return none, member.ErrLost
+		return none, member.ErrNotOwner
 	}
 	select {
 	case a := <-answer:
 		return a, nil
 	case <-o.done:
-		return none, member.ErrLost
+		return none, member.ErrNotOwner
 	case <-ctx.Done():
 		return none, ctx.Err()
 	}
--- a/shard/log.go
+++ b/shard/log.go
@@ -13,7 +13,7 @@
 // This file defines how the records of a batch are written.
 
 // maxEntries is how many entries of its own a transaction may have.
-const maxEntries = pointport.MaxTxnEntries - member.HeadEntries
+const maxEntries = pointport.MaxTxnEntries - member.TxnOverhead
 
 // quickEntries is how many a batch may have while the store is quick: ten
 // transactions' worth.
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -137,7 +137,7 @@
 	loggedEnded map[string]map[pointport.IncarnationID]bool
 }
 
-var _ member.Tenant = (*Steward)(nil)
+var _ member.Controller = (*Steward)(nil)
 
 // Start returns a steward that runs until ctx ends, Stop is called or another member has
 // become the steward.
@@ -247,7 +247,7 @@
 	switch {
 	case err == nil:
 		return true
-	case errors.Is(err, member.ErrLost):
+	case errors.Is(err, member.ErrNotOwner):
 		event.StoreRefused.Log(s.logger, slog.Any("error", err))
 		s.cancel()
 	case ctx.Err() == nil:
