--- a/assign/size.go
+++ b/assign/size.go
@@ -70,7 +70,7 @@
 
 // required returns how many instances the pool should have in the zone. While other zones
 // are evacuated, the zone also takes over their part, as far as it has instances. An
-// evacuated zone keeps its own part, so that its instances are there once it is open again.
+// evacuated zone keeps its own part, so that its instances are available when it is reopened.
 func (d *decision) required(t *config.Template) int {
 	zones := sharingZones(d.in.Zones, d.in.Zone, d.in.Evacuations)
 	return ZoneSize(t, zones, d.in.Zone) + ZoneSpare(t, zones, d.in.Zone)
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -3,8 +3,8 @@
 // A Service has a set of upstreams and a queue of requests. Acquire grants an
 // upstream at once if one has free capacity. Otherwise the request waits for its
 // turn or is refused. Ending a grant reports the outcome of the request, which
-// adapts the upstream's concurrency limit, ejects the upstream or ends its
-// ejection, and lets the next waiting request go.
+// adapts the upstream's concurrency limit, may eject the upstream or end its
+// ejection, and frees its capacity for the next waiting request.
 //
 // Invariants:
 //
--- a/dispatch/service_test.go
+++ b/dispatch/service_test.go
@@ -355,9 +355,9 @@
 }
 
 // TestBounds runs random interleavings of requests, their ends, departures of upstreams
-// and changes of the connection share. It checks that no upstream gets more requests than
-// its slots and the share allow or any once it is leaving, and that each request gets one
-// answer.
+// and changes of the connection share. It checks that no upstream has more requests in flight
+// than its slots and the share allow, that a leaving one gets none, and that each request gets
+// one answer.
 func TestBounds(t *testing.T) {
 	type action struct{ Kind, N int }
 	rapid.Check(t, func(rt *rapid.T) {
--- a/hedge/kv.go
+++ b/hedge/kv.go
@@ -106,7 +106,7 @@
 	err   error
 }
 
-// A callKind tells whether a call may change the store.
+// A callKind is whether a call may change the store.
 type callKind bool
 
 const (
--- a/hedge/progress_test.go
+++ b/hedge/progress_test.go
@@ -88,7 +88,8 @@
 	}
 }
 
-// TestStalledAnswerIsRequestedAgain lets a connection go silent in the middle of an answer.
+// TestStalledAnswerIsRequestedAgain stops an answer in the middle, as when a connection
+// goes silent.
 // The call must be repeated after the pause instead of waiting for the rest.
 func TestStalledAnswerIsRequestedAgain(t *testing.T) {
 	slow := &slowKV{parts: 3}
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -226,8 +226,8 @@
 	o.ledger.SetPolicy(o.policy)
 }
 
-// finishChange makes, delays or rejects the oldest change in flight of an owner, and tells the
-// owner the outcome, or that it is ambiguous.
+// finishChange makes, delays or rejects the oldest change in flight of an owner, and reports the
+// outcome to the owner's ledger, or that it is ambiguous.
 func (s *simulation) finishChange(t *rapid.T, o *owner) {
 	if len(o.inFlight) == 0 {
 		return
