--- a/hedge/progress_test.go
+++ b/hedge/progress_test.go
@@ -88,9 +88,8 @@
 	}
 }
 
-// TestStalledAnswerIsRequestedAgain stops an answer in the middle, as when a connection
-// goes silent.
-// The call must be repeated after the pause instead of waiting for the rest.
+// TestStalledAnswerIsRequestedAgain stops an answer in the middle, as when a connection goes
+// silent. The call must be repeated after the pause instead of waiting for the rest.
 func TestStalledAnswerIsRequestedAgain(t *testing.T) {
 	slow := &slowKV{parts: 3}
 	if _, err := get(t, slow, 2*time.Second); err == nil {
