--- a/assign/decide.go
+++ b/assign/decide.go
@@ -12,112 +12,115 @@
 	"github.com/pointport/pointport/evacuation"
 )
 
-// This file defines the decision as a whole: what it looks at and in which
-// order it goes on.
+// This file defines the inputs of a decision and the order of its steps.
 
 const (
-	// absentBound is how long an instance may be missing from the platform's
-	// list before it counts as failed. The list lags.
-	absentBound = 30 * time.Second
-	// forgetBound is how long a failed instance that is missing is remembered.
-	forgetBound = 10 * time.Minute
+	// absenceTimeout is how long an instance may be missing from the platform's
+	// list before it counts as failed. It allows for the lag of the list.
+	absenceTimeout = 30 * time.Second
+	// removalTimeout is how long a failed instance may be missing from the list
+	// before its member is removed.
+	removalTimeout = 10 * time.Minute
 	// maxSteps bounds the steps of one change, so that its stored value stays far
-	// below what the store takes, also when a whole zone fails at once.
+	// below the store's size limit even when a whole zone fails at once.
 	maxSteps = 500
-	// reportBound is how old an instance's report may be before its state
-	// counts as unknown.
-	reportBound = time.Minute
+	// maxReportAge is the age from which an instance's report no longer counts as
+	// evidence of its state.
+	maxReportAge = time.Minute
 )
 
-// A WaveOrder is a wave as an operator has it, and the version at which it was
-// last changed.
+// A WaveOrder is a maintenance wave as an operator configured it, and the
+// version of the configuration that last changed it.
 type WaveOrder struct {
 	Wave    *config.Wave
 	Version pointport.Version
 }
 
-// An Input is everything that a decision looks at.
+// An Input holds everything that a decision depends on.
 type Input struct {
 	Now       time.Time
 	Zone      pointport.ZoneID
-	Zones     []pointport.ZoneID // every zone, in an order that all planners share
+	Zones     []pointport.ZoneID // every zone, in the same order for all planners
 	State     *State
-	Templates []*config.Template // with the parameters that are in force
+	Templates []*config.Template // with the parameters in force
 	Waves     []WaveOrder
-	// Evacuations says which zones are to be left empty.
+	// Evacuations holds the zones that are to be emptied.
 	Evacuations evacuation.Zones
 	// Listed is the platform's list for the zone.
 	Listed []pointport.Instance
-	// IdleFor says for how long a draining instance has been seen to run nothing,
-	// by reports that came after its drain was told.
+	// IdleFor is how long each draining instance has reported that it runs nothing.
+	// Only reports made after the instance learned of its drain count.
 	IdleFor map[pointport.InstanceID]time.Duration
-	// AbsentSince says since when an instance has been missing from the list.
+	// AbsentSince is when each missing instance was first missing from the list.
 	AbsentSince map[pointport.InstanceID]time.Time
 	// Share returns how many of a pool's instances in this zone may be out of
-	// service. The shares of all zones add up to the pool's budget at most.
+	// service. The shares of all zones add up to at most the pool's budget.
 	Share func(t *config.Template) int
 }
 
-// A decision is a decision while it is made.
+// A decision collects the steps of one change. Its byID and byPool reflect the
+// steps so far; its waves and pools hold only those that change.
 type decision struct {
-	in     *Input
-	listed map[pointport.InstanceID]pointport.Instance
-	member map[pointport.InstanceID]Member
-	order  []pointport.InstanceID
-	steps  []Step
-	stepOf map[pointport.InstanceID]int
-	waves  map[string]Wave
-	pools  map[string]Pool
-	tpl    map[string]*config.Template
-	// byPool holds each pool's members by name, as they are now.
+	in        *Input
+	listed    map[pointport.InstanceID]pointport.Instance
+	byID      map[pointport.InstanceID]Member
+	ids       []pointport.InstanceID
+	steps     []Step
+	stepIndex map[pointport.InstanceID]int
+	waves     map[string]Wave
+	pools     map[string]Pool
+	templates map[string]*config.Template
+	// byPool holds the members of each pool in order of their IDs, as the steps so
+	// far leave them.
 	byPool map[string][]Member
 }
 
-// Decide returns what to do next, without ID, version, author and time.
+// Decide returns the next change. Its ID, version, author and time are left for
+// the caller to set.
 func Decide(in Input) Change {
 	d := newDecision(&in)
-	d.welcome()
+	d.addNewInstances()
 	d.observe()
-	d.releaseUnknown()
+	d.releaseRemovedPools()
 	for _, t := range in.Templates {
-		d.size(t)
+		d.resizePool(t)
 	}
 	for _, t := range in.Templates {
 		d.maintain(t)
 	}
-	return d.change()
+	return d.result()
 }
 
 func newDecision(in *Input) *decision {
 	d := &decision{
-		in:     in,
-		listed: make(map[pointport.InstanceID]pointport.Instance, len(in.Listed)),
-		member: make(map[pointport.InstanceID]Member, len(in.State.members)),
-		stepOf: make(map[pointport.InstanceID]int),
-		waves:  make(map[string]Wave),
-		pools:  make(map[string]Pool),
-		tpl:    make(map[string]*config.Template, len(in.Templates)),
-		byPool: make(map[string][]Member, len(in.Templates)+1),
+		in:        in,
+		listed:    make(map[pointport.InstanceID]pointport.Instance, len(in.Listed)),
+		byID:      make(map[pointport.InstanceID]Member, len(in.State.members)),
+		stepIndex: make(map[pointport.InstanceID]int),
+		waves:     make(map[string]Wave),
+		pools:     make(map[string]Pool),
+		templates: make(map[string]*config.Template, len(in.Templates)),
+		byPool:    make(map[string][]Member, len(in.Templates)+1),
 	}
 	for _, i := range in.Listed {
 		d.listed[i.ID] = i
 	}
 	for id, m := range in.State.members {
-		d.member[id] = m
-		d.order = append(d.order, id)
+		d.byID[id] = m
+		d.ids = append(d.ids, id)
 	}
-	sort.Slice(d.order, func(a, b int) bool { return d.order[a] < d.order[b] })
-	for _, id := range d.order {
-		m := d.member[id]
+	sort.Slice(d.ids, func(a, b int) bool { return d.ids[a] < d.ids[b] })
+	for _, id := range d.ids {
+		m := d.byID[id]
 		d.byPool[m.Pool] = append(d.byPool[m.Pool], m)
 	}
 	for _, t := range in.Templates {
-		d.tpl[t.Name] = t
+		d.templates[t.Name] = t
 	}
 	return d
 }
 
-func (d *decision) change() Change {
+func (d *decision) result() Change {
 	c := Change{Steps: d.steps, Pools: d.pools}
 	names := make([]string, 0, len(d.waves))
 	for name := range d.waves {
@@ -130,39 +133,41 @@
 	return c
 }
 
-// set takes a step. A member's second step in one decision joins its first.
-func (d *decision) set(m Member, format string, args ...any) {
+// update adds a step that changes a member. A second step for the same member is
+// merged into its first.
+func (d *decision) update(m Member, format string, args ...any) {
 	reason := fmt.Sprintf(format, args...)
-	before, known := d.member[m.ID]
+	before, known := d.byID[m.ID]
 	if m.Phase != before.Phase || !known {
 		m.Since = d.in.Now
 	}
-	d.member[m.ID] = m
+	d.byID[m.ID] = m
 	if known {
-		d.leavePool(before)
+		d.removeFromPool(before)
 	}
-	d.joinPool(m)
-	if n, ok := d.stepOf[m.ID]; ok {
+	d.addToPool(m)
+	if n, ok := d.stepIndex[m.ID]; ok {
 		d.steps[n].After = &m
 		d.steps[n].Reason += "; " + reason
 		return
 	}
 	if !known {
-		d.order = append(d.order, m.ID)
+		d.ids = append(d.ids, m.ID)
 	}
-	d.stepOf[m.ID] = len(d.steps)
-	d.steps = append(d.steps, Step{Instance: m.ID, After: &m, From: describe(before), Reason: reason})
+	d.stepIndex[m.ID] = len(d.steps)
+	d.steps = append(d.steps, Step{Instance: m.ID, After: &m, From: phaseAndPool(before), Reason: reason})
 }
 
-// forget removes a member.
-func (d *decision) forget(id pointport.InstanceID, reason string) {
-	d.steps = append(d.steps, Step{Instance: id, From: describe(d.member[id]), Reason: reason})
-	d.leavePool(d.member[id])
-	delete(d.member, id)
+// remove adds a step that removes a member.
+func (d *decision) remove(id pointport.InstanceID, reason string) {
+	d.steps = append(d.steps, Step{Instance: id, From: phaseAndPool(d.byID[id]), Reason: reason})
+	d.removeFromPool(d.byID[id])
+	delete(d.byID, id)
 }
 
-// describe names a member's phase and pool.
-func describe(m Member) string {
+// phaseAndPool returns a member's phase and pool as text, for example "serving in
+// web"; empty for no member.
+func phaseAndPool(m Member) string {
 	switch {
 	case m.ID == "":
 		return ""
@@ -173,51 +178,53 @@
 }
 
 // full reports whether the decision has as many steps as one change may hold.
-// What is left is decided next time.
+// The rest is left to the next decision.
 func (d *decision) full() bool { return len(d.steps) >= maxSteps }
 
-// each calls do for every member, in the order of their names, until the
-// decision is full.
-func (d *decision) each(do func(Member)) {
-	for _, id := range d.order {
+// forEach calls do for every member, in order of their IDs, until the decision is
+// full.
+func (d *decision) forEach(do func(Member)) {
+	for _, id := range d.ids {
 		if d.full() {
 			return
 		}
-		if m, ok := d.member[id]; ok {
+		if m, ok := d.byID[id]; ok {
 			do(m)
 		}
 	}
 }
 
-// inPool returns the members of a pool by name; those in none, if it is empty.
-// The slice is the decision's own and changes with the next step.
+// inPool returns the members of a pool in order of their IDs; an empty name
+// stands for the members of no pool. The slice belongs to the decision and is
+// valid until the next step.
 func (d *decision) inPool(pool string) []Member { return d.byPool[pool] }
 
-// place returns where a member is, or would be, in its pool.
-func (d *decision) place(m Member) (int, bool) {
+// indexInPool returns the index of a member in its pool's sorted members, or the
+// index at which it would be inserted, and whether it is there.
+func (d *decision) indexInPool(m Member) (int, bool) {
 	return slices.BinarySearchFunc(d.byPool[m.Pool], m.ID, func(m Member, id pointport.InstanceID) int {
 		return strings.Compare(string(m.ID), string(id))
 	})
 }
 
-func (d *decision) leavePool(m Member) {
-	if n, ok := d.place(m); ok {
+func (d *decision) removeFromPool(m Member) {
+	if n, ok := d.indexInPool(m); ok {
 		d.byPool[m.Pool] = slices.Delete(d.byPool[m.Pool], n, n+1)
 	}
 }
 
-func (d *decision) joinPool(m Member) {
-	n, _ := d.place(m)
+func (d *decision) addToPool(m Member) {
+	n, _ := d.indexInPool(m)
 	d.byPool[m.Pool] = slices.Insert(d.byPool[m.Pool], n, m)
 }
 
-// works reports whether a member is known to take work now.
-func (d *decision) works(m Member) bool {
+// isWorking reports whether a member serves and a recent report shows it live.
+func (d *decision) isWorking(m Member) bool {
 	i, ok := d.listed[m.ID]
-	return m.Phase == Serving && ok && i.State == pointport.InstanceLive && d.in.Now.Sub(i.Reported) < reportBound
+	return m.Phase == Serving && ok && i.State == pointport.InstanceLive && d.in.Now.Sub(i.Reported) < maxReportAge
 }
 
-// wave returns how far a wave has come, as the decision has it.
+// wave returns the progress of a wave with the decision's own changes.
 func (d *decision) wave(name string) (Wave, bool) {
 	if w, ok := d.waves[name]; ok {
 		return w, true
@@ -226,7 +233,7 @@
 	return w, ok
 }
 
-// countWave adds to a wave's counts.
+// countWave applies add to the progress of a wave, if the wave is known.
 func (d *decision) countWave(name string, add func(*Wave)) {
 	if w, ok := d.wave(name); ok {
 		add(&w)
--- a/quota/policy.go
+++ b/quota/policy.go
@@ -8,48 +8,50 @@
 	"github.com/pointport/pointport/customer"
 )
 
-// This file defines what the configuration says of caps and weights.
+// This file defines the caps and weights of one version of the configuration.
 
-// evenShare is the divisor of the part of a cap that is split evenly over the pools. With a
-// quarter, a customer whose work comes to one pool of four at a time can use 0.81 of its cap
-// there, and at most 0.19 lie idle elsewhere; with a half it would be 0.63 and 0.38.
-const evenShare = 4
+// evenDivisor is the divisor that gives the part of a cap that is split evenly over the
+// pools: a quarter. A customer whose work is all in one pool of four can then use 0.81 of its
+// cap there, and at most 0.19 is idle in the other pools. With a half instead of a quarter,
+// these would be 0.63 and 0.38.
+const evenDivisor = 4
 
-// Terms are what holds for one customer under one version of the configuration.
-type Terms struct {
-	// Cap is what the customer may have running; a zero is no bound.
+// Limits are the limits of one customer under one version of the configuration.
+type Limits struct {
+	// Cap is what the customer's running tasks may take in all pools; zero means no bound.
 	Cap pointport.Shape
-	// Even is each pool's own part of it.
-	Even pointport.Shape
-	// Floating is what is left for the accounts' rows.
+	// PerPool is the even part of the cap that each pool may use.
+	PerPool pointport.Shape
+	// Floating is the rest of the cap, which the rows of the account share.
 	Floating pointport.Shape
-	// Lowered is the version that last made Even or Floating smaller, as far as this
-	// process has seen; zero for none.
+	// Lowered is the version that last lowered PerPool or Floating, as far as this process
+	// has seen; zero for none.
 	Lowered int64
 }
 
-func termsOf(limit pointport.Shape, pools int) Terms {
-	parts := int64(evenShare * max(1, pools))
-	even := each(limit, limit, func(l, _ int64) int64 { return l / parts })
-	floating := each(limit, even, func(l, e int64) int64 { return l - e*int64(max(1, pools)) })
-	return Terms{Cap: limit, Even: even, Floating: floating}
+// newLimits splits a cap into even parts for pools and the floating rest.
+func newLimits(limit pointport.Shape, pools int) Limits {
+	parts := int64(evenDivisor * max(1, pools))
+	perPool := combine(limit, limit, func(l, _ int64) int64 { return l / parts })
+	floating := combine(limit, perPool, func(l, e int64) int64 { return l - e*int64(max(1, pools)) })
+	return Limits{Cap: limit, PerPool: perPool, Floating: floating}
 }
 
-// limited reports whether there is any bound.
-func (t Terms) limited() bool { return t.Cap != (pointport.Shape{}) }
+// hasCap reports whether any part of the cap is bounded.
+func (l Limits) hasCap() bool { return l.Cap != (pointport.Shape{}) }
 
-// tighter reports whether any bound is smaller than before.
-func (t Terms) tighter(before Terms) bool {
-	return !t.bounded(t.Even).Fits(before.bounded(before.Even)) || !t.bounded(t.Floating).Fits(before.bounded(before.Floating))
+// tighterThan reports whether PerPool or Floating is lower in any part than before.
+func (l Limits) tighterThan(before Limits) bool {
+	return !l.withUnbounded(l.PerPool).Fits(before.withUnbounded(before.PerPool)) || !l.withUnbounded(l.Floating).Fits(before.withUnbounded(before.Floating))
 }
 
-// unbounded stands for a part of a shape that has no bound. Sums of some thousand of them
-// do not overflow.
+// unbounded stands for the value of a part without a bound. It is small enough that a sum of
+// some thousand of them doesn't overflow.
 const unbounded = int64(1) << 48
 
-// bounded returns a shape of which the parts without a bound in the cap are unbounded.
-func (t Terms) bounded(s pointport.Shape) pointport.Shape {
-	return each(t.Cap, s, func(limit, v int64) int64 {
+// withUnbounded returns a shape with the parts that the cap doesn't bound set to unbounded.
+func (l Limits) withUnbounded(s pointport.Shape) pointport.Shape {
+	return combine(l.Cap, s, func(limit, v int64) int64 {
 		if limit == 0 {
 			return unbounded
 		}
@@ -57,36 +59,37 @@
 	})
 }
 
-// A Policy is what one version of the configuration says of all customers. It is never
-// changed.
+// A Policy holds the limits and weights of all customers under one version of the
+// configuration. It is immutable. A nil Policy has neither caps nor weights.
 type Policy struct {
-	version int64
-	pools   []string
-	terms   map[string]Terms // of the customers that have a cap
-	names   []string         // of these customers, sorted
-	weights map[string]float64
+	version    int64
+	pools      []string
+	byCustomer map[string]Limits // of the customers that have a cap
+	names      []string          // of these customers, sorted
+	weights    map[string]float64
 }
 
-// NewPolicy returns the policy of a version of the configuration whose work is done in
-// pools; before is the one of the version before, nil if it is not known.
+// NewPolicy returns the policy for a version of the configuration whose tasks run in pools.
+// It compares the limits with those of before, the policy of the preceding version; nil if
+// that is not known.
 func NewPolicy(before *Policy, customers *customer.Directory, pools []string, version int64) *Policy {
-	p := &Policy{version: version, pools: slices.Clone(pools), terms: make(map[string]Terms), weights: make(map[string]float64)}
+	p := &Policy{version: version, pools: slices.Clone(pools), byCustomer: make(map[string]Limits), weights: make(map[string]float64)}
 	for _, c := range customers.All() {
 		p.weights[c.Name] = c.Weight
-		t := termsOf(c.Cap, len(pools))
-		if !t.limited() {
+		limits := newLimits(c.Cap, len(pools))
+		if !limits.hasCap() {
 			continue
 		}
 		if before != nil {
-			was := before.terms[c.Name]
-			t.Lowered = was.Lowered
-			if t.tighter(was) {
-				t.Lowered = version
+			previous := before.byCustomer[c.Name]
+			limits.Lowered = previous.Lowered
+			if limits.tighterThan(previous) {
+				limits.Lowered = version
 			}
 		}
-		p.terms[c.Name] = t
+		p.byCustomer[c.Name] = limits
 	}
-	p.names = slices.Sorted(maps.Keys(p.terms))
+	p.names = slices.Sorted(maps.Keys(p.byCustomer))
 	return p
 }
 
@@ -94,7 +97,7 @@
 func (p *Policy) Version() int64 { return p.version }
 
 // HasCaps reports whether any customer has a cap.
-func (p *Policy) HasCaps() bool { return p != nil && len(p.terms) > 0 }
+func (p *Policy) HasCaps() bool { return p != nil && len(p.byCustomer) > 0 }
 
 // Weights returns the customers' weights by name. They must not be changed.
 func (p *Policy) Weights() map[string]float64 {
@@ -104,17 +107,17 @@
 	return p.weights
 }
 
-// Terms returns what holds for a customer; false if it has no cap.
-func (p *Policy) Terms(name string) (Terms, bool) {
+// Limits returns the limits of a customer; false if it has no cap.
+func (p *Policy) Limits(name string) (Limits, bool) {
 	if p == nil {
-		return Terms{}, false
+		return Limits{}, false
 	}
-	t, ok := p.terms[name]
-	return t, ok
+	limits, ok := p.byCustomer[name]
+	return limits, ok
 }
 
-// each returns a shape each part of which is made of those of two.
-func each(a, b pointport.Shape, f func(a, b int64) int64) pointport.Shape {
+// combine returns the shape whose parts are f of the same parts of a and b.
+func combine(a, b pointport.Shape, f func(a, b int64) int64) pointport.Shape {
 	return pointport.Shape{
 		CPUMilli:     f(a.CPUMilli, b.CPUMilli),
 		MemoryMiB:    f(a.MemoryMiB, b.MemoryMiB),
@@ -122,11 +125,12 @@
 	}
 }
 
-// most returns the larger of each part, least the smaller.
-func most(a, b pointport.Shape) pointport.Shape {
-	return each(a, b, func(a, b int64) int64 { return max(a, b) })
+// maxShape returns the larger value of each part.
+func maxShape(a, b pointport.Shape) pointport.Shape {
+	return combine(a, b, func(a, b int64) int64 { return max(a, b) })
 }
 
-func least(a, b pointport.Shape) pointport.Shape {
-	return each(a, b, func(a, b int64) int64 { return min(a, b) })
+// minShape returns the smaller value of each part.
+func minShape(a, b pointport.Shape) pointport.Shape {
+	return combine(a, b, func(a, b int64) int64 { return min(a, b) })
 }
