--- a/elect/elect.go
+++ b/elect/elect.go
@@ -21,8 +21,8 @@
 // DefaultTTL is how long a lease lasts unrenewed.
 const DefaultTTL = 10 * time.Second
 
-// renewals is how often a lease is renewed within its time.
-const renewals = 3
+// renewalsPerTTL is how often a lease is renewed within its time.
+const renewalsPerTTL = 3
 
 // A Candidate asks for a lease again and again. It is safe for concurrent use.
 type Candidate struct {
@@ -32,9 +32,9 @@
 	holder string
 	ttl    time.Duration
 
-	mu    sync.Mutex
-	until time.Time
-	other string // who else had the lease when it was last asked for
+	mu          sync.Mutex
+	heldUntil   time.Time
+	otherHolder string // who else had the lease when it was last asked for
 }
 
 // Start returns a candidate for the lease called name, which asks for it until
@@ -43,13 +43,13 @@
 	c := &Candidate{leaser: leaser, clock: clock, name: name, holder: holder, ttl: ttl}
 	go func() {
 		for ctx.Err() == nil {
-			c.ask(ctx)
+			c.acquire(ctx)
 			select {
-			case <-clock.After(c.pause()):
+			case <-clock.After(c.interval()):
 			case <-ctx.Done():
 			}
 		}
-		c.giveBack()
+		c.release()
 	}()
 	return c
 }
@@ -58,10 +58,10 @@
 func (c *Candidate) Held() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.clock.Steady().Before(c.until)
+	return c.clock.Steady().Before(c.heldUntil)
 }
 
-func (c *Candidate) ask(ctx context.Context) {
+func (c *Candidate) acquire(ctx context.Context) {
 	from := c.clock.Steady()
 	err := c.leaser.Lease(ctx, c.name, c.holder, c.ttl)
 	c.mu.Lock()
@@ -69,33 +69,33 @@
 	var held *pointport.HeldError
 	switch {
 	case err == nil:
-		c.until, c.other = from.Add(c.ttl), ""
+		c.heldUntil, c.otherHolder = from.Add(c.ttl), ""
 	case errors.As(err, &held):
-		c.other = held.Holder
+		c.otherHolder = held.Holder
 	}
 }
 
-// pause is how long to wait before the lease is asked for again. While another
+// interval is how long to wait before the lease is asked for again. While another
 // has it, asking more often than once in its time would only cost calls.
-func (c *Candidate) pause() time.Duration {
+func (c *Candidate) interval() time.Duration {
 	if c.OtherHolder() != "" {
 		return c.ttl
 	}
-	return c.ttl / renewals
+	return c.ttl / renewalsPerTTL
 }
 
 // OtherHolder returns who else had the lease when it was last asked for, or nothing.
 func (c *Candidate) OtherHolder() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.other
+	return c.otherHolder
 }
 
-// giveBack ends the lease so that the next holder need not wait.
-func (c *Candidate) giveBack() {
+// release ends the lease so that the next holder need not wait.
+func (c *Candidate) release() {
 	held := c.Held()
 	c.mu.Lock()
-	c.until = time.Time{}
+	c.heldUntil = time.Time{}
 	c.mu.Unlock()
 	if !held {
 		return
--- a/member/backoff.go
+++ b/member/backoff.go
@@ -10,15 +10,15 @@
 // This file defines how long to wait before the store is asked again.
 
 const (
-	// retryFirst is how long to wait after the store gave no answer, retryMost
+	// minRetryDelay is how long to wait after the store gave no answer, retryMost
 	// the bound of its doubling.
-	retryFirst = 50 * time.Millisecond
-	retryMost  = 400 * time.Millisecond
-	// busyFirst and busyMost are the same after the store refused a call because there
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 400 * time.Millisecond
+	// minBusyDelay and busyMost are the same after the store refused a call because there
 	// are too many. Whoever follows keys waits for longer than whoever owns: a renewal is
 	// made four times a second, a change again after 0.3 s at most.
-	busyFirst = 200 * time.Millisecond
-	busyMost  = 1200 * time.Millisecond
+	minBusyDelay = 200 * time.Millisecond
+	maxBusyDelay = 1200 * time.Millisecond
 )
 
 // A backoff grows with each failure in a row. The zero value is ready.
@@ -27,9 +27,9 @@
 // after returns how long to wait after a failure.
 func (b *backoff) after(err error) time.Duration {
 	if pointport.IsBusy(err) {
-		return spread(b.grow(busyFirst, busyMost))
+		return jitter(b.grow(minBusyDelay, maxBusyDelay))
 	}
-	return b.grow(retryFirst, retryMost)
+	return b.grow(minRetryDelay, maxRetryDelay)
 }
 
 // grow returns the wait, from first to most, and doubles the next.
@@ -39,6 +39,6 @@
 	return wait
 }
 
-// spread returns a time between half of d and one and a half, so that members that were
+// jitter returns a time between half of d and one and a half, so that members that were
 // refused together do not come back together.
-func spread(d time.Duration) time.Duration { return d/2 + rand.N(d) }
+func jitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
--- a/member/follow.go
+++ b/member/follow.go
@@ -11,10 +11,10 @@
 // This file defines how the keys under a prefix are followed.
 
 const (
-	// watchWait is how long a watch may wait for a change. The store may be deaf
+	// defaultWatchTimeout is how long a watch may wait for a change. The store may be deaf
 	// to changes for a while and a connection may be cut off in silence, so a
 	// watch that hears nothing is never trusted for long.
-	watchWait = time.Second
+	defaultWatchTimeout = time.Second
 	// DefaultRereadInterval is how often all keys under a prefix are read again, whatever
 	// the watches say. Nothing is known to need that: a change that a watch did not
 	// tell is told by the next one, or the store says that it has forgotten it. Every
@@ -22,27 +22,27 @@
 	// received in a minute among 47, and 2.9 of the 14.1 MB of the busiest owner beside
 	// 372 instances.
 	DefaultRereadInterval = 15 * time.Second
-	// rereadRest is how many times as long as such a reading took passes until the
+	// rereadPauseFactor is how many times as long as such a reading took passes until the
 	// next, at least. Registrations of 350 instances are some 150 KB, worked out from the
 	// platform's example, 0.12 s of a link of 10 Mbit/s; at 8,000, readings every 3 s
 	// would fill it.
-	rereadRest = 9
+	rereadPauseFactor = 9
 )
 
 // A Follower keeps a copy of the keys under a prefix up to date.
 type Follower struct {
-	kv     pointport.KV
-	clock  pointport.Clock
-	prefix string
-	reset  func([]pointport.Entry)
-	apply  func([]pointport.Entry)
-	reread time.Duration // from one reading of all keys to the next
-	every  func() time.Duration
-	rest   func([]pointport.Entry) time.Duration
-	wait   func() time.Duration // for how long a watch may wait
-	at     pointport.Revision
-	back   func() <-chan struct{}
-	heard  func(error)
+	kv             pointport.KV
+	clock          pointport.Clock
+	prefix         string
+	reset          func([]pointport.Entry)
+	apply          func([]pointport.Entry)
+	rereadAfter    time.Duration // from one reading of all keys to the next
+	rereadInterval func() time.Duration
+	pauseAfter     func([]pointport.Entry) time.Duration
+	watchTimeout   func() time.Duration // for how long a watch may wait
+	watchFrom      pointport.Revision
+	rereadOn       func() <-chan struct{}
+	onResult       func(error)
 }
 
 // A FollowOption changes a Follower.
@@ -50,7 +50,7 @@
 
 // FromRevision has the follower begin at a revision as of which its caller has read all
 // keys.
-func FromRevision(at pointport.Revision) FollowOption { return func(f *Follower) { f.at = at } }
+func FromRevision(at pointport.Revision) FollowOption { return func(f *Follower) { f.watchFrom = at } }
 
 // PauseAfterChange sets how long to wait after a change before the next is asked for, where
 // changes are many and need not be known at once.
@@ -60,57 +60,61 @@
 
 // PauseAfterChanges sets how long to wait after some changes before the next are asked for.
 func PauseAfterChanges(rest func(changes []pointport.Entry) time.Duration) FollowOption {
-	return func(f *Follower) { f.rest = rest }
+	return func(f *Follower) { f.pauseAfter = rest }
 }
 
 // WatchTimeout sets for how long a watch may wait, where many follow the same keys.
-func WatchTimeout(wait func() time.Duration) FollowOption { return func(f *Follower) { f.wait = wait } }
+func WatchTimeout(wait func() time.Duration) FollowOption {
+	return func(f *Follower) { f.watchTimeout = wait }
+}
 
 // RereadInterval sets how often all keys are read again at most, where many follow many keys.
 func RereadInterval(every func() time.Duration) FollowOption {
-	return func(f *Follower) { f.every = every }
+	return func(f *Follower) { f.rereadInterval = every }
 }
 
-// defaultReread returns how often all keys are read again by default.
-func defaultReread() time.Duration { return DefaultRereadInterval }
+// defaultRereadIntervalFunc returns how often all keys are read again by default.
+func defaultRereadIntervalFunc() time.Duration { return DefaultRereadInterval }
 
 // RereadOn has all keys read again as soon as the channel that back returns is closed: the
 // store answers again, and a question that was put while it did not may wait for its
 // time to pass, up to 1.7 s with its repetitions.
-func RereadOn(back func() <-chan struct{}) FollowOption { return func(f *Follower) { f.back = back } }
+func RereadOn(back func() <-chan struct{}) FollowOption {
+	return func(f *Follower) { f.rereadOn = back }
+}
 
 // OnResult has a function told of each question to the store what became of it: nil once its
 // answer was taken in.
-func OnResult(heard func(error)) FollowOption { return func(f *Follower) { f.heard = heard } }
+func OnResult(heard func(error)) FollowOption { return func(f *Follower) { f.onResult = heard } }
 
 // Follow follows the keys under prefix until ctx ends. reset is called with all
 // keys when they are read, apply with each change; a deleted key is an entry
 // that does not exist.
 func Follow(ctx context.Context, kv pointport.KV, clock pointport.Clock, prefix string, reset, apply func([]pointport.Entry), options ...FollowOption) {
-	f := &Follower{kv: kv, clock: clock, prefix: prefix, reset: reset, apply: apply, reread: DefaultRereadInterval, every: defaultReread, back: never, rest: noRest, wait: defaultWait, heard: func(error) {}}
+	f := &Follower{kv: kv, clock: clock, prefix: prefix, reset: reset, apply: apply, rereadAfter: DefaultRereadInterval, rereadInterval: defaultRereadIntervalFunc, rereadOn: neverClosed, pauseAfter: noPause, watchTimeout: defaultWatchTimeoutFunc, onResult: func(error) {}}
 	for _, o := range options {
 		o(f)
 	}
 	f.run(ctx)
 }
 
-// noRest has the next changes asked for at once.
-func noRest([]pointport.Entry) time.Duration { return 0 }
+// noPause has the next changes asked for at once.
+func noPause([]pointport.Entry) time.Duration { return 0 }
 
-// defaultWait returns for how long a watch may wait by default.
-func defaultWait() time.Duration { return watchWait }
+// defaultWatchTimeoutFunc returns for how long a watch may wait by default.
+func defaultWatchTimeoutFunc() time.Duration { return defaultWatchTimeout }
 
-// never returns a channel that is not closed.
-func never() <-chan struct{} { return nil }
+// neverClosed returns a channel that is not closed.
+func neverClosed() <-chan struct{} { return nil }
 
 // run follows the keys until ctx ends, and begins anew when the store is back.
 func (f *Follower) run(ctx context.Context) {
 	read := time.Time{}
-	if f.at > 0 {
+	if f.watchFrom > 0 {
 		read = f.clock.Now()
 	}
 	for ctx.Err() == nil {
-		back := f.back()
+		back := f.rereadOn()
 		call, cancel := context.WithCancel(ctx)
 		go func() {
 			select {
@@ -131,16 +135,16 @@
 	var pause backoff
 	for ctx.Err() == nil {
 		var err error
-		if read.IsZero() || f.clock.Now().Sub(read) >= f.reread {
+		if read.IsZero() || f.clock.Now().Sub(read) >= f.rereadAfter {
 			from := f.clock.Now()
 			if err = f.readAll(ctx); err == nil {
 				read = from
-				f.reread = max(f.every(), (1+rereadRest)*f.clock.Now().Sub(from))
+				f.rereadAfter = max(f.rereadInterval(), (1+rereadPauseFactor)*f.clock.Now().Sub(from))
 			}
 		} else {
 			err = f.watch(ctx)
 		}
-		f.heard(err)
+		f.onResult(err)
 		var compacted *pointport.CompactedError
 		if errors.As(err, &compacted) {
 			read, err = time.Time{}, nil
@@ -163,13 +167,13 @@
 	if err != nil {
 		return err
 	}
-	f.at = at
+	f.watchFrom = at
 	f.reset(all)
 	return nil
 }
 
 func (f *Follower) watch(ctx context.Context) error {
-	changes, err := f.kv.WatchPrefix(ctx, f.prefix, f.at, f.wait())
+	changes, err := f.kv.WatchPrefix(ctx, f.prefix, f.watchFrom, f.watchTimeout())
 	if err != nil {
 		return err
 	}
@@ -179,9 +183,9 @@
 		// forgotten it.
 		return nil
 	}
-	f.at = max(f.at, changes.At)
+	f.watchFrom = max(f.watchFrom, changes.At)
 	f.apply(changes.Entries)
-	sleep(ctx, f.clock, f.rest(changes.Entries))
+	sleep(ctx, f.clock, f.pauseAfter(changes.Entries))
 	return nil
 }
 
--- a/member/lease.go
+++ b/member/lease.go
@@ -10,41 +10,41 @@
 // This file defines how long a member's lease lasts: it is short while the member owns a
 // pool or is about to, and long otherwise.
 
-// Shorten has the lease be a short one for some time, under which pools can be owned.
-func (s *Session) Shorten() { s.shorten(shortFor) }
+// RequestShortLease has the lease be a short one for some time, under which pools can be owned.
+func (s *Session) RequestShortLease() { s.requestShortLease(shortLeaseHold) }
 
-// shorten has the lease be a short one for so long at least.
-func (s *Session) shorten(d time.Duration) {
+// requestShortLease has the lease be a short one for so long at least.
+func (s *Session) requestShortLease(d time.Duration) {
 	s.mu.Lock()
-	if until := s.clock.Steady().Add(d); until.After(s.wanted) {
-		s.wanted = until
+	if until := s.clock.Steady().Add(d); until.After(s.shortUntil) {
+		s.shortUntil = until
 	}
-	short := s.lease == 0 || s.lasts == s.ttl
+	short := s.lease == 0 || s.leaseTTL == s.ttl
 	s.mu.Unlock()
 	if short {
 		return
 	}
 	select {
-	case s.hurry <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default: // it is about to be looked after
 	}
 }
 
-// short reports whether the lease is a short one.
-func (s *Session) short() bool {
+// hasShortLease reports whether the lease is a short one.
+func (s *Session) hasShortLease() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lease != 0 && s.lasts == s.ttl
+	return s.lease != 0 && s.leaseTTL == s.ttl
 }
 
 // ownerLease returns a lease under which a pool can be owned, and has the lease exchanged
 // for one if need be.
 func (s *Session) ownerLease(ctx context.Context) (pointport.LeaseID, error) {
 	late := s.clock.After(s.ttl / 2)
-	s.shorten(takeFor)
+	s.requestShortLease(takeLeaseHold)
 	for {
 		s.mu.Lock()
-		lease, fit := s.lease, s.lasts == s.ttl && !s.yielding
+		lease, fit := s.lease, s.leaseTTL == s.ttl && !s.exchanging
 		s.mu.Unlock()
 		switch {
 		case lease == 0:
@@ -53,7 +53,7 @@
 			return lease, nil
 		}
 		select {
-		case <-s.clock.After(leaseLook):
+		case <-s.clock.After(exchangePollInterval):
 		case <-late:
 			return 0, ErrNoLease
 		case <-ctx.Done():
@@ -62,37 +62,37 @@
 	}
 }
 
-// guard has a short lease be kept while engaged says that something is, or is about to
+// setEngaged has a short lease be kept while engaged says that something is, or is about to
 // be, owned under it.
-func (s *Session) guard(engaged func() bool) {
+func (s *Session) setEngaged(engaged func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.engaged = engaged
 }
 
-// length returns how long the lease lasts unrenewed.
-func (s *Session) length() time.Duration {
+// currentTTL returns how long the lease lasts unrenewed.
+func (s *Session) currentTTL() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lasts
+	return s.leaseTTL
 }
 
-// fitting returns how long a lease is to last now.
-func (s *Session) fitting() time.Duration {
+// desiredTTL returns how long a lease is to last now.
+func (s *Session) desiredTTL() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.clock.Steady().Before(s.wanted) {
+	if s.clock.Steady().Before(s.shortUntil) {
 		return s.ttl
 	}
-	return idleFactor * s.ttl
+	return longLeaseFactor * s.ttl
 }
 
 // exchange has another lease granted in place of the one that there is, and reports
 // whether it was. One that was not is tried again with the next call. The old lease is
 // left to end: nothing is owned under it, and this member's own key is written anew.
 func (s *Session) exchange(ctx context.Context, lasts time.Duration) bool {
-	engaged := s.yield()
-	defer s.settle()
+	engaged := s.beginExchange()
+	defer s.endExchange()
 	if lasts > s.ttl && engaged() {
 		return false
 	}
@@ -103,24 +103,24 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.resume(from)
-	s.former = s.lease
-	s.adopt(lease, lasts, from)
+	s.recordAnswer(from)
+	s.formerLease = s.lease
+	s.setLease(lease, lasts, from)
 	return true
 }
 
-// yield notes that the lease is to be exchanged: from then on nothing begins to be owned
+// beginExchange notes that the lease is to be exchanged: from then on nothing begins to be owned
 // under it. It returns what tells whether anything has.
-func (s *Session) yield() (engaged func() bool) {
+func (s *Session) beginExchange() (engaged func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.yielding = true
+	s.exchanging = true
 	return s.engaged
 }
 
-// settle notes that an exchange is over, whether it was made or not.
-func (s *Session) settle() {
+// endExchange notes that an exchange is over, whether it was made or not.
+func (s *Session) endExchange() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.yielding = false
+	s.exchanging = false
 }
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -91,10 +91,10 @@
 			t.Fatal(err)
 		}
 		time.Sleep(100 * time.Millisecond)
-		if !weak.roster.Outweighed() {
+		if !weak.roster.ShouldHandOver() {
 			t.Error("the weak member keeps the pool")
 		}
-		if weak.roster.Outweighed() {
+		if weak.roster.ShouldHandOver() {
 			t.Error("the weak member gives two away at once")
 		}
 		settle(weak, strong)
--- a/member/ownership.go
+++ b/member/ownership.go
@@ -36,7 +36,7 @@
 }
 
 // Proven reports whether the ownership has surely not been lost.
-func (o Ownership) Proven() bool { return o.left() > 0 }
+func (o Ownership) Proven() bool { return o.remaining() > 0 }
 
 // prove takes in that the owner key was seen by a call made at the steady time from.
 func (o Ownership) prove(from time.Time) {
@@ -47,8 +47,8 @@
 	}
 }
 
-// left returns for how long the ownership is proven from now on.
-func (o Ownership) left() time.Duration {
+// remaining returns for how long the ownership is proven from now on.
+func (o Ownership) remaining() time.Duration {
 	now := o.proof.clock.Steady()
 	o.proof.mu.Lock()
 	defer o.proof.mu.Unlock()
@@ -61,8 +61,8 @@
 // ErrNoLease says that this member has no lease under which it could own.
 var ErrNoLease = errors.New("this member has no lease")
 
-// own returns an ownership that was seen by a call made at the steady time from.
-func (r *Roster) own(pool string, fence pointport.Fence, revision pointport.Revision, from time.Time) Ownership {
+// newOwnership returns an ownership that was seen by a call made at the steady time from.
+func (r *Roster) newOwnership(pool string, fence pointport.Fence, revision pointport.Revision, from time.Time) Ownership {
 	o := Ownership{Pool: pool, Fence: fence, Revision: revision, proof: &proof{clock: r.clock, ttl: r.session.TTL()}}
 	o.prove(from)
 	return o
@@ -92,20 +92,20 @@
 	case err == nil:
 		// Seen at once, it counts before the next pool is taken.
 		r.apply([]pointport.Entry{pointport.NewEntry(key, value, revision).WithCreated(revision).WithLease(lease)})
-		return r.own(pool, pointport.Fence(revision), revision, from), nil
+		return r.newOwnership(pool, pointport.Fence(revision), revision, from), nil
 	case errors.As(err, &conflict):
 		for _, e := range conflict.Entries {
 			if e.Key() == key && e.Lease() == lease {
 				// It was taken by a call whose answer was lost.
-				return r.own(pool, pointport.Fence(e.Created()), e.Revision(), from), nil
+				return r.newOwnership(pool, pointport.Fence(e.Created()), e.Revision(), from), nil
 			}
 		}
 	}
-	return r.taken(ctx, pool, lease, err)
+	return r.resolveTake(ctx, pool, lease, err)
 }
 
-// taken finds out whether a Take whose answer was lost has taken effect.
-func (r *Roster) taken(ctx context.Context, pool string, lease pointport.LeaseID, cause error) (Ownership, error) {
+// resolveTake finds out whether a Take whose answer was lost has taken effect.
+func (r *Roster) resolveTake(ctx context.Context, pool string, lease pointport.LeaseID, cause error) (Ownership, error) {
 	var unavailable *pointport.UnavailableError
 	if !errors.As(cause, &unavailable) || !unavailable.Ambiguous {
 		return Ownership{}, cause
@@ -118,7 +118,7 @@
 	if !e.Exists() || e.Lease() != lease {
 		return Ownership{}, cause
 	}
-	return r.own(pool, pointport.Fence(e.Created()), e.Revision(), from), nil
+	return r.newOwnership(pool, pointport.Fence(e.Created()), e.Revision(), from), nil
 }
 
 // Check reads the owner key, so that Proven holds for longer. It fails with
@@ -141,7 +141,7 @@
 // once.
 func (r *Roster) Release(ctx context.Context, own Ownership) error {
 	key := OwnerKey(own.Pool)
-	r.disown(own.Pool)
+	r.clearLastOwner(own.Pool)
 	_, err := r.kv.Commit(ctx, pointport.Txn{
 		If:     []pointport.Condition{{Key: key, Revision: own.Revision}},
 		Delete: []string{key},
@@ -150,12 +150,12 @@
 	if err != nil && !errors.As(err, &conflict) {
 		return err
 	}
-	r.forget(own) // with a conflict it was lost already
+	r.removeOwner(own) // with a conflict it was lost already
 	return nil
 }
 
-// forget takes in that an ownership is lost although no watch has told so.
-func (r *Roster) forget(own Ownership) {
+// removeOwner takes in that an ownership is lost although no watch has told so.
+func (r *Roster) removeOwner(own Ownership) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if o, ok := r.owners[own.Pool]; ok && o.entry.Revision() == own.Revision {
@@ -163,11 +163,11 @@
 	}
 }
 
-// disown notes that this member gives a pool up of its own will.
-func (r *Roster) disown(pool string) {
+// clearLastOwner notes that this member gives a pool up of its own will.
+func (r *Roster) clearLastOwner(pool string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.former[pool] == r.self.Name {
-		delete(r.former, pool)
+	if r.lastOwner[pool] == r.self.Name {
+		delete(r.lastOwner, pool)
 	}
 }
--- a/member/pool_manager.go
+++ b/member/pool_manager.go
@@ -17,27 +17,27 @@
 // a tenant for each pool that is this member's.
 
 const (
-	// rankPause is for how long a member leaves a pool without an owner to each
+	// rankDelay is for how long a member leaves a pool without an owner to each
 	// one that ranks before it.
-	rankPause = 60 * time.Millisecond
-	// leastTenure is how long a pool is kept before it is given to a member that
+	rankDelay = 60 * time.Millisecond
+	// minOwnershipTime is how long a pool is kept before it is given to a member that
 	// has less to do, so that pools do not wander.
-	leastTenure = 4 * time.Second
-	// shunFor is for how long a member leaves a pool to others for which it was unfit, and
+	minOwnershipTime = 4 * time.Second
+	// avoidFor is for how long a member leaves a pool to others for which it was unfit, and
 	// shunPause how much later than by rank it takes it if nobody else does: more than the
 	// ranks of 30 members take.
-	shunFor   = 30 * time.Second
-	shunPause = 2 * time.Second
-	// keeperTick is how often the keeper looks when nothing changes.
-	keeperTick = 500 * time.Millisecond
-	// inLine is how many members are ready to take each pool: they keep a short lease, so
+	avoidFor   = 30 * time.Second
+	avoidDelay = 2 * time.Second
+	// checkInterval is how often the keeper looks when nothing changes.
+	checkInterval = 500 * time.Millisecond
+	// standbyCount is how many members are ready to take each pool: they keep a short lease, so
 	// that the others know soon when one of them is gone and a pool is taken without the
 	// exchange of a lease. Four of them survive what takes three of them and the owner.
-	inLine = 4
-	// lineAfter is how long after the roster is complete a member first finds out whether
+	standbyCount = 4
+	// standbyDelay is how long after the roster is complete a member first finds out whether
 	// it is among them, and lineEvery how often; it ranks all members for each pool.
-	lineAfter = 3 * time.Second
-	lineEvery = 2 * time.Second
+	standbyDelay    = 3 * time.Second
+	standbyInterval = 2 * time.Second
 )
 
 // A Controller does the work of a pool's owner until it is stopped or finds that it
@@ -53,16 +53,16 @@
 	Err() error
 }
 
-// A Doubter is a tenant that may find that it cannot do its work while others could. Its pool
+// A FitnessReporter is a tenant that may find that it cannot do its work while others could. Its pool
 // is then given to another member.
-type Doubter interface {
+type FitnessReporter interface {
 	// Unfit reports whether that is so.
 	Unfit() bool
 }
 
 // unfit reports whether a tenant says that others should have its pool.
 func unfit(t Controller) bool {
-	d, ok := t.(Doubter)
+	d, ok := t.(FitnessReporter)
 	return ok && d.Unfit()
 }
 
@@ -76,21 +76,21 @@
 	start   func(Ownership) T
 	logger  *slog.Logger
 
-	// took is how long the last call took that checked an ownership. It belongs to the
+	// lastCheckDuration is how long the last call took that checked an ownership. It belongs to the
 	// loop.
-	took time.Duration
-	// lined is when the member last found out whether it is among the next to take a pool.
+	lastCheckDuration time.Duration
+	// standbyCheckedAt is when the member last found out whether it is among the next to take a pool.
 	// It belongs to the loop.
-	lined time.Time
+	standbyCheckedAt time.Time
 
-	mu      sync.Mutex
-	tenants map[string]T
-	orphans map[string]time.Time // since when a pool has had no owner
-	since   map[string]time.Time // since when a pool has had its tenant
-	shunned map[string]time.Time // until when a pool is left to others, its tenant was unfit
-	// fences holds the last fence of each pool under which a tenant has begun here.
-	fences  map[string]pointport.Fence
-	stopped bool
+	mu           sync.Mutex
+	controllers  map[string]T
+	unownedSince map[string]time.Time // since when a pool has had no owner
+	startedAt    map[string]time.Time // since when a pool has had its tenant
+	avoidedUntil map[string]time.Time // until when a pool is left to others, its tenant was unfit
+	// lastFences holds the last fence of each pool under which a tenant has begun here.
+	lastFences map[string]pointport.Fence
+	stopped    bool
 }
 
 // StartPoolManager returns a keeper that works until ctx ends. pools tells which
@@ -98,9 +98,9 @@
 func StartPoolManager[T Controller](ctx context.Context, clock pointport.Clock, session *Session, roster *Roster, pools func() []string, start func(Ownership) T, logger *slog.Logger) *PoolManager[T] {
 	k := &PoolManager[T]{
 		clock: clock, session: session, roster: roster, pools: pools, start: start, logger: logger,
-		tenants: make(map[string]T), orphans: make(map[string]time.Time), since: make(map[string]time.Time),
-		shunned: make(map[string]time.Time),
-		fences:  make(map[string]pointport.Fence),
+		controllers: make(map[string]T), unownedSince: make(map[string]time.Time), startedAt: make(map[string]time.Time),
+		avoidedUntil: make(map[string]time.Time),
+		lastFences:   make(map[string]pointport.Fence),
 	}
 	go func() {
 		for ctx.Err() == nil {
@@ -120,7 +120,7 @@
 func (k *PoolManager[T]) Controller(pool string) (T, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	t, ok := k.tenants[pool]
+	t, ok := k.controllers[pool]
 	return t, ok
 }
 
@@ -128,80 +128,80 @@
 func (k *PoolManager[T]) Controllers() []T {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return slices.Collect(maps.Values(k.tenants))
+	return slices.Collect(maps.Values(k.controllers))
 }
 
 // Count returns how many tenants this member has.
 func (k *PoolManager[T]) Count() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return len(k.tenants)
+	return len(k.controllers)
 }
 
 // round ends tenants that own nothing any more and takes what is free. It
 // returns when to look again.
 func (k *PoolManager[T]) round(ctx context.Context) time.Duration {
-	k.reap()
-	next := keeperTick
-	if !k.roster.Known() || k.ended() {
+	k.removeEnded()
+	next := checkInterval
+	if !k.roster.Known() || k.isStopped() {
 		return next
 	}
 	now := k.clock.Now()
-	if k.Count() > 0 || k.next(now) {
-		k.session.Shorten()
+	if k.Count() > 0 || k.isStandby(now) {
+		k.session.RequestShortLease()
 	}
 	for _, pool := range k.pools() {
-		next = min(next, k.tend(ctx, pool, now))
+		next = min(next, k.managePool(ctx, pool, now))
 	}
 	return max(next, time.Millisecond)
 }
 
-// next reports whether this member is found to be among the next to take a pool. One that
+// isStandby reports whether this member is found to be among the next to take a pool. One that
 // is stays so until it is far behind, so that leases are not exchanged to and fro.
-func (k *PoolManager[T]) next(now time.Time) bool {
-	settles, _ := k.session.Settles()
-	if now.Before(settles.Add(lineAfter)) || now.Sub(k.lined) < lineEvery {
+func (k *PoolManager[T]) isStandby(now time.Time) bool {
+	settles, _ := k.session.CompleteAt()
+	if now.Before(settles.Add(standbyDelay)) || now.Sub(k.standbyCheckedAt) < standbyInterval {
 		return false
 	}
-	k.lined = now
-	within := inLine
-	if k.session.short() {
-		within = 2 * inLine
+	k.standbyCheckedAt = now
+	within := standbyCount
+	if k.session.hasShortLease() {
+		within = 2 * standbyCount
 	}
 	for _, pool := range k.pools() {
-		if _, free := k.orphans[pool]; !free && k.roster.Rank(pool) < within {
+		if _, free := k.unownedSince[pool]; !free && k.roster.Rank(pool) < within {
 			return true
 		}
 	}
 	return false
 }
 
-// ended reports whether the keeper was stopped.
-func (k *PoolManager[T]) ended() bool {
+// isStopped reports whether the keeper was stopped.
+func (k *PoolManager[T]) isStopped() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.stopped
 }
 
-// reap forgets the tenants that have ended.
-func (k *PoolManager[T]) reap() {
+// removeEnded forgets the tenants that have ended.
+func (k *PoolManager[T]) removeEnded() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for pool, t := range k.tenants {
+	for pool, t := range k.controllers {
 		select {
 		case <-t.Done():
 			event.PoolLost.Log(k.logger, slog.String("pool", pool), slog.Any("reason", t.Err()))
 			if errors.Is(t.Err(), ErrNotOwner) {
-				k.roster.forget(t.Ownership())
+				k.roster.removeOwner(t.Ownership())
 			}
-			delete(k.tenants, pool)
+			delete(k.controllers, pool)
 		default:
 		}
 	}
 }
 
-// tend looks after one pool, and returns when to look again.
-func (k *PoolManager[T]) tend(ctx context.Context, pool string, now time.Time) time.Duration {
+// managePool looks after one pool, and returns when to look again.
+func (k *PoolManager[T]) managePool(ctx context.Context, pool string, now time.Time) time.Duration {
 	mine, mineToo := k.Controller(pool)
 	holder, held := k.roster.Holding(pool)
 	switch {
@@ -211,79 +211,79 @@
 	case held && !mineToo && holder.Mine:
 		// Taken, or given up in vain, by a change whose answer was lost.
 		// It is not proven until it is checked.
-		return k.begin(ctx, k.roster.own(pool, holder.Fence, holder.Revision, time.Time{}))
-	case mineToo && now.Sub(k.since[pool]) > leastTenure && unfit(mine) && len(k.roster.Peers()) > 0:
+		return k.startOrRelease(ctx, k.roster.newOwnership(pool, holder.Fence, holder.Revision, time.Time{}))
+	case mineToo && now.Sub(k.startedAt[pool]) > minOwnershipTime && unfit(mine) && len(k.roster.Peers()) > 0:
 		event.PoolUnfit.Log(k.logger, slog.String("pool", pool))
-		k.shunned[pool] = now.Add(shunFor)
-		k.giveAway(ctx, mine)
-		return keeperTick
-	case mineToo && now.Sub(k.since[pool]) > leastTenure && k.roster.Outweighed():
-		k.giveAway(ctx, mine)
-		return keeperTick
+		k.avoidedUntil[pool] = now.Add(avoidFor)
+		k.handOver(ctx, mine)
+		return checkInterval
+	case mineToo && now.Sub(k.startedAt[pool]) > minOwnershipTime && k.roster.ShouldHandOver():
+		k.handOver(ctx, mine)
+		return checkInterval
 	case mineToo:
 		return k.check(ctx, mine)
 	case held:
-		delete(k.orphans, pool)
-		return keeperTick
+		delete(k.unownedSince, pool)
+		return checkInterval
 	}
 	if !k.session.Proven() {
-		return keeperTick
+		return checkInterval
 	}
-	turn, only := k.turn(pool, now)
+	turn, only := k.takeTime(pool, now)
 	if left := turn.Sub(now); left > 0 {
-		return min(left, keeperTick)
+		return min(left, checkInterval)
 	}
 	if only && !k.roster.Enrolled() {
 		// Of many that start at once the first in the roster take the pools.
-		return rankPause
+		return rankDelay
 	}
 	done, ok := k.roster.Reserve(only)
 	if !ok {
-		return rankPause
+		return rankDelay
 	}
 	defer done()
 	return k.take(ctx, pool)
 }
 
-// turn returns when this member may take a pool that has no owner, and whether only if
+// takeTime returns when this member may take a pool that has no owner, and whether only if
 // it has no other: by rank, once the roster is complete. Until then its former owner may
 // take it, and a member that has just started a single one.
-func (k *PoolManager[T]) turn(pool string, now time.Time) (at time.Time, only bool) {
-	since, ok := k.orphans[pool]
+func (k *PoolManager[T]) takeTime(pool string, now time.Time) (at time.Time, only bool) {
+	since, ok := k.unownedSince[pool]
 	if !ok {
 		since = now
-		k.orphans[pool] = now
+		k.unownedSince[pool] = now
 	}
-	settles, started := k.session.Settles()
+	settles, started := k.session.CompleteAt()
 	switch {
-	case !settles.After(since) && k.behind(pool, since.Sub(settles)):
-		since = since.Add(returnTime)
+	case !settles.After(since) && k.deferToStandbys(pool, since.Sub(settles)):
+		since = since.Add(rejoinTime)
 	case !settles.After(since): // the roster was complete before
-	case k.roster.Former(pool):
+	case k.roster.WasLastOwner(pool):
 		return since, false
 	case started && now.Before(settles):
 		only = true
 	default:
 		since = settles
 	}
-	at = since.Add(time.Duration(k.roster.Rank(pool)) * rankPause)
-	if now.Before(k.shunned[pool]) {
-		at = at.Add(shunPause)
+	at = since.Add(time.Duration(k.roster.Rank(pool)) * rankDelay)
+	if now.Before(k.avoidedUntil[pool]) {
+		at = at.Add(avoidDelay)
 	}
 	return at, only
 }
 
-// behind reports whether a pool that had another owner is to be left first to the members
+// deferToStandbys reports whether a pool that had another owner is to be left first to the members
 // in line for it, where the roster had been complete for so long when it lost that one. If they are gone
 // as well, the store may have been away for so short a time that only short leases have
 // ended, and their members are about to come back.
-func (k *PoolManager[T]) behind(pool string, complete time.Duration) bool {
-	formed := lineAfter + lineEvery + keeperTick
-	return complete > formed && !k.session.short() && k.roster.HadOwner(pool)
+func (k *PoolManager[T]) deferToStandbys(pool string, complete time.Duration) bool {
+	formed := standbyDelay + standbyInterval + checkInterval
+	return complete > formed && !k.session.hasShortLease() && k.roster.HadOtherOwner(pool)
 }
 
-// giveAway ends a tenant and gives its pool up to a member that has less to do.
-func (k *PoolManager[T]) giveAway(ctx context.Context, t T) {
+// handOver ends a tenant and gives its pool up to a member that has less to do.
+func (k *PoolManager[T]) handOver(ctx context.Context, t T) {
 	t.Stop()
 	<-t.Done()
 	k.release(ctx, t.Ownership())
@@ -296,9 +296,9 @@
 	}
 }
 
-// proofShare is the part of the time for which a call proves an ownership that must
+// proofReserveDivisor is the part of the time for which a call proves an ownership that must
 // be left, or another call is made.
-const proofShare = 2
+const proofReserveDivisor = 2
 
 // check makes sure that a tenant still owns its pool, unless its writes, which depend
 // on the owner key, have shown so lately. It returns when to look again: early enough
@@ -308,13 +308,13 @@
 func (k *PoolManager[T]) check(ctx context.Context, t T) time.Duration {
 	own := t.Ownership()
 	ttl := k.session.TTL()
-	reserve := max(ttl/proofShare, ttl/(2*proofShare)+2*k.took)
+	reserve := max(ttl/proofReserveDivisor, ttl/(2*proofReserveDivisor)+2*k.lastCheckDuration)
 	from := k.clock.Now()
-	if left := own.left(); left > reserve {
-		return min(left-reserve, keeperTick)
+	if left := own.remaining(); left > reserve {
+		return min(left-reserve, checkInterval)
 	}
 	err := k.roster.Check(ctx, own)
-	k.took = k.clock.Now().Sub(from)
+	k.lastCheckDuration = k.clock.Now().Sub(from)
 	switch {
 	case errors.Is(err, ErrNotOwner):
 		t.Stop()
@@ -322,57 +322,57 @@
 		return 0 // it may be this member's turn to take the pool
 	case err != nil:
 		event.PoolUnproven.Log(k.logger, slog.String("pool", own.Pool), slog.Any("error", err))
-		return rankPause
+		return rankDelay
 	}
-	return min(max(own.left()-reserve, 0), keeperTick)
+	return min(max(own.remaining()-reserve, 0), checkInterval)
 }
 
 func (k *PoolManager[T]) take(ctx context.Context, pool string) time.Duration {
 	own, err := k.roster.Take(ctx, pool)
 	if err == nil {
-		return k.begin(ctx, own)
+		return k.startOrRelease(ctx, own)
 	}
 	var conflict *pointport.TxnConflictError
 	if !errors.As(err, &conflict) && !errors.Is(err, ErrNoLease) {
 		event.PoolLost.Log(k.logger, slog.String("pool", pool), slog.Any("reason", err))
 	}
 	if pointport.IsBusy(err) {
-		return spread(busyFirst)
+		return jitter(minBusyDelay)
 	}
-	return rankPause
+	return rankDelay
 }
 
-// begin starts the tenant of a pool that this member has come to own, or gives
+// startOrRelease starts the tenant of a pool that this member has come to own, or gives
 // the pool up if none may begin. It returns when to look again.
-func (k *PoolManager[T]) begin(ctx context.Context, own Ownership) time.Duration {
-	if k.admit(own) {
+func (k *PoolManager[T]) startOrRelease(ctx context.Context, own Ownership) time.Duration {
+	if k.startController(own) {
 		return time.Millisecond
 	}
 	k.release(ctx, own)
-	return rankPause
+	return rankDelay
 }
 
-// admit starts the tenant of a pool; false if the keeper was stopped, or a tenant has
+// startController starts the tenant of a pool; false if the keeper was stopped, or a tenant has
 // begun under that fence before. Orders of that one may still be under way, and nothing
 // would tell them from those of another: a task that is taken for waiting because its
 // instance does not run it would run twice once they arrive.
-func (k *PoolManager[T]) admit(own Ownership) bool {
+func (k *PoolManager[T]) startController(own Ownership) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.stopped {
 		return false
 	}
-	if _, ok := k.tenants[own.Pool]; ok {
+	if _, ok := k.controllers[own.Pool]; ok {
 		return true
 	}
-	if own.Fence <= k.fences[own.Pool] {
+	if own.Fence <= k.lastFences[own.Pool] {
 		return false
 	}
-	k.fences[own.Pool] = own.Fence
+	k.lastFences[own.Pool] = own.Fence
 	event.PoolTaken.Log(k.logger, slog.String("pool", own.Pool), slog.Int64("fence", int64(own.Fence)))
-	delete(k.orphans, own.Pool)
-	k.since[own.Pool] = k.clock.Now()
-	k.tenants[own.Pool] = k.start(own)
+	delete(k.unownedSince, own.Pool)
+	k.startedAt[own.Pool] = k.clock.Now()
+	k.controllers[own.Pool] = k.start(own)
 	return true
 }
 
@@ -381,7 +381,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.stopped = true
-	for _, t := range k.tenants {
+	for _, t := range k.controllers {
 		t.Stop()
 	}
 }
--- a/member/rank.go
+++ b/member/rank.go
@@ -14,7 +14,7 @@
 func (r *Roster) Idle(pool string, most int) []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	owned := r.owned()
+	owned := r.poolCounts()
 	var out []Member
 	for name, m := range r.members {
 		if name != r.self.Name && owned[name] == 0 {
@@ -31,7 +31,7 @@
 func (r *Roster) Rank(pool string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	owned := r.owned()
+	owned := r.poolCounts()
 	mine := load(r.self, owned[r.self.Name]+1)
 	rank := 0
 	for name, m := range r.members {
@@ -46,35 +46,35 @@
 	return rank
 }
 
-// Outweighed reports whether this member should give one of its pools away now:
+// ShouldHandOver reports whether this member should give one of its pools away now:
 // another one, even with one more, would have far less to do for its strength.
-func (r *Roster) Outweighed() bool {
+func (r *Roster) ShouldHandOver() bool {
 	now := r.clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now.Sub(r.gave) < giveEvery {
+	if now.Sub(r.lastHandover) < handoverInterval {
 		return false
 	}
-	owned := r.owned()
+	owned := r.poolCounts()
 	mine := load(r.self, owned[r.self.Name])
 	for name, m := range r.members {
-		if name != r.self.Name && load(m, owned[name]+1)*outweighs <= mine {
-			r.gave = now
+		if name != r.self.Name && load(m, owned[name]+1)*handoverLoadRatio <= mine {
+			r.lastHandover = now
 			return true
 		}
 	}
 	return false
 }
 
-// giveEvery is the least time between two pools that a member gives away. Each
+// handoverInterval is the least time between two pools that a member gives away. Each
 // changes the picture on which the next is decided.
-const giveEvery = 10 * time.Second
+const handoverInterval = 10 * time.Second
 
-// outweighs is how many times less another member must have to do.
-const outweighs = 2.0
+// handoverLoadRatio is how many times less another member must have to do.
+const handoverLoadRatio = 2.0
 
-// owned returns how many pools each member owns. The lock is held.
-func (r *Roster) owned() map[string]int {
+// poolCounts returns how many pools each member owns. The lock is held.
+func (r *Roster) poolCounts() map[string]int {
 	owned := make(map[string]int)
 	for _, o := range r.owners {
 		owned[o.member.Name]++
--- a/member/roster.go
+++ b/member/roster.go
@@ -48,17 +48,17 @@
 	self    Member
 	logger  *slog.Logger
 
-	mu      sync.Mutex
-	members map[string]Member
-	owners  map[string]owner
-	former  map[string]string // by pool, the name of the owner that was seen last
-	// refused holds the revisions of keys that cannot be read.
-	refused map[string]pointport.Revision
-	taking  int // pools that this member is about to take
-	known   bool
-	gave    time.Time     // when this member last gave a pool away
-	left    bool          // this member is no peer any more
-	changed chan struct{} // closed and replaced at every change
+	mu        sync.Mutex
+	members   map[string]Member
+	owners    map[string]owner
+	lastOwner map[string]string // by pool, the name of the owner that was seen last
+	// unreadable holds the revisions of keys that cannot be read.
+	unreadable   map[string]pointport.Revision
+	pendingTakes int // pools that this member is about to take
+	loaded       bool
+	lastHandover time.Time     // when this member last gave a pool away
+	departed     bool          // this member is no peer any more
+	changed      chan struct{} // closed and replaced at every change
 }
 
 // StartRoster returns a roster that follows the store until ctx ends and keeps
@@ -66,11 +66,11 @@
 func StartRoster(ctx context.Context, kv pointport.KV, clock pointport.Clock, session *Session, self Member, logger *slog.Logger) *Roster {
 	r := &Roster{
 		kv: kv, clock: clock, session: session, self: self, logger: logger,
-		members: make(map[string]Member), owners: make(map[string]owner), former: make(map[string]string),
-		refused: make(map[string]pointport.Revision), changed: make(chan struct{}),
+		members: make(map[string]Member), owners: make(map[string]owner), lastOwner: make(map[string]string),
+		unreadable: make(map[string]pointport.Revision), changed: make(chan struct{}),
 	}
-	session.guard(r.engaged)
-	go Follow(ctx, kv, clock, rosterPrefix, r.reset, r.apply, RereadOn(session.Back), WatchTimeout(r.watchWait), RereadInterval(r.reread), PauseAfterChanges(r.watchRest))
+	session.setEngaged(r.engaged)
+	go Follow(ctx, kv, clock, rosterPrefix, r.reset, r.apply, RereadOn(session.Recovered), WatchTimeout(r.watchTimeout), RereadInterval(r.rereadInterval), PauseAfterChanges(r.changePause))
 	go func() {
 		var pause backoff
 		for ctx.Err() == nil {
@@ -91,43 +91,43 @@
 }
 
 const (
-	// waitShare is for each member how long a watch of the roster may wait, so that all
+	// watchTimeoutPerMember is for each member how long a watch of the roster may wait, so that all
 	// watches together end a hundred times a second; waitMost bounds it. A connection
 	// that has gone silent is noticed when the wait is over.
-	waitShare = 10 * time.Millisecond
-	waitMost  = 10 * time.Second
-	// rereadShare is for each member how often all keys of the roster are read again at most:
+	watchTimeoutPerMember = 10 * time.Millisecond
+	maxWatchTimeout       = 10 * time.Second
+	// rereadIntervalPerMember is for each member how often all keys of the roster are read again at most:
 	// there are as many as members, some 200 bytes each, so a member receives 2 KB a second
 	// of them however many there are.
-	rereadShare = 100 * time.Millisecond
-	// restShare is for each member beyond restFrom how long to wait after members came or
+	rereadIntervalPerMember = 100 * time.Millisecond
+	// changePausePerMember is for each member beyond restFrom how long to wait after members came or
 	// went until the roster is asked for the next change. Each change is told to every
 	// member, so when 300 start within a second they would be told 90,000 times, and the
 	// smallest store takes 2,000 reading calls a second; restMost bounds it.
-	restShare = 2 * time.Millisecond
-	restFrom  = 50
-	restMost  = 600 * time.Millisecond
+	changePausePerMember = 2 * time.Millisecond
+	changePauseThreshold = 50
+	maxChangePause       = 600 * time.Millisecond
 )
 
-// watchWait returns for how long a watch of the roster may wait.
-func (r *Roster) watchWait() time.Duration {
-	return min(max(time.Duration(r.Size())*waitShare, watchWait), waitMost)
+// watchTimeout returns for how long a watch of the roster may wait.
+func (r *Roster) watchTimeout() time.Duration {
+	return min(max(time.Duration(r.Size())*watchTimeoutPerMember, defaultWatchTimeout), maxWatchTimeout)
 }
 
-// reread returns how often all keys are read again at most.
-func (r *Roster) reread() time.Duration {
-	return max(DefaultRereadInterval, time.Duration(r.Size())*rereadShare)
+// rereadInterval returns how often all keys are read again at most.
+func (r *Roster) rereadInterval() time.Duration {
+	return max(DefaultRereadInterval, time.Duration(r.Size())*rereadIntervalPerMember)
 }
 
-// watchRest returns how long to wait after some changes until the next are asked for.
+// changePause returns how long to wait after some changes until the next are asked for.
 // What concerns an owner is followed without a break.
-func (r *Roster) watchRest(changes []pointport.Entry) time.Duration {
+func (r *Roster) changePause(changes []pointport.Entry) time.Duration {
 	for _, e := range changes {
 		if strings.HasPrefix(e.Key(), ownerPrefix) {
 			return 0
 		}
 	}
-	return min(max(time.Duration(r.Size()-restFrom)*restShare, 0), restMost)
+	return min(max(time.Duration(r.Size()-changePauseThreshold)*changePausePerMember, 0), maxChangePause)
 }
 
 // Leave keeps this member out of the roster from now on. Its peers forget it once
@@ -136,13 +136,13 @@
 func (r *Roster) Leave() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.left = true
+	r.departed = true
 }
 
 func (r *Roster) hasLeft() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.left
+	return r.departed
 }
 
 // enroll puts this member into the roster under its lease.
@@ -159,7 +159,7 @@
 	if err != nil {
 		return err
 	}
-	if err := r.session.EndFormer(ctx, former.Lease()); err != nil {
+	if err := r.session.RevokeFormerLease(ctx, former.Lease()); err != nil {
 		return err
 	}
 	_, err = r.kv.Commit(ctx, pointport.Txn{Put: []pointport.Put{{Key: memberPrefix + r.self.Name, Value: value, Lease: lease}}})
@@ -171,9 +171,9 @@
 	defer r.mu.Unlock()
 	r.members, r.owners = make(map[string]Member), make(map[string]owner)
 	for _, e := range all {
-		r.take(e)
+		r.applyEntry(e)
 	}
-	r.known = true
+	r.loaded = true
 	r.notify()
 }
 
@@ -181,7 +181,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range changes {
-		r.take(e)
+		r.applyEntry(e)
 	}
 	r.notify()
 }
@@ -191,12 +191,12 @@
 	r.changed = make(chan struct{})
 }
 
-// take takes in the state of one key.
-func (r *Roster) take(e pointport.Entry) {
+// applyEntry takes in the state of one key.
+func (r *Roster) applyEntry(e pointport.Entry) {
 	var m Member
 	if e.Exists() {
 		if err := decodeMember(e, &m); err != nil {
-			r.refuse(e, err)
+			r.logUnreadable(e, err)
 			m = Member{}
 		}
 	}
@@ -213,7 +213,7 @@
 				return // a newer state has been seen
 			}
 			r.owners[pool] = owner{m, e}
-			r.former[pool] = m.Name
+			r.lastOwner[pool] = m.Name
 		} else {
 			delete(r.owners, pool)
 		}
@@ -234,14 +234,14 @@
 	return nil
 }
 
-// refuse notes a key that cannot be read, and logs it once for each revision. A member's
+// logUnreadable notes a key that cannot be read, and logs it once for each revision. A member's
 // key names nobody then. An owner's key is still held, by nobody that is known, so that no
 // two members differ on whether the pool is free.
-func (r *Roster) refuse(e pointport.Entry, err error) {
-	if r.refused[e.Key()] == e.Revision() {
+func (r *Roster) logUnreadable(e pointport.Entry, err error) {
+	if r.unreadable[e.Key()] == e.Revision() {
 		return
 	}
-	r.refused[e.Key()] = e.Revision()
+	r.unreadable[e.Key()] = e.Revision()
 	event.RosterUnreadable.Log(r.logger, slog.String("key", e.Key()), slog.Int64("revision", int64(e.Revision())), slog.Any("error", err))
 }
 
@@ -256,7 +256,7 @@
 func (r *Roster) Known() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.known
+	return r.loaded
 }
 
 // Owner returns who owns a pool; false if nobody is known to.
@@ -267,20 +267,20 @@
 	return o.member, ok
 }
 
-// HadOwner reports whether a pool was seen to be owned by another member.
-func (r *Roster) HadOwner(pool string) bool {
+// HadOtherOwner reports whether a pool was seen to be owned by another member.
+func (r *Roster) HadOtherOwner(pool string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	name, ok := r.former[pool]
+	name, ok := r.lastOwner[pool]
 	return ok && name != r.self.Name
 }
 
-// Former reports whether this member, or its former life, was the last that is known to
+// WasLastOwner reports whether this member, or its former life, was the last that is known to
 // have owned a pool.
-func (r *Roster) Former(pool string) bool {
+func (r *Roster) WasLastOwner(pool string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.former[pool] == r.self.Name
+	return r.lastOwner[pool] == r.self.Name
 }
 
 // Reserve notes that this member is about to take a pool, until done is called. If it is
@@ -288,14 +288,14 @@
 func (r *Roster) Reserve(only bool) (done func(), ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if only && (r.taking > 0 || r.owned()[r.self.Name] > 0) {
+	if only && (r.pendingTakes > 0 || r.poolCounts()[r.self.Name] > 0) {
 		return nil, false
 	}
-	r.taking++
+	r.pendingTakes++
 	return func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.taking--
+		r.pendingTakes--
 	}, true
 }
 
@@ -304,7 +304,7 @@
 	lease := r.session.Lease()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.taking > 0 {
+	if r.pendingTakes > 0 {
 		return true
 	}
 	for _, o := range r.owners {
--- a/member/session.go
+++ b/member/session.go
@@ -42,21 +42,21 @@
 	// of 1.5 s a day with a cut zone is worth 0.014 more (standard error 0.0065; 40 days
 	// of 49 instances). A store that answers in 0.3 s still leaves room to renew.
 	DefaultTTL = time.Second
-	// renewals is how often a lease is renewed within its time. A slow store
+	// renewalsPerTTL is how often a lease is renewed within its time. A slow store
 	// takes a quarter of a second for an answer, and one answer may be lost.
-	renewals = 4
-	// idleFactor is how many times as long the lease lasts of a member that owns nothing
+	renewalsPerTTL = 4
+	// longLeaseFactor is how many times as long the lease lasts of a member that owns nothing
 	// and is not among the next to take a pool, as most of many are. It is renewed once in
 	// the time of a short lease, so two answers may be lost.
-	idleFactor = 3
-	// shortFor is for how long a member keeps a short lease after it last had use for one.
-	shortFor = 10 * time.Second
-	// takeFor is the same for a member that only tried to take a pool, as all do that start
+	longLeaseFactor = 3
+	// shortLeaseHold is for how long a member keeps a short lease after it last had use for one.
+	shortLeaseHold = 10 * time.Second
+	// takeLeaseHold is the same for a member that only tried to take a pool, as all do that start
 	// together.
-	takeFor = time.Second
-	// leaseLook is how often is looked whether a lease has been exchanged. The store answers
+	takeLeaseHold = time.Second
+	// exchangePollInterval is how often is looked whether a lease has been exchanged. The store answers
 	// in 4 ms.
-	leaseLook = 5 * time.Millisecond
+	exchangePollInterval = 5 * time.Millisecond
 )
 
 // A Session is the lease of this member. It is safe for concurrent use.
@@ -66,44 +66,44 @@
 	logger *slog.Logger
 	ttl    time.Duration
 
-	mu      sync.Mutex
-	lease   pointport.LeaseID
-	lasts   time.Duration     // how long the lease lasts unrenewed
-	former  pointport.LeaseID // the lease for which this one was exchanged, zero if there is none
-	granted time.Time         // since when there have been a lease and the store without a break
-	first   bool              // whether none before it has ended
-	proven  time.Time         // until when, by the steady time, the lease has surely not ended
-	heard   time.Time         // when, by the steady time, the last call was made that was answered
-	failing bool              // whether the last call was not answered
-	wanted  time.Time         // until when, by the steady time, a short lease is of use
-	// yielding says that a short lease is about to be exchanged for a long one.
-	yielding bool
+	mu             sync.Mutex
+	lease          pointport.LeaseID
+	leaseTTL       time.Duration     // how long the lease lasts unrenewed
+	formerLease    pointport.LeaseID // the lease for which this one was exchanged, zero if there is none
+	availableSince time.Time         // since when there have been a lease and the store without a break
+	firstLease     bool              // whether none before it has ended
+	provenUntil    time.Time         // until when, by the steady time, the lease has surely not ended
+	lastAnswered   time.Time         // when, by the steady time, the last call was made that was answered
+	lastFailed     bool              // whether the last call was not answered
+	shortUntil     time.Time         // until when, by the steady time, a short lease is of use
+	// exchanging says that a short lease is about to be exchanged for a long one.
+	exchanging bool
 	// engaged reports whether anything is, or is about to be, owned under the lease.
 	engaged func() bool
-	// renewed is closed and replaced when a new lease was granted.
-	renewed chan struct{}
-	cut     bool
-	// hurry has the lease looked after at once.
-	hurry chan struct{}
-	// back is closed and replaced when the store answers again after it did not.
-	back chan struct{}
+	// leaseGranted is closed and replaced when a new lease was granted.
+	leaseGranted chan struct{}
+	storeLost    bool
+	// wake has the lease looked after at once.
+	wake chan struct{}
+	// recovered is closed and replaced when the store answers again after it did not.
+	recovered chan struct{}
 }
 
 // StartSession returns a session that keeps a lease until ctx ends.
 func StartSession(ctx context.Context, kv pointport.KV, clock pointport.Clock, ttl time.Duration, logger *slog.Logger) *Session {
 	s := &Session{
 		kv: kv, clock: clock, logger: logger, ttl: ttl, engaged: func() bool { return false },
-		renewed: make(chan struct{}), back: make(chan struct{}), hurry: make(chan struct{}, 1),
+		leaseGranted: make(chan struct{}), recovered: make(chan struct{}), wake: make(chan struct{}, 1),
 	}
 	go func() {
 		for ctx.Err() == nil {
 			call, done := context.WithTimeout(ctx, ttl/2)
-			err := s.keep(call)
-			s.report(ctx, err)
+			err := s.renewOrGrant(call)
+			s.reportReachability(ctx, err)
 			done()
 			select {
 			case <-clock.After(s.pause(err)):
-			case <-s.hurry:
+			case <-s.wake:
 			case <-ctx.Done():
 			}
 		}
@@ -115,14 +115,14 @@
 // calls is asked more often by an owner, and less often by others, so that the calls of
 // owners get through.
 func (s *Session) pause(err error) time.Duration {
-	busy, short := pointport.IsBusy(err), s.short()
+	busy, short := pointport.IsBusy(err), s.hasShortLease()
 	switch {
 	case busy && short && s.owns():
-		return s.ttl / (2 * renewals)
+		return s.ttl / (2 * renewalsPerTTL)
 	case busy:
-		return spread(s.ttl / 2)
+		return jitter(s.ttl / 2)
 	case short || err != nil:
-		return s.ttl / renewals
+		return s.ttl / renewalsPerTTL
 	}
 	return s.ttl
 }
@@ -135,53 +135,53 @@
 	return engaged()
 }
 
-// report notes that the store is lost or regained, once each time.
-func (s *Session) report(ctx context.Context, err error) {
+// reportReachability notes that the store is lost or regained, once each time.
+func (s *Session) reportReachability(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	lost := s.lost(err)
-	if lost == s.cut {
+	lost := s.recordResult(err)
+	if lost == s.storeLost {
 		return
 	}
-	s.cut = lost
-	if s.cut {
+	s.storeLost = lost
+	if s.storeLost {
 		event.StoreLost.Log(s.logger, slog.Any("error", err))
 		return
 	}
 	event.StoreBack.Log(s.logger, slog.Int64("lease", int64(s.Lease())))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	close(s.back)
-	s.back = make(chan struct{})
+	close(s.recovered)
+	s.recovered = make(chan struct{})
 }
 
-// lost notes how a call ended, and reports whether the store counts as lost. One that only
+// recordResult notes how a call ended, and reports whether the store counts as lost. One that only
 // has too many calls does once it has refused two in a row of a member that makes one a second.
-func (s *Session) lost(err error) bool {
+func (s *Session) recordResult(err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.failing = err != nil
-	if pointport.IsBusy(err) && s.clock.Steady().Sub(s.heard) < 2*s.ttl {
-		return s.cut
+	s.lastFailed = err != nil
+	if pointport.IsBusy(err) && s.clock.Steady().Sub(s.lastAnswered) < 2*s.ttl {
+		return s.storeLost
 	}
 	return err != nil
 }
 
-// Back returns a channel that is closed when the store next answers after it did not.
-func (s *Session) Back() <-chan struct{} {
+// Recovered returns a channel that is closed when the store next answers after it did not.
+func (s *Session) Recovered() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.back
+	return s.recovered
 }
 
-// keep renews the lease, or has another one granted.
-func (s *Session) keep(ctx context.Context) error {
+// renewOrGrant renews the lease, or has another one granted.
+func (s *Session) renewOrGrant(ctx context.Context) error {
 	lease := s.Lease()
 	if lease == 0 {
 		return s.grant(ctx)
 	}
-	lasts, fitting := s.length(), s.fitting()
+	lasts, fitting := s.currentTTL(), s.desiredTTL()
 	if fitting < lasts && s.exchange(ctx, fitting) {
 		return nil
 	}
@@ -199,7 +199,7 @@
 	var ended *pointport.LeaseEndedError
 	if errors.As(err, &ended) {
 		event.LeaseEnded.Log(s.logger, slog.Int64("lease", int64(lease)))
-		s.drop(lease)
+		s.dropLease(lease)
 		return s.grant(ctx)
 	}
 	if err != nil {
@@ -207,9 +207,9 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.resume(from)
+	s.recordAnswer(from)
 	if s.lease == lease {
-		s.proven = from.Add(s.lasts)
+		s.provenUntil = from.Add(s.leaseTTL)
 	}
 	return nil
 }
@@ -217,33 +217,33 @@
 // grant has a lease granted where there is none.
 func (s *Session) grant(ctx context.Context) error {
 	from := s.clock.Steady()
-	lasts := s.fitting()
+	lasts := s.desiredTTL()
 	lease, err := s.kv.Grant(ctx, lasts)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.first = s.granted.IsZero()
-	s.granted, s.former, s.heard = s.clock.Now(), 0, from
-	s.adopt(lease, lasts, from)
+	s.firstLease = s.availableSince.IsZero()
+	s.availableSince, s.formerLease, s.lastAnswered = s.clock.Now(), 0, from
+	s.setLease(lease, lasts, from)
 	return nil
 }
 
-// adopt takes a lease that was granted by a call made at the steady time from. The lock is
+// setLease takes a lease that was granted by a call made at the steady time from. The lock is
 // held.
-func (s *Session) adopt(lease pointport.LeaseID, lasts time.Duration, from time.Time) {
-	s.lease, s.lasts, s.proven = lease, lasts, from.Add(lasts)
-	close(s.renewed)
-	s.renewed = make(chan struct{})
+func (s *Session) setLease(lease pointport.LeaseID, lasts time.Duration, from time.Time) {
+	s.lease, s.leaseTTL, s.provenUntil = lease, lasts, from.Add(lasts)
+	close(s.leaseGranted)
+	s.leaseGranted = make(chan struct{})
 }
 
-// drop forgets a lease that has ended.
-func (s *Session) drop(lease pointport.LeaseID) {
+// dropLease forgets a lease that has ended.
+func (s *Session) dropLease(lease pointport.LeaseID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lease == lease {
-		s.lease, s.proven = 0, time.Time{}
+		s.lease, s.provenUntil = 0, time.Time{}
 	}
 }
 
@@ -258,7 +258,7 @@
 func (s *Session) Proven() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.clock.Steady().Before(s.proven)
+	return s.clock.Steady().Before(s.provenUntil)
 }
 
 // Reachable reports whether the store answers, as far as is known: it has answered a call
@@ -270,42 +270,42 @@
 	if s.lease == 0 {
 		return false
 	}
-	silent := s.clock.Steady().Sub(s.heard)
-	return silent < s.ttl || !s.failing && silent < 2*s.ttl
+	silent := s.clock.Steady().Sub(s.lastAnswered)
+	return silent < s.ttl || !s.lastFailed && silent < 2*s.ttl
 }
 
 const (
-	// returnTime is within which time of the store's return whoever lives is back in the
+	// rejoinTime is within which time of the store's return whoever lives is back in the
 	// roster; the users say so of instances, whose entries lapse in the same way. One
 	// that is missing then is gone.
-	returnTime = 2 * time.Second
-	// startTime is within which time of each other members that start together are in
+	rejoinTime = 2 * time.Second
+	// joinTime is within which time of each other members that start together are in
 	// the roster. They start within 0.3 s and need 0.1 s for their first calls.
-	startTime = 500 * time.Millisecond
+	joinTime = 500 * time.Millisecond
 )
 
-// resume takes in that a call was answered that was made at the steady time from. If the
+// recordAnswer takes in that a call was answered that was made at the steady time from. If the
 // store was away for longer than a short lease lasts, those of owners may have ended, and
 // it counts as a break although a long one has not. The lock is held.
-func (s *Session) resume(from time.Time) {
-	silent := from.Sub(s.heard)
-	s.heard = from
-	if silent >= 2*s.ttl || s.cut && silent >= s.ttl {
-		s.granted, s.first = s.clock.Now(), false
+func (s *Session) recordAnswer(from time.Time) {
+	silent := from.Sub(s.lastAnswered)
+	s.lastAnswered = from
+	if silent >= 2*s.ttl || s.storeLost && silent >= s.ttl {
+		s.availableSince, s.firstLease = s.clock.Now(), false
 	}
 }
 
-// Settles returns when the roster can be taken for complete, and whether the lease is the
+// CompleteAt returns when the roster can be taken for complete, and whether the lease is the
 // process's first. A member whose lease is new may be the first of all whose leases have
 // ended at once: one on a fifth of a core took the pools of 350 instances within 0.4 s of
 // the store's return and had them for the next 11 s (logs of a day with three outages).
-func (s *Session) Settles() (at time.Time, started bool) {
+func (s *Session) CompleteAt() (at time.Time, started bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.first {
-		return s.granted.Add(startTime), true
+	if s.firstLease {
+		return s.availableSince.Add(joinTime), true
 	}
-	return s.granted.Add(returnTime), false
+	return s.availableSince.Add(rejoinTime), false
 }
 
 // TTL returns how long a lease lasts unrenewed under which pools are owned.
@@ -315,20 +315,20 @@
 func (s *Session) Granted() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.renewed
+	return s.leaseGranted
 }
 
-// had reports whether a lease is this session's, or was until it was exchanged.
-func (s *Session) had(lease pointport.LeaseID) bool {
+// isOwnLease reports whether a lease is this session's, or was until it was exchanged.
+func (s *Session) isOwnLease(lease pointport.LeaseID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return lease == s.lease || lease == s.former
+	return lease == s.lease || lease == s.formerLease
 }
 
-// EndFormer ends the lease of an earlier life of this member, whose process is
+// RevokeFormerLease ends the lease of an earlier life of this member, whose process is
 // gone, so that nobody need wait for it to lapse.
-func (s *Session) EndFormer(ctx context.Context, lease pointport.LeaseID) error {
-	if lease == 0 || s.had(lease) {
+func (s *Session) RevokeFormerLease(ctx context.Context, lease pointport.LeaseID) error {
+	if lease == 0 || s.isOwnLease(lease) {
 		return nil
 	}
 	event.FormerEnded.Log(s.logger, slog.Int64("lease", int64(lease)))
@@ -341,6 +341,6 @@
 	if lease == 0 {
 		return nil
 	}
-	s.drop(lease)
+	s.dropLease(lease)
 	return s.kv.Revoke(ctx, lease)
 }
--- a/member/writer.go
+++ b/member/writer.go
@@ -19,10 +19,10 @@
 	// TxnOverhead is how many entries of a transaction the owner's key and the
 	// head take: two conditions and a put.
 	TxnOverhead = 3
-	// writeRetryFirst is how long to wait before a change is sent again to a
+	// minWriteRetryDelay is how long to wait before a change is sent again to a
 	// store that gave no answer, writeRetryMost the bound of its doubling.
-	writeRetryFirst = 20 * time.Millisecond
-	writeRetryMost  = 300 * time.Millisecond
+	minWriteRetryDelay = 20 * time.Millisecond
+	maxWriteRetryDelay = 300 * time.Millisecond
 	// headPrefix starts the keys of heads.
 	headPrefix = "head/"
 )
@@ -40,9 +40,9 @@
 	opened bool
 	head   pointport.Revision
 	seq    int64
-	// unsure is the last change, if it is not known whether it was made.
-	unsure *pointport.Txn
-	mark   string // the head's value by that change
+	// pending is the last change, if it is not known whether it was made.
+	pending     *pointport.Txn
+	pendingHead string // the head's value by that change
 }
 
 // NewWriter returns a writer for an ownership.
@@ -73,8 +73,8 @@
 // with ErrLost if the pool has another owner. If ctx ends first, the change may
 // still be made; the next Commit finds out before it makes its own.
 func (w *Writer) Commit(ctx context.Context, txn pointport.Txn) error {
-	if w.unsure != nil {
-		if err := w.settle(ctx); err != nil {
+	if w.pending != nil {
+		if err := w.sendPending(ctx); err != nil {
 			return err
 		}
 	}
@@ -87,24 +87,24 @@
 		pointport.Condition{Key: OwnerKey(w.own.Pool), Revision: w.own.Revision},
 		pointport.Condition{Key: HeadKey(w.own.Pool), Revision: w.head})
 	txn.Put = append(txn.Put, pointport.Put{Key: HeadKey(w.own.Pool), Value: mark})
-	w.unsure, w.mark = &txn, string(mark)
-	return w.settle(ctx)
+	w.pending, w.pendingHead = &txn, string(mark)
+	return w.sendPending(ctx)
 }
 
-// settle sends the last change until it is known to be made.
-func (w *Writer) settle(ctx context.Context) error {
-	retry := writeRetryFirst
+// sendPending sends the last change until it is known to be made.
+func (w *Writer) sendPending(ctx context.Context) error {
+	retry := minWriteRetryDelay
 	for {
 		from := w.clock.Steady()
-		revision, err := w.kv.Commit(ctx, *w.unsure)
+		revision, err := w.kv.Commit(ctx, *w.pending)
 		if err == nil {
 			w.own.prove(from)
-			w.head, w.unsure = revision, nil
+			w.head, w.pending = revision, nil
 			return nil
 		}
 		var conflict *pointport.TxnConflictError
 		if errors.As(err, &conflict) {
-			return w.conflict(conflict)
+			return w.resolveConflict(conflict)
 		}
 		if ctx.Err() != nil {
 			return ctx.Err()
@@ -114,16 +114,16 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		retry = min(2*retry, writeRetryMost)
+		retry = min(2*retry, maxWriteRetryDelay)
 	}
 }
 
-// conflict finds out whether the last change was made by an earlier sending, or
+// resolveConflict finds out whether the last change was made by an earlier sending, or
 // another owner has taken over.
-func (w *Writer) conflict(conflict *pointport.TxnConflictError) error {
+func (w *Writer) resolveConflict(conflict *pointport.TxnConflictError) error {
 	for _, e := range conflict.Entries {
-		if e.Key() == HeadKey(w.own.Pool) && string(e.Value()) == w.mark {
-			w.head, w.unsure = e.Revision(), nil
+		if e.Key() == HeadKey(w.own.Pool) && string(e.Value()) == w.pendingHead {
+			w.head, w.pending = e.Revision(), nil
 			return nil
 		}
 	}
--- a/peer/deadline.go
+++ b/peer/deadline.go
@@ -31,8 +31,8 @@
 	d.until[key] = d.clock.Steady().Add(lasts)
 }
 
-// left returns for how long it holds of a key, zero if it does not.
-func (d *deadlines[K]) left(key K) time.Duration {
+// remaining returns for how long it holds of a key, zero if it does not.
+func (d *deadlines[K]) remaining(key K) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return max(0, d.until[key].Sub(d.clock.Steady()))
--- a/peer/excess.go
+++ b/peer/excess.go
@@ -5,25 +5,25 @@
 // This file defines what a member remembers of whom no more jobs are wanted.
 
 const (
-	// excessLeast and excessMost bound for how long a member refuses a customer's jobs by
+	// minExcess and excessMost bound for how long a member refuses a customer's jobs by
 	// what a pool's owner has said once. After that one job more is sent to the owner, whose
 	// answer renews it: the shorter, the more of a storm comes through (43 members, a job
 	// each), and the longer, the later is noticed that there is room again. A peak lasts
 	// some seconds.
-	excessLeast = time.Second
-	excessMost  = 1500 * time.Millisecond
+	minExcess = time.Second
+	maxExcess = 1500 * time.Millisecond
 )
 
-// A crowdKey names a customer in a pool.
-type crowdKey struct{ pool, customer string }
+// A customerKey names a customer in a pool.
+type customerKey struct{ pool, customer string }
 
-// noteExcess takes in for how long a pool's owner wants no more jobs of a customer; zero if
+// recordExcess takes in for how long a pool's owner wants no more jobs of a customer; zero if
 // it wants them.
-func (o *Owners) noteExcess(pool, customer string, d time.Duration) {
+func (o *Owners) recordExcess(pool, customer string, d time.Duration) {
 	if d > 0 {
-		d = min(max(d, excessLeast), excessMost)
+		d = min(max(d, minExcess), maxExcess)
 	}
-	o.crowded.set(crowdKey{pool, customer}, d)
+	o.excess.set(customerKey{pool, customer}, d)
 }
 
 // Excess returns for how long a pool's owner wants no more jobs of a customer, zero if it
@@ -35,5 +35,5 @@
 	if local, ok := o.keeper.Controller(pool); ok {
 		return local.Excess(customer)
 	}
-	return o.crowded.left(crowdKey{pool, customer})
+	return o.excess.remaining(customerKey{pool, customer})
 }
--- a/peer/keep.go
+++ b/peer/keep.go
@@ -20,33 +20,33 @@
 // store jobs.
 
 const (
-	// keepPeers is how many peers are asked to store a job. The store turns a third
+	// maxStorePeers is how many peers are asked to store a job. The store turns a third
 	// of the members away at a time, as a rule.
-	keepPeers = 3
-	// keepRest is for how long a peer is not asked again that the store does not serve or
+	maxStorePeers = 3
+	// peerStateTTL is for how long a peer is not asked again that the store does not serve or
 	// that gave no answer, and for how long one is relied on that has stored a job.
-	keepRest = 500 * time.Millisecond
-	// servedTimeout bounds the question whether the store serves a peer. Peers are a
+	peerStateTTL = 500 * time.Millisecond
+	// canStoreTimeout bounds the question whether the store serves a peer. Peers are a
 	// millisecond away and answer from memory; a busy one takes some tens.
-	servedTimeout = 150 * time.Millisecond
+	canStoreTimeout = 150 * time.Millisecond
 )
 
 var (
 	// errNoPeer says that there was no peer to ask.
 	errNoPeer = errors.New("there is none to ask")
-	// errNoneServed says that no peer that was asked can store anything.
-	errNoneServed = errors.New("the store serves none that was asked")
+	// errNoneCanStore says that no peer that was asked can store anything.
+	errNoneCanStore = errors.New("the store serves none that was asked")
 )
 
 // Keep has a peer store a job and returns the peer's name. Which is asked first depends
 // on the job, so that peers share the work. A job is stored once however many are asked.
 func (o *Owners) Keep(ctx context.Context, s intake.Submission) (string, error) {
 	var unsure error
-	helpers, cause := o.helpers(ctx, s)
+	helpers, cause := o.storePeers(ctx, s)
 	for _, m := range helpers {
-		r, err := o.post(ctx, m, keepPath, question{Pool: s.Pool, Job: s.ID, Keep: &s})
+		r, err := o.send(ctx, m, storeJobPath, request{Pool: s.Pool, Job: s.ID, Submission: &s})
 		if err == nil && r.Known {
-			o.served.set(m.Name, keepRest)
+			o.canStore.set(m.Name, peerStateTTL)
 			return m.Name, nil
 		}
 		switch {
@@ -55,9 +55,9 @@
 		case err == nil && r.Taken:
 			return "", &intake.TakenError{ID: s.ID}
 		}
-		o.resting.set(m.Name, keepRest)
+		o.avoided.set(m.Name, peerStateTTL)
 		switch {
-		case err != nil && !neverSent(err):
+		case err != nil && !notSent(err):
 			unsure = err
 		case err == nil && r.Unsure != "":
 			unsure = errors.New(r.Unsure)
@@ -71,40 +71,40 @@
 	return "", &intake.RefusedError{ID: s.ID, After: intake.RetryAfter, Cause: cause.Error()}
 }
 
-// helpers returns the peers that can store a job as far as is known, or why there are
+// storePeers returns the peers that can store a job as far as is known, or why there are
 // none: one that has just stored another, else those that say that the store serves them.
 // That is asked first, because a question changes nothing and a job that was sent to a
 // silent peer may have been stored: in four seconds without a store, beside a zone that
 // was cut off, 197 of 252 customers who could not be told for sure had met a silent peer
 // (one day of 349 instances).
-func (o *Owners) helpers(ctx context.Context, s intake.Submission) ([]member.Member, error) {
+func (o *Owners) storePeers(ctx context.Context, s intake.Submission) ([]member.Member, error) {
 	var ask []member.Member
 	for _, m := range o.peersFor(s.ID) {
-		if o.resting.left(m.Name) > 0 {
+		if o.avoided.remaining(m.Name) > 0 {
 			continue
 		}
-		if o.served.left(m.Name) > 0 {
-			return []member.Member{m}, errNoneServed
+		if o.canStore.remaining(m.Name) > 0 {
+			return []member.Member{m}, errNoneCanStore
 		}
-		if len(ask) < keepPeers {
+		if len(ask) < maxStorePeers {
 			ask = append(ask, m)
 		}
 	}
 	if len(ask) == 0 {
 		return nil, errNoPeer
 	}
-	return o.askServed(ctx, s, ask), errNoneServed
+	return o.askCanStore(ctx, s, ask), errNoneCanStore
 }
 
-// askServed returns the peers that say that the store serves them. All are asked at once.
-func (o *Owners) askServed(ctx context.Context, s intake.Submission, peers []member.Member) []member.Member {
-	ctx, cancel := context.WithTimeout(ctx, servedTimeout)
+// askCanStore returns the peers that say that the store serves them. All are asked at once.
+func (o *Owners) askCanStore(ctx context.Context, s intake.Submission, peers []member.Member) []member.Member {
+	ctx, cancel := context.WithTimeout(ctx, canStoreTimeout)
 	defer cancel()
 	served := make([]bool, len(peers))
 	var wg sync.WaitGroup
 	for n, m := range peers {
 		wg.Go(func() {
-			r, err := o.post(ctx, m, servedPath, question{Pool: s.Pool, Job: s.ID})
+			r, err := o.send(ctx, m, canStorePath, request{Pool: s.Pool, Job: s.ID})
 			served[n] = err == nil && r.Known
 		})
 	}
@@ -115,7 +115,7 @@
 			out = append(out, m)
 			continue
 		}
-		o.resting.set(m.Name, keepRest)
+		o.avoided.set(m.Name, peerStateTTL)
 	}
 	return out
 }
@@ -132,20 +132,20 @@
 	return append(peers[first:], peers[:first]...)
 }
 
-// neverSent reports whether a question cannot have reached anybody.
-func neverSent(err error) bool {
+// notSent reports whether a question cannot have reached anybody.
+func notSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// keep answers a question to store a job.
-func keep(w http.ResponseWriter, r *http.Request, store Store, logger *slog.Logger) {
-	var q question
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxMessage)).Decode(&q); err != nil || q.Keep == nil {
+// handleStoreJob answers a question to store a job.
+func handleStoreJob(w http.ResponseWriter, r *http.Request, store Store, logger *slog.Logger) {
+	var q request
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxMessage)).Decode(&q); err != nil || q.Submission == nil {
 		http.Error(w, "no job to store", http.StatusBadRequest)
 		return
 	}
-	err := store.StoreJob(r.Context(), *q.Keep)
+	err := store.StoreJob(r.Context(), *q.Submission)
 	var refused *intake.RefusedError
 	var revoked *intake.RevokedError
 	var taken *intake.TakenError
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -45,26 +45,26 @@
 	waitingPath   = "/peer/waiting"
 	surveyPath    = "/peer/survey"
 	explainPath   = "/peer/explain"
-	standingPath  = "/peer/customer"
-	keepPath      = "/peer/keep"
-	servedPath    = "/peer/served"
+	customerPath  = "/peer/customer"
+	storeJobPath  = "/peer/keep"
+	canStorePath  = "/peer/served"
 )
 
-// A question names what it is about. Its fields are exported because a codec
+// A request names what it is about. Its fields are exported because a codec
 // reads and writes them.
-type question struct {
+type request struct {
 	Pool  string `json:"pool"`
 	Job   string `json:"job,omitempty"`
 	Queue string `json:"queue,omitempty"`
-	// By is who asks about a job.
-	By       customer.Caller `json:"by,omitzero"`
+	// Caller is who asks about a job.
+	Caller   customer.Caller `json:"by,omitzero"`
 	Accepted json.RawMessage `json:"accepted,omitempty"`
-	// At is the revision at which a job was accepted.
-	At pointport.Revision `json:"at,omitempty"`
+	// Revision is the revision at which a job was accepted.
+	Revision pointport.Revision `json:"at,omitempty"`
 	// Survey goes with a question on how a pool stands.
 	Survey *schedule.SurveyRequest `json:"survey,omitempty"`
-	// Keep is a job that the asking member could not store.
-	Keep *intake.Submission `json:"keep,omitempty"`
+	// Submission is a job that the asking member could not store.
+	Submission *intake.Submission `json:"keep,omitempty"`
 }
 
 // A reply is what the owner says.
@@ -94,14 +94,14 @@
 
 // Owners reaches the owners of pools. It is safe for concurrent use.
 type Owners struct {
-	keeper  *member.PoolManager[*shard.Owner]
-	roster  *member.Roster
-	http    *http.Client
-	timeout time.Duration
-	resting *deadlines[string]   // peers that are left alone for a while
-	served  *deadlines[string]   // peers that have stored a job lately
-	crowded *deadlines[crowdKey] // customers of whom owners want no more jobs
-	logger  *slog.Logger
+	keeper   *member.PoolManager[*shard.Owner]
+	roster   *member.Roster
+	http     *http.Client
+	timeout  time.Duration
+	avoided  *deadlines[string]      // peers that are left alone for a while
+	canStore *deadlines[string]      // peers that have stored a job lately
+	excess   *deadlines[customerKey] // customers of whom owners want no more jobs
+	logger   *slog.Logger
 }
 
 var _ intake.Owners = (*Owners)(nil)
@@ -109,20 +109,20 @@
 // NewOwners returns a way to the owners: those that keeper runs, and others as
 // the roster names them.
 func NewOwners(keeper *member.PoolManager[*shard.Owner], roster *member.Roster, client *http.Client, clock pointport.Clock, logger *slog.Logger) *Owners {
-	return &Owners{keeper: keeper, roster: roster, http: client, timeout: DefaultTimeout, resting: newDeadlines[string](clock), served: newDeadlines[string](clock), crowded: newDeadlines[crowdKey](clock), logger: logger}
+	return &Owners{keeper: keeper, roster: roster, http: client, timeout: DefaultTimeout, avoided: newDeadlines[string](clock), canStore: newDeadlines[string](clock), excess: newDeadlines[customerKey](clock), logger: logger}
 }
 
-// ask puts a question to the owner of its pool on another instance.
-func (o *Owners) ask(ctx context.Context, path string, q question) (reply, error) {
+// askOwner puts a question to the owner of its pool on another instance.
+func (o *Owners) askOwner(ctx context.Context, path string, q request) (reply, error) {
 	holding, ok := o.roster.Holding(q.Pool)
 	if !ok || holding.Mine {
 		return reply{}, ErrNoOwner
 	}
-	return o.post(ctx, holding.Member, path, q)
+	return o.send(ctx, holding.Member, path, q)
 }
 
-// post puts a question to a member.
-func (o *Owners) post(ctx context.Context, to member.Member, path string, q question) (reply, error) {
+// send puts a question to a member.
+func (o *Owners) send(ctx context.Context, to member.Member, path string, q request) (reply, error) {
 	body, err := json.Marshal(q)
 	if err != nil {
 		return reply{}, err
@@ -153,13 +153,13 @@
 		return
 	}
 	go func() {
-		r, err := o.ask(context.Background(), submittedPath, question{Pool: pool, Job: id, By: customer.Caller{Name: whose}, Accepted: accepted, At: at})
+		r, err := o.askOwner(context.Background(), submittedPath, request{Pool: pool, Job: id, Caller: customer.Caller{Name: whose}, Accepted: accepted, Revision: at})
 		if err != nil {
 			event.PeerSilent.Log(o.logger, slog.String("pool", pool), slog.String("job", id), slog.Any("error", err))
 			return
 		}
 		if whose != "" {
-			o.noteExcess(pool, whose, r.Excess)
+			o.recordExcess(pool, whose, r.Excess)
 		}
 	}()
 }
@@ -169,7 +169,7 @@
 	if local, ok := o.keeper.Controller(pool); ok {
 		return local.Cancel(ctx, id, by)
 	}
-	r, err := o.ask(ctx, cancelPath, question{Pool: pool, Job: id, By: by})
+	r, err := o.askOwner(ctx, cancelPath, request{Pool: pool, Job: id, Caller: by})
 	return r.Known, err
 }
 
@@ -178,7 +178,7 @@
 	if local, ok := o.keeper.Controller(pool); ok {
 		return local.Status(ctx, id, by)
 	}
-	r, err := o.ask(ctx, statusPath, question{Pool: pool, Job: id, By: by})
+	r, err := o.askOwner(ctx, statusPath, request{Pool: pool, Job: id, Caller: by})
 	return r.Status, r.Known, err
 }
 
@@ -187,7 +187,7 @@
 	if local, ok := o.keeper.Controller(pool); ok {
 		return local.Waiting(ctx, queue)
 	}
-	r, err := o.ask(ctx, waitingPath, question{Pool: pool, Queue: queue})
+	r, err := o.askOwner(ctx, waitingPath, request{Pool: pool, Queue: queue})
 	return r.Count, err
 }
 
@@ -196,7 +196,7 @@
 	if local, ok := o.keeper.Controller(pool); ok {
 		return local.Survey(ctx, req)
 	}
-	r, err := o.ask(ctx, surveyPath, question{Pool: pool, Survey: &req})
+	r, err := o.askOwner(ctx, surveyPath, request{Pool: pool, Survey: &req})
 	return r.Survey, err
 }
 
@@ -205,7 +205,7 @@
 	if local, ok := o.keeper.Controller(pool); ok {
 		return local.Explain(ctx, id)
 	}
-	r, err := o.ask(ctx, explainPath, question{Pool: pool, Job: id})
+	r, err := o.askOwner(ctx, explainPath, request{Pool: pool, Job: id})
 	return r.Explanation, r.Known, err
 }
 
@@ -214,7 +214,7 @@
 	if local, ok := o.keeper.Controller(pool); ok {
 		return local.ExplainCustomer(ctx, name)
 	}
-	r, err := o.ask(ctx, standingPath, question{Pool: pool, By: customer.Caller{Name: name}})
+	r, err := o.askOwner(ctx, customerPath, request{Pool: pool, Caller: customer.Caller{Name: name}})
 	return r.Customer, err
 }
 
@@ -231,14 +231,14 @@
 // stores jobs for members that cannot.
 func Handler(keeper *member.PoolManager[*shard.Owner], store Store, logger *slog.Logger) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+keepPath, func(w http.ResponseWriter, r *http.Request) { keep(w, r, store, logger) })
-	mux.HandleFunc("POST "+servedPath, func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc("POST "+storeJobPath, func(w http.ResponseWriter, r *http.Request) { handleStoreJob(w, r, store, logger) })
+	mux.HandleFunc("POST "+canStorePath, func(w http.ResponseWriter, _ *http.Request) {
 		// Whoever has stopped waiting needs no answer.
 		_ = json.NewEncoder(w).Encode(reply{Known: store.CanStore()})
 	})
-	handle := func(path string, answer func(context.Context, *shard.Owner, question) (reply, error)) {
+	handle := func(path string, answer func(context.Context, *shard.Owner, request) (reply, error)) {
 		mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
-			var q question
+			var q request
 			if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxMessage)).Decode(&q); err != nil {
 				http.Error(w, err.Error(), http.StatusBadRequest)
 				return
@@ -258,31 +258,31 @@
 			}
 		})
 	}
-	handle(submittedPath, func(_ context.Context, o *shard.Owner, q question) (reply, error) {
-		o.Submitted(q.Job, q.Accepted, q.At)
-		return reply{Known: true, Excess: o.Excess(q.By.Name)}, nil
+	handle(submittedPath, func(_ context.Context, o *shard.Owner, q request) (reply, error) {
+		o.Submitted(q.Job, q.Accepted, q.Revision)
+		return reply{Known: true, Excess: o.Excess(q.Caller.Name)}, nil
 	})
-	handle(cancelPath, func(ctx context.Context, o *shard.Owner, q question) (reply, error) {
-		known, err := o.Cancel(ctx, q.Job, q.By)
+	handle(cancelPath, func(ctx context.Context, o *shard.Owner, q request) (reply, error) {
+		known, err := o.Cancel(ctx, q.Job, q.Caller)
 		return reply{Known: known}, err
 	})
-	handle(statusPath, func(ctx context.Context, o *shard.Owner, q question) (reply, error) {
-		status, known, err := o.Status(ctx, q.Job, q.By)
+	handle(statusPath, func(ctx context.Context, o *shard.Owner, q request) (reply, error) {
+		status, known, err := o.Status(ctx, q.Job, q.Caller)
 		return reply{Known: known, Status: status}, err
 	})
-	handle(waitingPath, func(ctx context.Context, o *shard.Owner, q question) (reply, error) {
+	handle(waitingPath, func(ctx context.Context, o *shard.Owner, q request) (reply, error) {
 		n, err := o.Waiting(ctx, q.Queue)
 		return reply{Count: n}, err
 	})
-	handle(explainPath, func(ctx context.Context, o *shard.Owner, q question) (reply, error) {
+	handle(explainPath, func(ctx context.Context, o *shard.Owner, q request) (reply, error) {
 		x, known, err := o.Explain(ctx, q.Job)
 		return reply{Known: known, Explanation: x}, err
 	})
-	handle(standingPath, func(ctx context.Context, o *shard.Owner, q question) (reply, error) {
-		x, err := o.ExplainCustomer(ctx, q.By.Name)
+	handle(customerPath, func(ctx context.Context, o *shard.Owner, q request) (reply, error) {
+		x, err := o.ExplainCustomer(ctx, q.Caller.Name)
 		return reply{Customer: x}, err
 	})
-	handle(surveyPath, func(ctx context.Context, o *shard.Owner, q question) (reply, error) {
+	handle(surveyPath, func(ctx context.Context, o *shard.Owner, q request) (reply, error) {
 		if q.Survey == nil {
 			return reply{}, errors.New("survey: missing")
 		}
--- a/relay/client.go
+++ b/relay/client.go
@@ -16,17 +16,17 @@
 // This file defines the side of those who wait.
 
 const (
-	// clientWait is how long a relayed watch is asked to wait.
-	clientWait = 20 * time.Second
-	// answerBound is how long beyond that an answer may take.
-	answerBound = 2 * time.Second
-	// probeEvery is how often a relay that is waited for is asked if it is alive,
+	// clientWatchTimeout is how long a relayed watch is asked to wait.
+	clientWatchTimeout = 20 * time.Second
+	// answerMargin is how long beyond that an answer may take.
+	answerMargin = 2 * time.Second
+	// probeInterval is how often a relay that is waited for is asked if it is alive,
 	// and probeBound how long it may take to say so. Together they bound how late
 	// a change is seen through a relay that sleeps.
-	probeEvery = time.Second
-	probeBound = time.Second
-	// distrust is how long a relay that gave no answer is left alone.
-	distrust = 30 * time.Second
+	probeInterval = time.Second
+	probeTimeout  = time.Second
+	// avoidFor is how long a relay that gave no answer is left alone.
+	avoidFor = 30 * time.Second
 )
 
 // A Client is a pointport.Watcher that waits through the zone's relay, and at
@@ -37,10 +37,10 @@
 	relay func() string
 	http  *http.Client
 
-	mu    sync.Mutex
-	avoid time.Time // until when the store is watched directly
+	mu         sync.Mutex
+	avoidUntil time.Time // until when the store is watched directly
 
-	probe    sync.Mutex // held while the relay is asked if it is alive
+	probeMu  sync.Mutex // held while the relay is asked if it is alive
 	probedAt time.Time
 	alive    bool
 }
@@ -52,7 +52,7 @@
 func NewClient(store pointport.Watcher, clock pointport.Clock, relay func() string) *Client {
 	return &Client{
 		store: store, clock: clock, relay: relay,
-		http: &http.Client{Transport: &http.Transport{ResponseHeaderTimeout: clientWait + answerBound}},
+		http: &http.Client{Transport: &http.Transport{ResponseHeaderTimeout: clientWatchTimeout + answerMargin}},
 	}
 }
 
@@ -62,35 +62,35 @@
 	if base == "" || c.avoided() {
 		return c.store.Watch(ctx, key, after)
 	}
-	e, err := c.ask(ctx, base, key, after)
+	e, err := c.watchThrough(ctx, base, key, after)
 	if err == nil {
 		return e, nil
 	}
-	c.leaveAlone()
+	c.avoidRelay()
 	return c.store.Watch(ctx, key, after)
 }
 
 func (c *Client) avoided() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.clock.Now().Before(c.avoid)
+	return c.clock.Now().Before(c.avoidUntil)
 }
 
-func (c *Client) leaveAlone() {
+func (c *Client) avoidRelay() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.avoid = c.clock.Now().Add(distrust)
+	c.avoidUntil = c.clock.Now().Add(avoidFor)
 }
 
 // isAlive reports whether the relay answers. All watches share one answer.
 func (c *Client) isAlive(ctx context.Context, base string) bool {
-	c.probe.Lock()
-	defer c.probe.Unlock()
-	if c.clock.Now().Sub(c.probedAt) < probeEvery/2 {
+	c.probeMu.Lock()
+	defer c.probeMu.Unlock()
+	if c.clock.Now().Sub(c.probedAt) < probeInterval/2 {
 		return c.alive
 	}
 	// The answer is shared, so the end of one watch must not spoil it.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeBound)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodHead, base+Path, nil)
 	if err != nil {
@@ -104,11 +104,11 @@
 	return c.alive
 }
 
-// guard ends a relayed watch by cancel once the relay does not answer.
-func (c *Client) guard(ctx context.Context, cancel context.CancelFunc, base string) {
+// probeWhileWaiting ends a relayed watch by cancel once the relay does not answer.
+func (c *Client) probeWhileWaiting(ctx context.Context, cancel context.CancelFunc, base string) {
 	for {
 		select {
-		case <-c.clock.After(probeEvery):
+		case <-c.clock.After(probeInterval):
 			if !c.isAlive(ctx, base) {
 				cancel()
 				return
@@ -119,12 +119,12 @@
 	}
 }
 
-// ask waits through the relay at base, as long as that is alive.
-func (c *Client) ask(ctx context.Context, base, key string, after pointport.Revision) (pointport.Entry, error) {
+// watchThrough waits through the relay at base, as long as that is alive.
+func (c *Client) watchThrough(ctx context.Context, base, key string, after pointport.Revision) (pointport.Entry, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go func() { c.guard(ctx, cancel, base) }()
-	q := url.Values{"key": {key}, "after": {strconv.FormatInt(int64(after), 10)}, "wait": {clientWait.String()}}
+	go func() { c.probeWhileWaiting(ctx, cancel, base) }()
+	q := url.Values{"key": {key}, "after": {strconv.FormatInt(int64(after), 10)}, "wait": {clientWatchTimeout.String()}}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, base+Path+"?"+q.Encode(), nil)
 	if err != nil {
 		return pointport.Entry{}, err
--- a/relay/server.go
+++ b/relay/server.go
@@ -32,14 +32,14 @@
 	// StoreWait is how long the relay's own watches should be held by the store.
 	// It bounds how late the relay notices that it is cut off.
 	StoreWait = time.Second
-	// fresh is how long ago the relay may have heard from the store.
-	fresh = 2 * StoreWait
+	// maxAge is how long ago the relay may have heard from the store.
+	maxAge = 2 * StoreWait
 	// maxWait bounds how long a relayed watch waits.
 	maxWait = 30 * time.Second
-	// keep is how long a key is watched after the last one waited for it.
-	keep = time.Minute
-	// pause is how long the relay waits after a failed watch.
-	pause = 250 * time.Millisecond
+	// idleTimeout is how long a key is watched after the last one waited for it.
+	idleTimeout = time.Minute
+	// retryDelay is how long the relay waits after a failed watch.
+	retryDelay = 250 * time.Millisecond
 )
 
 // A Server answers relayed watches.
@@ -48,8 +48,8 @@
 	store pointport.Watcher
 	clock pointport.Clock
 
-	mu   sync.Mutex
-	hubs map[string]*hub
+	mu      sync.Mutex
+	watches map[string]*keyWatch
 }
 
 var _ http.Handler = (*Server)(nil)
@@ -57,16 +57,16 @@
 // NewServer returns a relay over store, whose watches should be held for
 // StoreWait. It works until ctx ends.
 func NewServer(ctx context.Context, store pointport.Watcher, clock pointport.Clock) *Server {
-	return &Server{ctx: ctx, store: store, clock: clock, hubs: make(map[string]*hub)}
+	return &Server{ctx: ctx, store: store, clock: clock, watches: make(map[string]*keyWatch)}
 }
 
-// A hub watches one key for all who wait for it.
-type hub struct {
-	mu      sync.Mutex
-	entry   pointport.Entry
-	heard   time.Time
-	asked   time.Time
-	changed chan struct{} // closed and replaced at every answer of the store
+// A keyWatch watches one key for all who wait for it.
+type keyWatch struct {
+	mu          sync.Mutex
+	entry       pointport.Entry
+	answeredAt  time.Time
+	requestedAt time.Time
+	changed     chan struct{} // closed and replaced at every answer of the store
 }
 
 // reply is an answer on the wire.
@@ -108,23 +108,23 @@
 // await waits for a revision above after. It reports false as soon as the relay
 // is not fresh.
 func (s *Server) await(ctx context.Context, key string, after pointport.Revision, wait time.Duration) (pointport.Entry, bool) {
-	h := s.hub(key)
+	h := s.watchOf(key)
 	start := s.clock.Now()
 	end := s.clock.After(wait)
 	for {
 		now := s.clock.Now()
-		e, heard, changed := h.look(now)
-		isFresh := !heard.IsZero() && now.Sub(heard) <= fresh
+		e, heard, changed := h.state(now)
+		isFresh := !heard.IsZero() && now.Sub(heard) <= maxAge
 		if isFresh && e.Revision() > after {
 			return e, true
 		}
 		// By now the relay should have heard, and what the other has seen.
-		if now.Sub(start) > fresh && (!isFresh || e.Revision() < after) {
+		if now.Sub(start) > maxAge && (!isFresh || e.Revision() < after) {
 			return e, false
 		}
 		select {
 		case <-changed:
-		case <-s.clock.After(fresh):
+		case <-s.clock.After(maxAge):
 		case <-end:
 			return e, isFresh && e.Revision() >= after
 		case <-ctx.Done():
@@ -133,66 +133,66 @@
 	}
 }
 
-func (h *hub) look(now time.Time) (pointport.Entry, time.Time, <-chan struct{}) {
+func (h *keyWatch) state(now time.Time) (pointport.Entry, time.Time, <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.asked = now
-	return h.entry, h.heard, h.changed
+	h.requestedAt = now
+	return h.entry, h.answeredAt, h.changed
 }
 
-func (s *Server) hub(key string) *hub {
+func (s *Server) watchOf(key string) *keyWatch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.hubs[key]
+	h := s.watches[key]
 	if h == nil {
-		h = &hub{changed: make(chan struct{}), asked: s.clock.Now()}
-		s.hubs[key] = h
+		h = &keyWatch{changed: make(chan struct{}), requestedAt: s.clock.Now()}
+		s.watches[key] = h
 		go func() { s.watch(key, h) }()
 	}
 	return h
 }
 
 // watch follows a key while anyone waits for it.
-func (s *Server) watch(key string, h *hub) {
-	for s.ctx.Err() == nil && s.wanted(key, h) {
+func (s *Server) watch(key string, h *keyWatch) {
+	for s.ctx.Err() == nil && s.inUse(key, h) {
 		e, err := s.store.Watch(s.ctx, key, h.revision())
 		if err != nil {
 			select {
-			case <-s.clock.After(pause):
+			case <-s.clock.After(retryDelay):
 			case <-s.ctx.Done():
 			}
 			continue
 		}
-		h.take(e, s.clock.Now())
+		h.update(e, s.clock.Now())
 	}
 }
 
-// wanted reports whether a key is still waited for, and forgets it if not.
-func (s *Server) wanted(key string, h *hub) bool {
+// inUse reports whether a key is still waited for, and forgets it if not.
+func (s *Server) inUse(key string, h *keyWatch) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if s.clock.Now().Sub(h.asked) < keep {
+	if s.clock.Now().Sub(h.requestedAt) < idleTimeout {
 		return true
 	}
-	delete(s.hubs, key)
+	delete(s.watches, key)
 	return false
 }
 
-func (h *hub) revision() pointport.Revision {
+func (h *keyWatch) revision() pointport.Revision {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.entry.Revision()
 }
 
-func (h *hub) take(e pointport.Entry, now time.Time) {
+func (h *keyWatch) update(e pointport.Entry, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if e.Revision() != h.entry.Revision() {
 		h.entry = e // an unchanged answer need not hold the value
 	}
-	h.heard = now
+	h.answeredAt = now
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
