--- a/member/backoff.go
+++ b/member/backoff.go
@@ -7,24 +7,25 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines how long to wait before the store is asked again.
+// This file defines how long to wait before calling the store again.
 
 const (
-	// minRetryDelay is how long to wait after the store gave no answer, retryMost
-	// the bound of its doubling.
+	// minRetryDelay is the delay after the first call without an answer. It doubles with each
+	// further failure, up to maxRetryDelay.
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = 400 * time.Millisecond
-	// minBusyDelay and busyMost are the same after the store refused a call because there
-	// are too many. Whoever follows keys waits for longer than whoever owns: a renewal is
-	// made four times a second, a change again after 0.3 s at most.
+	// minBusyDelay and maxBusyDelay are the same bounds after the store refused a call because
+	// it receives too many. Members that only watch keys wait longer than pool owners: an
+	// owner renews its lease four times a second and retries a write after 0.3 s at most.
 	minBusyDelay = 200 * time.Millisecond
 	maxBusyDelay = 1200 * time.Millisecond
 )
 
-// A backoff grows with each failure in a row. The zero value is ready.
+// backoff computes a delay that grows with each consecutive failure. The zero value is ready
+// to use.
 type backoff struct{ next time.Duration }
 
-// after returns how long to wait after a failure.
+// after returns how long to wait after err.
 func (b *backoff) after(err error) time.Duration {
 	if pointport.IsBusy(err) {
 		return jitter(b.grow(minBusyDelay, maxBusyDelay))
@@ -32,13 +33,14 @@
 	return b.grow(minRetryDelay, maxRetryDelay)
 }
 
-// grow returns the wait, from first to most, and doubles the next.
+// grow returns the next delay, bounded by first and most, and doubles it for the following
+// call.
 func (b *backoff) grow(first, most time.Duration) time.Duration {
 	wait := min(max(b.next, first), most)
 	b.next = 2 * wait
 	return wait
 }
 
-// jitter returns a time between half of d and one and a half, so that members that were
-// refused together do not come back together.
+// jitter returns a random duration between 0.5 d and 1.5 d, so that members that were refused
+// at the same time do not retry at the same time.
 func jitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
--- a/member/follow.go
+++ b/member/follow.go
@@ -8,88 +8,91 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines how the keys under a prefix are followed.
+// This file defines how to follow the keys under a prefix.
 
 const (
-	// defaultWatchTimeout is how long a watch may wait for a change. The store may be deaf
-	// to changes for a while and a connection may be cut off in silence, so a
-	// watch that hears nothing is never trusted for long.
+	// defaultWatchTimeout is how long a watch may wait for a change. The store may fail to
+	// send changes for a while, and a connection may fail silently, so a watch that returns no
+	// changes must end soon.
 	defaultWatchTimeout = time.Second
-	// DefaultRereadInterval is how often all keys under a prefix are read again, whatever
-	// the watches say. Nothing is known to need that: a change that a watch did not
-	// tell is told by the next one, or the store says that it has forgotten it. Every
-	// 3 s, such readings were 235 of the 331 KB that an entry instance without a pool
-	// received in a minute among 47, and 2.9 of the 14.1 MB of the busiest owner beside
-	// 372 instances.
+	// DefaultRereadInterval is how often all keys under a prefix are read again, whatever the
+	// watches returned. It is only a safeguard: a change that a watch missed is returned by
+	// the next watch, or that watch fails because the change has been compacted. With an
+	// interval of 3 s, these reads made up 235 of the 331 KB that an entry instance without a
+	// pool received in a minute in a cluster of 47, and 2.9 of the 14.1 MB that the busiest
+	// owner received with 372 instances.
 	DefaultRereadInterval = 15 * time.Second
-	// rereadPauseFactor is how many times as long as such a reading took passes until the
-	// next, at least. Registrations of 350 instances are some 150 KB, worked out from the
-	// platform's example, 0.12 s of a link of 10 Mbit/s; at 8,000, readings every 3 s
-	// would fill it.
+	// rereadPauseFactor is the minimum time between two reads of all keys, as a multiple of
+	// the time that the last one took. The registrations of 350 instances are about 150 KB,
+	// which take 0.12 s on a link of 10 Mbit/s; with 8,000 instances, a read every 3 s would
+	// use the whole link.
 	rereadPauseFactor = 9
 )
 
-// A Follower keeps a copy of the keys under a prefix up to date.
+// Follower keeps a copy of the keys under a prefix up to date.
 type Follower struct {
 	kv             pointport.KV
 	clock          pointport.Clock
 	prefix         string
 	reset          func([]pointport.Entry)
 	apply          func([]pointport.Entry)
-	rereadAfter    time.Duration // from one reading of all keys to the next
+	rereadAfter    time.Duration // time between two reads of all keys
 	rereadInterval func() time.Duration
 	pauseAfter     func([]pointport.Entry) time.Duration
-	watchTimeout   func() time.Duration // for how long a watch may wait
+	watchTimeout   func() time.Duration // how long a watch may wait
 	watchFrom      pointport.Revision
 	rereadOn       func() <-chan struct{}
 	onResult       func(error)
 }
 
-// A FollowOption changes a Follower.
+// FollowOption configures a Follower.
 type FollowOption func(*Follower)
 
-// FromRevision has the follower begin at a revision as of which its caller has read all
-// keys.
+// FromRevision makes the follower start at a revision as of which its caller has already read
+// all keys.
 func FromRevision(at pointport.Revision) FollowOption { return func(f *Follower) { f.watchFrom = at } }
 
-// PauseAfterChange sets how long to wait after a change before the next is asked for, where
-// changes are many and need not be known at once.
+// PauseAfterChange sets how long to wait after a change before the next one is requested, for
+// keys that change often and whose changes need not be known at once.
 func PauseAfterChange(d time.Duration) FollowOption {
 	return PauseAfterChanges(func([]pointport.Entry) time.Duration { return d })
 }
 
-// PauseAfterChanges sets how long to wait after some changes before the next are asked for.
-func PauseAfterChanges(rest func(changes []pointport.Entry) time.Duration) FollowOption {
-	return func(f *Follower) { f.pauseAfter = rest }
+// PauseAfterChanges sets a function that returns how long to wait after the given changes
+// before the next ones are requested.
+func PauseAfterChanges(pause func(changes []pointport.Entry) time.Duration) FollowOption {
+	return func(f *Follower) { f.pauseAfter = pause }
 }
 
-// WatchTimeout sets for how long a watch may wait, where many follow the same keys.
-func WatchTimeout(wait func() time.Duration) FollowOption {
-	return func(f *Follower) { f.watchTimeout = wait }
+// WatchTimeout sets how long a watch may wait, for keys that many members follow.
+func WatchTimeout(timeout func() time.Duration) FollowOption {
+	return func(f *Follower) { f.watchTimeout = timeout }
 }
 
-// RereadInterval sets how often all keys are read again at most, where many follow many keys.
-func RereadInterval(every func() time.Duration) FollowOption {
-	return func(f *Follower) { f.rereadInterval = every }
+// RereadInterval sets the minimum interval between two reads of all keys, for large sets of
+// keys that many members follow.
+func RereadInterval(interval func() time.Duration) FollowOption {
+	return func(f *Follower) { f.rereadInterval = interval }
 }
 
-// defaultRereadIntervalFunc returns how often all keys are read again by default.
+// defaultRereadIntervalFunc returns the default interval between two reads of all keys.
 func defaultRereadIntervalFunc() time.Duration { return DefaultRereadInterval }
 
-// RereadOn has all keys read again as soon as the channel that back returns is closed: the
-// store answers again, and a question that was put while it did not may wait for its
-// time to pass, up to 1.7 s with its repetitions.
-func RereadOn(back func() <-chan struct{}) FollowOption {
-	return func(f *Follower) { f.rereadOn = back }
+// RereadOn makes the follower read all keys again as soon as the channel that recovered
+// returns is closed, which must happen when the store answers again after an outage.
+// Otherwise, a request sent during the outage may delay the follower until it times out, which
+// takes up to 1.7 s with its retries.
+func RereadOn(recovered func() <-chan struct{}) FollowOption {
+	return func(f *Follower) { f.rereadOn = recovered }
 }
 
-// OnResult has a function told of each question to the store what became of it: nil once its
-// answer was taken in.
-func OnResult(heard func(error)) FollowOption { return func(f *Follower) { f.onResult = heard } }
+// OnResult sets a function that is called with the result of each request to the store: nil
+// once its answer has been applied.
+func OnResult(onResult func(error)) FollowOption { return func(f *Follower) { f.onResult = onResult } }
 
-// Follow follows the keys under prefix until ctx ends. reset is called with all
-// keys when they are read, apply with each change; a deleted key is an entry
-// that does not exist.
+// Follow follows the keys under prefix until ctx ends. It calls reset with all keys whenever
+// it has read them, and apply with each set of changes; a deleted key is an entry that does
+// not exist.
 func Follow(ctx context.Context, kv pointport.KV, clock pointport.Clock, prefix string, reset, apply func([]pointport.Entry), options ...FollowOption) {
 	f := &Follower{kv: kv, clock: clock, prefix: prefix, reset: reset, apply: apply, rereadAfter: DefaultRereadInterval, rereadInterval: defaultRereadIntervalFunc, rereadOn: neverClosed, pauseAfter: noPause, watchTimeout: defaultWatchTimeoutFunc, onResult: func(error) {}}
 	for _, o := range options {
@@ -98,27 +101,28 @@
 	f.run(ctx)
 }
 
-// noPause has the next changes asked for at once.
+// noPause returns zero, so that the next changes are requested at once.
 func noPause([]pointport.Entry) time.Duration { return 0 }
 
-// defaultWatchTimeoutFunc returns for how long a watch may wait by default.
+// defaultWatchTimeoutFunc returns the default timeout of a watch.
 func defaultWatchTimeoutFunc() time.Duration { return defaultWatchTimeout }
 
-// neverClosed returns a channel that is not closed.
+// neverClosed returns a channel that is never closed.
 func neverClosed() <-chan struct{} { return nil }
 
-// run follows the keys until ctx ends, and begins anew when the store is back.
+// run follows the keys until ctx ends, and restarts with a read of all keys when the channel
+// of rereadOn is closed.
 func (f *Follower) run(ctx context.Context) {
 	read := time.Time{}
 	if f.watchFrom > 0 {
 		read = f.clock.Now()
 	}
 	for ctx.Err() == nil {
-		back := f.rereadOn()
+		recovered := f.rereadOn()
 		call, cancel := context.WithCancel(ctx)
 		go func() {
 			select {
-			case <-back:
+			case <-recovered:
 				cancel()
 			case <-call.Done():
 			}
@@ -129,10 +133,10 @@
 	}
 }
 
-// follow follows the keys until ctx ends; read is when all were read last, zero if they
-// have to be.
+// follow follows the keys until ctx ends. read is when all keys were last read, zero to read
+// them first.
 func (f *Follower) follow(ctx context.Context, read time.Time) {
-	var pause backoff
+	var retry backoff
 	for ctx.Err() == nil {
 		var err error
 		if read.IsZero() || f.clock.Now().Sub(read) >= f.rereadAfter {
@@ -150,15 +154,15 @@
 			read, err = time.Time{}, nil
 		}
 		if err == nil {
-			pause = backoff{}
+			retry = backoff{}
 			continue
 		}
 		if !pointport.IsBusy(err) {
-			// Changes may have been missed in between; a watch that was refused goes on
-			// from where it was.
+			// Changes may have been missed. After a refusal, the next watch continues at the
+			// same revision.
 			read = time.Time{}
 		}
-		sleep(ctx, f.clock, pause.after(err))
+		sleep(ctx, f.clock, retry.after(err))
 	}
 }
 
@@ -178,9 +182,8 @@
 		return err
 	}
 	if len(changes.Entries) == 0 {
-		// The store may have been deaf meanwhile. The next watch asks from the same
-		// revision, so what was missed is told then, or the store says that it has
-		// forgotten it.
+		// The store may have failed to send changes. The next watch starts at the same
+		// revision, so it returns what was missed, or fails because that has been compacted.
 		return nil
 	}
 	f.watchFrom = max(f.watchFrom, changes.At)
@@ -200,8 +203,8 @@
 	}
 }
 
-// ReadAll returns all keys under prefix and the revision from which a watch sees
-// every later change of them.
+// ReadAll returns all keys under prefix, and a revision from which a watch returns every later
+// change of them.
 func ReadAll(ctx context.Context, kv pointport.KV, prefix string) ([]pointport.Entry, pointport.Revision, error) {
 	var all []pointport.Entry
 	at := pointport.Revision(0)
--- a/member/follow_key.go
+++ b/member/follow_key.go
@@ -10,104 +10,108 @@
 	clocks "github.com/pointport/pointport/clock"
 )
 
-// This file defines how a single key is followed whose value may be large beside the
-// link over which it comes.
+// This file defines how to follow a single key whose value may be large compared with the
+// bandwidth of the link to the store.
 
 const (
-	// DefaultRecheckInterval is how often a key that is followed is made sure of, whatever the
-	// watch says. A watch asks from the state that is known, so it tells later what it did
-	// not hear while the store was deaf to changes, or fails because that is forgotten.
+	// DefaultRecheckInterval is how often a followed key is checked, whatever its watch
+	// returned. A watch starts at the known revision, so a change that a watch missed while
+	// the store sent no changes is returned by a later watch, or that watch fails because the
+	// change has been compacted.
 	DefaultRecheckInterval = time.Second
-	// minWatchTimeout is how long a watch waits that is to answer at once, the least that the store
-	// takes. It is a reading call, of which the store takes five times as many as of
-	// transactions.
+	// minWatchTimeout is the shortest watch that the store accepts, for a watch that must
+	// return at once. A watch counts as a read, of which the store accepts five times as many
+	// as transactions.
 	minWatchTimeout = time.Millisecond
-	// largeValueSize is the size of a value, in bytes, while which comes the next may be made:
-	// it takes 50 ms on a link of 10 Mbit/s.
+	// largeValueSize is the size of a value, in bytes, from which on the key may well change
+	// again during the transfer: 64 KiB take 50 ms on a link of 10 Mbit/s.
 	largeValueSize = 64 << 10
 )
 
-// A keyFollower keeps up with one key. It asks whether the key is still at the revision
-// that it knows, and the store answers with the value only if it is not. So a version is
-// carried once, none is carried again while nothing changes, and of versions that come
-// faster than the link carries them the newest is next. Reading the key anew each second
-// in its place filled links of 10 Mbit/s with a configuration of 1.2 MB, on which no
-// later version arrived; at rest, one of 250 queues cost 44 KB a second.
+// keyFollower keeps a copy of one key up to date. It sends a conditional request with the
+// known revision, and the store returns the value only if the revision has changed. So each
+// version is transferred at most once, nothing is transferred while nothing changes, and if
+// versions are written faster than the link can carry them, the newest is transferred next.
+// Reading the key every second instead filled links of 10 Mbit/s with a configuration of 1.2
+// MB, so that no later version arrived; with an unchanged value, one of 250 queues cost 44 KB
+// a second.
 type keyFollower struct {
 	kv              pointport.KV
 	clock           pointport.Clock
 	key             string
 	onChange        func(pointport.Entry)
 	onResult        func(error)
-	recheckInterval func() time.Duration // from one time that the key is made sure of to the next
-	watchTimeout    func() time.Duration // for how long a watch may wait
+	recheckInterval func() time.Duration // between two checks of the key
+	watchTimeout    func() time.Duration // how long a watch may wait
 
 	knownRevision pointport.Revision // of the key, zero if it does not exist
-	watchFrom     pointport.Revision // from which a watch sees all later changes
-	checkedAt     time.Time          // when the key was last made sure of, zero if it has to be
-	lastFailed    bool               // whether the last question had no answer
+	watchFrom     pointport.Revision // revision after which a watch returns all changes
+	checkedAt     time.Time          // when the key was last checked, zero to check it now
+	lastFailed    bool               // whether the last request failed
 }
 
-// A KeyOption changes how a key is followed.
+// KeyOption configures how FollowKey follows a key.
 type KeyOption func(*keyFollower)
 
-// RecheckInterval sets how often the key is made sure of, which is a writing call to the store.
-func RecheckInterval(every func() time.Duration) KeyOption {
-	return func(f *keyFollower) { f.recheckInterval = every }
+// RecheckInterval sets how often the key is checked, which counts as a write to the store.
+func RecheckInterval(interval func() time.Duration) KeyOption {
+	return func(f *keyFollower) { f.recheckInterval = interval }
 }
 
-// KeyWatchTimeout sets for how long a watch of the key may wait, where many follow it.
-func KeyWatchTimeout(wait func() time.Duration) KeyOption {
-	return func(f *keyFollower) { f.watchTimeout = wait }
+// KeyWatchTimeout sets how long a watch of the key may wait, for keys that many members
+// follow.
+func KeyWatchTimeout(timeout func() time.Duration) KeyOption {
+	return func(f *keyFollower) { f.watchTimeout = timeout }
 }
 
-// defaultRecheckIntervalFunc returns how often a key is made sure of by default.
+// defaultRecheckIntervalFunc returns the default interval between two checks of a key.
 func defaultRecheckIntervalFunc() time.Duration { return DefaultRecheckInterval }
 
-// FollowKey follows a key until ctx ends. take is called with the key whenever it has
-// changed, heard with how each question to the store ended: with nil, what is known is
-// as new as the store was when the question was sent.
-func FollowKey(ctx context.Context, kv pointport.KV, clock pointport.Clock, key string, take func(pointport.Entry), heard func(error), options ...KeyOption) {
-	f := &keyFollower{kv: kv, clock: clock, key: key, onChange: take, onResult: heard, recheckInterval: defaultRecheckIntervalFunc, watchTimeout: defaultWatchTimeoutFunc}
+// FollowKey follows a key until ctx ends. It calls onChange with the key whenever it has
+// changed, and onResult with the result of each request to the store: nil means that the known
+// state is as new as the store's was when the request was sent.
+func FollowKey(ctx context.Context, kv pointport.KV, clock pointport.Clock, key string, onChange func(pointport.Entry), onResult func(error), options ...KeyOption) {
+	f := &keyFollower{kv: kv, clock: clock, key: key, onChange: onChange, onResult: onResult, recheckInterval: defaultRecheckIntervalFunc, watchTimeout: defaultWatchTimeoutFunc}
 	for _, o := range options {
 		o(f)
 	}
-	var pause backoff
+	var retry backoff
 	for ctx.Err() == nil {
-		asked := clocks.NewInterval(clock)
+		interval := clocks.NewInterval(clock)
 		err := f.step(ctx)
-		if lasted := asked.Suspended(); err == nil && lasted > 0 {
+		if lasted := interval.Suspended(); err == nil && lasted > 0 {
 			err = &SuspendedError{Lasted: lasted}
 		}
 		f.onResult(err)
 		f.lastFailed = err != nil
 		if err == nil {
-			pause = backoff{}
+			retry = backoff{}
 			continue
 		}
 		f.recheckIfMissed(err)
-		sleep(ctx, clock, pause.after(err))
+		sleep(ctx, clock, retry.after(err))
 	}
 }
 
-// recheckIfMissed has the key made sure of if no watch can tell what was missed.
+// recheckIfMissed forces a check of the key if no watch can return the changes that were
+// missed.
 func (f *keyFollower) recheckIfMissed(err error) {
-	var forgotten *pointport.CompactedError
+	var compacted *pointport.CompactedError
 	var suspended *SuspendedError
-	if errors.As(err, &forgotten) || errors.As(err, &suspended) {
+	if errors.As(err, &compacted) || errors.As(err, &suspended) {
 		f.checkedAt = time.Time{}
 	}
 }
 
-// A SuspendedError says that an answer is not news, because the machine was suspended after
-// it was asked for.
+// SuspendedError is returned for an answer that may be outdated because the machine was
+// suspended after the request was sent.
 type SuspendedError struct{ Lasted time.Duration }
 
 func (e *SuspendedError) Error() string {
-	return fmt.Sprintf("the machine was suspended for %v meanwhile", e.Lasted)
+	return fmt.Sprintf("the machine was suspended for %v during the request", e.Lasted)
 }
 
-// step asks the store one question.
+// step sends one request to the store.
 func (f *keyFollower) step(ctx context.Context) error {
 	switch {
 	case f.checkedAt.IsZero() || f.clock.Now().Sub(f.checkedAt) >= f.recheckInterval():
@@ -118,9 +122,9 @@
 	return f.watch(ctx, f.watchTimeout())
 }
 
-// check makes sure that the key is at the known revision, or takes its newest state.
-// A transaction without changes is a read under a condition. While nothing is known there
-// is nothing to save by that, and a reading call does.
+// check verifies that the key is still at the known revision, or takes over its newest state.
+// It commits a transaction without changes, which serves as a conditional read. While no
+// revision is known, that saves nothing, so a plain read is used.
 func (f *keyFollower) check(ctx context.Context) error {
 	if f.knownRevision == 0 {
 		return f.read(ctx)
@@ -141,7 +145,7 @@
 	return err
 }
 
-// read takes the state of the key.
+// read reads the key.
 func (f *keyFollower) read(ctx context.Context) error {
 	from := f.clock.Now()
 	page, err := f.kv.Range(ctx, f.key, "")
@@ -155,10 +159,10 @@
 	return nil
 }
 
-// watch waits for a change of the key. One that hears nothing proves nothing, so the next
-// asks from the same revision.
-func (f *keyFollower) watch(ctx context.Context, wait time.Duration) error {
-	changes, err := f.kv.WatchPrefix(ctx, f.key, f.watchFrom, wait)
+// watch waits for a change of the key. A watch without changes does not prove that there were
+// none, so the next one starts at the same revision.
+func (f *keyFollower) watch(ctx context.Context, timeout time.Duration) error {
+	changes, err := f.kv.WatchPrefix(ctx, f.key, f.watchFrom, timeout)
 	if err != nil || len(changes.Entries) == 0 {
 		return err
 	}
@@ -171,7 +175,7 @@
 	return nil
 }
 
-// find returns the key as some entries show it. One that they lack does not exist.
+// find returns the key's entry. If entries has none, the key does not exist.
 func (f *keyFollower) find(entries []pointport.Entry) pointport.Entry {
 	for _, e := range entries {
 		if e.Key() == f.key {
@@ -181,9 +185,9 @@
 	return pointport.NewEntry(f.key, nil, 0)
 }
 
-// update takes a new state of the key. While a large one came, the next may have been
-// made, so the key is made sure of at once: a watch would bring all states since, one
-// after the other.
+// update takes over a new state of the key. The key may have changed again while a large value
+// was transferred, so it is then checked at once: a watch would transfer all versions written
+// since, one after the other.
 func (f *keyFollower) update(e pointport.Entry) {
 	f.knownRevision = e.Revision()
 	f.watchFrom = max(f.watchFrom, f.knownRevision)
--- a/member/lease.go
+++ b/member/lease.go
@@ -7,13 +7,14 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines how long a member's lease lasts: it is short while the member owns a
-// pool or is about to, and long otherwise.
+// This file defines how long a member's lease lasts: it is short while the member owns a pool
+// or may soon take one, and long otherwise.
 
-// RequestShortLease has the lease be a short one for some time, under which pools can be owned.
+// RequestShortLease keeps the lease short for shortLeaseHold, so that pools can be owned under
+// it.
 func (s *Session) RequestShortLease() { s.requestShortLease(shortLeaseHold) }
 
-// requestShortLease has the lease be a short one for so long at least.
+// requestShortLease keeps the lease short for at least d.
 func (s *Session) requestShortLease(d time.Duration) {
 	s.mu.Lock()
 	if until := s.clock.Steady().Add(d); until.After(s.shortUntil) {
@@ -26,35 +27,36 @@
 	}
 	select {
 	case s.wake <- struct{}{}:
-	default: // it is about to be looked after
+	default: // the loop is about to run anyway
 	}
 }
 
-// hasShortLease reports whether the lease is a short one.
+// hasShortLease reports whether there is a short lease.
 func (s *Session) hasShortLease() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lease != 0 && s.leaseTTL == s.ttl
 }
 
-// ownerLease returns a lease under which a pool can be owned, and has the lease exchanged
-// for one if need be.
+// ownerLease returns a lease under which a pool can be owned. It waits until a long lease has
+// been exchanged for a short one, and fails with ErrNoLease if that takes longer than half the
+// TTL.
 func (s *Session) ownerLease(ctx context.Context) (pointport.LeaseID, error) {
-	late := s.clock.After(s.ttl / 2)
+	timeout := s.clock.After(s.ttl / 2)
 	s.requestShortLease(takeLeaseHold)
 	for {
 		s.mu.Lock()
-		lease, fit := s.lease, s.leaseTTL == s.ttl && !s.exchanging
+		lease, usable := s.lease, s.leaseTTL == s.ttl && !s.exchanging
 		s.mu.Unlock()
 		switch {
 		case lease == 0:
 			return 0, ErrNoLease
-		case fit:
+		case usable:
 			return lease, nil
 		}
 		select {
 		case <-s.clock.After(exchangePollInterval):
-		case <-late:
+		case <-timeout:
 			return 0, ErrNoLease
 		case <-ctx.Done():
 			return 0, ctx.Err()
@@ -62,22 +64,22 @@
 	}
 }
 
-// setEngaged has a short lease be kept while engaged says that something is, or is about to
-// be, owned under it.
-func (s *Session) setEngaged(engaged func() bool) {
+// setLeaseInUse sets the function that reports whether anything is owned, or about to be owned,
+// under the lease. A short lease is kept while it returns true.
+func (s *Session) setLeaseInUse(inUse func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.engaged = engaged
+	s.leaseInUse = inUse
 }
 
-// currentTTL returns how long the lease lasts unrenewed.
+// currentTTL returns the TTL of the current lease.
 func (s *Session) currentTTL() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.leaseTTL
 }
 
-// desiredTTL returns how long a lease is to last now.
+// desiredTTL returns the TTL that a lease should have now.
 func (s *Session) desiredTTL() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,17 +89,17 @@
 	return longLeaseFactor * s.ttl
 }
 
-// exchange has another lease granted in place of the one that there is, and reports
-// whether it was. One that was not is tried again with the next call. The old lease is
-// left to end: nothing is owned under it, and this member's own key is written anew.
-func (s *Session) exchange(ctx context.Context, lasts time.Duration) bool {
-	engaged := s.beginExchange()
+// exchange replaces the current lease with a new one and reports whether it succeeded. After a
+// failure the next round tries again. The old lease is left to expire: nothing is owned under
+// it, and this member's own key is written again under the new one.
+func (s *Session) exchange(ctx context.Context, ttl time.Duration) bool {
+	inUse := s.beginExchange()
 	defer s.endExchange()
-	if lasts > s.ttl && engaged() {
+	if ttl > s.ttl && inUse() {
 		return false
 	}
 	from := s.clock.Steady()
-	lease, err := s.kv.Grant(ctx, lasts)
+	lease, err := s.kv.Grant(ctx, ttl)
 	if err != nil {
 		return false
 	}
@@ -105,20 +107,20 @@
 	defer s.mu.Unlock()
 	s.recordAnswer(from)
 	s.formerLease = s.lease
-	s.setLease(lease, lasts, from)
+	s.setLease(lease, ttl, from)
 	return true
 }
 
-// beginExchange notes that the lease is to be exchanged: from then on nothing begins to be owned
-// under it. It returns what tells whether anything has.
-func (s *Session) beginExchange() (engaged func() bool) {
+// beginExchange notes that the lease is about to be exchanged; from then on no pool is taken
+// under it. It returns the function that reports whether anything is already owned under it.
+func (s *Session) beginExchange() (inUse func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.exchanging = true
-	return s.engaged
+	return s.leaseInUse
 }
 
-// endExchange notes that an exchange is over, whether it was made or not.
+// endExchange notes that an exchange has ended, whether it succeeded or not.
 func (s *Session) endExchange() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/member/ownership.go
+++ b/member/ownership.go
@@ -10,35 +10,35 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines ownerships of pools: how one is taken, proven and given up.
+// This file defines ownerships of pools: how they are taken, proven and released.
 
-// OwnerKey returns the key that says who owns a pool.
+// OwnerKey returns the store key that names the owner of a pool.
 func OwnerKey(pool string) string { return ownerPrefix + pool }
 
-// An Ownership says that this member owns a pool.
+// Ownership represents this member's ownership of a pool.
 type Ownership struct {
 	Pool string
-	// Fence is the number that all orders for the pool bear.
+	// Fence is the fencing token that all orders for the pool carry.
 	Fence pointport.Fence
 	// Revision is the owner key's revision, on which writes depend.
 	Revision pointport.Revision
 	proof    *proof
 }
 
-// A proof says until when an ownership has surely not been lost. A key may be
-// taken away although the lease that it goes with lives on, so a renewed lease
-// alone proves nothing. Its times are steady ones.
+// proof records until when an ownership cannot have been lost. The owner key may be deleted
+// although its lease lives on, so renewing the lease alone does not prove the ownership. All
+// times are steady-clock times.
 type proof struct {
 	clock pointport.Clock
-	ttl   time.Duration // for how long a call that saw the key proves it
+	ttl   time.Duration // how long a call that read or wrote the key proves it
 	mu    sync.Mutex
 	until time.Time
 }
 
-// Proven reports whether the ownership has surely not been lost.
+// Proven reports whether the ownership cannot have been lost yet.
 func (o Ownership) Proven() bool { return o.remaining() > 0 }
 
-// prove takes in that the owner key was seen by a call made at the steady time from.
+// prove notes that a call made at the steady time from found the owner key unchanged.
 func (o Ownership) prove(from time.Time) {
 	o.proof.mu.Lock()
 	defer o.proof.mu.Unlock()
@@ -47,7 +47,7 @@
 	}
 }
 
-// remaining returns for how long the ownership is proven from now on.
+// remaining returns for how much longer the ownership is proven; it is negative afterwards.
 func (o Ownership) remaining() time.Duration {
 	now := o.proof.clock.Steady()
 	o.proof.mu.Lock()
@@ -55,13 +55,14 @@
 	return o.proof.until.Sub(now)
 }
 
-// ErrNotOwner says that another member owns the pool, or nobody.
-var ErrNotOwner = errors.New("this member does not own the pool any more")
+// ErrNotOwner is returned when another member owns the pool, or nobody does.
+var ErrNotOwner = errors.New("this member no longer owns the pool")
 
-// ErrNoLease says that this member has no lease under which it could own.
+// ErrNoLease is returned when this member has no lease under which it could own a pool.
 var ErrNoLease = errors.New("this member has no lease")
 
-// newOwnership returns an ownership that was seen by a call made at the steady time from.
+// newOwnership returns an ownership whose owner key was seen by a call made at the steady time
+// from.
 func (r *Roster) newOwnership(pool string, fence pointport.Fence, revision pointport.Revision, from time.Time) Ownership {
 	o := Ownership{Pool: pool, Fence: fence, Revision: revision, proof: &proof{clock: r.clock, ttl: r.session.TTL()}}
 	o.prove(from)
@@ -69,9 +70,10 @@
 }
 
 // Take makes this member the owner of a pool that has none. It fails with a
-// *pointport.TxnConflictError if the pool has an owner.
+// *pointport.TxnConflictError if the pool has an owner, and with ErrNoLease if this member has
+// no lease for it.
 func (r *Roster) Take(ctx context.Context, pool string) (Ownership, error) {
-	done, _ := r.Reserve(false) // without a condition it never fails
+	done, _ := r.Reserve(false) // never fails for only == false
 	defer done()
 	lease, err := r.session.ownerLease(ctx)
 	if err != nil {
@@ -90,13 +92,14 @@
 	var conflict *pointport.TxnConflictError
 	switch {
 	case err == nil:
-		// Seen at once, it counts before the next pool is taken.
+		// Apply the change before the watch returns it, so that it counts in the rank for the
+		// next pool.
 		r.apply([]pointport.Entry{pointport.NewEntry(key, value, revision).WithCreated(revision).WithLease(lease)})
 		return r.newOwnership(pool, pointport.Fence(revision), revision, from), nil
 	case errors.As(err, &conflict):
 		for _, e := range conflict.Entries {
 			if e.Key() == key && e.Lease() == lease {
-				// It was taken by a call whose answer was lost.
+				// An earlier call, whose answer was lost, has taken the pool.
 				return r.newOwnership(pool, pointport.Fence(e.Created()), e.Revision(), from), nil
 			}
 		}
@@ -104,7 +107,7 @@
 	return r.resolveTake(ctx, pool, lease, err)
 }
 
-// resolveTake finds out whether a Take whose answer was lost has taken effect.
+// resolveTake determines whether a Take whose answer was lost has taken effect.
 func (r *Roster) resolveTake(ctx context.Context, pool string, lease pointport.LeaseID, cause error) (Ownership, error) {
 	var unavailable *pointport.UnavailableError
 	if !errors.As(cause, &unavailable) || !unavailable.Ambiguous {
@@ -121,8 +124,8 @@
 	return r.newOwnership(pool, pointport.Fence(e.Created()), e.Revision(), from), nil
 }
 
-// Check reads the owner key, so that Proven holds for longer. It fails with
-// ErrLost if the ownership is lost.
+// Check reads the owner key, which extends the time for which the ownership is proven. It
+// fails with ErrNotOwner if the ownership is lost.
 func (r *Roster) Check(ctx context.Context, own Ownership) error {
 	from := r.clock.Steady()
 	e, err := r.kv.Get(ctx, OwnerKey(own.Pool))
@@ -137,8 +140,7 @@
 	return nil
 }
 
-// Release gives up an ownership, so that another member can take the pool at
-// once.
+// Release gives up an ownership so that another member can take the pool at once.
 func (r *Roster) Release(ctx context.Context, own Ownership) error {
 	key := OwnerKey(own.Pool)
 	r.clearLastOwner(own.Pool)
@@ -150,11 +152,11 @@
 	if err != nil && !errors.As(err, &conflict) {
 		return err
 	}
-	r.removeOwner(own) // with a conflict it was lost already
+	r.removeOwner(own) // on a conflict the ownership was already lost
 	return nil
 }
 
-// removeOwner takes in that an ownership is lost although no watch has told so.
+// removeOwner removes a lost ownership from the roster before a watch has returned the change.
 func (r *Roster) removeOwner(own Ownership) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -163,7 +165,8 @@
 	}
 }
 
-// clearLastOwner notes that this member gives a pool up of its own will.
+// clearLastOwner notes that this member gives up a pool voluntarily, so that it is not treated
+// as the pool's last owner.
 func (r *Roster) clearLastOwner(pool string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/member/pool_manager.go
+++ b/member/pool_manager.go
@@ -13,60 +13,62 @@
 	"github.com/pointport/pointport/event"
 )
 
-// This file defines the keeper: it takes the pools that have no owner and runs
-// a tenant for each pool that is this member's.
+// This file defines the pool manager, which takes pools that have no owner and runs a
+// controller for each pool that this member owns.
 
 const (
-	// rankDelay is for how long a member leaves a pool without an owner to each
-	// one that ranks before it.
+	// rankDelay is how long a member waits for each member that ranks before it until it takes
+	// a pool that has no owner.
 	rankDelay = 60 * time.Millisecond
-	// minOwnershipTime is how long a pool is kept before it is given to a member that
-	// has less to do, so that pools do not wander.
+	// minOwnershipTime is how long a member keeps a pool before it hands it over to a member
+	// with a lower load, so that pools do not change owners too often.
 	minOwnershipTime = 4 * time.Second
-	// avoidFor is for how long a member leaves a pool to others for which it was unfit, and
-	// shunPause how much later than by rank it takes it if nobody else does: more than the
-	// ranks of 30 members take.
+	// avoidFor is how long a member leaves a pool to others after its controller reported
+	// itself unfit. During that time it takes the pool avoidDelay later than its rank allows,
+	// in case nobody else does: more than the rank delays of 30 members.
 	avoidFor   = 30 * time.Second
 	avoidDelay = 2 * time.Second
-	// checkInterval is how often the keeper looks when nothing changes.
+	// checkInterval is how often the pool manager runs when nothing changes.
 	checkInterval = 500 * time.Millisecond
-	// standbyCount is how many members are ready to take each pool: they keep a short lease, so
-	// that the others know soon when one of them is gone and a pool is taken without the
-	// exchange of a lease. Four of them survive what takes three of them and the owner.
+	// standbyCount is how many members are standbys of each pool. A standby holds a short
+	// lease, so that the other members soon notice its failure and that it can take a pool
+	// without first exchanging its lease. With four standbys a pool still has one when three
+	// of them and the owner fail together.
 	standbyCount = 4
-	// standbyDelay is how long after the roster is complete a member first finds out whether
-	// it is among them, and lineEvery how often; it ranks all members for each pool.
+	// standbyDelay is how long after the roster is complete a member first checks whether it
+	// is a standby, and standbyInterval how often it checks again. The check is expensive
+	// because it ranks all members for each pool.
 	standbyDelay    = 3 * time.Second
 	standbyInterval = 2 * time.Second
 )
 
-// A Controller does the work of a pool's owner until it is stopped or finds that it
-// owns the pool no more.
+// Controller does the work of a pool's owner until it is stopped or finds that this member no
+// longer owns the pool.
 type Controller interface {
-	// Ownership returns what the tenant owns.
+	// Ownership returns the ownership under which the controller runs.
 	Ownership() Ownership
-	// Stop ends the tenant.
+	// Stop asks the controller to end.
 	Stop()
-	// Done returns a channel that is closed when the tenant has ended.
+	// Done returns a channel that is closed when the controller has ended.
 	Done() <-chan struct{}
-	// Err returns why the tenant has ended.
+	// Err returns why the controller has ended.
 	Err() error
 }
 
-// A FitnessReporter is a tenant that may find that it cannot do its work while others could. Its pool
-// is then given to another member.
+// FitnessReporter is a Controller that can detect that it cannot do its work although other
+// members could. Its pool is then handed over to another member.
 type FitnessReporter interface {
-	// Unfit reports whether that is so.
+	// Unfit reports whether another member should own the pool.
 	Unfit() bool
 }
 
-// unfit reports whether a tenant says that others should have its pool.
-func unfit(t Controller) bool {
-	d, ok := t.(FitnessReporter)
-	return ok && d.Unfit()
+// unfit reports whether a controller implements FitnessReporter and reports itself unfit.
+func unfit(c Controller) bool {
+	r, ok := c.(FitnessReporter)
+	return ok && r.Unfit()
 }
 
-// A PoolManager runs the tenants of the pools that this member owns. It is safe for
+// PoolManager runs the controllers of the pools that this member owns. It is safe for
 // concurrent use.
 type PoolManager[T Controller] struct {
 	clock   pointport.Clock
@@ -76,27 +78,27 @@
 	start   func(Ownership) T
 	logger  *slog.Logger
 
-	// lastCheckDuration is how long the last call took that checked an ownership. It belongs to the
-	// loop.
+	// lastCheckDuration is how long the last call took that checked an ownership. Only the
+	// loop uses it.
 	lastCheckDuration time.Duration
-	// standbyCheckedAt is when the member last found out whether it is among the next to take a pool.
-	// It belongs to the loop.
+	// standbyCheckedAt is when the member last checked whether it is a standby. Only the loop
+	// uses it.
 	standbyCheckedAt time.Time
 
 	mu           sync.Mutex
 	controllers  map[string]T
 	unownedSince map[string]time.Time // since when a pool has had no owner
-	startedAt    map[string]time.Time // since when a pool has had its tenant
-	avoidedUntil map[string]time.Time // until when a pool is left to others, its tenant was unfit
-	// lastFences holds the last fence of each pool under which a tenant has begun here.
+	startedAt    map[string]time.Time // when the controller of a pool was started
+	avoidedUntil map[string]time.Time // until when a pool is left to others because its controller here was unfit
+	// lastFences holds, for each pool, the fence of the last controller started here.
 	lastFences map[string]pointport.Fence
 	stopped    bool
 }
 
-// StartPoolManager returns a keeper that works until ctx ends. pools tells which
-// pools there are, and start starts the tenant of one.
+// StartPoolManager returns a pool manager that works until ctx ends. pools returns the names
+// of all pools, and start starts the controller of a pool.
 func StartPoolManager[T Controller](ctx context.Context, clock pointport.Clock, session *Session, roster *Roster, pools func() []string, start func(Ownership) T, logger *slog.Logger) *PoolManager[T] {
-	k := &PoolManager[T]{
+	m := &PoolManager[T]{
 		clock: clock, session: session, roster: roster, pools: pools, start: start, logger: logger,
 		controllers: make(map[string]T), unownedSince: make(map[string]time.Time), startedAt: make(map[string]time.Time),
 		avoidedUntil: make(map[string]time.Time),
@@ -105,7 +107,7 @@
 	go func() {
 		for ctx.Err() == nil {
 			changed := roster.Changed()
-			next := k.round(ctx)
+			next := m.round(ctx)
 			select {
 			case <-changed:
 			case <-clock.After(next):
@@ -113,228 +115,229 @@
 			}
 		}
 	}()
-	return k
+	return m
 }
 
-// Controller returns the tenant of a pool; false if this member has none.
-func (k *PoolManager[T]) Controller(pool string) (T, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	t, ok := k.controllers[pool]
-	return t, ok
+// Controller returns the controller of a pool, and false if this member runs none.
+func (m *PoolManager[T]) Controller(pool string) (T, bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	c, ok := m.controllers[pool]
+	return c, ok
 }
 
-// Controllers returns all tenants of this member.
-func (k *PoolManager[T]) Controllers() []T {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return slices.Collect(maps.Values(k.controllers))
+// Controllers returns all controllers of this member.
+func (m *PoolManager[T]) Controllers() []T {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return slices.Collect(maps.Values(m.controllers))
 }
 
-// Count returns how many tenants this member has.
-func (k *PoolManager[T]) Count() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return len(k.controllers)
+// Count returns how many controllers this member runs.
+func (m *PoolManager[T]) Count() int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return len(m.controllers)
 }
 
-// round ends tenants that own nothing any more and takes what is free. It
-// returns when to look again.
-func (k *PoolManager[T]) round(ctx context.Context) time.Duration {
-	k.removeEnded()
+// round removes ended controllers and takes pools that have no owner. It returns how long to
+// wait until the next round.
+func (m *PoolManager[T]) round(ctx context.Context) time.Duration {
+	m.removeEnded()
 	next := checkInterval
-	if !k.roster.Known() || k.isStopped() {
+	if !m.roster.Known() || m.isStopped() {
 		return next
 	}
-	now := k.clock.Now()
-	if k.Count() > 0 || k.isStandby(now) {
-		k.session.RequestShortLease()
+	now := m.clock.Now()
+	if m.Count() > 0 || m.isStandby(now) {
+		m.session.RequestShortLease()
 	}
-	for _, pool := range k.pools() {
-		next = min(next, k.managePool(ctx, pool, now))
+	for _, pool := range m.pools() {
+		next = min(next, m.managePool(ctx, pool, now))
 	}
 	return max(next, time.Millisecond)
 }
 
-// isStandby reports whether this member is found to be among the next to take a pool. One that
-// is stays so until it is far behind, so that leases are not exchanged to and fro.
-func (k *PoolManager[T]) isStandby(now time.Time) bool {
-	settles, _ := k.session.CompleteAt()
-	if now.Before(settles.Add(standbyDelay)) || now.Sub(k.standbyCheckedAt) < standbyInterval {
+// isStandby reports whether this member has just been found to be a standby of a pool. It
+// checks only every standbyInterval. A member that holds a short lease counts as a standby up
+// to twice the rank, so that leases are not exchanged back and forth.
+func (m *PoolManager[T]) isStandby(now time.Time) bool {
+	complete, _ := m.session.CompleteAt()
+	if now.Before(complete.Add(standbyDelay)) || now.Sub(m.standbyCheckedAt) < standbyInterval {
 		return false
 	}
-	k.standbyCheckedAt = now
-	within := standbyCount
-	if k.session.hasShortLease() {
-		within = 2 * standbyCount
+	m.standbyCheckedAt = now
+	maxRank := standbyCount
+	if m.session.hasShortLease() {
+		maxRank = 2 * standbyCount
 	}
-	for _, pool := range k.pools() {
-		if _, free := k.unownedSince[pool]; !free && k.roster.Rank(pool) < within {
+	for _, pool := range m.pools() {
+		if _, unowned := m.unownedSince[pool]; !unowned && m.roster.Rank(pool) < maxRank {
 			return true
 		}
 	}
 	return false
 }
 
-// isStopped reports whether the keeper was stopped.
-func (k *PoolManager[T]) isStopped() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.stopped
+// isStopped reports whether Stop was called.
+func (m *PoolManager[T]) isStopped() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.stopped
 }
 
-// removeEnded forgets the tenants that have ended.
-func (k *PoolManager[T]) removeEnded() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for pool, t := range k.controllers {
+// removeEnded removes the controllers that have ended.
+func (m *PoolManager[T]) removeEnded() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for pool, c := range m.controllers {
 		select {
-		case <-t.Done():
-			event.PoolLost.Log(k.logger, slog.String("pool", pool), slog.Any("reason", t.Err()))
-			if errors.Is(t.Err(), ErrNotOwner) {
-				k.roster.removeOwner(t.Ownership())
+		case <-c.Done():
+			event.PoolLost.Log(m.logger, slog.String("pool", pool), slog.Any("reason", c.Err()))
+			if errors.Is(c.Err(), ErrNotOwner) {
+				m.roster.removeOwner(c.Ownership())
 			}
-			delete(k.controllers, pool)
+			delete(m.controllers, pool)
 		default:
 		}
 	}
 }
 
-// managePool looks after one pool, and returns when to look again.
-func (k *PoolManager[T]) managePool(ctx context.Context, pool string, now time.Time) time.Duration {
-	mine, mineToo := k.Controller(pool)
-	holder, held := k.roster.Holding(pool)
+// managePool handles one pool, and returns how long to wait until it must be handled again.
+func (m *PoolManager[T]) managePool(ctx context.Context, pool string, now time.Time) time.Duration {
+	c, running := m.Controller(pool)
+	holding, owned := m.roster.Holding(pool)
 	switch {
-	case held && mineToo && holder.Fence > mine.Ownership().Fence:
-		mine.Stop()
+	case owned && running && holding.Fence > c.Ownership().Fence:
+		c.Stop()
 		return time.Millisecond
-	case held && !mineToo && holder.Mine:
-		// Taken, or given up in vain, by a change whose answer was lost.
-		// It is not proven until it is checked.
-		return k.startOrRelease(ctx, k.roster.newOwnership(pool, holder.Fence, holder.Revision, time.Time{}))
-	case mineToo && now.Sub(k.startedAt[pool]) > minOwnershipTime && unfit(mine) && len(k.roster.Peers()) > 0:
-		event.PoolUnfit.Log(k.logger, slog.String("pool", pool))
-		k.avoidedUntil[pool] = now.Add(avoidFor)
-		k.handOver(ctx, mine)
+	case owned && !running && holding.Mine:
+		// The owner key is under this member's lease because the answer to a Take was lost or
+		// a Release did not take effect. The ownership is not proven until it is checked.
+		return m.startOrRelease(ctx, m.roster.newOwnership(pool, holding.Fence, holding.Revision, time.Time{}))
+	case running && now.Sub(m.startedAt[pool]) > minOwnershipTime && unfit(c) && len(m.roster.Peers()) > 0:
+		event.PoolUnfit.Log(m.logger, slog.String("pool", pool))
+		m.avoidedUntil[pool] = now.Add(avoidFor)
+		m.handOver(ctx, c)
 		return checkInterval
-	case mineToo && now.Sub(k.startedAt[pool]) > minOwnershipTime && k.roster.ShouldHandOver():
-		k.handOver(ctx, mine)
+	case running && now.Sub(m.startedAt[pool]) > minOwnershipTime && m.roster.ShouldHandOver():
+		m.handOver(ctx, c)
 		return checkInterval
-	case mineToo:
-		return k.check(ctx, mine)
-	case held:
-		delete(k.unownedSince, pool)
+	case running:
+		return m.check(ctx, c)
+	case owned:
+		delete(m.unownedSince, pool)
 		return checkInterval
 	}
-	if !k.session.Proven() {
+	if !m.session.Proven() {
 		return checkInterval
 	}
-	turn, only := k.takeTime(pool, now)
-	if left := turn.Sub(now); left > 0 {
+	at, only := m.takeTime(pool, now)
+	if left := at.Sub(now); left > 0 {
 		return min(left, checkInterval)
 	}
-	if only && !k.roster.Enrolled() {
-		// Of many that start at once the first in the roster take the pools.
+	if only && !m.roster.Enrolled() {
+		// When many members start at once, those that are first in the roster take the pools.
 		return rankDelay
 	}
-	done, ok := k.roster.Reserve(only)
+	done, ok := m.roster.Reserve(only)
 	if !ok {
 		return rankDelay
 	}
 	defer done()
-	return k.take(ctx, pool)
+	return m.take(ctx, pool)
 }
 
-// takeTime returns when this member may take a pool that has no owner, and whether only if
-// it has no other: by rank, once the roster is complete. Until then its former owner may
-// take it, and a member that has just started a single one.
-func (k *PoolManager[T]) takeTime(pool string, now time.Time) (at time.Time, only bool) {
-	since, ok := k.unownedSince[pool]
+// takeTime returns when this member may take a pool that has no owner, and whether it may do
+// so only if it owns no other. Once the roster is complete, the rank decides. Before that, the
+// last owner may take the pool at once, and a member that has just started may take one pool.
+func (m *PoolManager[T]) takeTime(pool string, now time.Time) (at time.Time, only bool) {
+	since, ok := m.unownedSince[pool]
 	if !ok {
 		since = now
-		k.unownedSince[pool] = now
+		m.unownedSince[pool] = now
 	}
-	settles, started := k.session.CompleteAt()
+	complete, started := m.session.CompleteAt()
 	switch {
-	case !settles.After(since) && k.deferToStandbys(pool, since.Sub(settles)):
+	case !complete.After(since) && m.deferToStandbys(pool, since.Sub(complete)):
 		since = since.Add(rejoinTime)
-	case !settles.After(since): // the roster was complete before
-	case k.roster.WasLastOwner(pool):
+	case !complete.After(since): // the roster was already complete
+	case m.roster.WasLastOwner(pool):
 		return since, false
-	case started && now.Before(settles):
+	case started && now.Before(complete):
 		only = true
 	default:
-		since = settles
+		since = complete
 	}
-	at = since.Add(time.Duration(k.roster.Rank(pool)) * rankDelay)
-	if now.Before(k.avoidedUntil[pool]) {
+	at = since.Add(time.Duration(m.roster.Rank(pool)) * rankDelay)
+	if now.Before(m.avoidedUntil[pool]) {
 		at = at.Add(avoidDelay)
 	}
 	return at, only
 }
 
-// deferToStandbys reports whether a pool that had another owner is to be left first to the members
-// in line for it, where the roster had been complete for so long when it lost that one. If they are gone
-// as well, the store may have been away for so short a time that only short leases have
-// ended, and their members are about to come back.
-func (k *PoolManager[T]) deferToStandbys(pool string, complete time.Duration) bool {
-	formed := standbyDelay + standbyInterval + checkInterval
-	return complete > formed && !k.session.hasShortLease() && k.roster.HadOtherOwner(pool)
+// deferToStandbys reports whether a pool that had another owner must first be left to its
+// standbys; complete is how long the roster had been complete when the pool lost its owner. If
+// the standbys are missing as well, the store may have been unreachable just long enough for
+// the short leases to end, so that their members are about to rejoin.
+func (m *PoolManager[T]) deferToStandbys(pool string, complete time.Duration) bool {
+	established := standbyDelay + standbyInterval + checkInterval
+	return complete > established && !m.session.hasShortLease() && m.roster.HadOtherOwner(pool)
 }
 
-// handOver ends a tenant and gives its pool up to a member that has less to do.
-func (k *PoolManager[T]) handOver(ctx context.Context, t T) {
-	t.Stop()
-	<-t.Done()
-	k.release(ctx, t.Ownership())
+// handOver stops a controller and releases its pool for another member.
+func (m *PoolManager[T]) handOver(ctx context.Context, c T) {
+	c.Stop()
+	<-c.Done()
+	m.release(ctx, c.Ownership())
 }
 
-// release gives up an ownership. If that fails, the key goes with the lease.
-func (k *PoolManager[T]) release(ctx context.Context, own Ownership) {
-	if err := k.roster.Release(ctx, own); err != nil {
-		event.PoolUnproven.Log(k.logger, slog.String("pool", own.Pool), slog.Any("error", err))
+// release gives up an ownership. If that fails, the owner key is removed when the lease ends.
+func (m *PoolManager[T]) release(ctx context.Context, own Ownership) {
+	if err := m.roster.Release(ctx, own); err != nil {
+		event.PoolUnproven.Log(m.logger, slog.String("pool", own.Pool), slog.Any("error", err))
 	}
 }
 
-// proofReserveDivisor is the part of the time for which a call proves an ownership that must
-// be left, or another call is made.
+// proofReserveDivisor sets the reserve of proven time: a call proves an ownership for the TTL,
+// and the next call is made when the TTL divided by this is left.
 const proofReserveDivisor = 2
 
-// check makes sure that a tenant still owns its pool, unless its writes, which depend
-// on the owner key, have shown so lately. It returns when to look again: early enough
-// for a call and a second one if the first gets no answer, however slow the store is.
-// With fixed times an ownership went unproven again and again, and its pool stood
-// still, while the store took 0.3 s for an answer.
-func (k *PoolManager[T]) check(ctx context.Context, t T) time.Duration {
-	own := t.Ownership()
-	ttl := k.session.TTL()
-	reserve := max(ttl/proofReserveDivisor, ttl/(2*proofReserveDivisor)+2*k.lastCheckDuration)
-	from := k.clock.Now()
+// check verifies that a controller's pool is still owned, unless a recent write, which depends
+// on the owner key, has shown that. It returns how long to wait until the next check, which is
+// early enough for a call and a retry if the first gets no answer, even on a slow store. With
+// a fixed interval, ownerships repeatedly became unproven while the store took 0.3 s to
+// answer, and their pools stood still.
+func (m *PoolManager[T]) check(ctx context.Context, c T) time.Duration {
+	own := c.Ownership()
+	ttl := m.session.TTL()
+	reserve := max(ttl/proofReserveDivisor, ttl/(2*proofReserveDivisor)+2*m.lastCheckDuration)
+	from := m.clock.Now()
 	if left := own.remaining(); left > reserve {
 		return min(left-reserve, checkInterval)
 	}
-	err := k.roster.Check(ctx, own)
-	k.lastCheckDuration = k.clock.Now().Sub(from)
+	err := m.roster.Check(ctx, own)
+	m.lastCheckDuration = m.clock.Now().Sub(from)
 	switch {
 	case errors.Is(err, ErrNotOwner):
-		t.Stop()
-		<-t.Done()
-		return 0 // it may be this member's turn to take the pool
+		c.Stop()
+		<-c.Done()
+		return 0 // this member may already be allowed to take the pool
 	case err != nil:
-		event.PoolUnproven.Log(k.logger, slog.String("pool", own.Pool), slog.Any("error", err))
+		event.PoolUnproven.Log(m.logger, slog.String("pool", own.Pool), slog.Any("error", err))
 		return rankDelay
 	}
 	return min(max(own.remaining()-reserve, 0), checkInterval)
 }
 
-func (k *PoolManager[T]) take(ctx context.Context, pool string) time.Duration {
-	own, err := k.roster.Take(ctx, pool)
+func (m *PoolManager[T]) take(ctx context.Context, pool string) time.Duration {
+	own, err := m.roster.Take(ctx, pool)
 	if err == nil {
-		return k.startOrRelease(ctx, own)
+		return m.startOrRelease(ctx, own)
 	}
 	var conflict *pointport.TxnConflictError
 	if !errors.As(err, &conflict) && !errors.Is(err, ErrNoLease) {
-		event.PoolLost.Log(k.logger, slog.String("pool", pool), slog.Any("reason", err))
+		event.PoolLost.Log(m.logger, slog.String("pool", pool), slog.Any("reason", err))
 	}
 	if pointport.IsBusy(err) {
 		return jitter(minBusyDelay)
@@ -342,46 +345,48 @@
 	return rankDelay
 }
 
-// startOrRelease starts the tenant of a pool that this member has come to own, or gives
-// the pool up if none may begin. It returns when to look again.
-func (k *PoolManager[T]) startOrRelease(ctx context.Context, own Ownership) time.Duration {
-	if k.startController(own) {
+// startOrRelease starts the controller of a pool that this member now owns, or releases the
+// pool if it may not be started. It returns how long to wait until the pool must be handled
+// again.
+func (m *PoolManager[T]) startOrRelease(ctx context.Context, own Ownership) time.Duration {
+	if m.startController(own) {
 		return time.Millisecond
 	}
-	k.release(ctx, own)
+	m.release(ctx, own)
 	return rankDelay
 }
 
-// startController starts the tenant of a pool; false if the keeper was stopped, or a tenant has
-// begun under that fence before. Orders of that one may still be under way, and nothing
-// would tell them from those of another: a task that is taken for waiting because its
-// instance does not run it would run twice once they arrive.
-func (k *PoolManager[T]) startController(own Ownership) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.stopped {
+// startController starts the controller of a pool. It returns false if the pool manager was
+// stopped or a controller was started under the same fence before. Orders of that earlier
+// controller may still be in flight and could not be told apart from those of a new one: a
+// task that counts as waiting because its instance does not run it would run twice once they
+// arrive.
+func (m *PoolManager[T]) startController(own Ownership) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.stopped {
 		return false
 	}
-	if _, ok := k.controllers[own.Pool]; ok {
+	if _, ok := m.controllers[own.Pool]; ok {
 		return true
 	}
-	if own.Fence <= k.lastFences[own.Pool] {
+	if own.Fence <= m.lastFences[own.Pool] {
 		return false
 	}
-	k.lastFences[own.Pool] = own.Fence
-	event.PoolTaken.Log(k.logger, slog.String("pool", own.Pool), slog.Int64("fence", int64(own.Fence)))
-	delete(k.unownedSince, own.Pool)
-	k.startedAt[own.Pool] = k.clock.Now()
-	k.controllers[own.Pool] = k.start(own)
+	m.lastFences[own.Pool] = own.Fence
+	event.PoolTaken.Log(m.logger, slog.String("pool", own.Pool), slog.Int64("fence", int64(own.Fence)))
+	delete(m.unownedSince, own.Pool)
+	m.startedAt[own.Pool] = m.clock.Now()
+	m.controllers[own.Pool] = m.start(own)
 	return true
 }
 
-// Stop ends all tenants and takes no pool any more.
-func (k *PoolManager[T]) Stop() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.stopped = true
-	for _, t := range k.controllers {
-		t.Stop()
+// Stop stops all controllers; no pool is taken afterwards.
+func (m *PoolManager[T]) Stop() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.stopped = true
+	for _, c := range m.controllers {
+		c.Stop()
 	}
 }
--- a/member/rank.go
+++ b/member/rank.go
@@ -7,47 +7,48 @@
 	"time"
 )
 
-// This file defines which member should have a pool: who has less to do for its strength.
+// This file defines which member should own a pool: the one with the lowest load in proportion
+// to its strength.
 
-// Idle returns the members beside this one that own nothing, so many at most, in an order
-// of their own for each pool.
-func (r *Roster) Idle(pool string, most int) []Member {
+// Idle returns at most limit other members that own no pool, in an order that depends on the
+// pool.
+func (r *Roster) Idle(pool string, limit int) []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	owned := r.poolCounts()
+	pools := r.poolCounts()
 	var out []Member
 	for name, m := range r.members {
-		if name != r.self.Name && owned[name] == 0 {
+		if name != r.self.Name && pools[name] == 0 {
 			out = append(out, m)
 		}
 	}
 	sort.Slice(out, func(a, b int) bool { return weight(pool, out[a].Name) > weight(pool, out[b].Name) })
-	return out[:min(most, len(out))]
+	return out[:min(limit, len(out))]
 }
 
-// Rank returns how many members should take a pool rather than this one: those
-// that would have less to do for their strength, or as much and come first in an
-// order of their own for each pool.
+// Rank returns how many members should take a pool before this one: those that would have a
+// lower load with it, and those that would have the same load and come first in an order that
+// depends on the pool.
 func (r *Roster) Rank(pool string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	owned := r.poolCounts()
-	mine := load(r.self, owned[r.self.Name]+1)
+	pools := r.poolCounts()
+	own := load(r.self, pools[r.self.Name]+1)
 	rank := 0
 	for name, m := range r.members {
 		if name == r.self.Name {
 			continue
 		}
-		theirs := load(m, owned[name]+1)
-		if theirs < mine || theirs == mine && weight(pool, name) > weight(pool, r.self.Name) {
+		other := load(m, pools[name]+1)
+		if other < own || other == own && weight(pool, name) > weight(pool, r.self.Name) {
 			rank++
 		}
 	}
 	return rank
 }
 
-// ShouldHandOver reports whether this member should give one of its pools away now:
-// another one, even with one more, would have far less to do for its strength.
+// ShouldHandOver reports whether this member should hand over one of its pools now, because
+// another member would have a far lower load even with one more pool.
 func (r *Roster) ShouldHandOver() bool {
 	now := r.clock.Now()
 	r.mu.Lock()
@@ -55,10 +56,10 @@
 	if now.Sub(r.lastHandover) < handoverInterval {
 		return false
 	}
-	owned := r.poolCounts()
-	mine := load(r.self, owned[r.self.Name])
+	pools := r.poolCounts()
+	own := load(r.self, pools[r.self.Name])
 	for name, m := range r.members {
-		if name != r.self.Name && load(m, owned[name]+1)*handoverLoadRatio <= mine {
+		if name != r.self.Name && load(m, pools[name]+1)*handoverLoadRatio <= own {
 			r.lastHandover = now
 			return true
 		}
@@ -66,23 +67,23 @@
 	return false
 }
 
-// handoverInterval is the least time between two pools that a member gives away. Each
-// changes the picture on which the next is decided.
+// handoverInterval is the minimum time between two pools that a member hands over. Each
+// handover changes the loads on which the next decision is based.
 const handoverInterval = 10 * time.Second
 
-// handoverLoadRatio is how many times less another member must have to do.
+// handoverLoadRatio is how many times lower the load of another member must be.
 const handoverLoadRatio = 2.0
 
-// poolCounts returns how many pools each member owns. The lock is held.
+// poolCounts returns how many pools each member owns. The lock must be held.
 func (r *Roster) poolCounts() map[string]int {
-	owned := make(map[string]int)
+	pools := make(map[string]int)
 	for _, o := range r.owners {
-		owned[o.member.Name]++
+		pools[o.member.Name]++
 	}
-	return owned
+	return pools
 }
 
-// load is what a member has to do for its strength with so many pools.
+// load returns a member's number of pools in proportion to its strength.
 func load(m Member, pools int) float64 {
 	if m.Strength <= 0 {
 		return float64(pools)
@@ -90,11 +91,11 @@
 	return float64(pools) / m.Strength
 }
 
-// weight orders the members for a pool.
+// weight returns a pseudo-random number that orders the members for a pool.
 func weight(pool, name string) uint64 {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%s\x00%s", name, pool)
-	// Spread the last bytes over the whole number.
+	// Mix the last bytes into all bits.
 	x := h.Sum64()
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/member/roster.go
+++ b/member/roster.go
@@ -15,32 +15,31 @@
 	"github.com/pointport/pointport/event"
 )
 
-// This file defines the roster: who the members are and who owns which pool.
+// This file defines the roster, which holds the members and the owner of each pool.
 
-// The keys of the roster in the store.
+// The prefixes of the roster's keys in the store.
 const (
 	rosterPrefix = "roster/"
 	memberPrefix = rosterPrefix + "member/"
 	ownerPrefix  = rosterPrefix + "owner/"
 )
 
-// A Member is an entry instance. Its fields are exported because a codec reads
-// and writes them.
+// Member describes an entry instance. It is stored as JSON, so its fields are exported.
 type Member struct {
 	Name string           `json:"name"`
-	Peer string           `json:"peer"` // host:port for its peers
+	Peer string           `json:"peer"` // host:port at which its peers reach it
 	Zone pointport.ZoneID `json:"zone"`
-	// Strength says how much work the member can do, beside others.
+	// Strength is how much work the member can do in proportion to the others.
 	Strength float64 `json:"strength"`
 }
 
-// An owner is who owns a pool.
+// owner is the owner of a pool, with the entry that names it.
 type owner struct {
 	member Member
 	entry  pointport.Entry
 }
 
-// A Roster knows the members and the owners. It is safe for concurrent use.
+// Roster holds the members and the owners of pools. It is safe for concurrent use.
 type Roster struct {
 	kv      pointport.KV
 	clock   pointport.Clock
@@ -51,36 +50,36 @@
 	mu        sync.Mutex
 	members   map[string]Member
 	owners    map[string]owner
-	lastOwner map[string]string // by pool, the name of the owner that was seen last
-	// unreadable holds the revisions of keys that cannot be read.
+	lastOwner map[string]string // by pool, the name of the last known owner
+	// unreadable holds the revision of each key whose value cannot be decoded.
 	unreadable   map[string]pointport.Revision
-	pendingTakes int // pools that this member is about to take
+	pendingTakes int // number of pools that this member is about to take
 	loaded       bool
-	lastHandover time.Time     // when this member last gave a pool away
-	departed     bool          // this member is no peer any more
+	lastHandover time.Time     // when this member last handed a pool over
+	departed     bool          // whether Leave was called
 	changed      chan struct{} // closed and replaced at every change
 }
 
-// StartRoster returns a roster that follows the store until ctx ends and keeps
-// this member in it.
+// StartRoster returns a roster that follows the store, and keeps this member listed in it,
+// until ctx ends.
 func StartRoster(ctx context.Context, kv pointport.KV, clock pointport.Clock, session *Session, self Member, logger *slog.Logger) *Roster {
 	r := &Roster{
 		kv: kv, clock: clock, session: session, self: self, logger: logger,
 		members: make(map[string]Member), owners: make(map[string]owner), lastOwner: make(map[string]string),
 		unreadable: make(map[string]pointport.Revision), changed: make(chan struct{}),
 	}
-	session.setEngaged(r.engaged)
+	session.setLeaseInUse(r.leaseInUse)
 	go Follow(ctx, kv, clock, rosterPrefix, r.reset, r.apply, RereadOn(session.Recovered), WatchTimeout(r.watchTimeout), RereadInterval(r.rereadInterval), PauseAfterChanges(r.changePause))
 	go func() {
-		var pause backoff
+		var retry backoff
 		for ctx.Err() == nil {
 			granted := session.Granted()
 			if err := r.enroll(ctx); err != nil {
 				event.EnrollFailed.Log(logger, slog.Any("error", err))
-				sleep(ctx, clock, pause.after(err))
+				sleep(ctx, clock, retry.after(err))
 				continue
 			}
-			pause = backoff{}
+			retry = backoff{}
 			select {
 			case <-granted:
 			case <-ctx.Done():
@@ -91,36 +90,37 @@
 }
 
 const (
-	// watchTimeoutPerMember is for each member how long a watch of the roster may wait, so that all
-	// watches together end a hundred times a second; waitMost bounds it. A connection
-	// that has gone silent is noticed when the wait is over.
+	// watchTimeoutPerMember is how long a watch of the roster may wait, for each member, so
+	// that all watches together end a hundred times a second, and maxWatchTimeout bounds that
+	// time. A connection that fails silently is noticed only when the timeout has passed.
 	watchTimeoutPerMember = 10 * time.Millisecond
 	maxWatchTimeout       = 10 * time.Second
-	// rereadIntervalPerMember is for each member how often all keys of the roster are read again at most:
-	// there are as many as members, some 200 bytes each, so a member receives 2 KB a second
-	// of them however many there are.
+	// rereadIntervalPerMember is the minimum interval, for each member, between two reads of
+	// all keys of the roster. There are as many keys as members, of about 200 bytes each, so
+	// each member receives 2 KB a second from these reads, whatever the number of members.
 	rereadIntervalPerMember = 100 * time.Millisecond
-	// changePausePerMember is for each member beyond restFrom how long to wait after members came or
-	// went until the roster is asked for the next change. Each change is told to every
-	// member, so when 300 start within a second they would be told 90,000 times, and the
-	// smallest store takes 2,000 reading calls a second; restMost bounds it.
+	// changePausePerMember is how long to wait, for each member beyond changePauseThreshold,
+	// after members joined or left before the next changes are requested. Every change is sent
+	// to every member: 300 members that start within a second would cause 90,000 watch
+	// answers, while the smallest store accepts 2,000 reads a second. maxChangePause bounds
+	// the wait.
 	changePausePerMember = 2 * time.Millisecond
 	changePauseThreshold = 50
 	maxChangePause       = 600 * time.Millisecond
 )
 
-// watchTimeout returns for how long a watch of the roster may wait.
+// watchTimeout returns how long a watch of the roster may wait.
 func (r *Roster) watchTimeout() time.Duration {
 	return min(max(time.Duration(r.Size())*watchTimeoutPerMember, defaultWatchTimeout), maxWatchTimeout)
 }
 
-// rereadInterval returns how often all keys are read again at most.
+// rereadInterval returns the minimum interval between two reads of all keys.
 func (r *Roster) rereadInterval() time.Duration {
 	return max(DefaultRereadInterval, time.Duration(r.Size())*rereadIntervalPerMember)
 }
 
-// changePause returns how long to wait after some changes until the next are asked for.
-// What concerns an owner is followed without a break.
+// changePause returns how long to wait after changes before the next are requested. After a
+// change of an owner there is no wait.
 func (r *Roster) changePause(changes []pointport.Entry) time.Duration {
 	for _, e := range changes {
 		if strings.HasPrefix(e.Key(), ownerPrefix) {
@@ -130,9 +130,9 @@
 	return min(max(time.Duration(r.Size()-changePauseThreshold)*changePausePerMember, 0), maxChangePause)
 }
 
-// Leave keeps this member out of the roster from now on. Its peers forget it once
-// its lease ends; while it is in the roster they leave pools to it that it does
-// not take.
+// Leave keeps this member from being listed in the roster again. Its peers remove it when its
+// lease ends; until then they still rank it, and wait for it before they take a pool that it
+// does not take.
 func (r *Roster) Leave() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -145,11 +145,11 @@
 	return r.departed
 }
 
-// enroll puts this member into the roster under its lease.
+// enroll lists this member in the roster under its lease.
 func (r *Roster) enroll(ctx context.Context) error {
 	lease := r.session.Lease()
 	if lease == 0 || r.hasLeft() {
-		return nil // the grant of a lease wakes the caller
+		return nil // the caller continues when a lease is granted
 	}
 	value, err := json.Marshal(r.self)
 	if err != nil {
@@ -191,7 +191,7 @@
 	r.changed = make(chan struct{})
 }
 
-// applyEntry takes in the state of one key.
+// applyEntry applies the state of one key. The lock must be held.
 func (r *Roster) applyEntry(e pointport.Entry) {
 	var m Member
 	if e.Exists() {
@@ -209,8 +209,8 @@
 	}
 	if pool, ok := strings.CutPrefix(e.Key(), ownerPrefix); ok {
 		if e.Exists() {
-			if old, ok := r.owners[pool]; ok && old.entry.Revision() > e.Revision() {
-				return // a newer state has been seen
+			if known, ok := r.owners[pool]; ok && known.entry.Revision() > e.Revision() {
+				return // a newer state is already known
 			}
 			r.owners[pool] = owner{m, e}
 			r.lastOwner[pool] = m.Name
@@ -220,7 +220,8 @@
 	}
 }
 
-// decodeMember decodes who a key of the roster names. One that names nobody is an error.
+// decodeMember decodes the member that an entry of the roster names. It fails if the entry
+// names none, or if a member key names a different one.
 func decodeMember(e pointport.Entry, m *Member) error {
 	if err := json.Unmarshal(e.Value(), m); err != nil {
 		return err
@@ -234,9 +235,9 @@
 	return nil
 }
 
-// logUnreadable notes a key that cannot be read, and logs it once for each revision. A member's
-// key names nobody then. An owner's key is still held, by nobody that is known, so that no
-// two members differ on whether the pool is free.
+// logUnreadable logs an entry that cannot be decoded, once for each revision. An unreadable
+// member key names no member. An unreadable owner key still counts as held, by an unknown
+// owner, so that all members agree on whether the pool has an owner.
 func (r *Roster) logUnreadable(e pointport.Entry, err error) {
 	if r.unreadable[e.Key()] == e.Revision() {
 		return
@@ -259,7 +260,7 @@
 	return r.loaded
 }
 
-// Owner returns who owns a pool; false if nobody is known to.
+// Owner returns the owner of a pool, and false if none is known.
 func (r *Roster) Owner(pool string) (Member, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -267,7 +268,7 @@
 	return o.member, ok
 }
 
-// HadOtherOwner reports whether a pool was seen to be owned by another member.
+// HadOtherOwner reports whether the last known owner of a pool is another member.
 func (r *Roster) HadOtherOwner(pool string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -275,16 +276,17 @@
 	return ok && name != r.self.Name
 }
 
-// WasLastOwner reports whether this member, or its former life, was the last that is known to
-// have owned a pool.
+// WasLastOwner reports whether this member, or an earlier process under its name, is the last
+// known owner of a pool.
 func (r *Roster) WasLastOwner(pool string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lastOwner[pool] == r.self.Name
 }
 
-// Reserve notes that this member is about to take a pool, until done is called. If it is
-// to be its only one, Reserve fails if the member owns one or is about to.
+// Reserve notes that this member is about to take a pool, until done is called. If only is
+// true, the pool must become the member's only one: Reserve then fails if the member owns a
+// pool or is about to take one.
 func (r *Roster) Reserve(only bool) (done func(), ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -299,8 +301,8 @@
 	}, true
 }
 
-// engaged reports whether this member owns something under its lease, or is about to.
-func (r *Roster) engaged() bool {
+// leaseInUse reports whether this member owns a pool under its lease, or is about to take one.
+func (r *Roster) leaseInUse() bool {
 	lease := r.session.Lease()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -315,16 +317,16 @@
 	return false
 }
 
-// A Holding says who holds a pool, as far as the roster shows.
+// Holding describes the owner of a pool as known from the roster.
 type Holding struct {
 	Member   Member
 	Fence    pointport.Fence
 	Revision pointport.Revision
-	// Mine says that it is this member, under the lease that it has now.
+	// Mine reports whether the owner is this member under its current lease.
 	Mine bool
 }
 
-// Holding returns who holds a pool; false if nobody is known to.
+// Holding returns the owner of a pool, and false if none is known.
 func (r *Roster) Holding(pool string) (Holding, bool) {
 	lease := r.session.Lease()
 	r.mu.Lock()
@@ -339,7 +341,7 @@
 	}, true
 }
 
-// Peers returns the other members, by name.
+// Peers returns the other members, sorted by name.
 func (r *Roster) Peers() []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -353,7 +355,7 @@
 	return out
 }
 
-// Enrolled reports whether this member sees itself in the roster, as others do.
+// Enrolled reports whether the roster that this member has read lists it.
 func (r *Roster) Enrolled() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -361,7 +363,7 @@
 	return ok
 }
 
-// Size returns how many members there are, this one among them.
+// Size returns the number of members, including this one.
 func (r *Roster) Size() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/member/session.go
+++ b/member/session.go
@@ -1,25 +1,25 @@
-// Package member keeps an entry instance among its peers: a lease of the
-// platform's store that says it lives, its place in the list of members, and
-// the pools that it owns.
+// Package member manages an entry instance as a member of a cluster of entry instances: its
+// lease in the platform's store, its entry in the roster of members, and the pools that it
+// owns.
 //
-// The model: each member has one lease. Its own key and the keys of the pools
-// that it owns go with that lease. The lease is short, and renewed often, while the
-// member owns a pool or is among the next to take one, and longer otherwise. Every
-// member watches all of these keys, so it knows its peers and who owns which pool. A
-// pool without an owner is taken by the member that ranks first for it; if that one
-// fails to, by the next.
+// Each member holds one lease. Its own key and the owner keys of its pools are bound to that
+// lease. The lease is short, and renewed often, while the member owns a pool or is a standby
+// for one, and longer otherwise. Every member watches all of these keys, so it knows its peers
+// and the owner of each pool. A pool without an owner is taken by the member that ranks first
+// for it or, if that member fails to, by the next one.
 //
 // Invariants:
 //
-//   - A pool has at most one owner key, and its revision of creation is the
-//     owner's fence: it only rises, and no two owners share one. Nor do two
-//     tenants of one owner: a key that a tenant has left is given up and taken anew.
-//   - No pool is owned under a long lease, and no short one is exchanged while
-//     anything is, or is about to be, owned under it.
-//   - Proven is true only while the lease cannot have ended by this process's
-//     own clock, counted from before the call that renewed it, and with the time for
-//     which its machine was suspended. Without that, a steward that woke up after 8 s
-//     gave an order with a lower fence than the machine had seen.
+//   - A pool has at most one owner key. The revision at which that key was created is the
+//     owner's fencing token: it only increases and no two owners share it. Two controllers
+//     of the same owner do not share it either: after a controller has ended, its key is
+//     released and taken again.
+//   - No pool is owned under a long lease, and a short lease is not exchanged while a pool is
+//     owned under it or about to be.
+//   - Proven returns true only while the lease cannot have expired by this process's own
+//     clock, counted from before the call that renewed it and including the time for which the
+//     machine was suspended. Without that, a steward that resumed after 8 s sent an order with
+//     a lower fence than the machine had already seen.
 package member
 
 import (
@@ -33,33 +33,35 @@
 	"github.com/pointport/pointport/event"
 )
 
-// This file defines the session: the lease that says that this member lives.
+// This file defines the session, which maintains the lease that shows that this member is
+// alive.
 
 const (
-	// DefaultTTL is how long the lease of a member lasts unrenewed that may own pools. It bounds how
-	// long the pools of a member that died or was cut off have no owner; nothing is
-	// placed there meanwhile, and a job has some 1.5 s to spare. With 1 s in place
-	// of 1.5 s a day with a cut zone is worth 0.014 more (standard error 0.0065; 40 days
-	// of 49 instances). A store that answers in 0.3 s still leaves room to renew.
+	// DefaultTTL is the TTL of a lease under which pools can be owned. It bounds how long the
+	// pools of a member that failed or was cut off have no owner. Nothing is placed in them
+	// during that time, and a job has about 1.5 s to spare. Compared with 1.5 s, a TTL of 1 s
+	// raised the value of a day with a cut-off zone by 0.014 (standard error 0.0065; 40 days
+	// with 49 instances). It still leaves time to renew the lease if the store takes 0.3 s to
+	// answer.
 	DefaultTTL = time.Second
-	// renewalsPerTTL is how often a lease is renewed within its time. A slow store
-	// takes a quarter of a second for an answer, and one answer may be lost.
+	// renewalsPerTTL is how often a short lease is renewed within its TTL. A slow store takes
+	// a quarter of a second to answer, and one answer may be lost.
 	renewalsPerTTL = 4
-	// longLeaseFactor is how many times as long the lease lasts of a member that owns nothing
-	// and is not among the next to take a pool, as most of many are. It is renewed once in
-	// the time of a short lease, so two answers may be lost.
+	// longLeaseFactor is how many times longer the lease of a member lasts that owns no pool
+	// and is not a standby, which most members of a large cluster are. A long lease is renewed
+	// once in the TTL of a short one, so two answers may be lost.
 	longLeaseFactor = 3
-	// shortLeaseHold is for how long a member keeps a short lease after it last had use for one.
+	// shortLeaseHold is how long a member keeps a short lease after it last needed one.
 	shortLeaseHold = 10 * time.Second
-	// takeLeaseHold is the same for a member that only tried to take a pool, as all do that start
-	// together.
+	// takeLeaseHold is the same for a member that only tried to take a pool, as all members do
+	// that start at the same time.
 	takeLeaseHold = time.Second
-	// exchangePollInterval is how often is looked whether a lease has been exchanged. The store answers
-	// in 4 ms.
+	// exchangePollInterval is how often ownerLease checks whether the lease has been
+	// exchanged. The store answers in 4 ms.
 	exchangePollInterval = 5 * time.Millisecond
 )
 
-// A Session is the lease of this member. It is safe for concurrent use.
+// Session maintains the lease of this member. It is safe for concurrent use.
 type Session struct {
 	kv     pointport.KV
 	clock  pointport.Clock
@@ -68,39 +70,39 @@
 
 	mu             sync.Mutex
 	lease          pointport.LeaseID
-	leaseTTL       time.Duration     // how long the lease lasts unrenewed
-	formerLease    pointport.LeaseID // the lease for which this one was exchanged, zero if there is none
-	availableSince time.Time         // since when there have been a lease and the store without a break
-	firstLease     bool              // whether none before it has ended
-	provenUntil    time.Time         // until when, by the steady time, the lease has surely not ended
-	lastAnswered   time.Time         // when, by the steady time, the last call was made that was answered
-	lastFailed     bool              // whether the last call was not answered
-	shortUntil     time.Time         // until when, by the steady time, a short lease is of use
-	// exchanging says that a short lease is about to be exchanged for a long one.
+	leaseTTL       time.Duration     // TTL of the current lease
+	formerLease    pointport.LeaseID // lease that the current one replaced by an exchange, zero if there is none
+	availableSince time.Time         // since when there has been a lease and no interruption of the store
+	firstLease     bool              // whether this is the process's first lease and the store has not been interrupted since
+	provenUntil    time.Time         // steady-clock time until which the lease cannot have ended
+	lastAnswered   time.Time         // steady-clock time at which the last answered call was made
+	lastFailed     bool              // whether the last call failed
+	shortUntil     time.Time         // steady-clock time until which a short lease is needed
+	// exchanging is true while the lease is being exchanged.
 	exchanging bool
-	// engaged reports whether anything is, or is about to be, owned under the lease.
-	engaged func() bool
-	// leaseGranted is closed and replaced when a new lease was granted.
+	// leaseInUse reports whether a pool is owned under the lease, or about to be.
+	leaseInUse func() bool
+	// leaseGranted is closed and replaced when a new lease is granted.
 	leaseGranted chan struct{}
 	storeLost    bool
-	// wake has the lease looked after at once.
+	// wake makes the loop run at once.
 	wake chan struct{}
-	// recovered is closed and replaced when the store answers again after it did not.
+	// recovered is closed and replaced when the store answers again after an outage.
 	recovered chan struct{}
 }
 
-// StartSession returns a session that keeps a lease until ctx ends.
+// StartSession returns a session that maintains a lease until ctx ends.
 func StartSession(ctx context.Context, kv pointport.KV, clock pointport.Clock, ttl time.Duration, logger *slog.Logger) *Session {
 	s := &Session{
-		kv: kv, clock: clock, logger: logger, ttl: ttl, engaged: func() bool { return false },
+		kv: kv, clock: clock, logger: logger, ttl: ttl, leaseInUse: func() bool { return false },
 		leaseGranted: make(chan struct{}), recovered: make(chan struct{}), wake: make(chan struct{}, 1),
 	}
 	go func() {
 		for ctx.Err() == nil {
-			call, done := context.WithTimeout(ctx, ttl/2)
+			call, cancel := context.WithTimeout(ctx, ttl/2)
 			err := s.renewOrGrant(call)
 			s.reportReachability(ctx, err)
-			done()
+			cancel()
 			select {
 			case <-clock.After(s.pause(err)):
 			case <-s.wake:
@@ -111,13 +113,13 @@
 	return s
 }
 
-// pause returns how long to wait after a call until the next. A store that has too many
-// calls is asked more often by an owner, and less often by others, so that the calls of
-// owners get through.
+// pause returns how long to wait after a call before the next one. While the store refuses
+// calls because it receives too many, a pool owner calls more often and other members less
+// often, so that the calls of owners succeed.
 func (s *Session) pause(err error) time.Duration {
 	busy, short := pointport.IsBusy(err), s.hasShortLease()
 	switch {
-	case busy && short && s.owns():
+	case busy && short && s.isLeaseInUse():
 		return s.ttl / (2 * renewalsPerTTL)
 	case busy:
 		return jitter(s.ttl / 2)
@@ -127,15 +129,16 @@
 	return s.ttl
 }
 
-// owns reports whether anything is, or is about to be, owned under the lease.
-func (s *Session) owns() bool {
+// isLeaseInUse reports whether a pool is owned under the lease, or about to be.
+func (s *Session) isLeaseInUse() bool {
 	s.mu.Lock()
-	engaged := s.engaged
+	inUse := s.leaseInUse
 	s.mu.Unlock()
-	return engaged()
+	return inUse()
 }
 
-// reportReachability notes that the store is lost or regained, once each time.
+// reportReachability logs when the store becomes unreachable or reachable again, once each
+// time, and in the latter case closes the channel of Recovered.
 func (s *Session) reportReachability(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
@@ -156,8 +159,9 @@
 	s.recovered = make(chan struct{})
 }
 
-// recordResult notes how a call ended, and reports whether the store counts as lost. One that only
-// has too many calls does once it has refused two in a row of a member that makes one a second.
+// recordResult records the result of a call, and reports whether the store counts as
+// unreachable. A store that refuses calls because it receives too many counts as unreachable
+// only after two refusals in a row to a member that makes one call a second.
 func (s *Session) recordResult(err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,31 +172,32 @@
 	return err != nil
 }
 
-// Recovered returns a channel that is closed when the store next answers after it did not.
+// Recovered returns a channel that is closed when the store next answers after an outage.
 func (s *Session) Recovered() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.recovered
 }
 
-// renewOrGrant renews the lease, or has another one granted.
+// renewOrGrant renews the lease, exchanges it if its TTL should change, or requests a new one
+// if there is none.
 func (s *Session) renewOrGrant(ctx context.Context) error {
 	lease := s.Lease()
 	if lease == 0 {
 		return s.grant(ctx)
 	}
-	lasts, fitting := s.currentTTL(), s.desiredTTL()
-	if fitting < lasts && s.exchange(ctx, fitting) {
+	ttl, desired := s.currentTTL(), s.desiredTTL()
+	if desired < ttl && s.exchange(ctx, desired) {
 		return nil
 	}
 	err := s.renew(ctx, lease)
-	if err == nil && fitting > lasts {
-		s.exchange(ctx, fitting)
+	if err == nil && desired > ttl {
+		s.exchange(ctx, desired)
 	}
 	return err
 }
 
-// renew renews the lease, or has another one granted if it has ended.
+// renew renews the lease, or requests a new one if it has ended.
 func (s *Session) renew(ctx context.Context, lease pointport.LeaseID) error {
 	from := s.clock.Steady()
 	err := s.kv.Renew(ctx, lease)
@@ -214,11 +219,11 @@
 	return nil
 }
 
-// grant has a lease granted where there is none.
+// grant requests a lease when there is none.
 func (s *Session) grant(ctx context.Context) error {
 	from := s.clock.Steady()
-	lasts := s.desiredTTL()
-	lease, err := s.kv.Grant(ctx, lasts)
+	ttl := s.desiredTTL()
+	lease, err := s.kv.Grant(ctx, ttl)
 	if err != nil {
 		return err
 	}
@@ -226,19 +231,19 @@
 	defer s.mu.Unlock()
 	s.firstLease = s.availableSince.IsZero()
 	s.availableSince, s.formerLease, s.lastAnswered = s.clock.Now(), 0, from
-	s.setLease(lease, lasts, from)
+	s.setLease(lease, ttl, from)
 	return nil
 }
 
-// setLease takes a lease that was granted by a call made at the steady time from. The lock is
-// held.
-func (s *Session) setLease(lease pointport.LeaseID, lasts time.Duration, from time.Time) {
-	s.lease, s.leaseTTL, s.provenUntil = lease, lasts, from.Add(lasts)
+// setLease stores a lease that was granted by a call made at the steady time from. The lock
+// must be held.
+func (s *Session) setLease(lease pointport.LeaseID, ttl time.Duration, from time.Time) {
+	s.lease, s.leaseTTL, s.provenUntil = lease, ttl, from.Add(ttl)
 	close(s.leaseGranted)
 	s.leaseGranted = make(chan struct{})
 }
 
-// dropLease forgets a lease that has ended.
+// dropLease removes a lease that has ended.
 func (s *Session) dropLease(lease pointport.LeaseID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -247,59 +252,58 @@
 	}
 }
 
-// Lease returns the lease, zero while there is none.
+// Lease returns the current lease, zero if there is none.
 func (s *Session) Lease() pointport.LeaseID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lease
 }
 
-// Proven reports whether the lease has surely not ended.
+// Proven reports whether the lease cannot have ended yet.
 func (s *Session) Proven() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.clock.Steady().Before(s.provenUntil)
 }
 
-// Reachable reports whether the store answers, as far as is known: it has answered a call
-// that was made within the time of a short lease, or none has failed since it did and the
-// next is due.
+// Reachable reports whether the store is believed to answer: it has answered a call made within
+// the TTL of a short lease, or one made within twice that time and no call has failed since.
 func (s *Session) Reachable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lease == 0 {
 		return false
 	}
-	silent := s.clock.Steady().Sub(s.lastAnswered)
-	return silent < s.ttl || !s.lastFailed && silent < 2*s.ttl
+	sinceAnswer := s.clock.Steady().Sub(s.lastAnswered)
+	return sinceAnswer < s.ttl || !s.lastFailed && sinceAnswer < 2*s.ttl
 }
 
 const (
-	// rejoinTime is within which time of the store's return whoever lives is back in the
-	// roster; the users say so of instances, whose entries lapse in the same way. One
-	// that is missing then is gone.
+	// rejoinTime is how long after the store recovers all live members are listed in the
+	// roster again. It is the time that is specified for instances, whose entries expire in
+	// the same way. A member that is still missing then is gone.
 	rejoinTime = 2 * time.Second
-	// joinTime is within which time of each other members that start together are in
+	// joinTime is within which time of each other members that start together are listed in
 	// the roster. They start within 0.3 s and need 0.1 s for their first calls.
 	joinTime = 500 * time.Millisecond
 )
 
-// recordAnswer takes in that a call was answered that was made at the steady time from. If the
-// store was away for longer than a short lease lasts, those of owners may have ended, and
-// it counts as a break although a long one has not. The lock is held.
+// recordAnswer records that a call made at the steady time from was answered. An interruption
+// longer than the TTL of a short lease counts as a break even if this member's long lease has
+// survived it, because the leases of owners may have ended. The lock must be held.
 func (s *Session) recordAnswer(from time.Time) {
-	silent := from.Sub(s.lastAnswered)
+	sinceAnswer := from.Sub(s.lastAnswered)
 	s.lastAnswered = from
-	if silent >= 2*s.ttl || s.storeLost && silent >= s.ttl {
+	if sinceAnswer >= 2*s.ttl || s.storeLost && sinceAnswer >= s.ttl {
 		s.availableSince, s.firstLease = s.clock.Now(), false
 	}
 }
 
-// CompleteAt returns when the roster can be taken for complete, and whether the lease is the
-// process's first. A member whose lease is new may be the first of all whose leases have
-// ended at once: one on a fifth of a core took the pools of 350 instances within 0.4 s of
-// the store's return and had them for the next 11 s (logs of a day with three outages).
-func (s *Session) CompleteAt() (at time.Time, started bool) {
+// CompleteAt returns when the roster can be considered complete, and whether the lease is the
+// first of this process. When all leases have ended at once, a member with a new lease may be
+// the first to have one: in a day with three outages, a member with a fifth of a core took the
+// pools of 350 instances within 0.4 s of the store's recovery and kept them for the next 11 s.
+func (s *Session) CompleteAt() (at time.Time, first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.firstLease {
@@ -308,7 +312,7 @@
 	return s.availableSince.Add(rejoinTime), false
 }
 
-// TTL returns how long a lease lasts unrenewed under which pools are owned.
+// TTL returns the TTL of a lease under which pools are owned.
 func (s *Session) TTL() time.Duration { return s.ttl }
 
 // Granted returns a channel that is closed when the next lease is granted.
@@ -318,15 +322,15 @@
 	return s.leaseGranted
 }
 
-// isOwnLease reports whether a lease is this session's, or was until it was exchanged.
+// isOwnLease reports whether lease is this session's current lease or the one it replaced.
 func (s *Session) isOwnLease(lease pointport.LeaseID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return lease == s.lease || lease == s.formerLease
 }
 
-// RevokeFormerLease ends the lease of an earlier life of this member, whose process is
-// gone, so that nobody need wait for it to lapse.
+// RevokeFormerLease revokes the lease of an earlier process of this member, which no longer
+// runs, so that the other members need not wait until it expires.
 func (s *Session) RevokeFormerLease(ctx context.Context, lease pointport.LeaseID) error {
 	if lease == 0 || s.isOwnLease(lease) {
 		return nil
@@ -335,7 +339,7 @@
 	return s.kv.Revoke(ctx, lease)
 }
 
-// End gives the lease back; all keys under it go at once.
+// End revokes the lease, which deletes all keys bound to it at once.
 func (s *Session) End(ctx context.Context) error {
 	lease := s.Lease()
 	if lease == 0 {
--- a/member/writer.go
+++ b/member/writer.go
@@ -11,27 +11,27 @@
 	"github.com/pointport/pointport/event"
 )
 
-// This file defines how an owner writes. Each transaction depends on the owner's
-// key, so that nothing is written after another owner took over, and on the
-// pool's head, so that a transaction that was delayed cannot undo a later one.
+// This file defines how an owner writes to the store. Each transaction depends on the owner
+// key, so that nothing is written after another owner has taken over, and on the pool's head
+// key, so that a delayed transaction cannot undo a later one.
 
 const (
-	// TxnOverhead is how many entries of a transaction the owner's key and the
-	// head take: two conditions and a put.
+	// TxnOverhead is how many entries of a transaction the owner key and the head key use: two
+	// conditions and a put.
 	TxnOverhead = 3
-	// minWriteRetryDelay is how long to wait before a change is sent again to a
-	// store that gave no answer, writeRetryMost the bound of its doubling.
+	// minWriteRetryDelay is the delay before a transaction is first sent again to a store that
+	// gave no answer. It doubles with each delay, up to maxWriteRetryDelay.
 	minWriteRetryDelay = 20 * time.Millisecond
 	maxWriteRetryDelay = 300 * time.Millisecond
-	// headPrefix starts the keys of heads.
+	// headPrefix is the prefix of head keys.
 	headPrefix = "head/"
 )
 
 // HeadKey returns the key that changes with every write of a pool's owner.
 func HeadKey(pool string) string { return headPrefix + pool }
 
-// A Writer makes the changes of one ownership, in order. It is not safe for
-// concurrent use.
+// Writer commits the transactions of one ownership, in order. It is not safe for concurrent
+// use.
 type Writer struct {
 	kv     pointport.KV
 	clock  pointport.Clock
@@ -40,9 +40,9 @@
 	opened bool
 	head   pointport.Revision
 	seq    int64
-	// pending is the last change, if it is not known whether it was made.
+	// pending is the last transaction while it is not known whether it was committed.
 	pending     *pointport.Txn
-	pendingHead string // the head's value by that change
+	pendingHead string // value of the head key that pending writes
 }
 
 // NewWriter returns a writer for an ownership.
@@ -50,13 +50,13 @@
 	return &Writer{kv: kv, clock: clock, own: own, logger: logger}
 }
 
-// headDocument is the value of a pool's head.
+// headDocument is the stored value of a pool's head key.
 type headDocument struct {
 	Fence pointport.Fence `json:"fence"`
 	Seq   int64           `json:"seq"`
 }
 
-// Open reads the pool's head. It must have succeeded before the first Commit.
+// Open reads the pool's head key. It must succeed before the first Commit.
 func (w *Writer) Open(ctx context.Context) error {
 	if w.opened {
 		return nil
@@ -69,9 +69,9 @@
 	return nil
 }
 
-// Commit makes a change, again and again until it is known to be made. It fails
-// with ErrLost if the pool has another owner. If ctx ends first, the change may
-// still be made; the next Commit finds out before it makes its own.
+// Commit commits a transaction, and retries until the outcome is known. It fails with
+// ErrNotOwner if the pool has another owner. If ctx ends first, the transaction may still be
+// committed; the next Commit resolves its outcome before it sends its own.
 func (w *Writer) Commit(ctx context.Context, txn pointport.Txn) error {
 	if w.pending != nil {
 		if err := w.sendPending(ctx); err != nil {
@@ -79,21 +79,21 @@
 		}
 	}
 	w.seq++
-	mark, err := json.Marshal(headDocument{w.own.Fence, w.seq})
+	head, err := json.Marshal(headDocument{w.own.Fence, w.seq})
 	if err != nil {
 		return err
 	}
 	txn.If = append(txn.If,
 		pointport.Condition{Key: OwnerKey(w.own.Pool), Revision: w.own.Revision},
 		pointport.Condition{Key: HeadKey(w.own.Pool), Revision: w.head})
-	txn.Put = append(txn.Put, pointport.Put{Key: HeadKey(w.own.Pool), Value: mark})
-	w.pending, w.pendingHead = &txn, string(mark)
+	txn.Put = append(txn.Put, pointport.Put{Key: HeadKey(w.own.Pool), Value: head})
+	w.pending, w.pendingHead = &txn, string(head)
 	return w.sendPending(ctx)
 }
 
-// sendPending sends the last change until it is known to be made.
+// sendPending sends the pending transaction until its outcome is known.
 func (w *Writer) sendPending(ctx context.Context) error {
-	retry := minWriteRetryDelay
+	delay := minWriteRetryDelay
 	for {
 		from := w.clock.Steady()
 		revision, err := w.kv.Commit(ctx, *w.pending)
@@ -110,16 +110,16 @@
 			return ctx.Err()
 		}
 		event.StoreUnsure.Log(w.logger, slog.Int64("seq", w.seq), slog.Any("error", err))
-		sleep(ctx, w.clock, retry)
+		sleep(ctx, w.clock, delay)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		retry = min(2*retry, maxWriteRetryDelay)
+		delay = min(2*delay, maxWriteRetryDelay)
 	}
 }
 
-// resolveConflict finds out whether the last change was made by an earlier sending, or
-// another owner has taken over.
+// resolveConflict determines whether an earlier attempt has committed the pending transaction
+// or another owner has taken over.
 func (w *Writer) resolveConflict(conflict *pointport.TxnConflictError) error {
 	for _, e := range conflict.Entries {
 		if e.Key() == HeadKey(w.own.Pool) && string(e.Value()) == w.pendingHead {
