--- a/elect/elect.go
+++ b/elect/elect.go
@@ -1,10 +1,9 @@
-// Package elect keeps a named lease of the platform's service, so that one
-// process at a time does a piece of work.
+// Package elect maintains a named lease of the platform's service, so that only one process at
+// a time does a piece of work.
 //
-// Invariant: Held is true only while the lease cannot have lapsed, counted by
-// this process's own clock from before the call that granted it. A lease saves
-// work and never protects correctness: whoever holds it still commits by
-// compare-and-swap.
+// Invariant: Held returns true only while the lease cannot have expired, counted by this
+// process's own clock from before the call that granted it. The lease only avoids duplicate
+// work and does not protect correctness: its holder still commits by compare-and-swap.
 package elect
 
 import (
@@ -18,13 +17,14 @@
 
 // This file defines the candidate for a lease.
 
-// DefaultTTL is how long a lease lasts unrenewed.
+// DefaultTTL is how long a lease lasts without renewal.
 const DefaultTTL = 10 * time.Second
 
-// renewalsPerTTL is how often a lease is renewed within its time.
+// renewalsPerTTL is how often the holder renews a lease within its TTL.
 const renewalsPerTTL = 3
 
-// A Candidate asks for a lease again and again. It is safe for concurrent use.
+// Candidate repeatedly tries to acquire a lease, and renews it once acquired. It is safe for
+// concurrent use.
 type Candidate struct {
 	leaser pointport.Leaser
 	clock  pointport.Clock
@@ -34,11 +34,11 @@
 
 	mu          sync.Mutex
 	heldUntil   time.Time
-	otherHolder string // who else had the lease when it was last asked for
+	otherHolder string // holder that the last attempt found, if it was not this process
 }
 
-// Start returns a candidate for the lease called name, which asks for it until
-// ctx ends and then gives it back.
+// Start returns a candidate for the lease with the given name. It tries to acquire and keep
+// the lease until ctx ends, and then releases it.
 func Start(ctx context.Context, leaser pointport.Leaser, clock pointport.Clock, name, holder string, ttl time.Duration) *Candidate {
 	c := &Candidate{leaser: leaser, clock: clock, name: name, holder: holder, ttl: ttl}
 	go func() {
@@ -54,7 +54,7 @@
 	return c
 }
 
-// Held reports whether this process has the lease.
+// Held reports whether this process holds the lease.
 func (c *Candidate) Held() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,8 +75,8 @@
 	}
 }
 
-// interval is how long to wait before the lease is asked for again. While another
-// has it, asking more often than once in its time would only cost calls.
+// interval returns how long to wait until the next attempt. While another process holds the
+// lease, more than one attempt in each TTL would only cost calls.
 func (c *Candidate) interval() time.Duration {
 	if c.OtherHolder() != "" {
 		return c.ttl
@@ -84,14 +84,15 @@
 	return c.ttl / renewalsPerTTL
 }
 
-// OtherHolder returns who else had the lease when it was last asked for, or nothing.
+// OtherHolder returns the other process that held the lease at the last attempt, or an empty
+// string if there was none.
 func (c *Candidate) OtherHolder() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.otherHolder
 }
 
-// release ends the lease so that the next holder need not wait.
+// release gives up the lease so that the next holder need not wait until it expires.
 func (c *Candidate) release() {
 	held := c.Held()
 	c.mu.Lock()
@@ -102,6 +103,6 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	// The lease lapses by itself if this fails.
+	// If this fails, the lease expires by itself.
 	_ = c.leaser.Release(ctx, c.name, c.holder)
 }
--- a/peer/deadline.go
+++ b/peer/deadline.go
@@ -7,9 +7,9 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines what holds for a while.
+// This file defines a set of keys whose entries expire.
 
-// deadlines says until when something holds of each key. It is safe for concurrent use.
+// deadlines holds a set of keys, each until a deadline. It is safe for concurrent use.
 type deadlines[K comparable] struct {
 	clock pointport.Clock
 	mu    sync.Mutex
@@ -20,20 +20,20 @@
 	return &deadlines[K]{clock: clock, until: make(map[K]time.Time)}
 }
 
-// set has it hold of a key for so long from now on; for zero, no longer.
-func (d *deadlines[K]) set(key K, lasts time.Duration) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if lasts <= 0 {
-		delete(d.until, key)
+// set adds a key for the duration d from now on, or removes it if d is zero.
+func (s *deadlines[K]) set(key K, d time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if d <= 0 {
+		delete(s.until, key)
 		return
 	}
-	d.until[key] = d.clock.Steady().Add(lasts)
+	s.until[key] = s.clock.Steady().Add(d)
 }
 
-// remaining returns for how long it holds of a key, zero if it does not.
-func (d *deadlines[K]) remaining(key K) time.Duration {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return max(0, d.until[key].Sub(d.clock.Steady()))
+// remaining returns how long a key remains in the set, zero if it is not in it.
+func (s *deadlines[K]) remaining(key K) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return max(0, s.until[key].Sub(s.clock.Steady()))
 }
--- a/peer/excess.go
+++ b/peer/excess.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// This file defines what a member remembers of whom no more jobs are wanted.
+// This file defines how a member remembers which customers' jobs a pool's owner refuses at
+// present.
 
 const (
-	// minExcess and excessMost bound for how long a member refuses a customer's jobs by
-	// what a pool's owner has said once. After that one job more is sent to the owner, whose
-	// answer renews it: the shorter, the more of a storm comes through (43 members, a job
-	// each), and the longer, the later is noticed that there is room again. A peak lasts
-	// some seconds.
+	// minExcess and maxExcess bound how long a member refuses a customer's jobs after one
+	// answer of a pool's owner. Afterwards it sends one more job to the owner, whose answer
+	// renews the refusal. The shorter this time, the more jobs of an overload get through, one
+	// from each of 43 members; the longer, the later a member notices that the owner accepts
+	// jobs again. An overload lasts some seconds.
 	minExcess = time.Second
 	maxExcess = 1500 * time.Millisecond
 )
 
-// A customerKey names a customer in a pool.
+// customerKey identifies a customer in a pool.
 type customerKey struct{ pool, customer string }
 
-// recordExcess takes in for how long a pool's owner wants no more jobs of a customer; zero if
-// it wants them.
+// recordExcess records how long a pool's owner wants no more jobs of a customer, zero if it
+// accepts them.
 func (o *Owners) recordExcess(pool, customer string, d time.Duration) {
 	if d > 0 {
 		d = min(max(d, minExcess), maxExcess)
@@ -26,13 +27,13 @@
 	o.excess.set(customerKey{pool, customer}, d)
 }
 
-// Excess returns for how long a pool's owner wants no more jobs of a customer, zero if it
-// does or is not known to say so.
+// Excess returns how long a pool's owner wants no more jobs of a customer. It is zero if the
+// owner accepts them, or is not known to refuse them.
 func (o *Owners) Excess(pool, customer string) time.Duration {
 	if customer == "" {
 		return 0
 	}
-	if local, ok := o.keeper.Controller(pool); ok {
+	if local, ok := o.manager.Controller(pool); ok {
 		return local.Excess(customer)
 	}
 	return o.excess.remaining(customerKey{pool, customer})
--- a/peer/keep.go
+++ b/peer/keep.go
@@ -16,34 +16,38 @@
 	"github.com/pointport/pointport/member"
 )
 
-// This file defines how a member that the store does not serve has its peers
-// store jobs.
+// This file defines how a member that cannot reach the store has its peers store jobs.
 
 const (
-	// maxStorePeers is how many peers are asked to store a job. The store turns a third
-	// of the members away at a time, as a rule.
+	// maxStorePeers is how many peers are asked to store a job. The store usually refuses
+	// about a third of the members at a time.
 	maxStorePeers = 3
-	// peerStateTTL is for how long a peer is not asked again that the store does not serve or
-	// that gave no answer, and for how long one is relied on that has stored a job.
+	// peerStateTTL is how long a peer that cannot reach the store or did not answer is not
+	// asked again, and how long a peer that has stored a job is preferred.
 	peerStateTTL = 500 * time.Millisecond
-	// canStoreTimeout bounds the question whether the store serves a peer. Peers are a
-	// millisecond away and answer from memory; a busy one takes some tens.
+	// canStoreTimeout bounds the request whether a peer can reach the store. Peers are a
+	// millisecond away and answer from memory; a busy one takes some tens of milliseconds.
 	canStoreTimeout = 150 * time.Millisecond
 )
 
 var (
-	// errNoPeer says that there was no peer to ask.
-	errNoPeer = errors.New("there is none to ask")
-	// errNoneCanStore says that no peer that was asked can store anything.
-	errNoneCanStore = errors.New("the store serves none that was asked")
+	// errNoPeer is the cause of a refusal when there is no peer to ask.
+	errNoPeer = errors.New("there is no other member to ask")
+	// errNoneCanStore is the cause of a refusal when no peer that was asked can reach the
+	// store.
+	errNoneCanStore = errors.New("no peer that was asked can reach the store")
 )
 
-// Keep has a peer store a job and returns the peer's name. Which is asked first depends
-// on the job, so that peers share the work. A job is stored once however many are asked.
+// Keep has a peer store a job, and returns the peer's name. The peer to ask first depends on
+// the job's ID, so that the peers share the load. The job is stored only once, however many
+// peers are asked.
+//
+// It fails with an *intake.UnsureError if the job may have been stored, and otherwise with an
+// *intake.RefusedError, an *intake.RevokedError or an *intake.TakenError.
 func (o *Owners) Keep(ctx context.Context, s intake.Submission) (string, error) {
 	var unsure error
-	helpers, cause := o.storePeers(ctx, s)
-	for _, m := range helpers {
+	peers, cause := o.storePeers(ctx, s)
+	for _, m := range peers {
 		r, err := o.send(ctx, m, storeJobPath, request{Pool: s.Pool, Job: s.ID, Submission: &s})
 		if err == nil && r.Known {
 			o.canStore.set(m.Name, peerStateTTL)
@@ -71,12 +75,12 @@
 	return "", &intake.RefusedError{ID: s.ID, After: intake.RetryAfter, Cause: cause.Error()}
 }
 
-// storePeers returns the peers that can store a job as far as is known, or why there are
-// none: one that has just stored another, else those that say that the store serves them.
-// That is asked first, because a question changes nothing and a job that was sent to a
-// silent peer may have been stored: in four seconds without a store, beside a zone that
-// was cut off, 197 of 252 customers who could not be told for sure had met a silent peer
-// (one day of 349 instances).
+// storePeers returns the peers that are believed to be able to store a job: one that has just
+// stored another, or those that report that they can reach the store. The error
+// is the cause to report if none of them stores the job. Peers are asked for this first because that request changes nothing,
+// whereas a job sent to a peer that does not answer may have been stored: when the store was
+// unreachable for four seconds while a zone was cut off, 197 of the 252 customers who could
+// not be given a definite answer had been sent to such a peer (one day with 349 instances).
 func (o *Owners) storePeers(ctx context.Context, s intake.Submission) ([]member.Member, error) {
 	var ask []member.Member
 	for _, m := range o.peersFor(s.ID) {
@@ -96,7 +100,8 @@
 	return o.askCanStore(ctx, s, ask), errNoneCanStore
 }
 
-// askCanStore returns the peers that say that the store serves them. All are asked at once.
+// askCanStore returns the peers that report that they can reach the store. It asks all of them
+// concurrently.
 func (o *Owners) askCanStore(ctx context.Context, s intake.Submission, peers []member.Member) []member.Member {
 	ctx, cancel := context.WithTimeout(ctx, canStoreTimeout)
 	defer cancel()
@@ -132,20 +137,20 @@
 	return append(peers[first:], peers[:first]...)
 }
 
-// notSent reports whether a question cannot have reached anybody.
+// notSent reports whether a request that failed with err cannot have reached its peer.
 func notSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// handleStoreJob answers a question to store a job.
+// handleStoreJob serves a request to store a job.
 func handleStoreJob(w http.ResponseWriter, r *http.Request, store Store, logger *slog.Logger) {
-	var q request
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxMessage)).Decode(&q); err != nil || q.Submission == nil {
-		http.Error(w, "no job to store", http.StatusBadRequest)
+	var req request
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxMessage)).Decode(&req); err != nil || req.Submission == nil {
+		http.Error(w, "keep: missing", http.StatusBadRequest)
 		return
 	}
-	err := store.StoreJob(r.Context(), *q.Submission)
+	err := store.StoreJob(r.Context(), *req.Submission)
 	var refused *intake.RefusedError
 	var revoked *intake.RevokedError
 	var taken *intake.TakenError
@@ -161,6 +166,6 @@
 		a.Unsure = err.Error()
 	}
 	if err := json.NewEncoder(w).Encode(a); err != nil {
-		event.PeerSilent.Log(logger, slog.String("pool", q.Pool), slog.String("job", q.Job), slog.Any("error", err))
+		event.PeerSilent.Log(logger, slog.String("pool", req.Pool), slog.String("job", req.Job), slog.Any("error", err))
 	}
 }
--- a/relay/client.go
+++ b/relay/client.go
@@ -13,24 +13,24 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines the side of those who wait.
+// This file defines the client of the relay.
 
 const (
-	// clientWatchTimeout is how long a relayed watch is asked to wait.
+	// clientWatchTimeout is how long the relay may hold a watch of a client.
 	clientWatchTimeout = 20 * time.Second
-	// answerMargin is how long beyond that an answer may take.
+	// answerMargin is how much longer the answer may take.
 	answerMargin = 2 * time.Second
-	// probeInterval is how often a relay that is waited for is asked if it is alive,
-	// and probeBound how long it may take to say so. Together they bound how late
-	// a change is seen through a relay that sleeps.
+	// probeInterval is how often the relay is probed during a watch, and probeTimeout how long
+	// it may take to answer a probe. Together they bound how late a change is seen if the
+	// relay's process hangs.
 	probeInterval = time.Second
 	probeTimeout  = time.Second
-	// avoidFor is how long a relay that gave no answer is left alone.
+	// avoidFor is how long the store is watched directly after the relay has failed.
 	avoidFor = 30 * time.Second
 )
 
-// A Client is a pointport.Watcher that waits through the zone's relay, and at
-// the store where there is none. It is safe for concurrent use.
+// Client is a pointport.Watcher that watches through the zone's relay, or directly at the
+// store if the zone has no relay or the relay fails. It is safe for concurrent use.
 type Client struct {
 	store pointport.Watcher
 	clock pointport.Clock
@@ -40,15 +40,15 @@
 	mu         sync.Mutex
 	avoidUntil time.Time // until when the store is watched directly
 
-	probeMu  sync.Mutex // held while the relay is asked if it is alive
+	probeMu  sync.Mutex // held during a probe of the relay
 	probedAt time.Time
 	alive    bool
 }
 
 var _ pointport.Watcher = (*Client)(nil)
 
-// NewClient returns a watcher. The function relay returns the URL of the zone's
-// relay, or nothing if there is none or this process is it.
+// NewClient returns a watcher. The function relay returns the URL of the zone's relay, or an
+// empty string if there is none or this process is the relay.
 func NewClient(store pointport.Watcher, clock pointport.Clock, relay func() string) *Client {
 	return &Client{
 		store: store, clock: clock, relay: relay,
@@ -56,7 +56,7 @@
 	}
 }
 
-// Watch waits until key has a revision greater than after, or the wait ends.
+// Watch waits until key has a revision greater than after, or the watch times out.
 func (c *Client) Watch(ctx context.Context, key string, after pointport.Revision) (pointport.Entry, error) {
 	base := c.relay()
 	if base == "" || c.avoided() {
@@ -82,14 +82,14 @@
 	c.avoidUntil = c.clock.Now().Add(avoidFor)
 }
 
-// isAlive reports whether the relay answers. All watches share one answer.
+// isAlive reports whether the relay answers a probe. All watches share the result.
 func (c *Client) isAlive(ctx context.Context, base string) bool {
 	c.probeMu.Lock()
 	defer c.probeMu.Unlock()
 	if c.clock.Now().Sub(c.probedAt) < probeInterval/2 {
 		return c.alive
 	}
-	// The answer is shared, so the end of one watch must not spoil it.
+	// The result is shared, so the end of one watch must not cancel the probe.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodHead, base+Path, nil)
@@ -104,7 +104,8 @@
 	return c.alive
 }
 
-// probeWhileWaiting ends a relayed watch by cancel once the relay does not answer.
+// probeWhileWaiting calls cancel, which ends a relayed watch, if the relay does not answer a
+// probe.
 func (c *Client) probeWhileWaiting(ctx context.Context, cancel context.CancelFunc, base string) {
 	for {
 		select {
@@ -119,7 +120,7 @@
 	}
 }
 
-// watchThrough waits through the relay at base, as long as that is alive.
+// watchThrough watches through the relay at base for as long as that answers probes.
 func (c *Client) watchThrough(ctx context.Context, base, key string, after pointport.Revision) (pointport.Entry, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/relay/server.go
+++ b/relay/server.go
@@ -1,16 +1,14 @@
-// Package relay lets the entry instances of an availability zone wait for
-// changes through one of them, so that the store does not carry a waiting watch
-// for each.
+// Package relay lets the entry instances of an availability zone watch the store through one
+// of them, so that the store does not hold a waiting watch for each instance.
 //
-// The model: the holder of the zone's planner lease relays. It keeps one watch
-// on each key that anyone waits for, and answers the others. They know its
-// address from the lease. Whoever gets no fresh answer from the relay watches
-// the store itself for a while.
+// The holder of the zone's planner lease is the relay. It keeps one watch at the store for
+// each key that any client watches, and answers the clients from that. They find its address
+// in the lease. A client that gets no up-to-date answer from the relay watches the store
+// directly for a while.
 //
-// Invariants: a relay answers only while it has itself heard from the store a
-// moment ago, so a relay that is cut off from the store holds nobody back; it
-// answers with what the store said, and never with a revision below the one that
-// was asked about.
+// Invariants: a relay answers only if the store has answered it recently, so a relay that is
+// cut off from the store does not delay its clients. It returns only what the store returned,
+// and never a revision lower than the one in the request.
 package relay
 
 import (
@@ -24,25 +22,25 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines the relay's side.
+// This file defines the relay's server.
 
 const (
-	// Path starts the path of a relayed watch.
+	// Path is the path of a relayed watch.
 	Path = "/v1/relay/"
-	// StoreWait is how long the relay's own watches should be held by the store.
-	// It bounds how late the relay notices that it is cut off.
+	// StoreWait is how long the store should hold the relay's own watches. It bounds how late
+	// the relay notices that it is cut off from the store.
 	StoreWait = time.Second
-	// maxAge is how long ago the relay may have heard from the store.
+	// maxAge is how old the store's last answer may be when the relay answers from it.
 	maxAge = 2 * StoreWait
 	// maxWait bounds how long a relayed watch waits.
 	maxWait = 30 * time.Second
-	// idleTimeout is how long a key is watched after the last one waited for it.
+	// idleTimeout is how long a key is watched after the last request for it.
 	idleTimeout = time.Minute
 	// retryDelay is how long the relay waits after a failed watch.
 	retryDelay = 250 * time.Millisecond
 )
 
-// A Server answers relayed watches.
+// Server answers relayed watches.
 type Server struct {
 	ctx   context.Context
 	store pointport.Watcher
@@ -54,13 +52,13 @@
 
 var _ http.Handler = (*Server)(nil)
 
-// NewServer returns a relay over store, whose watches should be held for
-// StoreWait. It works until ctx ends.
+// NewServer returns a relay for store, whose watches should be held for StoreWait. It works
+// until ctx ends.
 func NewServer(ctx context.Context, store pointport.Watcher, clock pointport.Clock) *Server {
 	return &Server{ctx: ctx, store: store, clock: clock, watches: make(map[string]*keyWatch)}
 }
 
-// A keyWatch watches one key for all who wait for it.
+// keyWatch watches one key for all clients that wait for it.
 type keyWatch struct {
 	mu          sync.Mutex
 	entry       pointport.Entry
@@ -69,14 +67,14 @@
 	changed     chan struct{} // closed and replaced at every answer of the store
 }
 
-// reply is an answer on the wire.
+// reply is the JSON answer to a relayed watch.
 type reply struct {
 	Revision pointport.Revision `json:"revision"`
 	Value    []byte             `json:"value,omitempty"`
 }
 
-// ServeHTTP answers one relayed watch. To HEAD it answers at once, which says
-// that the process is alive.
+// ServeHTTP answers one relayed watch. It answers a HEAD request at once, which serves as a
+// liveness probe.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodHead {
 		w.WriteHeader(http.StatusNoContent)
@@ -94,31 +92,31 @@
 	}
 	e, ok := s.await(r.Context(), r.URL.Query().Get("key"), pointport.Revision(after), min(wait, maxWait))
 	if !ok {
-		http.Error(w, "not heard from the store", http.StatusServiceUnavailable)
+		http.Error(w, "the store has not answered recently", http.StatusServiceUnavailable)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	a := reply{e.Revision(), e.Value()}
 	if int64(a.Revision) == after {
-		a.Value = nil // the caller has it
+		a.Value = nil // the client has it
 	}
 	_ = json.NewEncoder(w).Encode(a)
 }
 
-// await waits for a revision above after. It reports false as soon as the relay
-// is not fresh.
+// await waits for a revision above after. It returns false if the store has not answered
+// recently, or if the known revision is below after once the store has had time to answer.
 func (s *Server) await(ctx context.Context, key string, after pointport.Revision, wait time.Duration) (pointport.Entry, bool) {
-	h := s.watchOf(key)
+	kw := s.watchOf(key)
 	start := s.clock.Now()
 	end := s.clock.After(wait)
 	for {
 		now := s.clock.Now()
-		e, heard, changed := h.state(now)
-		isFresh := !heard.IsZero() && now.Sub(heard) <= maxAge
+		e, answeredAt, changed := kw.state(now)
+		isFresh := !answeredAt.IsZero() && now.Sub(answeredAt) <= maxAge
 		if isFresh && e.Revision() > after {
 			return e, true
 		}
-		// By now the relay should have heard, and what the other has seen.
+		// By now the store should have answered, with at least the client's revision.
 		if now.Sub(start) > maxAge && (!isFresh || e.Revision() < after) {
 			return e, false
 		}
@@ -133,29 +131,31 @@
 	}
 }
 
-func (h *keyWatch) state(now time.Time) (pointport.Entry, time.Time, <-chan struct{}) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.requestedAt = now
-	return h.entry, h.answeredAt, h.changed
+// state returns the latest known entry, when the store last answered, and a channel that is closed
+// at its next answer. It also notes that the key is in use.
+func (kw *keyWatch) state(now time.Time) (pointport.Entry, time.Time, <-chan struct{}) {
+	kw.mu.Lock()
+	defer kw.mu.Unlock()
+	kw.requestedAt = now
+	return kw.entry, kw.answeredAt, kw.changed
 }
 
 func (s *Server) watchOf(key string) *keyWatch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.watches[key]
-	if h == nil {
-		h = &keyWatch{changed: make(chan struct{}), requestedAt: s.clock.Now()}
-		s.watches[key] = h
-		go func() { s.watch(key, h) }()
+	kw := s.watches[key]
+	if kw == nil {
+		kw = &keyWatch{changed: make(chan struct{}), requestedAt: s.clock.Now()}
+		s.watches[key] = kw
+		go func() { s.watch(key, kw) }()
 	}
-	return h
+	return kw
 }
 
-// watch follows a key while anyone waits for it.
-func (s *Server) watch(key string, h *keyWatch) {
-	for s.ctx.Err() == nil && s.inUse(key, h) {
-		e, err := s.store.Watch(s.ctx, key, h.revision())
+// watch watches a key at the store as long as clients request it.
+func (s *Server) watch(key string, kw *keyWatch) {
+	for s.ctx.Err() == nil && s.inUse(key, kw) {
+		e, err := s.store.Watch(s.ctx, key, kw.revision())
 		if err != nil {
 			select {
 			case <-s.clock.After(retryDelay):
@@ -163,36 +163,37 @@
 			}
 			continue
 		}
-		h.update(e, s.clock.Now())
+		kw.update(e, s.clock.Now())
 	}
 }
 
-// inUse reports whether a key is still waited for, and forgets it if not.
-func (s *Server) inUse(key string, h *keyWatch) bool {
+// inUse reports whether a key is still requested, and removes its watch if not.
+func (s *Server) inUse(key string, kw *keyWatch) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if s.clock.Now().Sub(h.requestedAt) < idleTimeout {
+	kw.mu.Lock()
+	defer kw.mu.Unlock()
+	if s.clock.Now().Sub(kw.requestedAt) < idleTimeout {
 		return true
 	}
 	delete(s.watches, key)
 	return false
 }
 
-func (h *keyWatch) revision() pointport.Revision {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.entry.Revision()
+func (kw *keyWatch) revision() pointport.Revision {
+	kw.mu.Lock()
+	defer kw.mu.Unlock()
+	return kw.entry.Revision()
 }
 
-func (h *keyWatch) update(e pointport.Entry, now time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if e.Revision() != h.entry.Revision() {
-		h.entry = e // an unchanged answer need not hold the value
+// update applies an answer of the store.
+func (kw *keyWatch) update(e pointport.Entry, now time.Time) {
+	kw.mu.Lock()
+	defer kw.mu.Unlock()
+	if e.Revision() != kw.entry.Revision() {
+		kw.entry = e // an answer without a change need not contain the value
 	}
-	h.answeredAt = now
-	close(h.changed)
-	h.changed = make(chan struct{})
+	kw.answeredAt = now
+	close(kw.changed)
+	kw.changed = make(chan struct{})
 }
