--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -30,7 +30,7 @@
 	defer cancel()
 	store := memory.New(clock.System{})
 	before := measure.Heap()
-	book := claim.Start(ctx, store, clock.System{}, "a", claim.WithWrites(1e6, time.Millisecond))
+	book := claim.Start(ctx, store, clock.System{}, "a", claim.WithWriteRate(1e6, time.Millisecond))
 	work := make(chan int)
 	done := make(chan struct{})
 	const callers = 256
@@ -41,7 +41,7 @@
 				if err != nil {
 					b.Error(err)
 				} else {
-					t.Settle(claim.Ran, 200)
+					t.RecordOutcome(claim.Ran, 200)
 				}
 			}
 			done <- struct{}{}
--- a/claim/book.go
+++ b/claim/claimer.go
@@ -24,16 +24,16 @@
 	// entry instance must use the same number; docs/design/claims.md says why
 	// it is small.
 	DefaultPartitions = 1
-	// DefaultSegment is how many records seal a segment. It belongs to the stored
+	// DefaultSegmentSize is how many records seal a segment. It belongs to the stored
 	// form: entry instances that disagree on it would not see each other's
 	// claims, so it must not change while older ones run.
-	DefaultSegment = 256
+	DefaultSegmentSize = 256
 	// DefaultRetention is how long claims are kept.
 	DefaultRetention = 24 * time.Hour
-	// DefaultWrites is how many writes a second one entry instance makes.
-	DefaultWrites = 6
-	// DefaultGather is how long a claim waits for others to share its write.
-	DefaultGather = 3 * time.Millisecond
+	// DefaultWriteRate is how many writes a second one entry instance makes.
+	DefaultWriteRate = 6
+	// DefaultBatchDelay is how long a claim waits for others to share its write.
+	DefaultBatchDelay = 3 * time.Millisecond
 	// maxGather bounds how long claims gather after other writers were first.
 	maxGather = 200 * time.Millisecond
 	// outcomeDelay is how long an outcome waits for a write of claims.
@@ -44,9 +44,9 @@
 	maxPending = 4096
 	// maxBatch bounds the claims in one write.
 	maxBatch = 256
-	// StaleAfter is how long a claim may be in progress before its outcome
+	// InProgressTimeout is how long a claim may be in progress before its outcome
 	// counts as unknown. No request lasts as long.
-	StaleAfter = 2 * time.Hour
+	InProgressTimeout = 2 * time.Hour
 )
 
 // errBusy is the cause of a refusal for lack of room.
@@ -73,8 +73,8 @@
 	Conflicts int64 // compare-and-swaps that another writer beat
 }
 
-// A Book claims keys for one entry instance. It is safe for concurrent use.
-type Book struct {
+// A Claimer claims keys for one entry instance. It is safe for concurrent use.
+type Claimer struct {
 	store      Store
 	clock      pointport.Clock
 	logger     *slog.Logger
@@ -92,24 +92,24 @@
 }
 
 // An Option changes a Book.
-type Option func(*Book)
+type Option func(*Claimer)
 
 // WithLogger sets where events go.
-func WithLogger(l *slog.Logger) Option { return func(b *Book) { b.logger = l } }
+func WithLogger(l *slog.Logger) Option { return func(b *Claimer) { b.logger = l } }
 
 // WithPartitions sets how many partitions there are.
-func WithPartitions(n int) Option { return func(b *Book) { b.partitions = n } }
+func WithPartitions(n int) Option { return func(b *Claimer) { b.partitions = n } }
 
-// WithSegment sets how many records seal a segment.
-func WithSegment(n int) Option { return func(b *Book) { b.size = n } }
+// WithSegmentSize sets how many records seal a segment.
+func WithSegmentSize(n int) Option { return func(b *Claimer) { b.size = n } }
 
 // WithRetention sets how long claims are kept.
-func WithRetention(d time.Duration) Option { return func(b *Book) { b.keep = d } }
+func WithRetention(d time.Duration) Option { return func(b *Claimer) { b.keep = d } }
 
-// WithWrites sets how many writes a second the book makes, and how long a
+// WithWriteRate sets how many writes a second the book makes, and how long a
 // claim waits for others to share its write.
-func WithWrites(perSecond float64, gather time.Duration) Option {
-	return func(b *Book) {
+func WithWriteRate(perSecond float64, gather time.Duration) Option {
+	return func(b *Claimer) {
 		b.limiter = rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 		b.gather = gather
 	}
@@ -117,12 +117,12 @@
 
 // Start returns a book that works until ctx ends. The owner names this process
 // and no other, also not its predecessor on the same instance.
-func Start(ctx context.Context, store Store, clock pointport.Clock, owner string, options ...Option) *Book {
-	b := &Book{
+func Start(ctx context.Context, store Store, clock pointport.Clock, owner string, options ...Option) *Claimer {
+	b := &Claimer{
 		store: store, clock: clock, owner: owner, logger: slog.New(slog.DiscardHandler),
-		partitions: DefaultPartitions, size: DefaultSegment, keep: DefaultRetention,
+		partitions: DefaultPartitions, size: DefaultSegmentSize, keep: DefaultRetention,
 	}
-	WithWrites(DefaultWrites, DefaultGather)(b)
+	WithWriteRate(DefaultWriteRate, DefaultBatchDelay)(b)
 	for _, o := range options {
 		o(b)
 	}
@@ -139,11 +139,11 @@
 }
 
 // Counts returns how much the book has done.
-func (b *Book) Counts() Counts {
+func (b *Claimer) Counts() Counts {
 	return Counts{b.claims.Load(), b.taken.Load(), b.failed.Load(), b.writes.Load(), b.conflicts.Load()}
 }
 
-func (b *Book) desk(k Key) *desk {
+func (b *Claimer) desk(k Key) *desk {
 	return b.desks[binary.BigEndian.Uint32(k[:])%uint32(len(b.desks))]
 }
 
@@ -157,7 +157,7 @@
 // Claim claims a key. It fails with a *TakenError if the key is claimed
 // already, and with an *pointport.UnavailableError if that cannot be told; in
 // both cases the work must not be run.
-func (b *Book) Claim(ctx context.Context, key Key) (Ticket, error) {
+func (b *Claimer) Claim(ctx context.Context, key Key) (Ticket, error) {
 	d := b.desk(key)
 	p := &pending{key: key, done: make(chan error, 1)}
 	if !d.push(p) {
@@ -180,7 +180,7 @@
 	return Ticket{key, p.token, d}, nil
 }
 
-func (b *Book) count(err error) {
+func (b *Claimer) count(err error) {
 	var taken *TakenError
 	switch {
 	case err == nil:
@@ -192,9 +192,9 @@
 	}
 }
 
-// Settle records how the work of a ticket ended. Released frees the key, and
+// RecordOutcome records how the work of a ticket ended. Released frees the key, and
 // is only for work of which nothing was sent.
-func (t Ticket) Settle(s State, status int) {
+func (t Ticket) RecordOutcome(s State, status int) {
 	t.desk.settle(record{Key: t.key, At: t.desk.book.clock.Now().Unix(), State: s, Status: status, Token: t.token})
 }
 
@@ -231,7 +231,7 @@
 
 // A desk gathers the claims of one partition and writes them.
 type desk struct {
-	book   *Book
+	book   *Claimer
 	part   *partition
 	wake   chan struct{}
 	window time.Duration
--- a/claim/book_test.go
+++ b/claim/claimer_test.go
@@ -40,10 +40,10 @@
 					t.Fatal(err)
 				}
 				if c.settle != claim.InProgress {
-					ticket.Settle(c.settle, c.status)
+					ticket.RecordOutcome(c.settle, c.status)
 				}
 				time.Sleep(3 * time.Second)
-				for name, book := range map[string]*claim.Book{"the same": a, "another": b} {
+				for name, book := range map[string]*claim.Claimer{"the same": a, "another": b} {
 					_, err = book.Claim(t.Context(), key(1))
 					var taken *claim.TakenError
 					if !errors.As(err, &taken) || taken.State != c.settle || taken.Status != c.status {
@@ -65,7 +65,7 @@
 			t.Fatal(err)
 		}
 		die()
-		time.Sleep(claim.StaleAfter + time.Second)
+		time.Sleep(claim.InProgressTimeout + time.Second)
 		_, err := claim.Start(t.Context(), store, clock.System{}, "b").Claim(t.Context(), key(1))
 		var taken *claim.TakenError
 		if !errors.As(err, &taken) || taken.State != claim.Unknown {
@@ -100,7 +100,7 @@
 func TestWritesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
-		book := claim.Start(t.Context(), store, clock.System{}, "a", claim.WithWrites(5, time.Millisecond))
+		book := claim.Start(t.Context(), store, clock.System{}, "a", claim.WithWriteRate(5, time.Millisecond))
 		const seconds, perSecond = 20, 100
 		for n := range seconds * perSecond {
 			go func() {
@@ -188,7 +188,7 @@
 func TestCallerGoneWhileClaiming(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
-		book := claim.Start(t.Context(), store, clock.System{}, "a", claim.WithWrites(1000, 10*time.Millisecond))
+		book := claim.Start(t.Context(), store, clock.System{}, "a", claim.WithWriteRate(1000, 10*time.Millisecond))
 		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 		defer cancel()
 		if _, err := book.Claim(ctx, key(1)); err == nil {
@@ -228,7 +228,7 @@
 func TestSegments(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
-		options := []claim.Option{claim.WithSegment(4), claim.WithRetention(4 * time.Hour), claim.WithWrites(1000, 0)}
+		options := []claim.Option{claim.WithSegmentSize(4), claim.WithRetention(4 * time.Hour), claim.WithWriteRate(1000, 0)}
 		book := claim.Start(t.Context(), store, clock.System{}, "a", options...)
 		for n := range 100 {
 			if _, err := book.Claim(t.Context(), key(n)); err != nil {
@@ -256,7 +256,7 @@
 func TestLongSleeper(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
-		options := []claim.Option{claim.WithSegment(2), claim.WithRetention(time.Hour), claim.WithWrites(1000, 0)}
+		options := []claim.Option{claim.WithSegmentSize(2), claim.WithRetention(time.Hour), claim.WithWriteRate(1000, 0)}
 		sleeper := claim.Start(t.Context(), store, clock.System{}, "sleeper", options...)
 		busy := claim.Start(t.Context(), store, clock.System{}, "busy", options...)
 		for n := range 2 {
@@ -327,12 +327,12 @@
 		faults = faults[1:]
 		return f
 	})
-	books := make([]*claim.Book, 3)
+	books := make([]*claim.Claimer, 3)
 	stop := make([]context.CancelFunc, 3)
 	start := func(n, life int) {
 		ctx, cancel := context.WithCancel(t.Context())
 		books[n], stop[n] = claim.Start(ctx, store, clock.System{}, fmt.Sprintf("%d.%d", n, life),
-			claim.WithSegment(3), claim.WithWrites(1000, time.Millisecond)), cancel
+			claim.WithSegmentSize(3), claim.WithWriteRate(1000, time.Millisecond)), cancel
 	}
 	for n := range books {
 		start(n, 0)
@@ -352,13 +352,13 @@
 				return
 			}
 			if o.End == 0 {
-				ticket.Settle(claim.Released, 0)
+				ticket.RecordOutcome(claim.Released, 0)
 				return
 			}
 			mu.Lock()
 			runs[o.Key]++
 			mu.Unlock()
-			ticket.Settle([]claim.State{"", claim.Ran, claim.Unknown}[o.End], 200)
+			ticket.RecordOutcome([]claim.State{"", claim.Ran, claim.Unknown}[o.End], 200)
 		})
 		time.Sleep(time.Duration(o.Wait) * time.Millisecond)
 	}
@@ -381,7 +381,7 @@
 			t.Fatal(err)
 		}
 		store.SetInjector(func(string, string) memory.Fault { return memory.FaultBefore })
-		ticket.Settle(claim.Ran, 201)
+		ticket.RecordOutcome(claim.Ran, 201)
 		if _, err := a.Claim(t.Context(), key(2)); err == nil {
 			t.Error("a key was claimed while the store is down")
 		}
@@ -409,7 +409,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ticket.Settle(claim.Ran, 200)
+		ticket.RecordOutcome(claim.Ran, 200)
 		_, err = book.Claim(t.Context(), key(1))
 		var taken *claim.TakenError
 		if !errors.As(err, &taken) || taken.State != claim.Ran {
--- a/claim/commit.go
+++ b/claim/commit.go
@@ -108,7 +108,7 @@
 func (k known) taken(now time.Time) error {
 	at := time.Unix(int64(k.at), 0)
 	state := k.stateOf()
-	if state == InProgress && now.Sub(at) > StaleAfter {
+	if state == InProgress && now.Sub(at) > InProgressTimeout {
 		state = Unknown
 	}
 	return &TakenError{State: state, Status: int(k.status), At: at}
--- a/cli/join.go
+++ b/cli/join.go
@@ -139,7 +139,7 @@
 		},
 		Evacuations: node.Source[evacuation.Request]{Prefix: platform.EvacuationPrefix, Decode: platform.DecodeEvacuation},
 		Ingress: func(n *node.Node) http.Handler {
-			as := func(c customer.Caller) platform.Desk { return n.Desk().As(c) }
+			as := func(c customer.Caller) platform.Desk { return n.Desk().ForCaller(c) }
 			keys := platform.KeyState{Trusted: n.KeysTrusted, Newest: n.KeysNewest}
 			return platform.NewIngress(as, n.Catalog, logger, platform.WithKeyState(keys))
 		},
@@ -153,17 +153,17 @@
 	if s.Advisor != "" {
 		services.Advisor = figures.Advisor(platform.NewAdvisor(s.Advisor))
 	}
-	services.Metrics, services.Brief = figures.Handler(), figures.Brief()
-	services.Operators = func(d *intake.Desk, owners *peer.Owners, catalog func() *workload.Catalog) http.Handler {
-		return operator.NewWorkloads(d.As(customer.Operator()), owners, catalog)
+	services.Metrics, services.BriefMetrics = figures.Handler(), figures.Brief()
+	services.OperatorAPI = func(d *intake.Service, owners *peer.Owners, catalog func() *workload.Catalog) http.Handler {
+		return operator.NewWorkloads(d.ForCaller(customer.Operator()), owners, catalog)
 	}
 	n, err := node.Start(ctx, services, node.Parameters{
 		Name: s.Name, Zone: s.Zone, Strength: strength(s),
 		Addresses: node.Addresses{Clients: s.Clients, Readiness: s.Readiness, Peers: s.Peers, Metrics: s.Metrics},
 		LeaseTTL:  max(member.DefaultTTL, s.MinLeaseTTL), TaskLease: min(shard.DefaultLease, s.MaxHold), MaxHold: s.MaxHold, Grace: s.Grace,
-		GangTime: s.GangTime, FarFactor: s.FarFactor, HolderTime: s.HolderTime, MachineOrders: s.MachineCalls,
-		Capacity: capacity.Settings{MoveTime: s.MoveTime, UpkeepTime: s.UpkeepTime}, Full: guard.Near,
-		Keys: node.KeyPolicy{Strict: s.StrictKeys, Time: s.KeyTime}, ConfigTime: s.ConfigTime, EvacuationTime: s.EvacuationTime,
+		GangTimeout: s.GangTime, RemoteDataSlowdown: s.FarFactor, HolderTime: s.HolderTime, MachineOrdersPerSecond: s.MachineCalls,
+		Capacity: capacity.Settings{MoveTime: s.MoveTime, UpkeepTime: s.UpkeepTime}, LowMemory: guard.Near,
+		Keys: node.KeyPolicy{Strict: s.StrictKeys, MaxConfigAge: s.KeyTime}, ConfigApplyTime: s.ConfigTime, EvacuationTime: s.EvacuationTime,
 	}, logger)
 	if err != nil {
 		event.Failed.Log(logger, slog.String("part", "start"), slog.Any("error", err))
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -60,7 +60,7 @@
 	configs  *changelog.Log[*config.State, config.Change]
 	assigns  map[pointport.ZoneID]*planner.AssignLog
 	jobs     map[pointport.ZoneID]*placer.JobLog
-	claims   *claim.Book
+	claims   *claim.Claimer
 	gateway  *gateway.Gateway
 	shares   *shares
 	feeder   *feeder
@@ -167,7 +167,7 @@
 func (e *Entry) startRequests(ctx context.Context) {
 	s := e.settings
 	e.claims = claim.Start(ctx, e.platform, e.clock, e.holder,
-		claim.WithLogger(e.logger), claim.WithRetention(s.claimKeep), claim.WithWrites(s.claimRate, claim.DefaultGather))
+		claim.WithLogger(e.logger), claim.WithRetention(s.claimKeep), claim.WithWriteRate(s.claimRate, claim.DefaultBatchDelay))
 	e.gateway = gateway.New(e.clock, e.claims,
 		gateway.WithLogger(e.logger), gateway.WithZone(pointport.ZoneID(s.zone)),
 		gateway.WithShare(func(zone pointport.ZoneID) int { return e.shares.allowed(zone) }), gateway.WithChooser(s.newChooser), gateway.WithRegistry(e.registry))
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -61,7 +61,7 @@
 	set.Int(&s.ownShare, "connections-own", 12, "connections to each upstream of the own availability zone that are always allowed", 1, 10000)
 	set.Int(&s.otherShare, "connections-other", 0, "connections to each upstream of another availability zone that are always allowed", 0, 10000)
 	set.Int(&s.elastic, "connections-elastic", 16, "connections to each upstream that entry instances lease from each other when they need more; the same at every entry instance", 0, 10000)
-	set.Float(&s.claimRate, "claim-writes", claim.DefaultWrites, "writes of claims a second that this entry instance may make", 0.1, 1000)
+	set.Float(&s.claimRate, "claim-writes", claim.DefaultWriteRate, "writes of claims a second that this entry instance may make", 0.1, 1000)
 	set.Duration(&s.claimKeep, "claim-retention", claim.DefaultRetention, "how long a key stays claimed; the same at every entry instance", time.Minute, 7*24*time.Hour)
 	set.Int(&s.maxHeader, "max-header", 64<<10, "bytes of a request's headers that are read", 1<<10, 1<<20)
 	set.OneOf(&s.chooser, "chooser", "forecast", "how an upstream is chosen; all but forecast are baselines for experiments", "forecast", "least-in-flight", "round-robin")
--- a/daemon/shares.go
+++ b/daemon/shares.go
@@ -79,7 +79,7 @@
 
 func (s *shares) look(ctx context.Context) {
 	now := s.entry.clock.Now()
-	pressed := now.Sub(s.entry.gateway.Pressed()) < shareKeep
+	pressed := now.Sub(s.entry.gateway.SaturatedAt()) < shareKeep
 	slots := s.slots()
 	for zone, h := range s.holders {
 		want := 0
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -175,8 +175,8 @@
 	return most
 }
 
-// Pressed returns when a request last found no upstream with room.
-func (g *Gateway) Pressed() time.Time {
+// SaturatedAt returns when a request last found no upstream with room.
+func (g *Gateway) SaturatedAt() time.Time {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	var last time.Time
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -394,7 +394,7 @@
 	defer cancel()
 	var benches []*bench
 	for _, name := range []string{"entry-1", "entry-2"} {
-		book := claim.Start(ctx, store, clock.System{}, name, claim.WithWrites(1000, 0))
+		book := claim.Start(ctx, store, clock.System{}, name, claim.WithWriteRate(1000, 0))
 		benches = append(benches, serveBench(t, gateway.New(clock.System{}, book), store, "30s", address))
 	}
 	const keys = 30
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -204,7 +204,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	store := memory.New(clock.System{})
-	book := claim.Start(ctx, store, clock.System{}, "entry-1", claim.WithWrites(1000, 0))
+	book := claim.Start(ctx, store, clock.System{}, "entry-1", claim.WithWriteRate(1000, 0))
 	return serveBench(t, gateway.New(clock.System{}, book), store, timeout, addresses...)
 }
 
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -117,7 +117,7 @@
 
 // A ticket settles the claim of a request, if it has one.
 type ticket interface {
-	Settle(s claim.State, status int)
+	RecordOutcome(s claim.State, status int)
 }
 
 var (
@@ -128,8 +128,8 @@
 // A noTicket is the ticket of a request that needs no claim.
 type noTicket struct{}
 
-// Settle does nothing.
-func (noTicket) Settle(claim.State, int) {}
+// RecordOutcome does nothing.
+func (noTicket) RecordOutcome(claim.State, int) {}
 
 // claim claims the request's key. Nothing has been sent by then, so every
 // refusal is honest in saying that this request did not run.
@@ -192,7 +192,7 @@
 	for n := 1; ; n++ {
 		grant, err := x.service.Acquire(ctx, x.request())
 		if err != nil {
-			t.Settle(claim.Released, 0)
+			t.RecordOutcome(claim.Released, 0)
 			return g.refuse(w, x, refusal(err))
 		}
 		x.grant = grant
@@ -280,25 +280,25 @@
 func (g *Gateway) conclude(w http.ResponseWriter, x *exchange, a *attempt, t ticket) outcome {
 	switch a.end {
 	case endUnsent:
-		t.Settle(claim.Released, 0)
+		t.RecordOutcome(claim.Released, 0)
 		if x.in.Context().Err() != nil || a.peer != nil && errors.Is(a.err, context.DeadlineExceeded) {
 			return g.refuse(w, x, x.late(RanNo))
 		}
 		return g.refuse(w, x, newProblem(http.StatusServiceUnavailable, outcomeNotRun, RanNo,
 			"the upstream could not be reached", a.err.Error()).after(time.Second))
 	case endNotRun:
-		t.Settle(claim.Released, 0)
+		t.RecordOutcome(claim.Released, 0)
 		return g.refuse(w, x, newProblem(http.StatusServiceUnavailable, outcomeNotRun, RanNo,
 			"the upstream did not run the request", "").after(time.Second))
 	case endUnknown:
-		t.Settle(claim.Unknown, 0)
+		t.RecordOutcome(claim.Unknown, 0)
 		if x.in.Context().Err() != nil || errors.Is(a.err, context.DeadlineExceeded) {
 			return g.refuse(w, x, x.late(RanUnknown))
 		}
 		return g.refuse(w, x, newProblem(http.StatusBadGateway, outcomeUnknown, RanUnknown,
 			"the upstream failed", a.err.Error()))
 	}
-	t.Settle(claim.Ran, a.answer.StatusCode)
+	t.RecordOutcome(claim.Ran, a.answer.StatusCode)
 	return g.passOn(w, x, a)
 }
 
--- a/intake/desk.go
+++ b/intake/service.go
@@ -40,9 +40,9 @@
 
 // An Owners reaches the owners of pools, wherever they are.
 type Owners interface {
-	// Submitted tells a pool's owner of a job that was accepted by the change
+	// NotifySubmitted tells a pool's owner of a job that was accepted by the change
 	// that made revision at. It does not wait.
-	Submitted(pool, id, customer string, accepted []byte, at pointport.Revision)
+	NotifySubmitted(pool, id, customer string, accepted []byte, at pointport.Revision)
 	// Excess returns for how long a pool's owner wants no more jobs of a customer, zero if
 	// it does. It does not wait.
 	Excess(pool, customer string) time.Duration
@@ -52,15 +52,15 @@
 	// Status asks a pool's owner for a job; false if it does not know the job, or the
 	// caller may not.
 	Status(ctx context.Context, pool, id string, by customer.Caller) (workload.Status, bool, error)
-	// Keep has a peer keep a job and returns the peer's name. It fails with a
+	// StoreAtPeer has a peer keep a job and returns the peer's name. It fails with a
 	// *RefusedError or an *UnsureError.
-	Keep(ctx context.Context, s Submission) (peer string, err error)
+	StoreAtPeer(ctx context.Context, s Submission) (peer string, err error)
 	// Waiting asks a pool's owner how many jobs of a queue have not begun.
 	Waiting(ctx context.Context, pool, queue string) (int, error)
 }
 
-// A Desk takes jobs. It is safe for concurrent use.
-type Desk struct {
+// A Service takes jobs. It is safe for concurrent use.
+type Service struct {
 	kv     pointport.KV
 	owners Owners
 	clock  pointport.Clock
@@ -75,22 +75,22 @@
 	logger    *slog.Logger
 }
 
-// A DeskOption changes a Desk.
-type DeskOption func(*Desk)
+// A Option changes a Desk.
+type Option func(*Service)
 
-// WithFull sets what reports that this member can hold no more. A job is then kept by a
+// WithLowMemory sets what reports that this member can hold no more. A job is then kept by a
 // peer, or refused at once.
-func WithFull(full func() bool) DeskOption { return func(d *Desk) { d.full = full } }
+func WithLowMemory(full func() bool) Option { return func(d *Service) { d.full = full } }
 
 // WithCustomers sets what returns the customers in force and the version of the
 // configuration that lists them.
-func WithCustomers(customers func() (*customer.Directory, int64)) DeskOption {
-	return func(d *Desk) { d.customers = customers }
+func WithCustomers(customers func() (*customer.Directory, int64)) Option {
+	return func(d *Service) { d.customers = customers }
 }
 
-// NewDesk returns a desk for callers that show no key.
-func NewDesk(kv pointport.KV, owners Owners, clock pointport.Clock, reachable func() bool, logger *slog.Logger, options ...DeskOption) *Desk {
-	d := &Desk{kv: kv, owners: owners, clock: clock, reachable: reachable, full: func() bool { return false }, logger: logger}
+// NewService returns a desk for callers that show no key.
+func NewService(kv pointport.KV, owners Owners, clock pointport.Clock, reachable func() bool, logger *slog.Logger, options ...Option) *Service {
+	d := &Service{kv: kv, owners: owners, clock: clock, reachable: reachable, full: func() bool { return false }, logger: logger}
 	d.customers = func() (*customer.Directory, int64) { return nil, 0 }
 	for _, o := range options {
 		o(d)
@@ -98,8 +98,8 @@
 	return d
 }
 
-// As returns the desk as a caller sees it.
-func (d *Desk) As(c customer.Caller) *Desk {
+// ForCaller returns the desk as a caller sees it.
+func (d *Service) ForCaller(c customer.Caller) *Service {
 	as := *d
 	as.caller = c
 	return &as
@@ -107,25 +107,27 @@
 
 // A RefusedError says that a job was not taken and never runs by this attempt.
 type RefusedError struct {
-	ID    string
-	After time.Duration // when to come back
-	Cause string
+	ID         string
+	RetryAfter time.Duration // when to come back
+	Cause      string
 }
 
 func (e *RefusedError) Error() string {
-	return fmt.Sprintf("job %s is not taken: %s; come back in %v", e.ID, e.Cause, e.After)
+	return fmt.Sprintf("job %s is not taken: %s; come back in %v", e.ID, e.Cause, e.RetryAfter)
 }
 
-// An UnsureError says that it is not known whether a change took effect.
-type UnsureError struct {
+// An AmbiguousError says that it is not known whether a change took effect.
+type AmbiguousError struct {
 	ID  string
 	Err error
 }
 
-func (e *UnsureError) Error() string { return fmt.Sprintf("job %s: effect unknown: %v", e.ID, e.Err) }
+func (e *AmbiguousError) Error() string {
+	return fmt.Sprintf("job %s: effect unknown: %v", e.ID, e.Err)
+}
 
 // Unwrap returns the cause.
-func (e *UnsureError) Unwrap() error { return e.Err }
+func (e *AmbiguousError) Unwrap() error { return e.Err }
 
 // An UnknownJobError says that there is no such job, as far as its caller may know.
 type UnknownJobError struct {
@@ -139,13 +141,13 @@
 // An ExcessError says that a job was not taken, and never runs, because what its customer has
 // waiting already takes longer than any of it is of use.
 type ExcessError struct {
-	ID       string
-	Customer string
-	After    time.Duration // when to come back
+	ID         string
+	Customer   string
+	RetryAfter time.Duration // when to come back
 }
 
 func (e *ExcessError) Error() string {
-	return fmt.Sprintf("job %s is not taken: what %s has waiting already takes too long; come back in %v", e.ID, e.Customer, e.After)
+	return fmt.Sprintf("job %s is not taken: what %s has waiting already takes too long; come back in %v", e.ID, e.Customer, e.RetryAfter)
 }
 
 // A TakenError says that a job was not taken because its identity is another customer's.
@@ -169,7 +171,7 @@
 
 // Status returns how a job stands. It fails with an *UnknownJobError if there is
 // no such job.
-func (d *Desk) Status(ctx context.Context, q *workload.Queue, id string) (workload.Status, error) {
+func (d *Service) Status(ctx context.Context, q *workload.Queue, id string) (workload.Status, error) {
 	status, known, ownerErr := d.owners.Status(ctx, q.Pool, id, d.caller)
 	if ownerErr == nil && known {
 		return status, nil
@@ -185,7 +187,7 @@
 
 // storedStatus returns how a job stands by the store, or by the owner of the pool
 // that it was accepted for if its queue has gone to another since.
-func (d *Desk) storedStatus(ctx context.Context, q *workload.Queue, id string) (workload.Status, error) {
+func (d *Service) storedStatus(ctx context.Context, q *workload.Queue, id string) (workload.Status, error) {
 	record, err := d.record(ctx, id)
 	if err != nil {
 		return "", err
@@ -209,14 +211,14 @@
 }
 
 // logUnknown notes that a customer is told that there is no such job.
-func (d *Desk) logUnknown(err error, q *workload.Queue, id, asked string) {
+func (d *Service) logUnknown(err error, q *workload.Queue, id, asked string) {
 	var unknown *UnknownJobError
 	if errors.As(err, &unknown) {
 		event.JobUnknown.Log(d.logger, slog.String("job", id), slog.String("queue", q.Name), slog.String("asked", asked))
 	}
 }
 
-func (d *Desk) record(ctx context.Context, id string) (workload.Record, error) {
+func (d *Service) record(ctx context.Context, id string) (workload.Record, error) {
 	e, err := d.kv.Get(ctx, workload.RecordKey(id))
 	if err != nil {
 		return workload.Record{}, err
@@ -233,7 +235,7 @@
 
 // Cancel cancels a job and returns once that is stored. A job that is over stays
 // as it ended. It fails with an *UnknownJobError if there is no such job.
-func (d *Desk) Cancel(ctx context.Context, q *workload.Queue, id string) error {
+func (d *Service) Cancel(ctx context.Context, q *workload.Queue, id string) error {
 	if known, err := d.owners.Cancel(ctx, q.Pool, id, d.caller); err == nil && known {
 		event.JobCancelled.Log(d.logger, slog.String("job", id), slog.String("by", "owner"))
 		return nil
@@ -257,7 +259,7 @@
 }
 
 // leaveCancel leaves a cancellation in the store for the owner.
-func (d *Desk) leaveCancel(ctx context.Context, pool, id string) error {
+func (d *Service) leaveCancel(ctx context.Context, pool, id string) error {
 	txn := pointport.Txn{Put: []pointport.Put{{Key: workload.CancelKey(pool, id), Value: []byte("cancel")}}}
 	for {
 		_, err := d.kv.Commit(ctx, txn)
@@ -268,7 +270,7 @@
 		select {
 		case <-d.clock.After(unsureRetry):
 		case <-ctx.Done():
-			return &UnsureError{ID: id, Err: err}
+			return &AmbiguousError{ID: id, Err: err}
 		}
 	}
 }
@@ -276,7 +278,7 @@
 // bury takes the identity of a job that nobody has submitted yet, so that a
 // submission that is still under way cannot bring it to life after its customer
 // was told that there is no such job.
-func (d *Desk) bury(ctx context.Context, q *workload.Queue, id string) error {
+func (d *Service) bury(ctx context.Context, q *workload.Queue, id string) error {
 	record, err := workload.Record{Pool: q.Pool, Queue: q.Name, Customer: d.caller.Name, Ended: workload.Cancelled}.Encode()
 	if err != nil {
 		return err
@@ -298,6 +300,6 @@
 }
 
 // Waiting returns how many jobs of a queue have not begun.
-func (d *Desk) Waiting(ctx context.Context, q *workload.Queue) (int, error) {
+func (d *Service) Waiting(ctx context.Context, q *workload.Queue) (int, error) {
 	return d.owners.Waiting(ctx, q.Pool, q.Name)
 }
--- a/intake/submit.go
+++ b/intake/submit.go
@@ -45,7 +45,7 @@
 
 // Submit accepts a job. It fails with a *workload.SpecError, a *RefusedError, an
 // *ExcessError, a *RevokedError, a *TakenError or an *UnsureError.
-func (d *Desk) Submit(ctx context.Context, q *workload.Queue, id string, spec *workload.Spec) error {
+func (d *Service) Submit(ctx context.Context, q *workload.Queue, id string, spec *workload.Spec) error {
 	if err := d.check(spec); err != nil {
 		event.JobInvalid.Log(d.logger, slog.String("job", id), slog.String("queue", q.Name), slog.Any("error", err))
 		return err
@@ -60,7 +60,7 @@
 	s := Submission{ID: id, Queue: q.Name, Pool: q.Pool, By: d.caller, Accepted: accepted}
 	err = d.StoreJob(ctx, s)
 	var refused *RefusedError
-	var unsure *UnsureError
+	var unsure *AmbiguousError
 	if errors.As(err, &refused) || errors.As(err, &unsure) && ctx.Err() == nil {
 		err = d.handOn(ctx, s, err)
 	}
@@ -73,7 +73,7 @@
 
 // check returns a *workload.SpecError if the job could never run: as it is, or because its
 // customer's cap is below what has to run at once.
-func (d *Desk) check(spec *workload.Spec) error {
+func (d *Service) check(spec *workload.Spec) error {
 	if err := spec.Check(); err != nil {
 		return err
 	}
@@ -93,7 +93,7 @@
 // inExcess refuses a job of which its customer has too many already. One that was accepted
 // before, and whose customer has not heard so, is none more: what is refused never runs. It
 // fails with an *ExcessError.
-func (d *Desk) inExcess(ctx context.Context, q *workload.Queue, id string) error {
+func (d *Service) inExcess(ctx context.Context, q *workload.Queue, id string) error {
 	after := d.owners.Excess(q.Pool, d.caller.Name)
 	if after <= 0 {
 		return nil
@@ -103,14 +103,14 @@
 		return nil
 	}
 	event.JobExcess.Log(d.logger, slog.String("job", id), slog.String("queue", q.Name), slog.String("customer", d.caller.Name), slog.Duration("after", after))
-	return &ExcessError{ID: id, Customer: d.caller.Name, After: after}
+	return &ExcessError{ID: id, Customer: d.caller.Name, RetryAfter: after}
 }
 
 // handOn has a peer keep a job that this member could not. cause is why; if it
 // leaves open whether the job is kept, only an acceptance makes that sure.
-func (d *Desk) handOn(ctx context.Context, s Submission, cause error) error {
-	peer, err := d.owners.Keep(ctx, s)
-	var unsure *UnsureError
+func (d *Service) handOn(ctx context.Context, s Submission, cause error) error {
+	peer, err := d.owners.StoreAtPeer(ctx, s)
+	var unsure *AmbiguousError
 	var refused, refusedHere *RefusedError
 	switch {
 	case err == nil:
@@ -119,29 +119,29 @@
 	case errors.As(cause, &unsure):
 		return cause
 	case errors.As(err, &refused) && errors.As(cause, &refusedHere):
-		return &RefusedError{ID: s.ID, After: refused.After, Cause: refusedHere.Cause + "; nor does a peer store it: " + refused.Cause}
+		return &RefusedError{ID: s.ID, RetryAfter: refused.RetryAfter, Cause: refusedHere.Cause + "; nor does a peer store it: " + refused.Cause}
 	}
 	return err
 }
 
 // CanStore reports whether this member can store a job at present: the platform's store
 // answers, and there is memory for it.
-func (d *Desk) CanStore() bool { return d.reachable() && !d.full() }
+func (d *Service) CanStore() bool { return d.reachable() && !d.full() }
 
 // StoreJob stores a job without asking anybody else to. It fails with a *RefusedError, a
 // *RevokedError, a *TakenError or an *UnsureError.
 //
 // A job that a peer hands on was judged by the configuration that the peer knew. A peer that
 // the store does not serve may know an old one, so a newer one here has the last word.
-func (d *Desk) StoreJob(ctx context.Context, s Submission) error {
+func (d *Service) StoreJob(ctx context.Context, s Submission) error {
 	if customers, version := d.customers(); s.By.Revoked(customers, version) {
 		return &RevokedError{ID: s.ID}
 	}
 	if !d.reachable() {
-		return &RefusedError{ID: s.ID, After: RetryAfter, Cause: "the store gives no answer"}
+		return &RefusedError{ID: s.ID, RetryAfter: RetryAfter, Cause: "the store gives no answer"}
 	}
 	if d.full() {
-		return &RefusedError{ID: s.ID, After: RetryAfter, Cause: "the entry instance is short of memory"}
+		return &RefusedError{ID: s.ID, RetryAfter: RetryAfter, Cause: "the entry instance is short of memory"}
 	}
 	now := d.clock.Now()
 	txn, err := s.txn()
@@ -160,7 +160,7 @@
 	if kept.open {
 		// A job that was found may be kept by another pool than that which its queue has
 		// now, and two owners would run it.
-		d.owners.Submitted(cmp.Or(kept.pool, s.Pool), s.ID, s.By.Name, s.Accepted, kept.at)
+		d.owners.NotifySubmitted(cmp.Or(kept.pool, s.Pool), s.ID, s.By.Name, s.Accepted, kept.at)
 	}
 	return nil
 }
@@ -181,7 +181,7 @@
 }
 
 // commit makes a change that takes an identity.
-func (d *Desk) commit(ctx context.Context, id string, txn pointport.Txn) (keeping, error) {
+func (d *Service) commit(ctx context.Context, id string, txn pointport.Txn) (keeping, error) {
 	unsure := false
 	for {
 		at, err := d.kv.Commit(ctx, txn)
@@ -196,21 +196,21 @@
 		ambiguous := !errors.As(err, &unavailable) || unavailable.Ambiguous
 		unsure = unsure || ambiguous
 		if !unsure {
-			return keeping{}, &RefusedError{ID: id, After: RetryAfter, Cause: err.Error()}
+			return keeping{}, &RefusedError{ID: id, RetryAfter: RetryAfter, Cause: err.Error()}
 		}
 		if !d.reachable() {
-			return keeping{}, &UnsureError{ID: id, Err: err}
+			return keeping{}, &AmbiguousError{ID: id, Err: err}
 		}
 		select {
 		case <-d.clock.After(unsureRetry):
 		case <-ctx.Done():
-			return keeping{}, &UnsureError{ID: id, Err: err}
+			return keeping{}, &AmbiguousError{ID: id, Err: err}
 		}
 	}
 }
 
 // found says how an identity stands that was taken already.
-func (d *Desk) found(id string, conflict *pointport.TxnConflictError) keeping {
+func (d *Service) found(id string, conflict *pointport.TxnConflictError) keeping {
 	for _, e := range conflict.Entries {
 		if e.Key() != workload.RecordKey(id) {
 			continue
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -364,11 +364,11 @@
 	}
 	n, err := node.Start(ctx, services, node.Parameters{
 		Name: name, Zone: "north", Addresses: node.Addresses{Peers: ""}, LeaseTTL: member.DefaultTTL,
-		TaskLease: 4 * time.Second, Grace: 6 * time.Second, HolderTime: holderTime, PeerName: name, MachineOrders: c.perSecond,
-		GangTime: testbed.DefaultGangTime, FarFactor: 2,
-		ConfigTime: c.configTime,
-		Capacity:   capacity.Settings{MoveTime: testbed.DefaultMoveTime, UpkeepTime: testbed.DefaultUpkeep}, Keys: c.keys,
-		Full: func() bool {
+		TaskLease: 4 * time.Second, Grace: 6 * time.Second, HolderTime: holderTime, PeerName: name, MachineOrdersPerSecond: c.perSecond,
+		GangTimeout: testbed.DefaultGangTime, RemoteDataSlowdown: 2,
+		ConfigApplyTime: c.configTime,
+		Capacity:        capacity.Settings{MoveTime: testbed.DefaultMoveTime, UpkeepTime: testbed.DefaultUpkeep}, Keys: c.keys,
+		LowMemory: func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			return c.full[name]
--- a/node/follow.go
+++ b/node/follow.go
@@ -241,8 +241,8 @@
 	f.sight.Until = now
 }
 
-// Sight returns how well the registrations are known.
-func (f *fleet) Sight() schedule.RegistryCoverage {
+// Coverage returns how well the registrations are known.
+func (f *fleet) Coverage() schedule.RegistryCoverage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.sight
@@ -260,9 +260,9 @@
 	f.changed = make(chan struct{})
 }
 
-// Of returns the registrations of a pool's instances, and a channel that is
+// InPool returns the registrations of a pool's instances, and a channel that is
 // closed when any registration changes.
-func (f *fleet) Of(pool string) ([]pointport.Incarnation, <-chan struct{}) {
+func (f *fleet) InPool(pool string) ([]pointport.Incarnation, <-chan struct{}) {
 	f.once.Do(f.start)
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/node/handon_test.go
+++ b/node/handon_test.go
@@ -68,7 +68,7 @@
 		from := time.Now()
 		err := n.Desk().Submit(context.Background(), q, refused, twoSteps(100*time.Millisecond))
 		var no *intake.RefusedError
-		if !errors.As(err, &no) || no.After <= 0 || time.Since(from) > 300*time.Millisecond {
+		if !errors.As(err, &no) || no.RetryAfter <= 0 || time.Since(from) > 300*time.Millisecond {
 			t.Errorf("%v after %v, want a refusal at once with a time to come back", err, time.Since(from))
 		}
 		c.fill()
@@ -107,7 +107,7 @@
 				from := time.Now()
 				err := n.Desk().Submit(context.Background(), q, "00000000000000aa", twoSteps(100*time.Millisecond))
 				var refused *intake.RefusedError
-				if !errors.As(err, &refused) || refused.After <= 0 {
+				if !errors.As(err, &refused) || refused.RetryAfter <= 0 {
 					t.Errorf("answer %v, want a refusal with a time to come back", err)
 				}
 				if took := time.Since(from); took > test.within {
--- a/node/store_test.go
+++ b/node/store_test.go
@@ -30,7 +30,7 @@
 		err := n.Desk().Submit(ctx, q, "00000000000000dd", twoSteps(time.Second))
 		cancel()
 		var refused *intake.RefusedError
-		if !errors.As(err, &refused) || refused.After <= 0 {
+		if !errors.As(err, &refused) || refused.RetryAfter <= 0 {
 			t.Errorf("submission while the store is away: %v, want a refusal with a time to come back", err)
 		}
 		c.setStoreFate(storeWorks)
--- a/node/storm_test.go
+++ b/node/storm_test.go
@@ -52,7 +52,7 @@
 					cancel()
 					var excess *intake.ExcessError
 					if errors.As(err, &excess) {
-						if excess.After <= 0 || customer != "bistro" {
+						if excess.RetryAfter <= 0 || customer != "bistro" {
 							t.Errorf("a job of %s is refused: %v", customer, err)
 						}
 						k.refused = true
--- a/operator/workloads.go
+++ b/operator/workloads.go
@@ -97,7 +97,7 @@
 	var missing *pointport.NotFoundError
 	var unknown *intake.UnknownJobError
 	var refused *intake.RefusedError
-	var unsure *intake.UnsureError
+	var unsure *intake.AmbiguousError
 	switch {
 	case errors.As(err, &field):
 		return http.StatusUnprocessableEntity, "invalid"
--- a/operator/workloads_test.go
+++ b/operator/workloads_test.go
@@ -63,7 +63,7 @@
 		{"same name", "PUT", "/v1/queues/q/jobs/00000000000000aa", "steps: [{name: a, count: 1}, {name: a, count: 1}]", nil, 422, `steps[1].name is a`},
 		{"no tasks", "PUT", "/v1/queues/q/jobs/00000000000000aa", "steps: [{count: 0}]", nil, 422, `steps[0].count is 0`},
 		{"refused", "PUT", "/v1/queues/q/jobs/00000000000000aa", document, &intake.RefusedError{ID: "a", Cause: "store"}, 503, `"refused"`},
-		{"unsure", "PUT", "/v1/queues/q/jobs/00000000000000aa", document, &intake.UnsureError{ID: "a", Err: errors.New("lost")}, 504, `"unsettled"`},
+		{"unsure", "PUT", "/v1/queues/q/jobs/00000000000000aa", document, &intake.AmbiguousError{ID: "a", Err: errors.New("lost")}, 504, `"unsettled"`},
 		{"status", "GET", "/v1/queues/q/jobs/00000000000000aa", "", nil, 200, `"status":"completed"`},
 		{"unknown job", "GET", "/v1/queues/q/jobs/00000000000000aa", "", &intake.UnknownJobError{ID: "a"}, 404, `"not-found"`},
 		{"cancel", "DELETE", "/v1/queues/q/jobs/00000000000000aa", "", nil, 200, `"status":"cancelled"`},
--- a/peer/keep.go
+++ b/peer/keep.go
@@ -38,13 +38,13 @@
 	errNoneCanStore = errors.New("no peer that was asked can reach the store")
 )
 
-// Keep has a peer store a job, and returns the peer's name. The peer to ask first depends on
+// StoreAtPeer has a peer store a job, and returns the peer's name. The peer to ask first depends on
 // the job's ID, so that the peers share the load. The job is stored only once, however many
 // peers are asked.
 //
 // It fails with an *intake.UnsureError if the job may have been stored, and otherwise with an
 // *intake.RefusedError, an *intake.RevokedError or an *intake.TakenError.
-func (o *Owners) Keep(ctx context.Context, s intake.Submission) (string, error) {
+func (o *Owners) StoreAtPeer(ctx context.Context, s intake.Submission) (string, error) {
 	var unsure error
 	peers, cause := o.storePeers(ctx, s)
 	for _, m := range peers {
@@ -70,9 +70,9 @@
 		}
 	}
 	if unsure != nil {
-		return "", &intake.UnsureError{ID: s.ID, Err: unsure}
+		return "", &intake.AmbiguousError{ID: s.ID, Err: unsure}
 	}
-	return "", &intake.RefusedError{ID: s.ID, After: intake.RetryAfter, Cause: cause.Error()}
+	return "", &intake.RefusedError{ID: s.ID, RetryAfter: intake.RetryAfter, Cause: cause.Error()}
 }
 
 // storePeers returns the peers that are believed to be able to store a job: one that has just
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -147,9 +147,9 @@
 	return r, json.NewDecoder(res.Body).Decode(&r)
 }
 
-// Submitted notifies a pool's owner of an accepted job, and records from the answer whether
+// NotifySubmitted notifies a pool's owner of an accepted job, and records from the answer whether
 // the owner wants more jobs of the customer.
-func (o *Owners) Submitted(pool, id, customerName string, accepted []byte, revision pointport.Revision) {
+func (o *Owners) NotifySubmitted(pool, id, customerName string, accepted []byte, revision pointport.Revision) {
 	if local, ok := o.manager.Controller(pool); ok {
 		local.Submitted(id, accepted, revision)
 		return
--- a/shard/owner.go
+++ b/shard/owner.go
@@ -64,12 +64,12 @@
 
 // Incarnations tells which incarnations a pool has.
 type Incarnations interface {
-	// Of returns the registrations of the pool's instances, and a channel that
+	// InPool returns the registrations of the pool's instances, and a channel that
 	// is closed when any registration changes.
-	Of(pool string) ([]pointport.Incarnation, <-chan struct{})
-	// Sight returns how well the registrations are known. Whatever was known at its end
+	InPool(pool string) ([]pointport.Incarnation, <-chan struct{})
+	// Coverage returns how well the registrations are known. Whatever was known at its end
 	// has closed the channel that Of returned before it.
-	Sight() schedule.RegistryCoverage
+	Coverage() schedule.RegistryCoverage
 }
 
 // Services are what an owner stands on.
@@ -168,11 +168,11 @@
 // WithMaxHold sets for how long an instance runs anything without a further order.
 func WithMaxHold(d time.Duration) Option { return func(o *Owner) { o.maxHold = d } }
 
-// WithGangTime sets how long an instance waits for the others of a gang.
-func WithGangTime(d time.Duration) Option { return func(o *Owner) { o.gangTime = d } }
+// WithGangTimeout sets how long an instance waits for the others of a gang.
+func WithGangTimeout(d time.Duration) Option { return func(o *Owner) { o.gangTime = d } }
 
-// WithFarFactor sets how many times as long a task takes away from its data.
-func WithFarFactor(f float64) Option { return func(o *Owner) { o.far = f } }
+// WithRemoteDataSlowdown sets how many times as long a task takes away from its data.
+func WithRemoteDataSlowdown(f float64) Option { return func(o *Owner) { o.far = f } }
 
 const (
 	// defaultMaxHold, defaultGangTime and defaultFar stand where the platform does not
@@ -234,7 +234,7 @@
 	close(o.ready)
 	go o.follow(ctx, at)
 	wake := o.clock.After(0)
-	_, moved := o.fleet.Of(o.own.Pool)
+	_, moved := o.fleet.InPool(o.own.Pool)
 	o.refresh()
 	for {
 		select {
@@ -270,7 +270,7 @@
 // see tells the book how well the registrations are known, once it has been told all that
 // was known of them by then. It returns the channel that is closed when any changes.
 func (o *Owner) see(moved <-chan struct{}) <-chan struct{} {
-	sight := o.fleet.Sight()
+	sight := o.fleet.Coverage()
 	select {
 	case <-moved:
 		moved = o.refresh()
@@ -288,7 +288,7 @@
 }
 
 func (o *Owner) refresh() <-chan struct{} {
-	all, moved := o.fleet.Of(o.own.Pool)
+	all, moved := o.fleet.InPool(o.own.Pool)
 	o.book.SetIncarnations(o.clock.Now(), all)
 	return moved
 }
--- a/soak/customer_test.go
+++ b/soak/customer_test.go
@@ -154,7 +154,7 @@
 			c.soak.jobs.update(func() { t.outcome = accepted })
 			return
 		case errors.As(err, &no):
-			time.Sleep(min(no.After, time.Second))
+			time.Sleep(min(no.RetryAfter, time.Second))
 			continue
 		}
 		sure = false
@@ -171,7 +171,7 @@
 // judge reports an answer that an entry owed: one that was told to end as planned
 // cuts nothing off.
 func (c *customer) judge(e *entry, from time.Time, err error) {
-	var unsure *intake.UnsureError
+	var unsure *intake.AmbiguousError
 	if !errors.As(err, &unsure) || !strings.Contains(err.Error(), "EOF") && !strings.Contains(err.Error(), "reset") {
 		return
 	}
