--- a/elect/elect_test.go
+++ b/elect/elect_test.go
@@ -54,8 +54,8 @@
 	})
 }
 
-// TestCallsOfTheOthers counts what candidates without the lease cost.
-func TestCallsOfTheOthers(t *testing.T) {
+// TestCallsOfOtherCandidates counts what candidates without the lease cost.
+func TestCallsOfOtherCandidates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
 		for _, name := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"} {
--- a/elect/suspend_test.go
+++ b/elect/suspend_test.go
@@ -9,11 +9,11 @@
 	"github.com/pointport/pointport/elect"
 )
 
-// freeLeases grants every lease.
-type freeLeases struct{}
+// alwaysGranted grants every lease.
+type alwaysGranted struct{}
 
-func (freeLeases) Lease(context.Context, string, string, time.Duration) error { return nil }
-func (freeLeases) Release(context.Context, string, string) error              { return nil }
+func (alwaysGranted) Lease(context.Context, string, string, time.Duration) error { return nil }
+func (alwaysGranted) Release(context.Context, string, string) error              { return nil }
 
 // Whoever is suspended for longer than its lease lasts does not hold it on waking, although
 // its own clock has counted next to nothing.
@@ -21,7 +21,7 @@
 	c := clock.NewFake(time.Unix(1000, 0))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	candidate := elect.Start(ctx, freeLeases{}, c, "planner", "me", time.Minute)
+	candidate := elect.Start(ctx, alwaysGranted{}, c, "planner", "me", time.Minute)
 	for end := time.Now().Add(5 * time.Second); !candidate.Held() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
--- a/member/rest_test.go
+++ b/member/call_rate_test.go
@@ -20,11 +20,11 @@
 // This file tests how many calls to the store members make among many.
 
 // When 300 members start together, the roster is not told to each of them at every change.
-func TestMembersThatStartTogetherAskSeldom(t *testing.T) {
+func TestMembersThatStartTogetherSendFewWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const members, most = 300, 6000 // calls, in 3 s, what a small store takes
 		ctx, cancel := context.WithCancel(context.Background())
-		kv := limit(memory.New(clock.System{}), false)
+		kv := newLimitedStore(memory.New(clock.System{}), false)
 		for n := range members {
 			s := member.StartSession(ctx, kv, clock.System{}, member.DefaultTTL, quiet)
 			member.StartRoster(ctx, kv, clock.System{}, s, member.Member{Name: fmt.Sprintf("m%03d", n), Strength: 1}, quiet)
@@ -42,30 +42,30 @@
 
 // A member that owns nothing takes its first pool under a short lease: once it is gone the
 // pool is free as soon as if it had owned one before.
-func TestFirstPoolGoesWithAShortLease(t *testing.T) {
+func TestFirstPoolIsTakenUnderShortLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
-		p := join(store, "a", 1)
+		p := startMember(store, "a", 1)
 		time.Sleep(5 * time.Second)
 		if _, err := p.roster.Take(context.Background(), "p"); err != nil {
 			t.Fatal(err)
 		}
-		p.end()
+		p.stop()
 		time.Sleep(member.DefaultTTL + 50*time.Millisecond)
 		e, err := store.KV().Get(context.Background(), member.OwnerKey("p"))
 		if err != nil || e.Exists() {
 			t.Errorf("the pool is owned %v after its owner is gone: %v", member.DefaultTTL, err)
 		}
-		settle(p)
+		stopMembers(p)
 	})
 }
 
 // The lease under which something is owned is not exchanged, however long it is since
 // anybody asked for a short one.
-func TestLeaseOfAnOwnerIsKept(t *testing.T) {
+func TestOwnersLeaseIsNotExchanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
-		p := join(store, "a", 1)
+		p := startMember(store, "a", 1)
 		time.Sleep(5 * time.Second)
 		own, err := p.roster.Take(context.Background(), "p")
 		if err != nil {
@@ -83,38 +83,38 @@
 		if p.session.Lease() == lease {
 			t.Error("the short lease is kept by a member that owns nothing")
 		}
-		settle(p)
+		stopMembers(p)
 	})
 }
 
-// A worker is a member that looks after pools.
-type worker struct {
-	keeper *member.PoolManager[*tenant]
+// A managedMember is a member that looks after pools.
+type managedMember struct {
+	keeper *member.PoolManager[*fakeController]
 	cancel context.CancelFunc
 }
 
-// hire starts a worker.
-func hire(kv pointport.KV, name string, pools []string) *worker {
+// startManagedMember starts a worker.
+func startManagedMember(kv pointport.KV, name string, pools []string) *managedMember {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := member.StartSession(ctx, kv, clock.System{}, member.DefaultTTL, quiet)
 	r := member.StartRoster(ctx, kv, clock.System{}, s, member.Member{Name: name, Strength: 1}, quiet)
-	k := member.StartPoolManager(ctx, clock.System{}, s, r, func() []string { return pools }, newTenant, quiet)
-	return &worker{k, cancel}
+	k := member.StartPoolManager(ctx, clock.System{}, s, r, func() []string { return pools }, newFakeController, quiet)
+	return &managedMember{k, cancel}
 }
 
 // While members that own nothing come and go, leases are exchanged to and fro, and no
 // ownership ends or is unproven because of that.
-func TestExchangedLeasesLoseNoOwnership(t *testing.T) {
+func TestLeaseExchangesLoseNoOwnership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const members, replaced, steps, step = 24, 8, 10, 13 * time.Second
 		pools := []string{"p", "q"}
-		kv := limit(memory.New(clock.System{}), false)
-		var workers []*worker
+		kv := newLimitedStore(memory.New(clock.System{}), false)
+		var workers []*managedMember
 		started := 0
 		start := func(n int) {
 			for range n {
 				started++
-				workers = append(workers, hire(kv, fmt.Sprintf("m%03d", started), pools))
+				workers = append(workers, startManagedMember(kv, fmt.Sprintf("m%03d", started), pools))
 			}
 		}
 		start(members)
@@ -123,7 +123,7 @@
 		for range steps {
 			start(replaced)
 			left := replaced
-			workers = slices.DeleteFunc(workers, func(w *worker) bool {
+			workers = slices.DeleteFunc(workers, func(w *managedMember) bool {
 				if left == 0 || w.keeper.Count() > 0 {
 					return false
 				}
@@ -149,7 +149,7 @@
 }
 
 // fences returns under which fence each pool is owned. Each must be proven, and by one.
-func fences(t *testing.T, workers []*worker) map[string]pointport.Fence {
+func fences(t *testing.T, workers []*managedMember) map[string]pointport.Fence {
 	t.Helper()
 	out := make(map[string]pointport.Fence)
 	for _, w := range workers {
@@ -167,59 +167,59 @@
 	return out
 }
 
-// A quota is a store that counts its calls and, if it is limited, refuses those beyond a
+// A limitedStore is a store that counts its calls and, if it is limited, refuses those beyond a
 // number of reading and of writing ones a second, as a small store does.
-type quota struct {
+type limitedStore struct {
 	pointport.KV
 	limited bool
 
-	mu      sync.Mutex
-	at      time.Time
-	left    map[bool]float64 // by whether calls write
-	asked   map[string]int   // by what is asked
-	refused int
+	mu         sync.Mutex
+	refilledAt time.Time
+	budget     map[bool]float64 // by whether calls write
+	calls      map[string]int   // by what is asked
+	refused    int
 }
 
 // The quotas of a small store, in calls a second.
 const (
-	quotaReads  = 2000
-	quotaWrites = 400
+	readsPerSecond  = 2000
+	writesPerSecond = 400
 )
 
-// limit returns a store with the quotas of a small one, or without any.
-func limit(store *memory.Store, limited bool) *quota {
-	return &quota{
-		KV: store.KV(memory.WithLatency(4 * time.Millisecond)), limited: limited, at: time.Now(),
-		left: map[bool]float64{false: quotaReads, true: quotaWrites}, asked: make(map[string]int),
+// newLimitedStore returns a store with the quotas of a small one, or without any.
+func newLimitedStore(store *memory.Store, limited bool) *limitedStore {
+	return &limitedStore{
+		KV: store.KV(memory.WithLatency(4 * time.Millisecond)), limited: limited, refilledAt: time.Now(),
+		budget: map[bool]float64{false: readsPerSecond, true: writesPerSecond}, calls: make(map[string]int),
 	}
 }
 
-// take counts a call and returns an error if it is beyond the quota.
-func (q *quota) take(op string, writes bool) error {
+// admit counts a call and returns an error if it is beyond the quota.
+func (q *limitedStore) admit(op string, writes bool) error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.asked[op]++
-	passed := time.Since(q.at).Seconds()
-	q.at = time.Now()
-	q.left[false] = min(q.left[false]+passed*quotaReads, quotaReads)
-	q.left[true] = min(q.left[true]+passed*quotaWrites, quotaWrites)
-	if q.limited && q.left[writes] < 1 {
+	q.calls[op]++
+	passed := time.Since(q.refilledAt).Seconds()
+	q.refilledAt = time.Now()
+	q.budget[false] = min(q.budget[false]+passed*readsPerSecond, readsPerSecond)
+	q.budget[true] = min(q.budget[true]+passed*writesPerSecond, writesPerSecond)
+	if q.limited && q.budget[writes] < 1 {
 		q.refused++
 		return &pointport.UnavailableError{Op: op, Busy: true, Err: errors.New("too many calls")}
 	}
-	q.left[writes]--
+	q.budget[writes]--
 	return nil
 }
 
 // count returns how many calls of a kind were made.
-func (q *quota) count(op string) int {
+func (q *limitedStore) count(op string) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.asked[op]
+	return q.calls[op]
 }
 
 // refusals returns how many calls were refused since it was asked last.
-func (q *quota) refusals() int {
+func (q *limitedStore) refusals() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	n := q.refused
@@ -227,50 +227,50 @@
 	return n
 }
 
-func (q *quota) Get(ctx context.Context, key string) (pointport.Entry, error) {
-	if err := q.take("get", false); err != nil {
+func (q *limitedStore) Get(ctx context.Context, key string) (pointport.Entry, error) {
+	if err := q.admit("get", false); err != nil {
 		return pointport.Entry{}, err
 	}
 	return q.KV.Get(ctx, key)
 }
 
-func (q *quota) Range(ctx context.Context, prefix, after string) (pointport.Page, error) {
-	if err := q.take("range", false); err != nil {
+func (q *limitedStore) Range(ctx context.Context, prefix, after string) (pointport.Page, error) {
+	if err := q.admit("range", false); err != nil {
 		return pointport.Page{}, err
 	}
 	return q.KV.Range(ctx, prefix, after)
 }
 
-func (q *quota) WatchPrefix(ctx context.Context, prefix string, after pointport.Revision, wait time.Duration) (pointport.Changes, error) {
-	if err := q.take("watch", false); err != nil {
+func (q *limitedStore) WatchPrefix(ctx context.Context, prefix string, after pointport.Revision, wait time.Duration) (pointport.Changes, error) {
+	if err := q.admit("watch", false); err != nil {
 		return pointport.Changes{}, err
 	}
 	return q.KV.WatchPrefix(ctx, prefix, after, wait)
 }
 
-func (q *quota) Renew(ctx context.Context, lease pointport.LeaseID) error {
-	if err := q.take("renew", false); err != nil {
+func (q *limitedStore) Renew(ctx context.Context, lease pointport.LeaseID) error {
+	if err := q.admit("renew", false); err != nil {
 		return err
 	}
 	return q.KV.Renew(ctx, lease)
 }
 
-func (q *quota) Commit(ctx context.Context, txn pointport.Txn) (pointport.Revision, error) {
-	if err := q.take("commit", true); err != nil {
+func (q *limitedStore) Commit(ctx context.Context, txn pointport.Txn) (pointport.Revision, error) {
+	if err := q.admit("commit", true); err != nil {
 		return 0, err
 	}
 	return q.KV.Commit(ctx, txn)
 }
 
-func (q *quota) Grant(ctx context.Context, ttl time.Duration) (pointport.LeaseID, error) {
-	if err := q.take("grant", true); err != nil {
+func (q *limitedStore) Grant(ctx context.Context, ttl time.Duration) (pointport.LeaseID, error) {
+	if err := q.admit("grant", true); err != nil {
 		return 0, err
 	}
 	return q.KV.Grant(ctx, ttl)
 }
 
-func (q *quota) Revoke(ctx context.Context, lease pointport.LeaseID) error {
-	if err := q.take("revoke", true); err != nil {
+func (q *limitedStore) Revoke(ctx context.Context, lease pointport.LeaseID) error {
+	if err := q.admit("revoke", true); err != nil {
 		return err
 	}
 	return q.KV.Revoke(ctx, lease)
@@ -282,10 +282,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		const members = 300
 		pools := []string{"a", "b", "c", "d", "e"}
-		q := limit(memory.New(clock.System{}), true)
-		var workers []*worker
+		q := newLimitedStore(memory.New(clock.System{}), true)
+		var workers []*managedMember
 		for n := range members {
-			workers = append(workers, hire(q, fmt.Sprintf("m%03d", n), pools))
+			workers = append(workers, startManagedMember(q, fmt.Sprintf("m%03d", n), pools))
 			time.Sleep(300 * time.Millisecond / members)
 		}
 		time.Sleep(3 * time.Second)
@@ -317,14 +317,14 @@
 
 // A member that tries to take a pool while the store refuses its calls does not ask for a
 // lease without a break.
-func TestTakingOnABusyStoreAsksSeldom(t *testing.T) {
+func TestTakeOnBusyStoreRequestsFewLeases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		kv := limit(memory.New(clock.System{}), false)
+		kv := newLimitedStore(memory.New(clock.System{}), false)
 		s := member.StartSession(ctx, kv, clock.System{}, member.DefaultTTL, quiet)
 		r := member.StartRoster(ctx, kv, clock.System{}, s, member.Member{Name: "a", Strength: 1}, quiet)
 		time.Sleep(2 * time.Second)
-		kv.close()
+		kv.refuseAll()
 		before := kv.count("grant")
 		_, err := r.Take(ctx, "p")
 		if !errors.Is(err, member.ErrNoLease) {
@@ -338,10 +338,10 @@
 	})
 }
 
-// close has all calls refused from now on.
-func (q *quota) close() {
+// refuseAll has all calls refused from now on.
+func (q *limitedStore) refuseAll() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.limited = true
-	q.left = map[bool]float64{false: -1e9, true: -1e9}
+	q.budget = map[bool]float64{false: -1e9, true: -1e9}
 }
--- a/member/follow_key_test.go
+++ b/member/follow_key_test.go
@@ -16,55 +16,55 @@
 	"github.com/pointport/pointport/memory"
 )
 
-// This file tests how a single key is followed.
+// This file tests FollowKey.
 
-// A followed key is one that is being followed, with what became known of it.
-type followed struct {
+// followTest follows a key and records what FollowKey reports of it.
+type followTest struct {
 	store *memory.Store
 
 	mu     sync.Mutex
 	values []string
 	fault  memory.Fault
 	calls  int
-	checks int // calls that are writing calls to the store
+	writes int // requests that count as writes at the store
 }
 
 // follow follows the key k of a new store until ctx ends.
-func follow(ctx context.Context, options ...member.KeyOption) *followed {
-	f := &followed{store: memory.New(clock.System{})}
-	inject := func(op, _ string) memory.Fault {
+func follow(ctx context.Context, options ...member.KeyOption) *followTest {
+	f := &followTest{store: memory.New(clock.System{})}
+	fault := func(op, _ string) memory.Fault {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.calls++
 		if op == "commit" {
-			f.checks++
+			f.writes++
 		}
 		return f.fault
 	}
-	take := func(e pointport.Entry) {
+	onChange := func(e pointport.Entry) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.values = append(f.values, string(e.Value()))
 	}
-	kv := f.store.KV(memory.WithFaults(inject), memory.WithLatency(time.Millisecond))
-	go member.FollowKey(ctx, kv, clock.System{}, "k", take, func(error) {}, options...)
+	kv := f.store.KV(memory.WithFaults(fault), memory.WithLatency(time.Millisecond))
+	go member.FollowKey(ctx, kv, clock.System{}, "k", onChange, func(error) {}, options...)
 	return f
 }
 
-func (f *followed) put(t interface{ Fatal(...any) }, value string) {
+func (f *followTest) put(t interface{ Fatal(...any) }, value string) {
 	if _, err := f.store.KV().Commit(context.Background(), pointport.Txn{Put: []pointport.Put{{Key: "k", Value: []byte(value)}}}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (f *followed) setFault(fault memory.Fault) {
+func (f *followTest) setFault(fault memory.Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fault = fault
 }
 
-// newest returns what is known of the key, and how often it was taken.
-func (f *followed) newest() (string, int) {
+// lastValue returns the newest value reported, and the number of values reported.
+func (f *followTest) lastValue() (string, int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.values) == 0 {
@@ -73,25 +73,26 @@
 	return f.values[len(f.values)-1], len(f.values)
 }
 
-// asked returns how many questions the store was asked.
-func (f *followed) asked() int {
+// requestCount returns how many requests were sent to the store.
+func (f *followTest) requestCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calls
 }
 
-// commits returns how many of the questions were writing calls.
-func (f *followed) commits() int {
+// writeCount returns how many of the requests count as writes.
+func (f *followTest) writeCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.checks
+	return f.writes
 }
 
-// Whatever the store does, the newest value is known two seconds after it has recovered,
-// values never come back older, and none is carried twice.
-func TestNewestValueIsKnown(t *testing.T) {
+// TestFollowKeyDeliversNewestValue guards against a follower that misses the newest value,
+// goes back to an older one or transfers a value twice, after any sequence of failures of the
+// store. The newest value must be known two seconds after the store has recovered.
+func TestFollowKeyDeliversNewestValue(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		steps := rapid.SliceOfN(rapid.SampledFrom([]string{"put", "put", "wait", "pause", "deaf", "hears", "forgets", "mute", "refuses", "answers"}), 1, 30).Draw(rt, "steps")
+		steps := rapid.SliceOfN(rapid.SampledFrom([]string{"put", "put", "wait", "pause", "drop changes", "send changes", "compact", "lose answers", "refuse", "recover"}), 1, 30).Draw(rt, "steps")
 		synctest.Test(t, func(*testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
@@ -106,23 +107,23 @@
 					time.Sleep(30 * time.Millisecond)
 				case "pause":
 					time.Sleep(700 * time.Millisecond)
-				case "deaf", "hears":
-					f.store.SetDeaf(step == "deaf")
-				case "forgets":
+				case "drop changes", "send changes":
+					f.store.SetDeaf(step == "drop changes")
+				case "compact":
 					f.store.Forget()
-				case "mute":
+				case "lose answers":
 					f.setFault(memory.FaultLostAnswer)
-				case "refuses":
+				case "refuse":
 					f.setFault(memory.FaultBefore)
-				case "answers":
+				case "recover":
 					f.setFault(memory.FaultNone)
 				}
 			}
 			f.setFault(memory.FaultNone)
 			f.store.SetDeaf(false)
 			time.Sleep(2 * time.Second)
-			if got, _ := f.newest(); last > 0 && got != strconv.Itoa(last) {
-				rt.Errorf("%q is known, want %d", got, last)
+			if got, _ := f.lastValue(); last > 0 && got != strconv.Itoa(last) {
+				rt.Errorf("newest value is %q, want %d", got, last)
 			}
 			cancel()
 			synctest.Wait()
@@ -130,45 +131,50 @@
 				before, _ := strconv.Atoi(f.values[i])
 				after, _ := strconv.Atoi(f.values[i+1])
 				if after <= before {
-					rt.Errorf("%d came after %d", after, before)
+					rt.Errorf("value %d was reported after %d", after, before)
 				}
 			}
 		})
 	})
 }
 
-// At rest two questions a second are asked, one of them waiting.
-func TestKeyAtRestIsCheap(t *testing.T) {
+// TestFollowKeySendsFewRequestsWithoutChanges guards against needless load on the store: while
+// a key does not change, its follower sends two requests a second, one of them a watch that
+// waits.
+func TestFollowKeySendsFewRequestsWithoutChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := follow(t.Context())
 		time.Sleep(time.Second)
-		before := f.asked()
+		before := f.requestCount()
 		time.Sleep(10 * time.Second)
-		if got := f.asked() - before; got > 22 {
-			t.Errorf("%d questions in ten seconds, want 20", got)
+		if got := f.requestCount() - before; got > 22 {
+			t.Errorf("%d requests in ten seconds, want 20", got)
 		}
 	})
 }
 
-// At rest few of the questions of a follower that makes sure seldom are writing calls.
-func TestKeyIsMadeSureOfSeldom(t *testing.T) {
+// TestRecheckIntervalLimitsWrites guards against needless writes: the conditional check of a
+// key counts as a write, so a follower with a long recheck interval must send few of them.
+func TestRecheckIntervalLimitsWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := follow(t.Context(), member.RecheckInterval(func() time.Duration { return 15 * time.Second }))
 		time.Sleep(time.Second)
-		all, checks := f.asked(), f.commits()
+		requests, writes := f.requestCount(), f.writeCount()
 		time.Sleep(60 * time.Second)
-		if got := f.commits() - checks; got > 5 {
+		if got := f.writeCount() - writes; got > 5 {
 			t.Errorf("%d conditional checks in a minute, want 4", got)
 		}
-		if got := f.asked() - all; got > 66 {
-			t.Errorf("%d questions in a minute, want 64", got)
+		if got := f.requestCount() - requests; got > 66 {
+			t.Errorf("%d requests in a minute, want 64", got)
 		}
 	})
 }
 
-// A change that is made while watches hear nothing for a second, after which the store has
-// forgotten its changes, is known within two seconds however seldom the key is made sure of.
-func TestChangeInADeafSecondIsKnownInTime(t *testing.T) {
+// TestFollowKeyDeliversChangeMissedByWatch guards against a change that stays unknown until
+// the next check. It is made during a second in which the store sends no changes to watches,
+// and has been compacted when the store sends changes again. It must be known within two
+// seconds, however long the recheck interval is.
+func TestFollowKeyDeliversChangeMissedByWatch(t *testing.T) {
 	for offset := time.Duration(0); offset < 2*time.Second; offset += 170 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			f := follow(t.Context(), member.RecheckInterval(func() time.Duration { return 15 * time.Second }))
@@ -180,30 +186,31 @@
 			f.store.SetDeaf(false)
 			f.store.Forget()
 			time.Sleep(time.Second)
-			if got, _ := f.newest(); got != "2" {
-				t.Errorf("%v on: %q is known two seconds after the change", offset, got)
+			if got, _ := f.lastValue(); got != "2" {
+				t.Errorf("offset %v: value is %q two seconds after the change, want \"2\"", offset, got)
 			}
 		})
 	}
 }
 
-// While the store refuses calls because there are too many, it is asked ever less often.
-func TestFollowerYieldsToABusyStore(t *testing.T) {
+// TestFollowKeyBacksOffFromBusyStore guards against a follower that keeps up the load on a
+// store that refuses calls because it receives too many.
+func TestFollowKeyBacksOffFromBusyStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := follow(t.Context())
 		time.Sleep(time.Second)
 		f.setFault(memory.FaultBusy)
 		time.Sleep(5 * time.Second)
-		before := f.asked()
+		before := f.requestCount()
 		time.Sleep(20 * time.Second)
-		if got := f.asked() - before; got > 30 {
-			t.Errorf("%d questions in 20 s to a store that is busy, want 1 a second or so", got)
+		if got := f.requestCount() - before; got > 30 {
+			t.Errorf("%d requests in 20 s to a busy store, want about 1 a second", got)
 		}
 		f.setFault(memory.FaultNone)
 		f.put(t, "1")
 		time.Sleep(2 * time.Second)
-		if got, _ := f.newest(); got != "1" {
-			t.Errorf("%q is known two seconds after the store takes calls again", got)
+		if got, _ := f.lastValue(); got != "1" {
+			t.Errorf("value is %q two seconds after the store accepts calls again, want \"1\"", got)
 		}
 	})
 }
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -23,33 +23,35 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-// A peer is a member with its session and its roster.
-type peer struct {
+// testMember is a member with its session and its roster.
+type testMember struct {
 	session *member.Session
 	roster  *member.Roster
-	end     context.CancelFunc
+	stop    context.CancelFunc
 }
 
-func join(store *memory.Store, name string, strength float64) *peer {
+func startMember(store *memory.Store, name string, strength float64) *testMember {
 	ctx, cancel := context.WithCancel(context.Background())
 	kv := store.KV()
 	s := member.StartSession(ctx, kv, clock.System{}, member.DefaultTTL, quiet)
 	r := member.StartRoster(ctx, kv, clock.System{}, s, member.Member{Name: name, Strength: strength}, quiet)
-	return &peer{s, r, cancel}
+	return &testMember{s, r, cancel}
 }
 
-// settle lets go of everything that peers have begun.
-func settle(peers ...*peer) {
+// stopMembers stops members and waits until their goroutines have ended.
+func stopMembers(peers ...*testMember) {
 	for _, p := range peers {
-		p.end()
+		p.stop()
 	}
 	time.Sleep(10 * time.Second)
 }
 
+// TestOneOwnerAtATimeWithRisingFences guards against two owners of one pool, and against a fence
+// that does not increase, when one member takes a pool after the other's lease has ended.
 func TestOneOwnerAtATimeWithRisingFences(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
-		a, b := join(store, "a", 1), join(store, "b", 1)
+		a, b := startMember(store, "a", 1), startMember(store, "b", 1)
 		time.Sleep(time.Second)
 		ctx := context.Background()
 		first, err := a.roster.Take(ctx, "p")
@@ -58,31 +60,33 @@
 		}
 		var conflict *pointport.TxnConflictError
 		if _, err := b.roster.Take(ctx, "p"); !errors.As(err, &conflict) {
-			t.Errorf("second owner: %v, want a conflict", err)
+			t.Errorf("Take of an owned pool: %v, want a conflict", err)
 		}
 		if !first.Proven() {
-			t.Error("a fresh ownership is not proven")
+			t.Error("a new ownership is not proven")
 		}
-		a.end()
+		a.stop()
 		time.Sleep(member.DefaultTTL + time.Second)
 		if first.Proven() {
-			t.Error("an ownership is proven after its lease")
+			t.Error("an ownership is proven after its lease has ended")
 		}
 		second, err := b.roster.Take(ctx, "p")
 		if err != nil || second.Fence <= first.Fence {
 			t.Errorf("fence %d after %d, error %v", second.Fence, first.Fence, err)
 		}
 		if err := a.roster.Check(ctx, first); !errors.Is(err, member.ErrNotOwner) {
-			t.Errorf("check of a lost ownership: %v", err)
+			t.Errorf("Check of a lost ownership: %v, want ErrNotOwner", err)
 		}
-		settle(b)
+		stopMembers(b)
 	})
 }
 
+// TestPoolsGoToStrongMembers guards against a weak member that takes or keeps a pool although a
+// much stronger one has none, and against one that hands over two pools at once.
 func TestPoolsGoToStrongMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
-		weak, strong := join(store, "weak", 0.1), join(store, "strong", 0.8)
+		weak, strong := startMember(store, "weak", 0.1), startMember(store, "strong", 0.8)
 		time.Sleep(time.Second)
 		if w, s := weak.roster.Rank("p"), strong.roster.Rank("p"); w != 1 || s != 0 {
 			t.Errorf("ranks %d and %d, want 1 and 0", w, s)
@@ -92,35 +96,36 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 		if !weak.roster.ShouldHandOver() {
-			t.Error("the weak member keeps the pool")
+			t.Error("the weak member does not hand over the pool")
 		}
 		if weak.roster.ShouldHandOver() {
-			t.Error("the weak member gives two away at once")
+			t.Error("the weak member hands over two pools at once")
 		}
-		settle(weak, strong)
+		stopMembers(weak, strong)
 	})
 }
 
-// The changes of an ownership are made in order and wholly, whatever answers are
-// lost or late, and none after another owner took over.
+// TestWriterKeepsOrder guards against writes that are made out of order, in part, or after
+// another owner has taken over. These come about when calls or answers are lost or late, so
+// that a writer does not know whether its last transaction was committed.
 func TestWriterKeepsOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		faults := rapid.SliceOfN(rapid.SampledFrom([]memory.Fault{
 			memory.FaultNone, memory.FaultNone, memory.FaultBefore, memory.FaultLostAnswer, memory.FaultLostCall, memory.FaultLate,
 		}), 1, 30).Draw(rt, "faults")
-		deposedAt := rapid.IntRange(0, 12).Draw(rt, "deposedAt")
-		var wrong string
-		synctest.Test(t, func(*testing.T) { wrong = playWriter(faults, deposedAt) })
-		if wrong != "" {
-			rt.Fatal(wrong)
+		lostAt := rapid.IntRange(0, 12).Draw(rt, "lostAt")
+		var failure string
+		synctest.Test(t, func(*testing.T) { failure = runWriter(faults, lostAt) })
+		if failure != "" {
+			rt.Fatal(failure)
 		}
 	})
 }
 
-func playWriter(faults []memory.Fault, deposedAt int) string {
+func runWriter(faults []memory.Fault, lostAt int) string {
 	store := memory.New(clock.System{})
-	p := join(store, "a", 1)
-	defer settle(p)
+	p := startMember(store, "a", 1)
+	defer stopMembers(p)
 	time.Sleep(time.Second)
 	ctx := context.Background()
 	own, err := p.roster.Take(ctx, "p")
@@ -149,7 +154,7 @@
 	}
 	last := ""
 	for i := range 10 {
-		if i == deposedAt {
+		if i == lostAt {
 			store.Take(member.OwnerKey("p"))
 		}
 		limited, cancel := context.WithTimeout(ctx, 4*time.Second)
@@ -157,40 +162,40 @@
 		err := w.Commit(limited, pointport.Txn{Put: []pointport.Put{{Key: "k", Value: []byte(next)}}})
 		cancel()
 		switch {
-		case i >= deposedAt && err == nil:
-			return fmt.Sprintf("change %d was made by an owner that lost its key", i)
+		case i >= lostAt && err == nil:
+			return fmt.Sprintf("change %d was committed by an owner that had lost its key", i)
 		case err == nil:
 			last = next
-		case errors.Is(err, member.ErrNotOwner) && i < deposedAt:
-			return fmt.Sprintf("change %d: %v, and nobody else took over", i, err)
+		case errors.Is(err, member.ErrNotOwner) && i < lostAt:
+			return fmt.Sprintf("change %d: %v, but no other member has taken over", i, err)
 		}
 		if got := value(); err == nil && got != last {
-			return fmt.Sprintf("value is %q after change %q", got, last)
+			return fmt.Sprintf("value is %q, want %q of the last commit", got, last)
 		}
 	}
 	before := value()
 	time.Sleep(10 * time.Second)
-	if got := value(); deposedAt > 10 && got != before {
-		return fmt.Sprintf("value went from %q to %q when late changes came", before, got)
+	if got := value(); lostAt > 10 && got != before {
+		return fmt.Sprintf("value changed from %q to %q when delayed transactions arrived", before, got)
 	}
 	return ""
 }
 
-// A follower hears of every change, though watches go deaf and history is
-// forgotten.
-func TestFollowerHearsOfEverything(t *testing.T) {
+// TestFollowerDeliversEveryChange guards against a change that is lost because the store did
+// not send it to watches, or has compacted it.
+func TestFollowerDeliversEveryChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
 		kv := store.KV()
 		ctx, cancel := context.WithCancel(context.Background())
 		var mu sync.Mutex
-		known := make(map[string]string)
+		values := make(map[string]string)
 		take := func(entries []pointport.Entry) {
 			for _, e := range entries {
 				if e.Exists() {
-					known[e.Key()] = string(e.Value())
+					values[e.Key()] = string(e.Value())
 				} else {
-					delete(known, e.Key())
+					delete(values, e.Key())
 				}
 			}
 		}
@@ -202,13 +207,13 @@
 		reset := func(entries []pointport.Entry) {
 			mu.Lock()
 			defer mu.Unlock()
-			clear(known)
+			clear(values)
 			take(entries)
 		}
-		knows := func() map[string]string {
+		snapshot := func() map[string]string {
 			mu.Lock()
 			defer mu.Unlock()
-			return maps.Clone(known)
+			return maps.Clone(values)
 		}
 		go member.Follow(ctx, kv, clock.System{}, "x/", reset, apply)
 		put := func(key, value string) {
@@ -225,35 +230,35 @@
 			t.Error(err)
 		}
 		time.Sleep(member.DefaultRereadInterval + 2*time.Second)
-		if got := knows(); len(got) != 1 || got["x/2"] != "b" {
-			t.Errorf("while deaf it knows %v", got)
+		if got := snapshot(); len(got) != 1 || got["x/2"] != "b" {
+			t.Errorf("without watches the follower knows %v, want only x/2", got)
 		}
 		store.SetDeaf(false)
 		store.Forget()
 		put("x/3", "c")
 		time.Sleep(2 * time.Second)
-		if got := knows(); len(got) != 2 || got["x/3"] != "c" {
-			t.Errorf("it knows %v", got)
+		if got := snapshot(); len(got) != 2 || got["x/3"] != "c" {
+			t.Errorf("the follower knows %v, want x/2 and x/3", got)
 		}
 		cancel()
 		time.Sleep(10 * time.Second)
 	})
 }
 
-// What a deaf watch has missed is known soon after the store hears again, without waiting
-// for the next reading of all keys: from the next watch, or because the store says that it
-// has forgotten it.
-func TestFollowerCatchesUpWithDeafWatches(t *testing.T) {
-	for name, forgets := range map[string]bool{"kept": false, "forgotten": true} {
+// TestFollowerRecoversMissedChanges guards against a change that stays unknown until all keys
+// are read again, after the store has not sent it to a watch. The next watch must return it
+// or, if it has been compacted, fail, which makes the follower read all keys.
+func TestFollowerRecoversMissedChanges(t *testing.T) {
+	for name, compacted := range map[string]bool{"kept": false, "compacted": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store := memory.New(clock.System{})
 				kv := store.KV()
 				ctx, cancel := context.WithCancel(context.Background())
-				var heard atomic.Bool
+				var seen atomic.Bool
 				take := func(entries []pointport.Entry) {
 					for _, e := range entries {
-						heard.Store(heard.Load() || e.Key() == "x/2")
+						seen.Store(seen.Load() || e.Key() == "x/2")
 					}
 				}
 				go member.Follow(ctx, kv, clock.System{}, "x/", take, take)
@@ -263,13 +268,13 @@
 					t.Error(err)
 				}
 				time.Sleep(1500 * time.Millisecond)
-				if forgets {
+				if compacted {
 					store.Forget()
 				}
 				store.SetDeaf(false)
-				time.Sleep(1200 * time.Millisecond) // a watch's wait and some
-				if !heard.Load() {
-					t.Error("a change that a deaf watch missed is not known after the next watch")
+				time.Sleep(1200 * time.Millisecond) // a little more than the timeout of a watch
+				if !seen.Load() {
+					t.Error("a change that a watch missed is not known after the next watch")
 				}
 				cancel()
 				time.Sleep(10 * time.Second)
@@ -278,9 +283,10 @@
 	}
 }
 
-// At rest, all keys are read a few times a minute and not twenty: on a fleet of 3,000
-// instances each reading of their registrations is 2 MB.
-func TestFollowerAtRestReadsSeldom(t *testing.T) {
+// TestFollowerRarelyRereadsWithoutChanges guards against reading all keys twenty times a
+// minute instead of a few times: with 3,000 instances, each read of their registrations is 2
+// MB.
+func TestFollowerRarelyRereadsWithoutChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
 		kv := store.KV()
@@ -289,7 +295,7 @@
 		go member.Follow(ctx, kv, clock.System{}, "x/", take, take)
 		time.Sleep(time.Minute)
 		if reads := store.Counts().Reads; reads > 5 {
-			t.Errorf("%d readings of all keys in a minute without changes, want 5 at most", reads)
+			t.Errorf("%d reads of all keys in a minute without changes, want at most 5", reads)
 		}
 		cancel()
 		time.Sleep(10 * time.Second)
--- a/member/pool_manager_test.go
+++ b/member/pool_manager_test.go
@@ -18,16 +18,16 @@
 
 // This file tests how a keeper looks after the pools that it owns.
 
-// A tenant does nothing until it is stopped.
-type tenant struct {
+// A fakeController does nothing until it is stopped.
+type fakeController struct {
 	own  member.Ownership
 	done chan struct{}
 	stop context.CancelFunc
 }
 
-func newTenant(own member.Ownership) *tenant {
+func newFakeController(own member.Ownership) *fakeController {
 	ctx, stop := context.WithCancel(context.Background())
-	return &tenant{own, doneOf(ctx), stop}
+	return &fakeController{own, doneOf(ctx), stop}
 }
 
 func doneOf(ctx context.Context) chan struct{} {
@@ -39,10 +39,10 @@
 	return done
 }
 
-func (t *tenant) Ownership() member.Ownership { return t.own }
-func (t *tenant) Stop()                       { t.stop() }
-func (t *tenant) Done() <-chan struct{}       { return t.done }
-func (t *tenant) Err() error                  { return context.Canceled }
+func (t *fakeController) Ownership() member.Ownership { return t.own }
+func (t *fakeController) Stop()                       { t.stop() }
+func (t *fakeController) Done() <-chan struct{}       { return t.done }
+func (t *fakeController) Err() error                  { return context.Canceled }
 
 // Two pools stay proven without a break while nothing is written and the store takes
 // its time; a pool that is unproven stands still.
@@ -55,7 +55,7 @@
 				s := member.StartSession(ctx, kv, clock.System{}, member.DefaultTTL, quiet)
 				r := member.StartRoster(ctx, kv, clock.System{}, s, member.Member{Name: "a", Strength: 1}, quiet)
 				pools := func() []string { return []string{"p", "q"} }
-				k := member.StartPoolManager(ctx, clock.System{}, s, r, pools, newTenant, quiet)
+				k := member.StartPoolManager(ctx, clock.System{}, s, r, pools, newFakeController, quiet)
 				time.Sleep(3 * time.Second)
 				unproven := 0
 				const samples = 1000
@@ -78,23 +78,23 @@
 	}
 }
 
-// A doubter is a tenant that says whether it is unfit.
-type doubter struct {
-	*tenant
+// A fitnessController is a tenant that says whether it is unfit.
+type fitnessController struct {
+	*fakeController
 	unfit *atomic.Bool
 }
 
-func (d doubter) Unfit() bool { return d.unfit.Load() }
+func (d fitnessController) Unfit() bool { return d.unfit.Load() }
 
 // A pool whose tenant says that it is unfit goes to the other member and stays there; a
 // member that is alone keeps it, as there is nobody who could do better.
-func TestUnfitTenantsPoolGoesToAnotherMember(t *testing.T) {
+func TestPoolOfUnfitControllerIsHandedOver(t *testing.T) {
 	for _, members := range []int{1, 2} {
 		t.Run(fmt.Sprint(members), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
 				store := memory.New(clock.System{})
-				var keepers []*member.PoolManager[doubter]
+				var keepers []*member.PoolManager[fitnessController]
 				var unfit []*atomic.Bool
 				for n := range members {
 					name := string(rune('a' + n))
@@ -103,15 +103,15 @@
 					r := member.StartRoster(ctx, kv, clock.System{}, s, member.Member{Name: name, Strength: 1}, quiet)
 					says := &atomic.Bool{}
 					unfit = append(unfit, says)
-					keepers = append(keepers, member.StartPoolManager(ctx, clock.System{}, s, r, func() []string { return []string{"p"} }, func(own member.Ownership) doubter {
-						return doubter{newTenant(own), says}
+					keepers = append(keepers, member.StartPoolManager(ctx, clock.System{}, s, r, func() []string { return []string{"p"} }, func(own member.Ownership) fitnessController {
+						return fitnessController{newFakeController(own), says}
 					}, quiet))
 				}
 				time.Sleep(6 * time.Second)
-				first := holderOf(t, keepers)
+				first := ownerOf(t, keepers)
 				unfit[first].Store(true)
 				time.Sleep(5 * time.Second)
-				if now := holderOf(t, keepers); (now != first) != (members > 1) {
+				if now := ownerOf(t, keepers); (now != first) != (members > 1) {
 					t.Errorf("member %d of %d has the pool that member %d was unfit for", now, members, first)
 				}
 				for _, k := range keepers {
@@ -124,8 +124,8 @@
 	}
 }
 
-// holderOf returns which of some keepers has the pool.
-func holderOf(t *testing.T, keepers []*member.PoolManager[doubter]) int {
+// ownerOf returns which of some keepers has the pool.
+func ownerOf(t *testing.T, keepers []*member.PoolManager[fitnessController]) int {
 	t.Helper()
 	for n, k := range keepers {
 		if _, ok := k.Controller("p"); ok {
@@ -136,51 +136,51 @@
 	return 0
 }
 
-// A register knows the tenants of several members.
-type register struct {
-	mu     sync.Mutex
-	live   map[string]int // by member and pool
-	fences map[string]bool
-	begun  int
-	wrong  []string
+// A controllerLog knows the tenants of several members.
+type controllerLog struct {
+	mu         sync.Mutex
+	running    map[string]int // by member and pool
+	fences     map[string]bool
+	started    int
+	violations []string
 }
 
 // starter returns what starts a member's tenants. They end by themselves while their keys
 // stay, as owners do whose changes are refused, and take their time.
-func (r *register) starter(name string) func(member.Ownership) *tenant {
-	return func(own member.Ownership) *tenant {
-		t := newTenant(own)
+func (r *controllerLog) starter(name string) func(member.Ownership) *fakeController {
+	return func(own member.Ownership) *fakeController {
+		t := newFakeController(own)
 		place, fence := name+" "+own.Pool, fmt.Sprint(own.Pool, " ", own.Fence)
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if r.live[place] > 0 {
-			r.wrong = append(r.wrong, place+" has two tenants at once")
+		if r.running[place] > 0 {
+			r.violations = append(r.violations, place+" has two tenants at once")
 		}
 		if r.fences[fence] {
-			r.wrong = append(r.wrong, fence+" is the fence of two tenants")
+			r.violations = append(r.violations, fence+" is the fence of two tenants")
 		}
-		r.live[place]++
+		r.running[place]++
 		r.fences[fence] = true
-		r.begun++
+		r.started++
 		time.AfterFunc(time.Duration(50+rand.IntN(500))*time.Millisecond, t.stop)
 		ended := make(chan struct{})
 		go func() {
 			<-t.done
 			time.Sleep(time.Millisecond)
 			r.mu.Lock()
-			r.live[place]--
+			r.running[place]--
 			r.mu.Unlock()
 			close(ended)
 		}()
-		return &tenant{own, ended, t.stop}
+		return &fakeController{own, ended, t.stop}
 	}
 }
 
 // Keepers that run in parallel, on a store that loses calls and answers and from which keys
 // vanish, with tenants that end by themselves, never have two tenants of one pool at once, nor two with one fence.
-func TestPoolHasOneTenantAtATime(t *testing.T) {
+func TestPoolHasOneControllerAtATime(t *testing.T) {
 	store := memory.New(clock.System{})
-	r := &register{live: make(map[string]int), fences: make(map[string]bool)}
+	r := &controllerLog{running: make(map[string]int), fences: make(map[string]bool)}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	fault := func(string, string) memory.Fault {
@@ -202,7 +202,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.wrong) > 0 || r.begun < 2*len(names) {
-		t.Errorf("%d tenants have begun; wrong: %v", r.begun, r.wrong)
+	if len(r.violations) > 0 || r.started < 2*len(names) {
+		t.Errorf("%d tenants have begun; wrong: %v", r.started, r.violations)
 	}
 }
--- a/member/odd_test.go
+++ b/member/unreadable_test.go
@@ -16,7 +16,7 @@
 
 // Keys of the roster that cannot be read name nobody, at a member that has followed them no
 // more than at one that reads them first, whatever they held before; the others hold.
-func TestOddKeysOfTheRosterNameNobody(t *testing.T) {
+func TestUnreadableRosterEntriesNameNoMember(t *testing.T) {
 	cases := map[string]string{
 		"bytes that cannot be read": "\xff\x00",
 		"nothing":                   "",
@@ -29,7 +29,7 @@
 		t.Run(what, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store := memory.New(clock.System{})
-				a, b, c := join(store, "a", 1), join(store, "b", 1), join(store, "c", 1)
+				a, b, c := startMember(store, "a", 1), startMember(store, "b", 1), startMember(store, "c", 1)
 				time.Sleep(time.Second)
 				if _, err := c.roster.Take(t.Context(), "p"); err != nil {
 					t.Fatal(err)
@@ -39,9 +39,9 @@
 				put(t, store, "roster/member/nobody", value)
 				put(t, store, member.OwnerKey("p"), value)
 				time.Sleep(time.Second)
-				first := join(store, "d", 1)
+				first := startMember(store, "d", 1)
 				time.Sleep(time.Second)
-				for name, p := range map[string]*peer{"the one that followed": a, "the one that reads first": first} {
+				for name, p := range map[string]*testMember{"the one that followed": a, "the one that reads first": first} {
 					var names []string
 					for _, m := range p.roster.Peers() {
 						names = append(names, m.Name)
@@ -57,7 +57,7 @@
 						t.Errorf("%s believes that %+v holds the pool: %v, want nobody that is known", name, holder, held)
 					}
 				}
-				settle(a, b, c, first)
+				stopMembers(a, b, c, first)
 			})
 		})
 	}
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -225,7 +225,7 @@
 
 // Store stores jobs.
 type Store interface {
-	// StoreJob stores a job. It fails with an *intake.RefusedError, an *intake.UnsureError, an
+	// StoreJob stores a job. It fails with an *intake.RefusedError, an *intake.AmbiguousError, an
 	// *intake.RevokedError or an *intake.TakenError.
 	StoreJob(ctx context.Context, s intake.Submission) error
 	// CanStore reports whether it can store a job at present.
--- a/peer/keep.go
+++ b/peer/store_job.go
@@ -42,7 +42,7 @@
 // the job's ID, so that the peers share the load. The job is stored only once, however many
 // peers are asked.
 //
-// It fails with an *intake.UnsureError if the job may have been stored, and otherwise with an
+// It fails with an *intake.AmbiguousError if the job may have been stored, and otherwise with an
 // *intake.RefusedError, an *intake.RevokedError or an *intake.TakenError.
 func (o *Owners) StoreAtPeer(ctx context.Context, s intake.Submission) (string, error) {
 	var unsure error
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -15,14 +15,14 @@
 	"github.com/pointport/pointport/relay"
 )
 
-// shortWatch holds watches as the store does for a relay.
-type shortWatch struct {
+// boundedWatcher holds watches as the store does for a relay.
+type boundedWatcher struct {
 	store  *memory.Store
 	down   atomic.Bool
 	failed atomic.Int64
 }
 
-func (s *shortWatch) Watch(ctx context.Context, key string, after pointport.Revision) (pointport.Entry, error) {
+func (s *boundedWatcher) Watch(ctx context.Context, key string, after pointport.Revision) (pointport.Entry, error) {
 	if s.down.Load() {
 		s.failed.Add(1)
 		return pointport.Entry{}, &pointport.UnavailableError{Op: "watch", Key: key, Err: errors.New("cut off")}
@@ -32,13 +32,13 @@
 	return s.store.Watch(ctx, key, after)
 }
 
-// direct counts the watches that go to the store itself.
-type direct struct {
+// countingWatcher counts the watches that go to the store itself.
+type countingWatcher struct {
 	store *memory.Store
 	calls atomic.Int64
 }
 
-func (d *direct) Watch(ctx context.Context, key string, after pointport.Revision) (pointport.Entry, error) {
+func (d *countingWatcher) Watch(ctx context.Context, key string, after pointport.Revision) (pointport.Entry, error) {
 	d.calls.Add(1)
 	return d.store.Watch(ctx, key, after)
 }
@@ -52,13 +52,13 @@
 	return rev
 }
 
-// TestManyWaitThroughOne lets many wait for a key through a relay. The store
+// TestClientsShareRelay lets many wait for a key through a relay. The store
 // must see only the relay's watches.
-func TestManyWaitThroughOne(t *testing.T) {
+func TestClientsShareRelay(t *testing.T) {
 	store := memory.New(clock.System{})
-	srv := httptest.NewServer(relay.NewServer(t.Context(), &shortWatch{store: store}, clock.System{}))
+	srv := httptest.NewServer(relay.NewServer(t.Context(), &boundedWatcher{store: store}, clock.System{}))
 	defer srv.Close()
-	d := &direct{store: store}
+	d := &countingWatcher{store: store}
 	const waiters = 20
 	got := make(chan pointport.Entry, waiters)
 	for range waiters {
@@ -86,11 +86,11 @@
 // still reach. They must not be held back.
 func TestRelayCutOff(t *testing.T) {
 	store := memory.New(clock.System{})
-	cut := &shortWatch{store: store}
+	cut := &boundedWatcher{store: store}
 	srv := httptest.NewServer(relay.NewServer(t.Context(), cut, clock.System{}))
 	defer srv.Close()
 	rev := write(t, store, 0, "old")
-	d := &direct{store: store}
+	d := &countingWatcher{store: store}
 	c := relay.NewClient(d, clock.System{}, func() string { return srv.URL })
 	if e, err := c.Watch(t.Context(), "key", 0); err != nil || e.Revision() != rev {
 		t.Fatalf("got revision %d, %v", e.Revision(), err)
@@ -114,7 +114,7 @@
 	srv := httptest.NewServer(nil)
 	gone := srv.URL
 	srv.Close()
-	d := &direct{store: store}
+	d := &countingWatcher{store: store}
 	c := relay.NewClient(d, clock.System{}, func() string { return gone })
 	rev := write(t, store, 0, "value")
 	if e, err := c.Watch(t.Context(), "key", 0); err != nil || e.Revision() != rev {
@@ -122,33 +122,33 @@
 	}
 }
 
-// TestOlderRelay asks a relay about a revision that it has not seen.
-func TestOlderRelay(t *testing.T) {
+// TestRelayBehindClient asks a relay about a revision that it has not seen.
+func TestRelayBehindClient(t *testing.T) {
 	older, newer := memory.New(clock.System{}), memory.New(clock.System{})
 	write(t, older, 0, "old")
 	rev := write(t, newer, write(t, newer, 0, "old"), "new")
 	last := write(t, newer, rev, "newest")
-	srv := httptest.NewServer(relay.NewServer(t.Context(), &shortWatch{store: older}, clock.System{}))
+	srv := httptest.NewServer(relay.NewServer(t.Context(), &boundedWatcher{store: older}, clock.System{}))
 	defer srv.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
-	c := relay.NewClient(&direct{store: newer}, clock.System{}, func() string { return srv.URL })
+	c := relay.NewClient(&countingWatcher{store: newer}, clock.System{}, func() string { return srv.URL })
 	e, err := c.Watch(ctx, "key", rev)
 	if err != nil || e.Revision() != last {
 		t.Errorf("got revision %d, %v, want %d", e.Revision(), err, last)
 	}
 }
 
-// TestRelaySleeps freezes the relay's process, which then accepts connections
+// TestRelayHangs freezes the relay's process, which then accepts connections
 // and answers nothing. Whoever waits must go to the store, and not only once its
 // long wait is over.
-func TestRelaySleeps(t *testing.T) {
+func TestRelayHangs(t *testing.T) {
 	store := memory.New(clock.System{})
 	wake := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-wake }))
 	defer srv.Close()
 	defer close(wake)
-	d := &direct{store: store}
+	d := &countingWatcher{store: store}
 	c := relay.NewClient(d, clock.System{}, func() string { return srv.URL })
 	rev := write(t, store, 0, "value")
 	const muchLess = 10 * time.Second // than a relayed watch waits
