--- a/elect/elect_test.go
+++ b/elect/elect_test.go
@@ -17,7 +17,8 @@
 	return elect.Start(ctx, store, clock.System{}, "planner", name, ttl)
 }
 
-// TestTakeOver lets a holder die, stop as planned and be cut off.
+// TestTakeOver guards against two holders at once and against a lease that is not taken over
+// after its holder has stopped.
 func TestTakeOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
@@ -27,17 +28,18 @@
 		second := start(t.Context(), store, "second")
 		time.Sleep(time.Minute)
 		if !first.Held() || second.Held() || second.OtherHolder() != "first" {
-			t.Errorf("first %v, second %v, the second knows %q", first.Held(), second.Held(), second.OtherHolder())
+			t.Errorf("first holds %v, second holds %v, second knows the holder %q", first.Held(), second.Held(), second.OtherHolder())
 		}
 		stop()
 		time.Sleep(ttl + time.Millisecond)
 		if first.Held() || !second.Held() {
-			t.Errorf("after the planned stop: first %v, second %v", first.Held(), second.Held())
+			t.Errorf("after the first has stopped: first holds %v, second holds %v", first.Held(), second.Held())
 		}
 	})
 }
 
-// TestHolderCutOff keeps a holder from counting on a lease that may have lapsed.
+// TestHolderCutOff guards against a holder that relies on a lease that may have expired
+// because it gets no answers.
 func TestHolderCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
@@ -49,12 +51,13 @@
 		store.SetInjector(func(string, string) memory.Fault { return memory.FaultLostAnswer })
 		time.Sleep(ttl)
 		if c.Held() {
-			t.Error("the lease is counted on although no answer came")
+			t.Error("the lease is held although its TTL has passed without an answer")
 		}
 	})
 }
 
-// TestCallsOfOtherCandidates counts what candidates without the lease cost.
+// TestCallsOfOtherCandidates guards against candidates that cost too many calls while another
+// process holds the lease.
 func TestCallsOfOtherCandidates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
@@ -64,9 +67,9 @@
 		time.Sleep(time.Second)
 		before := store.Counts().Leases
 		time.Sleep(90 * time.Second)
-		const want = 30 + 8*10 // the holder thrice in its time, the others once
+		const want = 30 + 8*10 // the holder renews three times in each TTL, the others try once
 		if n := store.Counts().Leases - before; n < want-9 || n > want+9 {
-			t.Errorf("nine candidates cost %d calls in ten times the lease, want about %d", n, want)
+			t.Errorf("nine candidates made %d calls in ten TTLs, want about %d", n, want)
 		}
 	})
 }
--- a/elect/suspend_test.go
+++ b/elect/suspend_test.go
@@ -15,8 +15,9 @@
 func (alwaysGranted) Lease(context.Context, string, string, time.Duration) error { return nil }
 func (alwaysGranted) Release(context.Context, string, string) error              { return nil }
 
-// Whoever is suspended for longer than its lease lasts does not hold it on waking, although
-// its own clock has counted next to nothing.
+// TestLeaseEndsWhileItsHolderIsSuspended guards against a holder that relies on a lease that
+// expired while its machine was suspended, because the process's own clock hardly advances
+// during a suspension.
 func TestLeaseEndsWhileItsHolderIsSuspended(t *testing.T) {
 	c := clock.NewFake(time.Unix(1000, 0))
 	ctx, cancel := context.WithCancel(context.Background())
--- a/member/call_rate_test.go
+++ b/member/call_rate_test.go
@@ -17,12 +17,14 @@
 	"github.com/pointport/pointport/memory"
 )
 
-// This file tests how many calls to the store members make among many.
+// This file tests how many calls to the store the members of a large cluster make.
 
-// When 300 members start together, the roster is not told to each of them at every change.
+// TestMembersThatStartTogetherSendFewWatches guards against a flood of watches when 300
+// members start together: each of them changes the roster, and without a pause between watches
+// the store would send every change to every member.
 func TestMembersThatStartTogetherSendFewWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const members, most = 300, 6000 // calls, in 3 s, what a small store takes
+		const members, maxWatches = 300, 6000 // calls in 3 s, as many as a small store accepts
 		ctx, cancel := context.WithCancel(context.Background())
 		kv := newLimitedStore(memory.New(clock.System{}), false)
 		for n := range members {
@@ -32,16 +34,17 @@
 		}
 		time.Sleep(3 * time.Second)
 		t.Logf("%d watches within 3 s of the start", kv.count("watch"))
-		if got := kv.count("watch"); got > most {
-			t.Errorf("%d watches, want %d at most", got, most)
+		if got := kv.count("watch"); got > maxWatches {
+			t.Errorf("%d watches, want at most %d", got, maxWatches)
 		}
 		cancel()
 		time.Sleep(10 * time.Second)
 	})
 }
 
-// A member that owns nothing takes its first pool under a short lease: once it is gone the
-// pool is free as soon as if it had owned one before.
+// TestFirstPoolIsTakenUnderShortLease guards against a pool that stays without an owner for a
+// long time because a member that owned nothing took it under a long lease. After that member
+// is gone, the pool must be free as soon as if it had owned another pool before.
 func TestFirstPoolIsTakenUnderShortLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
@@ -54,14 +57,14 @@
 		time.Sleep(member.DefaultTTL + 50*time.Millisecond)
 		e, err := store.KV().Get(context.Background(), member.OwnerKey("p"))
 		if err != nil || e.Exists() {
-			t.Errorf("the pool is owned %v after its owner is gone: %v", member.DefaultTTL, err)
+			t.Errorf("the pool still has an owner %v after its owner is gone (error %v)", member.DefaultTTL, err)
 		}
 		stopMembers(p)
 	})
 }
 
-// The lease under which something is owned is not exchanged, however long it is since
-// anybody asked for a short one.
+// TestOwnersLeaseIsNotExchanged guards against an ownership that is lost because its lease is
+// exchanged when no short lease has been requested for a long time.
 func TestOwnersLeaseIsNotExchanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
@@ -73,27 +76,27 @@
 		}
 		lease := p.session.Lease()
 		time.Sleep(time.Minute)
-		if held, ok := p.roster.Holding("p"); !ok || !held.Mine || p.session.Lease() != lease {
-			t.Errorf("held %v by %+v; lease %d, was %d", ok, held, p.session.Lease(), lease)
+		if holding, ok := p.roster.Holding("p"); !ok || !holding.Mine || p.session.Lease() != lease {
+			t.Errorf("owned %v: %+v; lease is %d, was %d", ok, holding, p.session.Lease(), lease)
 		}
 		if err := p.roster.Release(context.Background(), own); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2 * time.Second)
 		if p.session.Lease() == lease {
-			t.Error("the short lease is kept by a member that owns nothing")
+			t.Error("a member that owns nothing keeps its short lease")
 		}
 		stopMembers(p)
 	})
 }
 
-// A managedMember is a member that looks after pools.
+// managedMember is a member with a pool manager.
 type managedMember struct {
 	keeper *member.PoolManager[*fakeController]
 	cancel context.CancelFunc
 }
 
-// startManagedMember starts a worker.
+// startManagedMember starts a member with a pool manager.
 func startManagedMember(kv pointport.KV, name string, pools []string) *managedMember {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := member.StartSession(ctx, kv, clock.System{}, member.DefaultTTL, quiet)
@@ -102,28 +105,29 @@
 	return &managedMember{k, cancel}
 }
 
-// While members that own nothing come and go, leases are exchanged to and fro, and no
-// ownership ends or is unproven because of that.
+// TestLeaseExchangesLoseNoOwnership guards against an ownership that ends or becomes unproven
+// because members that own nothing come and go, which makes other members exchange short
+// leases for long ones and back.
 func TestLeaseExchangesLoseNoOwnership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const members, replaced, steps, step = 24, 8, 10, 13 * time.Second
 		pools := []string{"p", "q"}
 		kv := newLimitedStore(memory.New(clock.System{}), false)
-		var workers []*managedMember
+		var all []*managedMember
 		started := 0
 		start := func(n int) {
 			for range n {
 				started++
-				workers = append(workers, startManagedMember(kv, fmt.Sprintf("m%03d", started), pools))
+				all = append(all, startManagedMember(kv, fmt.Sprintf("m%03d", started), pools))
 			}
 		}
 		start(members)
 		time.Sleep(5 * time.Second)
-		before := fences(t, workers)
+		before := fences(t, all)
 		for range steps {
 			start(replaced)
 			left := replaced
-			workers = slices.DeleteFunc(workers, func(w *managedMember) bool {
+			all = slices.DeleteFunc(all, func(w *managedMember) bool {
 				if left == 0 || w.keeper.Count() > 0 {
 					return false
 				}
@@ -132,15 +136,15 @@
 				return true
 			})
 			for from := time.Now(); time.Since(from) < step; time.Sleep(10 * time.Millisecond) {
-				if now := fences(t, workers); !maps.Equal(now, before) {
-					t.Fatalf("pools are owned under %v, and were under %v", now, before)
+				if now := fences(t, all); !maps.Equal(now, before) {
+					t.Fatalf("fences of the pools are %v, were %v", now, before)
 				}
 			}
 		}
 		if got := kv.count("grant") - started; got < 2*steps {
-			t.Errorf("%d leases were exchanged", got)
+			t.Errorf("only %d leases were exchanged", got)
 		}
-		for _, w := range workers {
+		for _, w := range all {
 			w.keeper.Stop()
 			w.cancel()
 		}
@@ -148,15 +152,16 @@
 	})
 }
 
-// fences returns under which fence each pool is owned. Each must be proven, and by one.
-func fences(t *testing.T, workers []*managedMember) map[string]pointport.Fence {
+// fences returns the fence under which each pool is owned. It fails the test if an ownership
+// is unproven or a pool has more than one owner.
+func fences(t *testing.T, all []*managedMember) map[string]pointport.Fence {
 	t.Helper()
 	out := make(map[string]pointport.Fence)
-	for _, w := range workers {
+	for _, w := range all {
 		for _, tenant := range w.keeper.Controllers() {
 			own := tenant.Ownership()
 			if _, ok := out[own.Pool]; ok {
-				t.Errorf("%s is owned twice", own.Pool)
+				t.Errorf("%s has two owners", own.Pool)
 			}
 			if !own.Proven() {
 				t.Errorf("the ownership of %s is unproven", own.Pool)
@@ -167,8 +172,8 @@
 	return out
 }
 
-// A limitedStore is a store that counts its calls and, if it is limited, refuses those beyond a
-// number of reading and of writing ones a second, as a small store does.
+// limitedStore is a store that counts its calls. If it is limited, it refuses calls beyond a
+// number of reads and a number of writes a second, as a small store does.
 type limitedStore struct {
 	pointport.KV
 	limited bool
@@ -176,17 +181,18 @@
 	mu         sync.Mutex
 	refilledAt time.Time
 	budget     map[bool]float64 // by whether calls write
-	calls      map[string]int   // by what is asked
+	calls      map[string]int   // by operation
 	refused    int
 }
 
-// The quotas of a small store, in calls a second.
+// The limits of a small store, in calls a second.
 const (
 	readsPerSecond  = 2000
 	writesPerSecond = 400
 )
 
-// newLimitedStore returns a store with the quotas of a small one, or without any.
+// newLimitedStore returns a store that can have the limits of a small one; limited sets
+// whether they apply from the start.
 func newLimitedStore(store *memory.Store, limited bool) *limitedStore {
 	return &limitedStore{
 		KV: store.KV(memory.WithLatency(4 * time.Millisecond)), limited: limited, refilledAt: time.Now(),
@@ -194,7 +200,7 @@
 	}
 }
 
-// admit counts a call and returns an error if it is beyond the quota.
+// admit counts a call, and returns an error if it exceeds the limit.
 func (q *limitedStore) admit(op string, writes bool) error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -211,14 +217,14 @@
 	return nil
 }
 
-// count returns how many calls of a kind were made.
+// count returns how many calls of an operation were made.
 func (q *limitedStore) count(op string) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.calls[op]
 }
 
-// refusals returns how many calls were refused since it was asked last.
+// refusals returns how many calls were refused since the last call of refusals.
 func (q *limitedStore) refusals() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -276,38 +282,39 @@
 	return q.KV.Revoke(ctx, lease)
 }
 
-// When 300 members start together on a small store, it refuses calls for some seconds at
-// most, each pool has an owner soon, none changes hands and no member has two.
+// TestManyMembersStartOnASmallStore guards against members that overload a small store when
+// 300 of them start together. The store may refuse calls for a few seconds only, and each pool
+// must soon have an owner, which it keeps. No member may own two pools.
 func TestManyMembersStartOnASmallStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const members = 300
 		pools := []string{"a", "b", "c", "d", "e"}
 		q := newLimitedStore(memory.New(clock.System{}), true)
-		var workers []*managedMember
+		var all []*managedMember
 		for n := range members {
-			workers = append(workers, startManagedMember(q, fmt.Sprintf("m%03d", n), pools))
+			all = append(all, startManagedMember(q, fmt.Sprintf("m%03d", n), pools))
 			time.Sleep(300 * time.Millisecond / members)
 		}
 		time.Sleep(3 * time.Second)
 		t.Logf("%d calls refused in the first seconds", q.refusals())
-		before := fences(t, workers)
+		before := fences(t, all)
 		if len(before) != len(pools) {
-			t.Errorf("%d of %d pools are owned", len(before), len(pools))
+			t.Errorf("%d of %d pools have an owner", len(before), len(pools))
 		}
-		for _, w := range workers {
+		for _, w := range all {
 			if w.keeper.Count() > 1 {
 				t.Errorf("a member owns %d pools", w.keeper.Count())
 			}
 		}
 		for from := time.Now(); time.Since(from) < 10*time.Second; time.Sleep(50 * time.Millisecond) {
-			if now := fences(t, workers); !maps.Equal(now, before) {
-				t.Fatalf("pools are owned under %v, and were under %v", now, before)
+			if now := fences(t, all); !maps.Equal(now, before) {
+				t.Fatalf("fences of the pools are %v, were %v", now, before)
 			}
 		}
 		if n := q.refusals(); n > 0 {
-			t.Errorf("%d calls are refused after that", n)
+			t.Errorf("%d calls were refused after the start", n)
 		}
-		for _, w := range workers {
+		for _, w := range all {
 			w.keeper.Stop()
 			w.cancel()
 		}
@@ -315,8 +322,8 @@
 	})
 }
 
-// A member that tries to take a pool while the store refuses its calls does not ask for a
-// lease without a break.
+// TestTakeOnBusyStoreRequestsFewLeases guards against a member that requests leases without a
+// pause while it tries to take a pool and the store refuses its calls.
 func TestTakeOnBusyStoreRequestsFewLeases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -328,17 +335,17 @@
 		before := kv.count("grant")
 		_, err := r.Take(ctx, "p")
 		if !errors.Is(err, member.ErrNoLease) {
-			t.Errorf("a pool is taken while the store refuses all calls: %v", err)
+			t.Errorf("Take while the store refuses all calls: %v, want ErrNoLease", err)
 		}
 		if got := kv.count("grant") - before; got > 4 {
-			t.Errorf("%d leases were asked for in half a second", got)
+			t.Errorf("%d leases were requested in half a second", got)
 		}
 		cancel()
 		time.Sleep(10 * time.Second)
 	})
 }
 
-// refuseAll has all calls refused from now on.
+// refuseAll makes the store refuse all calls from now on.
 func (q *limitedStore) refuseAll() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/member/pool_manager_test.go
+++ b/member/pool_manager_test.go
@@ -16,9 +16,9 @@
 	"github.com/pointport/pointport/memory"
 )
 
-// This file tests how a keeper looks after the pools that it owns.
+// This file tests how a pool manager handles the pools that its member owns.
 
-// A fakeController does nothing until it is stopped.
+// fakeController does nothing until it is stopped.
 type fakeController struct {
 	own  member.Ownership
 	done chan struct{}
@@ -44,8 +44,9 @@
 func (t *fakeController) Done() <-chan struct{}       { return t.done }
 func (t *fakeController) Err() error                  { return context.Canceled }
 
-// Two pools stay proven without a break while nothing is written and the store takes
-// its time; a pool that is unproven stands still.
+// TestOwnershipStaysProvenOnASlowStore guards against a pool that stands still because its
+// ownership is unproven. This happens if the owner key is not checked early enough while
+// nothing is written to two pools and the store is slow.
 func TestOwnershipStaysProvenOnASlowStore(t *testing.T) {
 	for _, latency := range []time.Duration{time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond} {
 		t.Run(latency.String(), func(t *testing.T) {
@@ -68,7 +69,7 @@
 					}
 				}
 				if unproven > 0 {
-					t.Errorf("unproven in %d of %d samples", unproven, 2*samples)
+					t.Errorf("ownership unproven in %d of %d samples", unproven, 2*samples)
 				}
 				k.Stop()
 				cancel()
@@ -78,7 +79,7 @@
 	}
 }
 
-// A fitnessController is a tenant that says whether it is unfit.
+// fitnessController is a controller that reports itself unfit on request.
 type fitnessController struct {
 	*fakeController
 	unfit *atomic.Bool
@@ -86,35 +87,36 @@
 
 func (d fitnessController) Unfit() bool { return d.unfit.Load() }
 
-// A pool whose tenant says that it is unfit goes to the other member and stays there; a
-// member that is alone keeps it, as there is nobody who could do better.
+// TestPoolOfUnfitControllerIsHandedOver guards against a pool that stays with an unfit
+// controller, or returns to it, while there is another member. A member without peers keeps
+// the pool, because no other member could run it.
 func TestPoolOfUnfitControllerIsHandedOver(t *testing.T) {
 	for _, members := range []int{1, 2} {
 		t.Run(fmt.Sprint(members), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
 				store := memory.New(clock.System{})
-				var keepers []*member.PoolManager[fitnessController]
+				var managers []*member.PoolManager[fitnessController]
 				var unfit []*atomic.Bool
 				for n := range members {
 					name := string(rune('a' + n))
 					kv := store.KV(memory.WithLatency(time.Millisecond))
 					s := member.StartSession(ctx, kv, clock.System{}, member.DefaultTTL, quiet)
 					r := member.StartRoster(ctx, kv, clock.System{}, s, member.Member{Name: name, Strength: 1}, quiet)
-					says := &atomic.Bool{}
-					unfit = append(unfit, says)
-					keepers = append(keepers, member.StartPoolManager(ctx, clock.System{}, s, r, func() []string { return []string{"p"} }, func(own member.Ownership) fitnessController {
-						return fitnessController{newFakeController(own), says}
+					flag := &atomic.Bool{}
+					unfit = append(unfit, flag)
+					managers = append(managers, member.StartPoolManager(ctx, clock.System{}, s, r, func() []string { return []string{"p"} }, func(own member.Ownership) fitnessController {
+						return fitnessController{newFakeController(own), flag}
 					}, quiet))
 				}
 				time.Sleep(6 * time.Second)
-				first := ownerOf(t, keepers)
+				first := ownerOf(t, managers)
 				unfit[first].Store(true)
 				time.Sleep(5 * time.Second)
-				if now := ownerOf(t, keepers); (now != first) != (members > 1) {
-					t.Errorf("member %d of %d has the pool that member %d was unfit for", now, members, first)
+				if now := ownerOf(t, managers); (now != first) != (members > 1) {
+					t.Errorf("member %d of %d owns the pool for which member %d was unfit", now, members, first)
 				}
-				for _, k := range keepers {
+				for _, k := range managers {
 					k.Stop()
 				}
 				cancel()
@@ -124,19 +126,19 @@
 	}
 }
 
-// ownerOf returns which of some keepers has the pool.
-func ownerOf(t *testing.T, keepers []*member.PoolManager[fitnessController]) int {
+// ownerOf returns the index of the pool manager that runs the pool's controller.
+func ownerOf(t *testing.T, managers []*member.PoolManager[fitnessController]) int {
 	t.Helper()
-	for n, k := range keepers {
+	for n, k := range managers {
 		if _, ok := k.Controller("p"); ok {
 			return n
 		}
 	}
-	t.Fatal("nobody has the pool")
+	t.Fatal("no member runs a controller of the pool")
 	return 0
 }
 
-// A controllerLog knows the tenants of several members.
+// controllerLog records the controllers of several members, and any violations.
 type controllerLog struct {
 	mu         sync.Mutex
 	running    map[string]int // by member and pool
@@ -145,8 +147,9 @@
 	violations []string
 }
 
-// starter returns what starts a member's tenants. They end by themselves while their keys
-// stay, as owners do whose changes are refused, and take their time.
+// starter returns the function that starts a member's controllers. The controllers end by
+// themselves after a delay while their owner keys remain, as an owner does whose writes are
+// refused.
 func (r *controllerLog) starter(name string) func(member.Ownership) *fakeController {
 	return func(own member.Ownership) *fakeController {
 		t := newFakeController(own)
@@ -154,10 +157,10 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		if r.running[place] > 0 {
-			r.violations = append(r.violations, place+" has two tenants at once")
+			r.violations = append(r.violations, place+" has two controllers at once")
 		}
 		if r.fences[fence] {
-			r.violations = append(r.violations, fence+" is the fence of two tenants")
+			r.violations = append(r.violations, fence+" is the fence of two controllers")
 		}
 		r.running[place]++
 		r.fences[fence] = true
@@ -176,8 +179,10 @@
 	}
 }
 
-// Keepers that run in parallel, on a store that loses calls and answers and from which keys
-// vanish, with tenants that end by themselves, never have two tenants of one pool at once, nor two with one fence.
+// TestPoolHasOneControllerAtATime guards against two controllers of one pool in the same
+// member at once, and two under the same fence. Several pool managers run in parallel with
+// controllers that end by themselves, on a store that loses calls and answers and from which
+// owner keys disappear.
 func TestPoolHasOneControllerAtATime(t *testing.T) {
 	store := memory.New(clock.System{})
 	r := &controllerLog{running: make(map[string]int), fences: make(map[string]bool)}
@@ -196,13 +201,13 @@
 		roster := member.StartRoster(ctx, kv, clock.System{}, s, member.Member{Name: name, Strength: 1}, quiet)
 		member.StartPoolManager(ctx, clock.System{}, s, roster, func() []string { return names }, r.starter(name), quiet)
 	}
-	const lasts = 4 * time.Second
-	for end := time.Now().Add(lasts); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
+	const duration = 4 * time.Second
+	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		store.Take(member.OwnerKey(names[rand.IntN(len(names))]))
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.violations) > 0 || r.started < 2*len(names) {
-		t.Errorf("%d tenants have begun; wrong: %v", r.started, r.violations)
+		t.Errorf("%d controllers were started; violations: %v", r.started, r.violations)
 	}
 }
--- a/member/unreadable_test.go
+++ b/member/unreadable_test.go
@@ -14,19 +14,21 @@
 	"github.com/pointport/pointport/memory"
 )
 
-// Keys of the roster that cannot be read name nobody, at a member that has followed them no
-// more than at one that reads them first, whatever they held before; the others hold.
+// TestUnreadableRosterEntriesNameNoMember guards against members that disagree because of an
+// entry of the roster that cannot be decoded. Such an entry names no member, whatever it held
+// before, both for a member that has followed it and for one that reads it first. All other
+// entries stay in effect.
 func TestUnreadableRosterEntriesNameNoMember(t *testing.T) {
 	cases := map[string]string{
-		"bytes that cannot be read": "\xff\x00",
-		"nothing":                   "",
-		"a list":                    "[]",
-		"no name":                   `{"strength":1}`,
-		"another's name":            `{"name":"somebody else"}`,
-		"a megabyte":                `{"name":"` + strings.Repeat("x", 1<<20) + `"}`,
+		"invalid bytes":          "\xff\x00",
+		"empty":                  "",
+		"list":                   "[]",
+		"name missing":           `{"strength":1}`,
+		"name of another member": `{"name":"somebody else"}`,
+		"name of a megabyte":     `{"name":"` + strings.Repeat("x", 1<<20) + `"}`,
 	}
-	for what, value := range cases {
-		t.Run(what, func(t *testing.T) {
+	for name, value := range cases {
+		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store := memory.New(clock.System{})
 				a, b, c := startMember(store, "a", 1), startMember(store, "b", 1), startMember(store, "c", 1)
@@ -39,25 +41,25 @@
 				put(t, store, "roster/member/nobody", value)
 				put(t, store, member.OwnerKey("p"), value)
 				time.Sleep(time.Second)
-				first := startMember(store, "d", 1)
+				newMember := startMember(store, "d", 1)
 				time.Sleep(time.Second)
-				for name, p := range map[string]*testMember{"the one that followed": a, "the one that reads first": first} {
+				for reader, p := range map[string]*testMember{"follower": a, "new member": newMember} {
 					var names []string
 					for _, m := range p.roster.Peers() {
 						names = append(names, m.Name)
 					}
 					if slices.Contains(names, "b") || slices.Contains(names, "nobody") || !slices.Contains(names, "c") {
-						t.Errorf("%s believes in %v, want c and not b", name, names)
+						t.Errorf("%s: peers are %v, want c but neither b nor nobody", reader, names)
 					}
-					holder, held := p.roster.Holding("p")
-					if what == "another's name" || what == "a megabyte" {
-						continue // of an owner's key, any name will do
+					holding, held := p.roster.Holding("p")
+					if name == "name of another member" || name == "name of a megabyte" {
+						continue // the decoder accepts any name in an owner key
 					}
-					if !held || holder.Member.Name != "" {
-						t.Errorf("%s believes that %+v holds the pool: %v, want nobody that is known", name, holder, held)
+					if !held || holding.Member.Name != "" {
+						t.Errorf("%s: holding of the pool is %+v, %v, want an unknown holder", reader, holding, held)
 					}
 				}
-				stopMembers(a, b, c, first)
+				stopMembers(a, b, c, newMember)
 			})
 		})
 	}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -15,7 +15,7 @@
 	"github.com/pointport/pointport/relay"
 )
 
-// boundedWatcher holds watches as the store does for a relay.
+// boundedWatcher holds a watch for a short time only, as the store does for a relay.
 type boundedWatcher struct {
 	store  *memory.Store
 	down   atomic.Bool
@@ -32,7 +32,7 @@
 	return s.store.Watch(ctx, key, after)
 }
 
-// countingWatcher counts the watches that go to the store itself.
+// countingWatcher counts the watches that go to the store directly.
 type countingWatcher struct {
 	store *memory.Store
 	calls atomic.Int64
@@ -52,16 +52,16 @@
 	return rev
 }
 
-// TestClientsShareRelay lets many wait for a key through a relay. The store
-// must see only the relay's watches.
+// TestClientsShareRelay guards against clients that watch the store directly although the
+// relay answers.
 func TestClientsShareRelay(t *testing.T) {
 	store := memory.New(clock.System{})
 	srv := httptest.NewServer(relay.NewServer(t.Context(), &boundedWatcher{store: store}, clock.System{}))
 	defer srv.Close()
 	d := &countingWatcher{store: store}
-	const waiters = 20
-	got := make(chan pointport.Entry, waiters)
-	for range waiters {
+	const clients = 20
+	got := make(chan pointport.Entry, clients)
+	for range clients {
 		c := relay.NewClient(d, clock.System{}, func() string { return srv.URL })
 		go func() {
 			e, err := c.Watch(t.Context(), "key", 0)
@@ -72,22 +72,22 @@
 		}()
 	}
 	rev := write(t, store, 0, "value")
-	for range waiters {
+	for range clients {
 		if e := <-got; e.Revision() != rev || string(e.Value()) != "value" {
 			t.Errorf("got revision %d, %q", e.Revision(), e.Value())
 		}
 	}
 	if n := d.calls.Load(); n != 0 {
-		t.Errorf("%d watches went to the store itself", n)
+		t.Errorf("%d watches went to the store directly", n)
 	}
 }
 
-// TestRelayCutOff cuts the relay off from the store, which the waiting ones can
-// still reach. They must not be held back.
+// TestRelayCutOff guards against clients that are delayed because their relay is cut off from
+// the store while they can still reach it.
 func TestRelayCutOff(t *testing.T) {
 	store := memory.New(clock.System{})
-	cut := &boundedWatcher{store: store}
-	srv := httptest.NewServer(relay.NewServer(t.Context(), cut, clock.System{}))
+	cutOff := &boundedWatcher{store: store}
+	srv := httptest.NewServer(relay.NewServer(t.Context(), cutOff, clock.System{}))
 	defer srv.Close()
 	rev := write(t, store, 0, "old")
 	d := &countingWatcher{store: store}
@@ -95,8 +95,8 @@
 	if e, err := c.Watch(t.Context(), "key", 0); err != nil || e.Revision() != rev {
 		t.Fatalf("got revision %d, %v", e.Revision(), err)
 	}
-	cut.down.Store(true)
-	for cut.failed.Load() == 0 { // the watch under way has ended
+	cutOff.down.Store(true)
+	for cutOff.failed.Load() == 0 { // wait until the watch in flight has ended
 		time.Sleep(time.Millisecond)
 	}
 	next := write(t, store, rev, "new")
@@ -104,11 +104,11 @@
 		t.Errorf("got revision %d, %v, want %d", e.Revision(), err, next)
 	}
 	if d.calls.Load() == 0 {
-		t.Error("the store itself was not asked")
+		t.Error("the store was not watched directly")
 	}
 }
 
-// TestRelayGone lets the relay's process be gone.
+// TestRelayGone guards against a client that fails because the relay's process has ended.
 func TestRelayGone(t *testing.T) {
 	store := memory.New(clock.System{})
 	srv := httptest.NewServer(nil)
@@ -122,7 +122,8 @@
 	}
 }
 
-// TestRelayBehindClient asks a relay about a revision that it has not seen.
+// TestRelayBehindClient guards against a client that gets an older state than it already has
+// from a relay that has not seen its revision.
 func TestRelayBehindClient(t *testing.T) {
 	older, newer := memory.New(clock.System{}), memory.New(clock.System{})
 	write(t, older, 0, "old")
@@ -139,20 +140,20 @@
 	}
 }
 
-// TestRelayHangs freezes the relay's process, which then accepts connections
-// and answers nothing. Whoever waits must go to the store, and not only once its
-// long wait is over.
+// TestRelayHangs guards against clients that wait for the whole timeout of a relayed watch
+// when the relay's process hangs: it accepts connections but does not answer. They must watch
+// the store directly long before that.
 func TestRelayHangs(t *testing.T) {
 	store := memory.New(clock.System{})
-	wake := make(chan struct{})
-	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-wake }))
+	unblock := make(chan struct{})
+	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-unblock }))
 	defer srv.Close()
-	defer close(wake)
+	defer close(unblock)
 	d := &countingWatcher{store: store}
 	c := relay.NewClient(d, clock.System{}, func() string { return srv.URL })
 	rev := write(t, store, 0, "value")
-	const muchLess = 10 * time.Second // than a relayed watch waits
-	ctx, cancel := context.WithTimeout(t.Context(), muchLess)
+	const maxDuration = 10 * time.Second // far below the timeout of a relayed watch
+	ctx, cancel := context.WithTimeout(t.Context(), maxDuration)
 	defer cancel()
 	if e, err := c.Watch(ctx, "key", 0); err != nil || e.Revision() != rev {
 		t.Errorf("got revision %d, %v", e.Revision(), err)
