--- a/member/call_rate_test.go
+++ b/member/call_rate_test.go
@@ -92,8 +92,8 @@
 
 // managedMember is a member with a pool manager.
 type managedMember struct {
-	keeper *member.PoolManager[*fakeController]
-	cancel context.CancelFunc
+	manager *member.PoolManager[*fakeController]
+	cancel  context.CancelFunc
 }
 
 // startManagedMember starts a member with a pool manager.
@@ -128,7 +128,7 @@
 			start(replaced)
 			left := replaced
 			all = slices.DeleteFunc(all, func(w *managedMember) bool {
-				if left == 0 || w.keeper.Count() > 0 {
+				if left == 0 || w.manager.Count() > 0 {
 					return false
 				}
 				left--
@@ -145,7 +145,7 @@
 			t.Errorf("only %d leases were exchanged", got)
 		}
 		for _, w := range all {
-			w.keeper.Stop()
+			w.manager.Stop()
 			w.cancel()
 		}
 		time.Sleep(10 * time.Second)
@@ -158,8 +158,8 @@
 	t.Helper()
 	out := make(map[string]pointport.Fence)
 	for _, w := range all {
-		for _, tenant := range w.keeper.Controllers() {
-			own := tenant.Ownership()
+		for _, c := range w.manager.Controllers() {
+			own := c.Ownership()
 			if _, ok := out[own.Pool]; ok {
 				t.Errorf("%s has two owners", own.Pool)
 			}
@@ -302,8 +302,8 @@
 			t.Errorf("%d of %d pools have an owner", len(before), len(pools))
 		}
 		for _, w := range all {
-			if w.keeper.Count() > 1 {
-				t.Errorf("a member owns %d pools", w.keeper.Count())
+			if w.manager.Count() > 1 {
+				t.Errorf("a member owns %d pools", w.manager.Count())
 			}
 		}
 		for from := time.Now(); time.Since(from) < 10*time.Second; time.Sleep(50 * time.Millisecond) {
@@ -315,7 +315,7 @@
 			t.Errorf("%d calls were refused after the start", n)
 		}
 		for _, w := range all {
-			w.keeper.Stop()
+			w.manager.Stop()
 			w.cancel()
 		}
 		time.Sleep(10 * time.Second)
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -57,15 +57,15 @@
 	Pool  string `json:"pool"`
 	Job   string `json:"job,omitempty"`
 	Queue string `json:"queue,omitempty"`
-	// Caller is the customer on customerName behalf a request about a job is sent.
-	Caller   customer.Caller `json:"by,omitzero"`
+	// CalledBy is the customer on customerName behalf a request about a job is sent.
+	CalledBy customer.Caller `json:"by,omitzero"`
 	Accepted json.RawMessage `json:"accepted,omitempty"`
-	// Revision is the revision at which the job was accepted.
-	Revision pointport.Revision `json:"at,omitempty"`
+	// AcceptedAt is the revision at which the job was accepted.
+	AcceptedAt pointport.Revision `json:"at,omitempty"`
 	// Survey holds the parameters of a survey of the pool.
 	Survey *schedule.SurveyRequest `json:"survey,omitempty"`
-	// Submission is a job that the sending member could not store.
-	Submission *intake.Submission `json:"keep,omitempty"`
+	// ToStore is a job that the sending member could not store.
+	ToStore *intake.Submission `json:"keep,omitempty"`
 }
 
 // reply is the answer to a request, of any kind.
@@ -155,7 +155,7 @@
 		return
 	}
 	go func() {
-		r, err := o.askOwner(context.Background(), submittedPath, request{Pool: pool, Job: id, Caller: customer.Caller{Name: customerName}, Accepted: accepted, Revision: revision})
+		r, err := o.askOwner(context.Background(), submittedPath, request{Pool: pool, Job: id, CalledBy: customer.Caller{Name: customerName}, Accepted: accepted, AcceptedAt: revision})
 		if err != nil {
 			event.PeerSilent.Log(o.logger, slog.String("pool", pool), slog.String("job", id), slog.Any("error", err))
 			return
@@ -172,7 +172,7 @@
 	if local, ok := o.manager.Controller(pool); ok {
 		return local.Cancel(ctx, id, caller)
 	}
-	r, err := o.askOwner(ctx, cancelPath, request{Pool: pool, Job: id, Caller: caller})
+	r, err := o.askOwner(ctx, cancelPath, request{Pool: pool, Job: id, CalledBy: caller})
 	return r.Known, err
 }
 
@@ -182,7 +182,7 @@
 	if local, ok := o.manager.Controller(pool); ok {
 		return local.Status(ctx, id, caller)
 	}
-	r, err := o.askOwner(ctx, statusPath, request{Pool: pool, Job: id, Caller: caller})
+	r, err := o.askOwner(ctx, statusPath, request{Pool: pool, Job: id, CalledBy: caller})
 	return r.Status, r.Known, err
 }
 
@@ -219,7 +219,7 @@
 	if local, ok := o.manager.Controller(pool); ok {
 		return local.ExplainCustomer(ctx, name)
 	}
-	r, err := o.askOwner(ctx, customerPath, request{Pool: pool, Caller: customer.Caller{Name: name}})
+	r, err := o.askOwner(ctx, customerPath, request{Pool: pool, CalledBy: customer.Caller{Name: name}})
 	return r.Customer, err
 }
 
@@ -264,15 +264,15 @@
 		})
 	}
 	handle(submittedPath, func(_ context.Context, o *shard.Owner, req request) (reply, error) {
-		o.Submitted(req.Job, req.Accepted, req.Revision)
-		return reply{Known: true, Excess: o.Excess(req.Caller.Name)}, nil
+		o.Submitted(req.Job, req.Accepted, req.AcceptedAt)
+		return reply{Known: true, Excess: o.Excess(req.CalledBy.Name)}, nil
 	})
 	handle(cancelPath, func(ctx context.Context, o *shard.Owner, req request) (reply, error) {
-		known, err := o.Cancel(ctx, req.Job, req.Caller)
+		known, err := o.Cancel(ctx, req.Job, req.CalledBy)
 		return reply{Known: known}, err
 	})
 	handle(statusPath, func(ctx context.Context, o *shard.Owner, req request) (reply, error) {
-		status, known, err := o.Status(ctx, req.Job, req.Caller)
+		status, known, err := o.Status(ctx, req.Job, req.CalledBy)
 		return reply{Known: known, Status: status}, err
 	})
 	handle(waitingPath, func(ctx context.Context, o *shard.Owner, req request) (reply, error) {
@@ -284,7 +284,7 @@
 		return reply{Known: known, Explanation: x}, err
 	})
 	handle(customerPath, func(ctx context.Context, o *shard.Owner, req request) (reply, error) {
-		x, err := o.ExplainCustomer(ctx, req.Caller.Name)
+		x, err := o.ExplainCustomer(ctx, req.CalledBy.Name)
 		return reply{Customer: x}, err
 	})
 	handle(surveyPath, func(ctx context.Context, o *shard.Owner, req request) (reply, error) {
--- a/peer/store_job.go
+++ b/peer/store_job.go
@@ -48,7 +48,7 @@
 	var unsure error
 	peers, cause := o.storePeers(ctx, s)
 	for _, m := range peers {
-		r, err := o.send(ctx, m, storeJobPath, request{Pool: s.Pool, Job: s.ID, Submission: &s})
+		r, err := o.send(ctx, m, storeJobPath, request{Pool: s.Pool, Job: s.ID, ToStore: &s})
 		if err == nil && r.Known {
 			o.canStore.set(m.Name, peerStateTTL)
 			return m.Name, nil
@@ -146,11 +146,11 @@
 // handleStoreJob serves a request to store a job.
 func handleStoreJob(w http.ResponseWriter, r *http.Request, store Store, logger *slog.Logger) {
 	var req request
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxMessage)).Decode(&req); err != nil || req.Submission == nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxMessage)).Decode(&req); err != nil || req.ToStore == nil {
 		http.Error(w, "keep: missing", http.StatusBadRequest)
 		return
 	}
-	err := store.StoreJob(r.Context(), *req.Submission)
+	err := store.StoreJob(r.Context(), *req.ToStore)
 	var refused *intake.RefusedError
 	var revoked *intake.RevokedError
 	var taken *intake.TakenError
