--- a/member/follow.go
+++ b/member/follow.go
@@ -50,7 +50,9 @@
 
 // FromRevision makes the follower start at a revision as of which its caller has already read
 // all keys.
-func FromRevision(at pointport.Revision) FollowOption { return func(f *Follower) { f.watchFrom = at } }
+func FromRevision(watchFrom pointport.Revision) FollowOption {
+	return func(f *Follower) { f.watchFrom = watchFrom }
+}
 
 // PauseAfterChange sets how long to wait after a change before the next one is requested, for
 // keys that change often and whose changes need not be known at once.
@@ -60,30 +62,30 @@
 
 // PauseAfterChanges sets a function that returns how long to wait after the given changes
 // before the next ones are requested.
-func PauseAfterChanges(pause func(changes []pointport.Entry) time.Duration) FollowOption {
-	return func(f *Follower) { f.pauseAfter = pause }
+func PauseAfterChanges(pauseAfter func(changes []pointport.Entry) time.Duration) FollowOption {
+	return func(f *Follower) { f.pauseAfter = pauseAfter }
 }
 
 // WatchTimeout sets how long a watch may wait, for keys that many members follow.
-func WatchTimeout(timeout func() time.Duration) FollowOption {
-	return func(f *Follower) { f.watchTimeout = timeout }
+func WatchTimeout(watchTimeout func() time.Duration) FollowOption {
+	return func(f *Follower) { f.watchTimeout = watchTimeout }
 }
 
 // RereadInterval sets the minimum interval between two reads of all keys, for large sets of
 // keys that many members follow.
-func RereadInterval(interval func() time.Duration) FollowOption {
-	return func(f *Follower) { f.rereadInterval = interval }
+func RereadInterval(rereadInterval func() time.Duration) FollowOption {
+	return func(f *Follower) { f.rereadInterval = rereadInterval }
 }
 
 // defaultRereadIntervalFunc returns the default interval between two reads of all keys.
 func defaultRereadIntervalFunc() time.Duration { return DefaultRereadInterval }
 
-// RereadOn makes the follower read all keys again as soon as the channel that recovered
+// RereadOn makes the follower read all keys again as soon as the channel that rereadOn
 // returns is closed, which must happen when the store answers again after an outage.
 // Otherwise, a request sent during the outage may delay the follower until it times out, which
 // takes up to 1.7 s with its retries.
-func RereadOn(recovered func() <-chan struct{}) FollowOption {
-	return func(f *Follower) { f.rereadOn = recovered }
+func RereadOn(rereadOn func() <-chan struct{}) FollowOption {
+	return func(f *Follower) { f.rereadOn = rereadOn }
 }
 
 // OnResult sets a function that is called with the result of each request to the store: nil
@@ -118,11 +120,11 @@
 		read = f.clock.Now()
 	}
 	for ctx.Err() == nil {
-		recovered := f.rereadOn()
+		rereadOn := f.rereadOn()
 		call, cancel := context.WithCancel(ctx)
 		go func() {
 			select {
-			case <-recovered:
+			case <-rereadOn:
 				cancel()
 			case <-call.Done():
 			}
@@ -167,11 +169,11 @@
 }
 
 func (f *Follower) readAll(ctx context.Context) error {
-	all, at, err := ReadAll(ctx, f.kv, f.prefix)
+	all, watchFrom, err := ReadAll(ctx, f.kv, f.prefix)
 	if err != nil {
 		return err
 	}
-	f.watchFrom = at
+	f.watchFrom = watchFrom
 	f.reset(all)
 	return nil
 }
--- a/member/follow_key.go
+++ b/member/follow_key.go
@@ -54,14 +54,14 @@
 type KeyOption func(*keyFollower)
 
 // RecheckInterval sets how often the key is checked, which counts as a write to the store.
-func RecheckInterval(interval func() time.Duration) KeyOption {
-	return func(f *keyFollower) { f.recheckInterval = interval }
+func RecheckInterval(recheckInterval func() time.Duration) KeyOption {
+	return func(f *keyFollower) { f.recheckInterval = recheckInterval }
 }
 
 // KeyWatchTimeout sets how long a watch of the key may wait, for keys that many members
 // follow.
-func KeyWatchTimeout(timeout func() time.Duration) KeyOption {
-	return func(f *keyFollower) { f.watchTimeout = timeout }
+func KeyWatchTimeout(watchTimeout func() time.Duration) KeyOption {
+	return func(f *keyFollower) { f.watchTimeout = watchTimeout }
 }
 
 // defaultRecheckIntervalFunc returns the default interval between two checks of a key.
@@ -130,11 +130,11 @@
 		return f.read(ctx)
 	}
 	from := f.clock.Now()
-	at, err := f.kv.Commit(ctx, pointport.Txn{If: []pointport.Condition{{Key: f.key, Revision: f.knownRevision}}})
+	watchFrom, err := f.kv.Commit(ctx, pointport.Txn{If: []pointport.Condition{{Key: f.key, Revision: f.knownRevision}}})
 	var conflict *pointport.TxnConflictError
 	switch {
 	case err == nil:
-		f.watchFrom = max(f.watchFrom, at)
+		f.watchFrom = max(f.watchFrom, watchFrom)
 		f.checkedAt = from
 		return nil
 	case errors.As(err, &conflict):
--- a/member/follow_key_test.go
+++ b/member/follow_key_test.go
@@ -32,7 +32,7 @@
 // follow follows the key k of a new store until ctx ends.
 func follow(ctx context.Context, options ...member.KeyOption) *followTest {
 	f := &followTest{store: memory.New(clock.System{})}
-	fault := func(op, _ string) memory.Fault {
+	injectFault := func(op, _ string) memory.Fault {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.calls++
@@ -46,7 +46,7 @@
 		defer f.mu.Unlock()
 		f.values = append(f.values, string(e.Value()))
 	}
-	kv := f.store.KV(memory.WithFaults(fault), memory.WithLatency(time.Millisecond))
+	kv := f.store.KV(memory.WithFaults(injectFault), memory.WithLatency(time.Millisecond))
 	go member.FollowKey(ctx, kv, clock.System{}, "k", onChange, func(error) {}, options...)
 	return f
 }
--- a/member/lease.go
+++ b/member/lease.go
@@ -66,10 +66,10 @@
 
 // setLeaseInUse sets the function that reports whether anything is owned, or about to be owned,
 // under the lease. A short lease is kept while it returns true.
-func (s *Session) setLeaseInUse(inUse func() bool) {
+func (s *Session) setLeaseInUse(leaseInUse func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaseInUse = inUse
+	s.leaseInUse = leaseInUse
 }
 
 // currentTTL returns the TTL of the current lease.
@@ -92,14 +92,14 @@
 // exchange replaces the current lease with a new one and reports whether it succeeded. After a
 // failure the next round tries again. The old lease is left to expire: nothing is owned under
 // it, and this member's own key is written again under the new one.
-func (s *Session) exchange(ctx context.Context, ttl time.Duration) bool {
-	inUse := s.beginExchange()
+func (s *Session) exchange(ctx context.Context, newTTL time.Duration) bool {
+	leaseInUse := s.beginExchange()
 	defer s.endExchange()
-	if ttl > s.ttl && inUse() {
+	if newTTL > s.ttl && leaseInUse() {
 		return false
 	}
 	from := s.clock.Steady()
-	lease, err := s.kv.Grant(ctx, ttl)
+	lease, err := s.kv.Grant(ctx, newTTL)
 	if err != nil {
 		return false
 	}
@@ -107,13 +107,13 @@
 	defer s.mu.Unlock()
 	s.recordAnswer(from)
 	s.formerLease = s.lease
-	s.setLease(lease, ttl, from)
+	s.setLease(lease, newTTL, from)
 	return true
 }
 
 // beginExchange notes that the lease is about to be exchanged; from then on no pool is taken
 // under it. It returns the function that reports whether anything is already owned under it.
-func (s *Session) beginExchange() (inUse func() bool) {
+func (s *Session) beginExchange() (leaseInUse func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.exchanging = true
--- a/member/pool_manager.go
+++ b/member/pool_manager.go
@@ -31,8 +31,8 @@
 	// checkInterval is how often the pool manager runs when nothing changes.
 	checkInterval = 500 * time.Millisecond
 	// standbyCount is how many members are standbys of each pool. A standby holds a short
-	// lease, so that the other members soon notice its failure and that it can take a pool
-	// without first exchanging its lease. With four standbys a pool still has one when three
+	// lease, so the other members soon notice its failure, and it can take a pool without
+	// first exchanging its lease. With four standbys a pool still has one when three
 	// of them and the owner fail together.
 	standbyCount = 4
 	// standbyDelay is how long after the roster is complete a member first checks whether it
@@ -232,8 +232,8 @@
 	if !m.session.Proven() {
 		return checkInterval
 	}
-	at, only := m.takeTime(pool, now)
-	if left := at.Sub(now); left > 0 {
+	takeTime, only := m.takeTime(pool, now)
+	if left := takeTime.Sub(now); left > 0 {
 		return min(left, checkInterval)
 	}
 	if only && !m.roster.Enrolled() {
@@ -307,14 +307,14 @@
 // on the owner key, has shown that. It returns how long to wait until the next check, which is
 // early enough for a call and a retry if the first gets no answer, even on a slow store. With
 // a fixed interval, ownerships repeatedly became unproven while the store took 0.3 s to
-// answer, and their pools stood still.
+// answer, and nothing was scheduled in their pools.
 func (m *PoolManager[T]) check(ctx context.Context, c T) time.Duration {
 	own := c.Ownership()
 	ttl := m.session.TTL()
 	reserve := max(ttl/proofReserveDivisor, ttl/(2*proofReserveDivisor)+2*m.lastCheckDuration)
 	from := m.clock.Now()
-	if left := own.remaining(); left > reserve {
-		return min(left-reserve, checkInterval)
+	if remaining := own.remaining(); remaining > reserve {
+		return min(remaining-reserve, checkInterval)
 	}
 	err := m.roster.Check(ctx, own)
 	m.lastCheckDuration = m.clock.Now().Sub(from)
--- a/member/pool_manager_test.go
+++ b/member/pool_manager_test.go
@@ -44,8 +44,8 @@
 func (t *fakeController) Done() <-chan struct{}       { return t.done }
 func (t *fakeController) Err() error                  { return context.Canceled }
 
-// TestOwnershipStaysProvenOnASlowStore guards against a pool that stands still because its
-// ownership is unproven. This happens if the owner key is not checked early enough while
+// TestOwnershipStaysProvenOnASlowStore guards against an unproven ownership, during which
+// nothing is scheduled in the pool. This happens if the owner key is not checked early enough while
 // nothing is written to two pools and the store is slow.
 func TestOwnershipStaysProvenOnASlowStore(t *testing.T) {
 	for _, latency := range []time.Duration{time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond} {
--- a/member/rank.go
+++ b/member/rank.go
@@ -15,10 +15,10 @@
 func (r *Roster) Idle(pool string, limit int) []Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	pools := r.poolCounts()
+	poolCounts := r.poolCounts()
 	var out []Member
 	for name, m := range r.members {
-		if name != r.self.Name && pools[name] == 0 {
+		if name != r.self.Name && poolCounts[name] == 0 {
 			out = append(out, m)
 		}
 	}
@@ -32,14 +32,14 @@
 func (r *Roster) Rank(pool string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	pools := r.poolCounts()
-	own := load(r.self, pools[r.self.Name]+1)
+	poolCounts := r.poolCounts()
+	own := load(r.self, poolCounts[r.self.Name]+1)
 	rank := 0
 	for name, m := range r.members {
 		if name == r.self.Name {
 			continue
 		}
-		other := load(m, pools[name]+1)
+		other := load(m, poolCounts[name]+1)
 		if other < own || other == own && weight(pool, name) > weight(pool, r.self.Name) {
 			rank++
 		}
@@ -56,10 +56,10 @@
 	if now.Sub(r.lastHandover) < handoverInterval {
 		return false
 	}
-	pools := r.poolCounts()
-	own := load(r.self, pools[r.self.Name])
+	poolCounts := r.poolCounts()
+	own := load(r.self, poolCounts[r.self.Name])
 	for name, m := range r.members {
-		if name != r.self.Name && load(m, pools[name]+1)*handoverLoadRatio <= own {
+		if name != r.self.Name && load(m, poolCounts[name]+1)*handoverLoadRatio <= own {
 			r.lastHandover = now
 			return true
 		}
@@ -76,11 +76,11 @@
 
 // poolCounts returns how many pools each member owns. The lock must be held.
 func (r *Roster) poolCounts() map[string]int {
-	pools := make(map[string]int)
+	poolCounts := make(map[string]int)
 	for _, o := range r.owners {
-		pools[o.member.Name]++
+		poolCounts[o.member.Name]++
 	}
-	return pools
+	return poolCounts
 }
 
 // load returns a member's number of pools in proportion to its strength.
--- a/member/session.go
+++ b/member/session.go
@@ -117,13 +117,13 @@
 // calls because it receives too many, a pool owner calls more often and other members less
 // often, so that the calls of owners succeed.
 func (s *Session) pause(err error) time.Duration {
-	busy, short := pointport.IsBusy(err), s.hasShortLease()
+	busy, hasShortLease := pointport.IsBusy(err), s.hasShortLease()
 	switch {
-	case busy && short && s.isLeaseInUse():
+	case busy && hasShortLease && s.isLeaseInUse():
 		return s.ttl / (2 * renewalsPerTTL)
 	case busy:
 		return jitter(s.ttl / 2)
-	case short || err != nil:
+	case hasShortLease || err != nil:
 		return s.ttl / renewalsPerTTL
 	}
 	return s.ttl
@@ -132,9 +132,9 @@
 // isLeaseInUse reports whether a pool is owned under the lease, or about to be.
 func (s *Session) isLeaseInUse() bool {
 	s.mu.Lock()
-	inUse := s.leaseInUse
+	leaseInUse := s.leaseInUse
 	s.mu.Unlock()
-	return inUse()
+	return leaseInUse()
 }
 
 // reportReachability logs when the store becomes unreachable or reachable again, once each
@@ -186,13 +186,13 @@
 	if lease == 0 {
 		return s.grant(ctx)
 	}
-	ttl, desired := s.currentTTL(), s.desiredTTL()
-	if desired < ttl && s.exchange(ctx, desired) {
+	ttl, desiredTTL := s.currentTTL(), s.desiredTTL()
+	if desiredTTL < ttl && s.exchange(ctx, desiredTTL) {
 		return nil
 	}
 	err := s.renew(ctx, lease)
-	if err == nil && desired > ttl {
-		s.exchange(ctx, desired)
+	if err == nil && desiredTTL > ttl {
+		s.exchange(ctx, desiredTTL)
 	}
 	return err
 }
@@ -237,8 +237,8 @@
 
 // setLease stores a lease that was granted by a call made at the steady time from. The lock
 // must be held.
-func (s *Session) setLease(lease pointport.LeaseID, ttl time.Duration, from time.Time) {
-	s.lease, s.leaseTTL, s.provenUntil = lease, ttl, from.Add(ttl)
+func (s *Session) setLease(lease pointport.LeaseID, leaseTTL time.Duration, from time.Time) {
+	s.lease, s.leaseTTL, s.provenUntil = lease, leaseTTL, from.Add(leaseTTL)
 	close(s.leaseGranted)
 	s.leaseGranted = make(chan struct{})
 }
--- a/member/writer.go
+++ b/member/writer.go
@@ -79,15 +79,15 @@
 		}
 	}
 	w.seq++
-	head, err := json.Marshal(headDocument{w.own.Fence, w.seq})
+	pendingHead, err := json.Marshal(headDocument{w.own.Fence, w.seq})
 	if err != nil {
 		return err
 	}
 	txn.If = append(txn.If,
 		pointport.Condition{Key: OwnerKey(w.own.Pool), Revision: w.own.Revision},
 		pointport.Condition{Key: HeadKey(w.own.Pool), Revision: w.head})
-	txn.Put = append(txn.Put, pointport.Put{Key: HeadKey(w.own.Pool), Value: head})
-	w.pending, w.pendingHead = &txn, string(head)
+	txn.Put = append(txn.Put, pointport.Put{Key: HeadKey(w.own.Pool), Value: pendingHead})
+	w.pending, w.pendingHead = &txn, string(pendingHead)
 	return w.sendPending(ctx)
 }
 
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -57,7 +57,7 @@
 	Pool  string `json:"pool"`
 	Job   string `json:"job,omitempty"`
 	Queue string `json:"queue,omitempty"`
-	// CalledBy is the customer on customerName behalf a request about a job is sent.
+	// CalledBy is the customer on whose behalf a request about a job is sent.
 	CalledBy customer.Caller `json:"by,omitzero"`
 	Accepted json.RawMessage `json:"accepted,omitempty"`
 	// AcceptedAt is the revision at which the job was accepted.
