--- a/member/follow_key.go
+++ b/member/follow_key.go
@@ -32,9 +32,9 @@
 // known revision, and the store returns the value only if the revision has changed. So each
 // version is transferred at most once, nothing is transferred while nothing changes, and if
 // versions are written faster than the link can carry them, the newest is transferred next.
-// Reading the key every second instead filled links of 10 Mbit/s with a configuration of 1.2
-// MB, so that no later version arrived; with an unchanged value, one of 250 queues cost 44 KB
-// a second.
+// Reading the key every second instead filled links of 10 Mbit/s with a configuration of
+// 1.2 MB, so that no later version arrived, and an unchanged configuration of 250 queues cost
+// 44 KB a second.
 type keyFollower struct {
 	kv              pointport.KV
 	clock           pointport.Clock
--- a/peer/store_job.go
+++ b/peer/store_job.go
@@ -38,8 +38,8 @@
 	errNoneCanStore = errors.New("no peer that was asked can reach the store")
 )
 
-// StoreAtPeer has a peer store a job, and returns the peer's name. The peer to ask first depends on
-// the job's ID, so that the peers share the load. The job is stored only once, however many
+// StoreAtPeer has a peer store a job, and returns the peer's name. The peer to ask first depends
+// on the job's ID, so that the peers share the load. The job is stored only once, however many
 // peers are asked.
 //
 // It fails with an *intake.AmbiguousError if the job may have been stored, and otherwise with an
@@ -76,11 +76,12 @@
 }
 
 // storePeers returns the peers that are believed to be able to store a job: one that has just
-// stored another, or those that report that they can reach the store. The error
-// is the cause to report if none of them stores the job. Peers are asked for this first because that request changes nothing,
-// whereas a job sent to a peer that does not answer may have been stored: when the store was
-// unreachable for four seconds while a zone was cut off, 197 of the 252 customers who could
-// not be given a definite answer had been sent to such a peer (one day with 349 instances).
+// stored another, or those that report that they can reach the store. The error is the cause to
+// report if none of them stores the job. The peers are first asked whether they can reach the
+// store because that request changes nothing, whereas a job sent to a peer that does not answer
+// may have been stored: when the store was unreachable for four seconds while a zone was cut
+// off, the jobs of 197 of the 252 customers who could not be given a definite answer had been
+// sent to such a peer (one day with 349 instances).
 func (o *Owners) storePeers(ctx context.Context, s intake.Submission) ([]member.Member, error) {
 	var ask []member.Member
 	for _, m := range o.peersFor(s.ID) {
@@ -105,18 +106,18 @@
 func (o *Owners) askCanStore(ctx context.Context, s intake.Submission, peers []member.Member) []member.Member {
 	ctx, cancel := context.WithTimeout(ctx, canStoreTimeout)
 	defer cancel()
-	served := make([]bool, len(peers))
+	canStore := make([]bool, len(peers))
 	var wg sync.WaitGroup
 	for n, m := range peers {
 		wg.Go(func() {
 			r, err := o.send(ctx, m, canStorePath, request{Pool: s.Pool, Job: s.ID})
-			served[n] = err == nil && r.Known
+			canStore[n] = err == nil && r.Known
 		})
 	}
 	wg.Wait()
 	var out []member.Member
 	for n, m := range peers {
-		if served[n] {
+		if canStore[n] {
 			out = append(out, m)
 			continue
 		}
