--- a/cli/join.go
+++ b/cli/join.go
@@ -123,7 +123,7 @@
 	logger := slog.New(figures.Events(limit)).With(slog.String("node", s.Name))
 	guard := heap.Start(ctx, clock.System{}, s.MemoryBytes, logger)
 	services := node.Services{
-		KV:       figures.KV(platform.NewStore(s.Store, platform.WithReceived(figures.FromStore))),
+		KV:       figures.KV(platform.NewStore(s.Store, platform.WithReceiveObserver(figures.FromStore))),
 		Executor: figures.Executor(platform.NewExecutor()),
 		Clock:    suspend.Clock(logger),
 		Config: node.Source[*workload.Catalog]{
@@ -135,12 +135,12 @@
 		},
 		Waves: node.WaveSource{
 			Source: node.Source[capacity.Wave]{Prefix: platform.WavePrefix, Decode: platform.DecodeWave},
-			Status: platform.WaveStatus,
+			Status: platform.EncodeWaveStatus,
 		},
 		Evacuations: node.Source[evacuation.Request]{Prefix: platform.EvacuationPrefix, Decode: platform.DecodeEvacuation},
 		Ingress: func(n *node.Node) http.Handler {
-			as := func(c customer.Caller) platform.Desk { return n.Desk().ForCaller(c) }
-			keys := platform.KeyState{Trusted: n.KeysTrusted, Newest: n.KeysNewest}
+			as := func(c customer.Caller) platform.JobService { return n.Intake().ForCaller(c) }
+			keys := platform.KeyState{Trusted: n.KeysTrusted, UpToDate: n.KeysNewest}
 			return platform.NewIngress(as, n.Catalog, logger, platform.WithKeyState(keys))
 		},
 	}
@@ -188,10 +188,10 @@
 	m.Gauge("pointport_config_version", "Version of the configuration in force.", func() float64 { return float64(n.ConfigVersion()) })
 	m.Gauge("pointport_config_age_seconds", "Time since the version in force was last known to be the newest.", func() float64 { return n.ConfigAge().Seconds() })
 	m.Gauge("pointport_ready", "Whether the balancer should send new connections.", truth(n.Ready))
-	m.Gauge("pointport_lease_proven", "Whether the lease at the store has surely not ended.", truth(n.Proven))
+	m.Gauge("pointport_lease_proven", "Whether the lease at the store has surely not ended.", truth(n.LeaseProven))
 	m.Gauge("pointport_members", "Entry instances that this one knows, itself among them.", func() float64 { return float64(n.Members()) })
 	m.Gauge("pointport_pools_owned", "Pools that this entry instance owns, the steward's post among them.", func() float64 { return float64(n.Owned()) })
-	m.Gauge("pointport_zones_evacuated", "Availability zones in which this entry instance starts nothing because operators ask for it, as far as it needs to know.", func() float64 { return float64(n.Evacuated()) })
+	m.Gauge("pointport_zones_evacuated", "Availability zones in which this entry instance starts nothing because operators ask for it, as far as it needs to know.", func() float64 { return float64(n.EvacuatedZones()) })
 	m.Gauge("pointport_owner_lag_seconds", "Longest time in the last second that something waited for the owner of a pool here.", func() float64 { return n.Load().Lag.Seconds() })
 	m.Gauge("pointport_starts_window", "Starts that an owner here may have under way, the smallest of its pools; 0 without one.", func() float64 { return float64(n.Load().Window) })
 	m.Gauge("pointport_orders_delegated", "Whether an owner here sends its orders through peers.", truth(func() bool { return n.Load().Delegating }))
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -583,7 +583,7 @@
 	var lastErr error
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		last, lastErr = n.Desk().Status(ctx, q, id)
+		last, lastErr = n.Intake().Status(ctx, q, id)
 		cancel()
 		if lastErr == nil && last == want {
 			return
@@ -596,7 +596,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
-	if err := n.Desk().Submit(ctx, q, id, spec); err != nil {
+	if err := n.Intake().Submit(ctx, q, id, spec); err != nil {
 		t.Fatalf("submit %s: %v", id, err)
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -283,8 +283,8 @@
 	return mux
 }
 
-// Desk returns what takes jobs.
-func (n *Node) Desk() *intake.Service { return n.desk }
+// Intake returns what takes jobs.
+func (n *Node) Intake() *intake.Service { return n.desk }
 
 // Catalog returns the configuration in force, nil while there is none.
 func (n *Node) Catalog() *workload.Catalog { return n.configs.Trusted() }
@@ -329,8 +329,8 @@
 // ConfigAge returns how long ago the version in force was last known to be the newest.
 func (n *Node) ConfigAge() time.Duration { return n.configs.age() }
 
-// Proven reports whether the node's lease at the store has surely not ended.
-func (n *Node) Proven() bool { return n.session.Proven() }
+// LeaseProven reports whether the node's lease at the store has surely not ended.
+func (n *Node) LeaseProven() bool { return n.session.Proven() }
 
 // Members returns how many members the node knows, itself among them.
 func (n *Node) Members() int { return len(n.roster.Peers()) + 1 }
@@ -344,9 +344,9 @@
 	return owned
 }
 
-// Evacuated returns how many availability zones are evacuated, as far as the node knows; it
+// EvacuatedZones returns how many availability zones are evacuated, as far as the node knows; it
 // reads that while it owns something.
-func (n *Node) Evacuated() int { return n.emptied.Evacuated() }
+func (n *Node) EvacuatedZones() int { return n.emptied.Evacuated() }
 
 // Load returns what the owners of this node's pools carry: the worst lag, the smallest
 // window of starts, and whether any sends its orders through peers; zero if there is none.
