--- a/member/follow_key.go
+++ b/member/follow_key.go
@@ -10,169 +10,173 @@
 	clocks "github.com/pointport/pointport/clock"
 )
 
-// This file defines how a single key is followed whose value may be large beside the
-// link over which it comes.
+// This file defines how to follow a single key whose value may be large compared with the
+// bandwidth of the link to the store.
 
 const (
-	// DefaultRecheckInterval is how often a key that is followed is made sure of, whatever the
-	// watch says. A watch asks from the state that is known, so it tells later what it did
-	// not hear while the store was deaf to changes, or fails because that is forgotten.
+	// DefaultRecheckInterval is how often a followed key is checked, whatever its watch
+	// returned. A watch starts at the known revision, so a change that a watch missed while
+	// the store sent no changes is returned by a later watch, or that watch fails because the
+	// change has been compacted.
 	DefaultRecheckInterval = time.Second
-	// glance is how long a watch waits that is to answer at once, the least that the store
-	// takes. It is a reading call, of which the store takes five times as many as of
-	// transactions.
-	glance = time.Millisecond
-	// slowValue is the size of a value, in bytes, while which comes the next may be made:
-	// it takes 50 ms on a link of 10 Mbit/s.
-	slowValue = 64 << 10
+	// minWatchTimeout is the shortest watch that the store accepts, for a watch that must
+	// return at once. A watch counts as a read, of which the store accepts five times as many
+	// as transactions.
+	minWatchTimeout = time.Millisecond
+	// largeValueSize is the size of a value, in bytes, from which on the key may well change
+	// again during the transfer: 64 KiB take 50 ms on a link of 10 Mbit/s.
+	largeValueSize = 64 << 10
 )
 
-// A keyFollower keeps up with one key. It asks whether the key is still at the revision
-// that it knows, and the store answers with the value only if it is not. So a version is
-// carried once, none is carried again while nothing changes, and of versions that come
-// faster than the link carries them the newest is next. Reading the key anew each second
-// in its place filled links of 10 Mbit/s with a configuration of 1.2 MB, on which no
-// later version arrived; at rest, one of 250 queues cost 44 KB a second.
+// keyFollower keeps a copy of one key up to date. It sends a conditional request with the
+// known revision, and the store returns the value only if the revision has changed. So each
+// version is transferred at most once, nothing is transferred while nothing changes, and if
+// versions are written faster than the link can carry them, the newest is transferred next.
+// Reading the key every second instead filled links of 10 Mbit/s with a configuration of
+// 1.2 MB, so that no later version arrived, and an unchanged configuration of 250 queues cost
+// 44 KB a second.
 type keyFollower struct {
-	kv    pointport.KV
-	clock pointport.Clock
-	key   string
-	take  func(pointport.Entry)
-	heard func(error)
-	every func() time.Duration // from one time that the key is made sure of to the next
-	wait  func() time.Duration // for how long a watch may wait
-
-	known   pointport.Revision // of the key, zero if it does not exist
-	at      pointport.Revision // from which a watch sees all later changes
-	checked time.Time          // when the key was last made sure of, zero if it has to be
-	unsure  bool               // whether the last question had no answer
+	kv              pointport.KV
+	clock           pointport.Clock
+	key             string
+	onChange        func(pointport.Entry)
+	onResult        func(error)
+	recheckInterval func() time.Duration // between two checks of the key
+	watchTimeout    func() time.Duration // how long a watch may wait
+
+	knownRevision pointport.Revision // of the key, zero if it does not exist
+	watchFrom     pointport.Revision // revision after which a watch returns all changes
+	checkedAt     time.Time          // when the key was last checked, zero to check it now
+	lastFailed    bool               // whether the last request failed
 }
 
-// A KeyOption changes how a key is followed.
+// KeyOption configures how FollowKey follows a key.
 type KeyOption func(*keyFollower)
 
-// RecheckInterval sets how often the key is made sure of, which is a writing call to the store.
-func RecheckInterval(every func() time.Duration) KeyOption {
-	return func(f *keyFollower) { f.every = every }
+// RecheckInterval sets how often the key is checked, which counts as a write to the store.
+func RecheckInterval(recheckInterval func() time.Duration) KeyOption {
+	return func(f *keyFollower) { f.recheckInterval = recheckInterval }
 }
 
-// KeyWatchTimeout sets for how long a watch of the key may wait, where many follow it.
-func KeyWatchTimeout(wait func() time.Duration) KeyOption {
-	return func(f *keyFollower) { f.wait = wait }
+// KeyWatchTimeout sets how long a watch of the key may wait, for keys that many members
+// follow.
+func KeyWatchTimeout(watchTimeout func() time.Duration) KeyOption {
+	return func(f *keyFollower) { f.watchTimeout = watchTimeout }
 }
 
-// defaultRecheck returns how often a key is made sure of by default.
-func defaultRecheck() time.Duration { return DefaultRecheckInterval }
+// defaultRecheckIntervalFunc returns the default interval between two checks of a key.
+func defaultRecheckIntervalFunc() time.Duration { return DefaultRecheckInterval }
 
-// FollowKey follows a key until ctx ends. take is called with the key whenever it has
-// changed, heard with how each question to the store ended: with nil, what is known is
-// as new as the store was when the question was sent.
-func FollowKey(ctx context.Context, kv pointport.KV, clock pointport.Clock, key string, take func(pointport.Entry), heard func(error), options ...KeyOption) {
-	f := &keyFollower{kv: kv, clock: clock, key: key, take: take, heard: heard, every: defaultRecheck, wait: defaultWait}
+// FollowKey follows a key until ctx ends. It calls onChange with the key whenever it has
+// changed, and onResult with the result of each request to the store: nil means that the known
+// state is as new as the store's was when the request was sent.
+func FollowKey(ctx context.Context, kv pointport.KV, clock pointport.Clock, key string, onChange func(pointport.Entry), onResult func(error), options ...KeyOption) {
+	f := &keyFollower{kv: kv, clock: clock, key: key, onChange: onChange, onResult: onResult, recheckInterval: defaultRecheckIntervalFunc, watchTimeout: defaultWatchTimeoutFunc}
 	for _, o := range options {
 		o(f)
 	}
-	var pause backoff
+	var retry backoff
 	for ctx.Err() == nil {
-		asked := clocks.NewInterval(clock)
+		interval := clocks.NewInterval(clock)
 		err := f.step(ctx)
-		if lasted := asked.Suspended(); err == nil && lasted > 0 {
+		if lasted := interval.Suspended(); err == nil && lasted > 0 {
 			err = &SuspendedError{Lasted: lasted}
 		}
-		f.heard(err)
-		f.unsure = err != nil
+		f.onResult(err)
+		f.lastFailed = err != nil
 		if err == nil {
-			pause = backoff{}
+			retry = backoff{}
 			continue
 		}
-		f.doubt(err)
-		sleep(ctx, clock, pause.after(err))
+		f.recheckIfMissed(err)
+		sleep(ctx, clock, retry.after(err))
 	}
 }
 
-// doubt has the key made sure of if no watch can tell what was missed.
-func (f *keyFollower) doubt(err error) {
-	var forgotten *pointport.CompactedError
+// recheckIfMissed forces a check of the key if no watch can return the changes that were
+// missed.
+func (f *keyFollower) recheckIfMissed(err error) {
+	var compacted *pointport.CompactedError
 	var suspended *SuspendedError
-	if errors.As(err, &forgotten) || errors.As(err, &suspended) {
-		f.checked = time.Time{}
+	if errors.As(err, &compacted) || errors.As(err, &suspended) {
+		f.checkedAt = time.Time{}
 	}
 }
 
-// A SuspendedError says that an answer is not news, because the machine was suspended after
-// it was asked for.
+// SuspendedError is returned for an answer that may be outdated because the machine was
+// suspended after the request was sent.
 type SuspendedError struct{ Lasted time.Duration }
 
 func (e *SuspendedError) Error() string {
-	return fmt.Sprintf("the machine was suspended for %v meanwhile", e.Lasted)
+	return fmt.Sprintf("the machine was suspended for %v during the request", e.Lasted)
 }
 
-// step asks the store one question.
+// step sends one request to the store.
 func (f *keyFollower) step(ctx context.Context) error {
 	switch {
-	case f.checked.IsZero() || f.clock.Now().Sub(f.checked) >= f.every():
+	case f.checkedAt.IsZero() || f.clock.Now().Sub(f.checkedAt) >= f.recheckInterval():
 		return f.check(ctx)
-	case f.unsure:
-		return f.watch(ctx, glance)
+	case f.lastFailed:
+		return f.watch(ctx, minWatchTimeout)
 	}
-	return f.watch(ctx, f.wait())
+	return f.watch(ctx, f.watchTimeout())
 }
 
-// check makes sure that the key is at the known revision, or takes its newest state.
-// A transaction without changes is a read under a condition. While nothing is known there
-// is nothing to save by that, and a reading call does.
+// check verifies that the key is still at the known revision, or takes over its newest state.
+// It commits a transaction without changes, which serves as a conditional read. While no
+// revision is known, that saves nothing, so a plain read is used.
 func (f *keyFollower) check(ctx context.Context) error {
-	if f.known == 0 {
+	if f.knownRevision == 0 {
 		return f.read(ctx)
 	}
 	from := f.clock.Now()
-	at, err := f.kv.Commit(ctx, pointport.Txn{If: []pointport.Condition{{Key: f.key, Revision: f.known}}})
+	watchFrom, err := f.kv.Commit(ctx, pointport.Txn{If: []pointport.Condition{{Key: f.key, Revision: f.knownRevision}}})
 	var conflict *pointport.TxnConflictError
 	switch {
 	case err == nil:
-		f.at = max(f.at, at)
-		f.checked = from
+		f.watchFrom = max(f.watchFrom, watchFrom)
+		f.checkedAt = from
 		return nil
 	case errors.As(err, &conflict):
-		f.checked = from
-		f.changed(f.newest(conflict.Entries))
+		f.checkedAt = from
+		f.update(f.find(conflict.Entries))
 		return nil
 	}
 	return err
 }
 
-// read takes the state of the key.
+// read reads the key.
 func (f *keyFollower) read(ctx context.Context) error {
 	from := f.clock.Now()
 	page, err := f.kv.Range(ctx, f.key, "")
 	if err != nil {
 		return err
 	}
-	f.at, f.checked = max(f.at, page.At), from
-	if e := f.newest(page.Entries); e.Exists() {
-		f.changed(e)
+	f.watchFrom, f.checkedAt = max(f.watchFrom, page.At), from
+	if e := f.find(page.Entries); e.Exists() {
+		f.update(e)
 	}
 	return nil
 }
 
-// watch waits for a change of the key. One that hears nothing proves nothing, so the next
-// asks from the same revision.
-func (f *keyFollower) watch(ctx context.Context, wait time.Duration) error {
-	changes, err := f.kv.WatchPrefix(ctx, f.key, f.at, wait)
+// watch waits for a change of the key. A watch without changes does not prove that there were
+// none, so the next one starts at the same revision.
+func (f *keyFollower) watch(ctx context.Context, timeout time.Duration) error {
+	changes, err := f.kv.WatchPrefix(ctx, f.key, f.watchFrom, timeout)
 	if err != nil || len(changes.Entries) == 0 {
 		return err
 	}
-	f.at = max(f.at, changes.At)
+	f.watchFrom = max(f.watchFrom, changes.At)
 	for _, e := range changes.Entries {
 		if e.Key() == f.key {
-			f.changed(e)
+			f.update(e)
 		}
 	}
 	return nil
 }
 
-// newest returns the key as some entries show it. One that they lack does not exist.
-func (f *keyFollower) newest(entries []pointport.Entry) pointport.Entry {
+// find returns the key's entry. If entries has none, the key does not exist.
+func (f *keyFollower) find(entries []pointport.Entry) pointport.Entry {
 	for _, e := range entries {
 		if e.Key() == f.key {
 			return e
@@ -181,14 +185,14 @@
 	return pointport.NewEntry(f.key, nil, 0)
 }
 
-// changed takes a new state of the key. While a large one came, the next may have been
-// made, so the key is made sure of at once: a watch would bring all states since, one
-// after the other.
-func (f *keyFollower) changed(e pointport.Entry) {
-	f.known = e.Revision()
-	f.at = max(f.at, f.known)
-	if len(e.Value()) >= slowValue {
-		f.checked = time.Time{}
+// update takes over a new state of the key. The key may have changed again while a large value
+// was transferred, so it is then checked at once: a watch would transfer all versions written
+// since, one after the other.
+func (f *keyFollower) update(e pointport.Entry) {
+	f.knownRevision = e.Revision()
+	f.watchFrom = max(f.watchFrom, f.knownRevision)
+	if len(e.Value()) >= largeValueSize {
+		f.checkedAt = time.Time{}
 	}
-	f.take(e)
+	f.onChange(e)
 }
--- a/member/session.go
+++ b/member/session.go
@@ -1,25 +1,25 @@
-// Package member keeps an entry instance among its peers: a lease of the
-// platform's store that says it lives, its place in the list of members, and
-// the pools that it owns.
+// Package member manages an entry instance as a member of a cluster of entry instances: its
+// lease in the platform's store, its entry in the roster of members, and the pools that it
+// owns.
 //
-// The model: each member has one lease. Its own key and the keys of the pools
-// that it owns go with that lease. The lease is short, and renewed often, while the
-// member owns a pool or is among the next to take one, and longer otherwise. Every
-// member watches all of these keys, so it knows its peers and who owns which pool. A
-// pool without an owner is taken by the member that ranks first for it; if that one
-// fails to, by the next.
+// Each member holds one lease. Its own key and the owner keys of its pools are bound to that
+// lease. The lease is short, and renewed often, while the member owns a pool or is a standby
+// for one, and longer otherwise. Every member watches all of these keys, so it knows its peers
+// and the owner of each pool. A pool without an owner is taken by the member that ranks first
+// for it or, if that member fails to, by the next one.
 //
 // Invariants:
 //
-//   - A pool has at most one owner key, and its revision of creation is the
-//     owner's fence: it only rises, and no two owners share one. Nor do two
-//     tenants of one owner: a key that a tenant has left is given up and taken anew.
-//   - No pool is owned under a long lease, and no short one is exchanged while
-//     anything is, or is about to be, owned under it.
-//   - Proven is true only while the lease cannot have ended by this process's
-//     own clock, counted from before the call that renewed it, and with the time for
-//     which its machine was suspended. Without that, a steward that woke up after 8 s
-//     gave an order with a lower fence than the machine had seen.
+//   - A pool has at most one owner key. The revision at which that key was created is the
+//     owner's fencing token: it only increases and no two owners share it. Two controllers
+//     of the same owner do not share it either: after a controller has ended, its key is
+//     released and taken again.
+//   - No pool is owned under a long lease, and a short lease is not exchanged while a pool is
+//     owned under it or about to be.
+//   - Proven returns true only while the lease cannot have expired by this process's own
+//     clock, counted from before the call that renewed it and including the time for which the
+//     machine was suspended. Without that, a steward that resumed after 8 s sent an order with
+//     a lower fence than the machine had already seen.
 package member
 
 import (
@@ -33,77 +33,79 @@
 	"github.com/pointport/pointport/event"
 )
 
-// This file defines the session: the lease that says that this member lives.
+// This file defines the session, which maintains the lease that shows that this member is
+// alive.
 
 const (
-	// DefaultTTL is how long the lease of a member lasts unrenewed that may own pools. It bounds how
-	// long the pools of a member that died or was cut off have no owner; nothing is
-	// placed there meanwhile, and a job has some 1.5 s to spare. With 1 s in place
-	// of 1.5 s a day with a cut zone is worth 0.014 more (standard error 0.0065; 40 days
-	// of 49 instances). A store that answers in 0.3 s still leaves room to renew.
+	// DefaultTTL is the TTL of a lease under which pools can be owned. It bounds how long the
+	// pools of a member that failed or was cut off have no owner. Nothing is placed in them
+	// during that time, and a job has about 1.5 s to spare. Compared with 1.5 s, a TTL of 1 s
+	// raised the value of a day with a cut-off zone by 0.014 (standard error 0.0065; 40 days
+	// with 49 instances). It still leaves time to renew the lease if the store takes 0.3 s to
+	// answer.
 	DefaultTTL = time.Second
-	// renewals is how often a lease is renewed within its time. A slow store
-	// takes a quarter of a second for an answer, and one answer may be lost.
-	renewals = 4
-	// idleFactor is how many times as long the lease lasts of a member that owns nothing
-	// and is not among the next to take a pool, as most of many are. It is renewed once in
-	// the time of a short lease, so two answers may be lost.
-	idleFactor = 3
-	// shortFor is for how long a member keeps a short lease after it last had use for one.
-	shortFor = 10 * time.Second
-	// takeFor is the same for a member that only tried to take a pool, as all do that start
-	// together.
-	takeFor = time.Second
-	// leaseLook is how often is looked whether a lease has been exchanged. The store answers
-	// in 4 ms.
-	leaseLook = 5 * time.Millisecond
+	// renewalsPerTTL is how often a short lease is renewed within its TTL. A slow store takes
+	// a quarter of a second to answer, and one answer may be lost.
+	renewalsPerTTL = 4
+	// longLeaseFactor is how many times longer the lease of a member lasts that owns no pool
+	// and is not a standby, which most members of a large cluster are. A long lease is renewed
+	// once in the TTL of a short one, so two answers may be lost.
+	longLeaseFactor = 3
+	// shortLeaseHold is how long a member keeps a short lease after it last needed one.
+	shortLeaseHold = 10 * time.Second
+	// takeLeaseHold is the same for a member that only tried to take a pool, as all members do
+	// that start at the same time.
+	takeLeaseHold = time.Second
+	// exchangePollInterval is how often ownerLease checks whether the lease has been
+	// exchanged. The store answers in 4 ms.
+	exchangePollInterval = 5 * time.Millisecond
 )
 
-// A Session is the lease of this member. It is safe for concurrent use.
+// Session maintains the lease of this member. It is safe for concurrent use.
 type Session struct {
 	kv     pointport.KV
 	clock  pointport.Clock
 	logger *slog.Logger
 	ttl    time.Duration
 
-	mu      sync.Mutex
-	lease   pointport.LeaseID
-	lasts   time.Duration     // how long the lease lasts unrenewed
-	former  pointport.LeaseID // the lease for which this one was exchanged, zero if there is none
-	granted time.Time         // since when there have been a lease and the store without a break
-	first   bool              // whether none before it has ended
-	proven  time.Time         // until when, by the steady time, the lease has surely not ended
-	heard   time.Time         // when, by the steady time, the last call was made that was answered
-	failing bool              // whether the last call was not answered
-	wanted  time.Time         // until when, by the steady time, a short lease is of use
-	// yielding says that a short lease is about to be exchanged for a long one.
-	yielding bool
-	// engaged reports whether anything is, or is about to be, owned under the lease.
-	engaged func() bool
-	// renewed is closed and replaced when a new lease was granted.
-	renewed chan struct{}
-	cut     bool
-	// hurry has the lease looked after at once.
-	hurry chan struct{}
-	// back is closed and replaced when the store answers again after it did not.
-	back chan struct{}
+	mu             sync.Mutex
+	lease          pointport.LeaseID
+	leaseTTL       time.Duration     // TTL of the current lease
+	formerLease    pointport.LeaseID // lease that the current one replaced by an exchange, zero if there is none
+	availableSince time.Time         // since when there has been a lease and no interruption of the store
+	firstLease     bool              // whether this is the process's first lease and the store has not been interrupted since
+	provenUntil    time.Time         // steady-clock time until which the lease cannot have ended
+	lastAnswered   time.Time         // steady-clock time at which the last answered call was made
+	lastFailed     bool              // whether the last call failed
+	shortUntil     time.Time         // steady-clock time until which a short lease is needed
+	// exchanging is true while the lease is being exchanged.
+	exchanging bool
+	// leaseInUse reports whether a pool is owned under the lease, or about to be.
+	leaseInUse func() bool
+	// leaseGranted is closed and replaced when a new lease is granted.
+	leaseGranted chan struct{}
+	storeLost    bool
+	// wake makes the loop run at once.
+	wake chan struct{}
+	// recovered is closed and replaced when the store answers again after an outage.
+	recovered chan struct{}
 }
 
-// StartSession returns a session that keeps a lease until ctx ends.
+// StartSession returns a session that maintains a lease until ctx ends.
 func StartSession(ctx context.Context, kv pointport.KV, clock pointport.Clock, ttl time.Duration, logger *slog.Logger) *Session {
 	s := &Session{
-		kv: kv, clock: clock, logger: logger, ttl: ttl, engaged: func() bool { return false },
-		renewed: make(chan struct{}), back: make(chan struct{}), hurry: make(chan struct{}, 1),
+		kv: kv, clock: clock, logger: logger, ttl: ttl, leaseInUse: func() bool { return false },
+		leaseGranted: make(chan struct{}), recovered: make(chan struct{}), wake: make(chan struct{}, 1),
 	}
 	go func() {
 		for ctx.Err() == nil {
-			call, done := context.WithTimeout(ctx, ttl/2)
-			err := s.keep(call)
-			s.report(ctx, err)
-			done()
+			call, cancel := context.WithTimeout(ctx, ttl/2)
+			err := s.renewOrGrant(call)
+			s.reportReachability(ctx, err)
+			cancel()
 			select {
 			case <-clock.After(s.pause(err)):
-			case <-s.hurry:
+			case <-s.wake:
 			case <-ctx.Done():
 			}
 		}
@@ -111,95 +113,98 @@
 	return s
 }
 
-// pause returns how long to wait after a call until the next. A store that has too many
-// calls is asked more often by an owner, and less often by others, so that the calls of
-// owners get through.
+// pause returns how long to wait after a call before the next one. While the store refuses
+// calls because it receives too many, a pool owner calls more often and other members less
+// often, so that the calls of owners succeed.
 func (s *Session) pause(err error) time.Duration {
-	busy, short := pointport.IsBusy(err), s.short()
+	busy, hasShortLease := pointport.IsBusy(err), s.hasShortLease()
 	switch {
-	case busy && short && s.owns():
-		return s.ttl / (2 * renewals)
+	case busy && hasShortLease && s.isLeaseInUse():
+		return s.ttl / (2 * renewalsPerTTL)
 	case busy:
-		return spread(s.ttl / 2)
-	case short || err != nil:
-		return s.ttl / renewals
+		return jitter(s.ttl / 2)
+	case hasShortLease || err != nil:
+		return s.ttl / renewalsPerTTL
 	}
 	return s.ttl
 }
 
-// owns reports whether anything is, or is about to be, owned under the lease.
-func (s *Session) owns() bool {
+// isLeaseInUse reports whether a pool is owned under the lease, or about to be.
+func (s *Session) isLeaseInUse() bool {
 	s.mu.Lock()
-	engaged := s.engaged
+	leaseInUse := s.leaseInUse
 	s.mu.Unlock()
-	return engaged()
+	return leaseInUse()
 }
 
-// report notes that the store is lost or regained, once each time.
-func (s *Session) report(ctx context.Context, err error) {
+// reportReachability logs when the store becomes unreachable or reachable again, once each
+// time, and in the latter case closes the channel of Recovered.
+func (s *Session) reportReachability(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	lost := s.lost(err)
-	if lost == s.cut {
+	lost := s.recordResult(err)
+	if lost == s.storeLost {
 		return
 	}
-	s.cut = lost
-	if s.cut {
+	s.storeLost = lost
+	if s.storeLost {
 		event.StoreLost.Log(s.logger, slog.Any("error", err))
 		return
 	}
 	event.StoreBack.Log(s.logger, slog.Int64("lease", int64(s.Lease())))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	close(s.back)
-	s.back = make(chan struct{})
+	close(s.recovered)
+	s.recovered = make(chan struct{})
 }
 
-// lost notes how a call ended, and reports whether the store counts as lost. One that only
-// has too many calls does once it has refused two in a row of a member that makes one a second.
-func (s *Session) lost(err error) bool {
+// recordResult records the result of a call, and reports whether the store counts as
+// unreachable. A store that refuses calls because it receives too many counts as unreachable
+// only after two refusals in a row to a member that makes one call a second.
+func (s *Session) recordResult(err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.failing = err != nil
-	if pointport.IsBusy(err) && s.clock.Steady().Sub(s.heard) < 2*s.ttl {
-		return s.cut
+	s.lastFailed = err != nil
+	if pointport.IsBusy(err) && s.clock.Steady().Sub(s.lastAnswered) < 2*s.ttl {
+		return s.storeLost
 	}
 	return err != nil
 }
 
-// Back returns a channel that is closed when the store next answers after it did not.
-func (s *Session) Back() <-chan struct{} {
+// Recovered returns a channel that is closed when the store next answers after an outage.
+func (s *Session) Recovered() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.back
+	return s.recovered
 }
 
-// keep renews the lease, or has another one granted.
-func (s *Session) keep(ctx context.Context) error {
+// renewOrGrant renews the lease, exchanges it if its TTL should change, or requests a new one
+// if there is none.
+func (s *Session) renewOrGrant(ctx context.Context) error {
 	lease := s.Lease()
 	if lease == 0 {
 		return s.grant(ctx)
 	}
-	lasts, fitting := s.length(), s.fitting()
-	if fitting < lasts && s.exchange(ctx, fitting) {
+	ttl, desiredTTL := s.currentTTL(), s.desiredTTL()
+	if desiredTTL < ttl && s.exchange(ctx, desiredTTL) {
 		return nil
 	}
 	err := s.renew(ctx, lease)
-	if err == nil && fitting > lasts {
-		s.exchange(ctx, fitting)
+	if err == nil && desiredTTL > ttl {
+		s.exchange(ctx, desiredTTL)
 	}
 	return err
 }
 
-// renew renews the lease, or has another one granted if it has ended.
+// renew renews the lease, or requests a new one if it has ended.
 func (s *Session) renew(ctx context.Context, lease pointport.LeaseID) error {
 	from := s.clock.Steady()
 	err := s.kv.Renew(ctx, lease)
 	var ended *pointport.LeaseEndedError
 	if errors.As(err, &ended) {
 		event.LeaseEnded.Log(s.logger, slog.Int64("lease", int64(lease)))
-		s.drop(lease)
+		s.dropLease(lease)
 		return s.grant(ctx)
 	}
 	if err != nil {
@@ -207,140 +212,139 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.resume(from)
+	s.recordAnswer(from)
 	if s.lease == lease {
-		s.proven = from.Add(s.lasts)
+		s.provenUntil = from.Add(s.leaseTTL)
 	}
 	return nil
 }
 
-// grant has a lease granted where there is none.
+// grant requests a lease when there is none.
 func (s *Session) grant(ctx context.Context) error {
 	from := s.clock.Steady()
-	lasts := s.fitting()
-	lease, err := s.kv.Grant(ctx, lasts)
+	ttl := s.desiredTTL()
+	lease, err := s.kv.Grant(ctx, ttl)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.first = s.granted.IsZero()
-	s.granted, s.former, s.heard = s.clock.Now(), 0, from
-	s.adopt(lease, lasts, from)
+	s.firstLease = s.availableSince.IsZero()
+	s.availableSince, s.formerLease, s.lastAnswered = s.clock.Now(), 0, from
+	s.setLease(lease, ttl, from)
 	return nil
 }
 
-// adopt takes a lease that was granted by a call made at the steady time from. The lock is
-// held.
-func (s *Session) adopt(lease pointport.LeaseID, lasts time.Duration, from time.Time) {
-	s.lease, s.lasts, s.proven = lease, lasts, from.Add(lasts)
-	close(s.renewed)
-	s.renewed = make(chan struct{})
+// setLease stores a lease that was granted by a call made at the steady time from. The lock
+// must be held.
+func (s *Session) setLease(lease pointport.LeaseID, leaseTTL time.Duration, from time.Time) {
+	s.lease, s.leaseTTL, s.provenUntil = lease, leaseTTL, from.Add(leaseTTL)
+	close(s.leaseGranted)
+	s.leaseGranted = make(chan struct{})
 }
 
-// drop forgets a lease that has ended.
-func (s *Session) drop(lease pointport.LeaseID) {
+// dropLease removes a lease that has ended.
+func (s *Session) dropLease(lease pointport.LeaseID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lease == lease {
-		s.lease, s.proven = 0, time.Time{}
+		s.lease, s.provenUntil = 0, time.Time{}
 	}
 }
 
-// Lease returns the lease, zero while there is none.
+// Lease returns the current lease, zero if there is none.
 func (s *Session) Lease() pointport.LeaseID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lease
 }
 
-// Proven reports whether the lease has surely not ended.
+// Proven reports whether the lease cannot have ended yet.
 func (s *Session) Proven() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.clock.Steady().Before(s.proven)
+	return s.clock.Steady().Before(s.provenUntil)
 }
 
-// Reachable reports whether the store answers, as far as is known: it has answered a call
-// that was made within the time of a short lease, or none has failed since it did and the
-// next is due.
+// Reachable reports whether the store is believed to answer: it has answered a call made within
+// the TTL of a short lease, or one made within twice that time and no call has failed since.
 func (s *Session) Reachable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lease == 0 {
 		return false
 	}
-	silent := s.clock.Steady().Sub(s.heard)
-	return silent < s.ttl || !s.failing && silent < 2*s.ttl
+	sinceAnswer := s.clock.Steady().Sub(s.lastAnswered)
+	return sinceAnswer < s.ttl || !s.lastFailed && sinceAnswer < 2*s.ttl
 }
 
 const (
-	// returnTime is within which time of the store's return whoever lives is back in the
-	// roster; the users say so of instances, whose entries lapse in the same way. One
-	// that is missing then is gone.
-	returnTime = 2 * time.Second
-	// startTime is within which time of each other members that start together are in
+	// rejoinTime is how long after the store recovers all live members are listed in the
+	// roster again. It is the time that is specified for instances, whose entries expire in
+	// the same way. A member that is still missing then is gone.
+	rejoinTime = 2 * time.Second
+	// joinTime is within which time of each other members that start together are listed in
 	// the roster. They start within 0.3 s and need 0.1 s for their first calls.
-	startTime = 500 * time.Millisecond
+	joinTime = 500 * time.Millisecond
 )
 
-// resume takes in that a call was answered that was made at the steady time from. If the
-// store was away for longer than a short lease lasts, those of owners may have ended, and
-// it counts as a break although a long one has not. The lock is held.
-func (s *Session) resume(from time.Time) {
-	silent := from.Sub(s.heard)
-	s.heard = from
-	if silent >= 2*s.ttl || s.cut && silent >= s.ttl {
-		s.granted, s.first = s.clock.Now(), false
+// recordAnswer records that a call made at the steady time from was answered. An interruption
+// longer than the TTL of a short lease counts as a break even if this member's long lease has
+// survived it, because the leases of owners may have ended. The lock must be held.
+func (s *Session) recordAnswer(from time.Time) {
+	sinceAnswer := from.Sub(s.lastAnswered)
+	s.lastAnswered = from
+	if sinceAnswer >= 2*s.ttl || s.storeLost && sinceAnswer >= s.ttl {
+		s.availableSince, s.firstLease = s.clock.Now(), false
 	}
 }
 
-// Settles returns when the roster can be taken for complete, and whether the lease is the
-// process's first. A member whose lease is new may be the first of all whose leases have
-// ended at once: one on a fifth of a core took the pools of 350 instances within 0.4 s of
-// the store's return and had them for the next 11 s (logs of a day with three outages).
-func (s *Session) Settles() (at time.Time, started bool) {
+// CompleteAt returns when the roster can be considered complete, and whether the lease is the
+// first of this process. When all leases have ended at once, a member with a new lease may be
+// the first to have one: in a day with three outages, a member with a fifth of a core took the
+// pools of 350 instances within 0.4 s of the store's recovery and kept them for the next 11 s.
+func (s *Session) CompleteAt() (at time.Time, first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.first {
-		return s.granted.Add(startTime), true
+	if s.firstLease {
+		return s.availableSince.Add(joinTime), true
 	}
-	return s.granted.Add(returnTime), false
+	return s.availableSince.Add(rejoinTime), false
 }
 
-// TTL returns how long a lease lasts unrenewed under which pools are owned.
+// TTL returns the TTL of a lease under which pools are owned.
 func (s *Session) TTL() time.Duration { return s.ttl }
 
 // Granted returns a channel that is closed when the next lease is granted.
 func (s *Session) Granted() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.renewed
+	return s.leaseGranted
 }
 
-// had reports whether a lease is this session's, or was until it was exchanged.
-func (s *Session) had(lease pointport.LeaseID) bool {
+// isOwnLease reports whether lease is this session's current lease or the one it replaced.
+func (s *Session) isOwnLease(lease pointport.LeaseID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return lease == s.lease || lease == s.former
+	return lease == s.lease || lease == s.formerLease
 }
 
-// EndFormer ends the lease of an earlier life of this member, whose process is
-// gone, so that nobody need wait for it to lapse.
-func (s *Session) EndFormer(ctx context.Context, lease pointport.LeaseID) error {
-	if lease == 0 || s.had(lease) {
+// RevokeFormerLease revokes the lease of an earlier process of this member, which no longer
+// runs, so that the other members need not wait until it expires.
+func (s *Session) RevokeFormerLease(ctx context.Context, lease pointport.LeaseID) error {
+	if lease == 0 || s.isOwnLease(lease) {
 		return nil
 	}
 	event.FormerEnded.Log(s.logger, slog.Int64("lease", int64(lease)))
 	return s.kv.Revoke(ctx, lease)
 }
 
-// End gives the lease back; all keys under it go at once.
+// End revokes the lease, which deletes all keys bound to it at once.
 func (s *Session) End(ctx context.Context) error {
 	lease := s.Lease()
 	if lease == 0 {
 		return nil
 	}
-	s.drop(lease)
+	s.dropLease(lease)
 	return s.kv.Revoke(ctx, lease)
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -15,14 +15,14 @@
 	"github.com/pointport/pointport/relay"
 )
 
-// shortWatch holds watches as the store does for a relay.
-type shortWatch struct {
+// boundedWatcher holds a watch for a short time only, as the store does for a relay.
+type boundedWatcher struct {
 	store  *memory.Store
 	down   atomic.Bool
 	failed atomic.Int64
 }
 
-func (s *shortWatch) Watch(ctx context.Context, key string, after pointport.Revision) (pointport.Entry, error) {
+func (s *boundedWatcher) Watch(ctx context.Context, key string, after pointport.Revision) (pointport.Entry, error) {
 	if s.down.Load() {
 		s.failed.Add(1)
 		return pointport.Entry{}, &pointport.UnavailableError{Op: "watch", Key: key, Err: errors.New("cut off")}
@@ -32,13 +32,13 @@
 	return s.store.Watch(ctx, key, after)
 }
 
-// direct counts the watches that go to the store itself.
-type direct struct {
+// countingWatcher counts the watches that go to the store directly.
+type countingWatcher struct {
 	store *memory.Store
 	calls atomic.Int64
 }
 
-func (d *direct) Watch(ctx context.Context, key string, after pointport.Revision) (pointport.Entry, error) {
+func (d *countingWatcher) Watch(ctx context.Context, key string, after pointport.Revision) (pointport.Entry, error) {
 	d.calls.Add(1)
 	return d.store.Watch(ctx, key, after)
 }
@@ -52,16 +52,16 @@
 	return rev
 }
 
-// TestManyWaitThroughOne lets many wait for a key through a relay. The store
-// must see only the relay's watches.
-func TestManyWaitThroughOne(t *testing.T) {
+// TestClientsShareRelay guards against clients that watch the store directly although the
+// relay answers.
+func TestClientsShareRelay(t *testing.T) {
 	store := memory.New(clock.System{})
-	srv := httptest.NewServer(relay.NewServer(t.Context(), &shortWatch{store: store}, clock.System{}))
+	srv := httptest.NewServer(relay.NewServer(t.Context(), &boundedWatcher{store: store}, clock.System{}))
 	defer srv.Close()
-	d := &direct{store: store}
-	const waiters = 20
-	got := make(chan pointport.Entry, waiters)
-	for range waiters {
+	d := &countingWatcher{store: store}
+	const clients = 20
+	got := make(chan pointport.Entry, clients)
+	for range clients {
 		c := relay.NewClient(d, clock.System{}, func() string { return srv.URL })
 		go func() {
 			e, err := c.Watch(t.Context(), "key", 0)
@@ -72,31 +72,31 @@
 		}()
 	}
 	rev := write(t, store, 0, "value")
-	for range waiters {
+	for range clients {
 		if e := <-got; e.Revision() != rev || string(e.Value()) != "value" {
 			t.Errorf("got revision %d, %q", e.Revision(), e.Value())
 		}
 	}
 	if n := d.calls.Load(); n != 0 {
-		t.Errorf("%d watches went to the store itself", n)
+		t.Errorf("%d watches went to the store directly", n)
 	}
 }
 
-// TestRelayCutOff cuts the relay off from the store, which the waiting ones can
-// still reach. They must not be held back.
+// TestRelayCutOff guards against clients that are delayed because their relay is cut off from
+// the store while they can still reach it.
 func TestRelayCutOff(t *testing.T) {
 	store := memory.New(clock.System{})
-	cut := &shortWatch{store: store}
-	srv := httptest.NewServer(relay.NewServer(t.Context(), cut, clock.System{}))
+	cutOff := &boundedWatcher{store: store}
+	srv := httptest.NewServer(relay.NewServer(t.Context(), cutOff, clock.System{}))
 	defer srv.Close()
 	rev := write(t, store, 0, "old")
-	d := &direct{store: store}
+	d := &countingWatcher{store: store}
 	c := relay.NewClient(d, clock.System{}, func() string { return srv.URL })
 	if e, err := c.Watch(t.Context(), "key", 0); err != nil || e.Revision() != rev {
 		t.Fatalf("got revision %d, %v", e.Revision(), err)
 	}
-	cut.down.Store(true)
-	for cut.failed.Load() == 0 { // the watch under way has ended
+	cutOff.down.Store(true)
+	for cutOff.failed.Load() == 0 { // wait until the watch in flight has ended
 		time.Sleep(time.Millisecond)
 	}
 	next := write(t, store, rev, "new")
@@ -104,17 +104,17 @@
 		t.Errorf("got revision %d, %v, want %d", e.Revision(), err, next)
 	}
 	if d.calls.Load() == 0 {
-		t.Error("the store itself was not asked")
+		t.Error("the store was not watched directly")
 	}
 }
 
-// TestRelayGone lets the relay's process be gone.
+// TestRelayGone guards against a client that fails because the relay's process has ended.
 func TestRelayGone(t *testing.T) {
 	store := memory.New(clock.System{})
 	srv := httptest.NewServer(nil)
 	gone := srv.URL
 	srv.Close()
-	d := &direct{store: store}
+	d := &countingWatcher{store: store}
 	c := relay.NewClient(d, clock.System{}, func() string { return gone })
 	rev := write(t, store, 0, "value")
 	if e, err := c.Watch(t.Context(), "key", 0); err != nil || e.Revision() != rev {
@@ -122,37 +122,38 @@
 	}
 }
 
-// TestOlderRelay asks a relay about a revision that it has not seen.
-func TestOlderRelay(t *testing.T) {
+// TestRelayBehindClient guards against a client that gets an older state than it already has
+// from a relay that has not seen its revision.
+func TestRelayBehindClient(t *testing.T) {
 	older, newer := memory.New(clock.System{}), memory.New(clock.System{})
 	write(t, older, 0, "old")
 	rev := write(t, newer, write(t, newer, 0, "old"), "new")
 	last := write(t, newer, rev, "newest")
-	srv := httptest.NewServer(relay.NewServer(t.Context(), &shortWatch{store: older}, clock.System{}))
+	srv := httptest.NewServer(relay.NewServer(t.Context(), &boundedWatcher{store: older}, clock.System{}))
 	defer srv.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
-	c := relay.NewClient(&direct{store: newer}, clock.System{}, func() string { return srv.URL })
+	c := relay.NewClient(&countingWatcher{store: newer}, clock.System{}, func() string { return srv.URL })
 	e, err := c.Watch(ctx, "key", rev)
 	if err != nil || e.Revision() != last {
 		t.Errorf("got revision %d, %v, want %d", e.Revision(), err, last)
 	}
 }
 
-// TestRelaySleeps freezes the relay's process, which then accepts connections
-// and answers nothing. Whoever waits must go to the store, and not only once its
-// long wait is over.
-func TestRelaySleeps(t *testing.T) {
+// TestRelayHangs guards against clients that wait for the whole timeout of a relayed watch
+// when the relay's process hangs: it accepts connections but does not answer. They must watch
+// the store directly long before that.
+func TestRelayHangs(t *testing.T) {
 	store := memory.New(clock.System{})
-	wake := make(chan struct{})
-	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-wake }))
+	unblock := make(chan struct{})
+	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-unblock }))
 	defer srv.Close()
-	defer close(wake)
-	d := &direct{store: store}
+	defer close(unblock)
+	d := &countingWatcher{store: store}
 	c := relay.NewClient(d, clock.System{}, func() string { return srv.URL })
 	rev := write(t, store, 0, "value")
-	const muchLess = 10 * time.Second // than a relayed watch waits
-	ctx, cancel := context.WithTimeout(t.Context(), muchLess)
+	const maxDuration = 10 * time.Second // far below the timeout of a relayed watch
+	ctx, cancel := context.WithTimeout(t.Context(), maxDuration)
 	defer cancel()
 	if e, err := c.Watch(ctx, "key", 0); err != nil || e.Revision() != rev {
 		t.Errorf("got revision %d, %v", e.Revision(), err)
