--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -17,151 +17,164 @@
 	"github.com/pointport/pointport/event"
 )
 
-// This file defines the book of claims and the group commit.
+// This file defines the Claimer and the batchers that write claims by group commit.
 
 const (
-	// DefaultPartitions is how many partitions the keys are split over. Every
-	// entry instance must use the same number; docs/design/claims.md says why
-	// it is small.
+	// DefaultPartitions is the number of partitions that keys are hashed to.
+	// All entry instances must use the same number. See docs/design/claims.md
+	// for why it is small.
 	DefaultPartitions = 1
-	// DefaultSegmentSize is how many records seal a segment. It belongs to the stored
-	// form: entry instances that disagree on it would not see each other's
-	// claims, so it must not change while older ones run.
+	// DefaultSegmentSize is the number of records at which a segment is sealed.
+	// It is part of the stored format: entry instances with different values
+	// would not see each other's claims, so it must not change while instances
+	// with another value run.
 	DefaultSegmentSize = 256
-	// DefaultRetention is how long claims are kept.
+	// DefaultRetention is how long a claim is kept, so how long its key cannot
+	// be used again.
 	DefaultRetention = 24 * time.Hour
-	// DefaultWriteRate is how many writes a second one entry instance makes.
+	// DefaultWriteRate is the maximum rate of writes by one entry instance, per
+	// second.
 	DefaultWriteRate = 6
-	// DefaultBatchDelay is how long a claim waits for others to share its write.
+	// DefaultBatchDelay is how long a claim waits for other claims to share its
+	// write.
 	DefaultBatchDelay = 3 * time.Millisecond
-	// maxGather bounds how long claims gather after other writers were first.
-	maxGather = 200 * time.Millisecond
-	// outcomeDelay is how long an outcome waits for a write of claims.
+	// maxBatchDelay bounds the delay after conflicts with other writers have
+	// lengthened it.
+	maxBatchDelay = 200 * time.Millisecond
+	// outcomeDelay is how long an outcome waits for claims to share its write.
 	outcomeDelay = time.Second
-	// settleFor is how long a batch is tried before its requests are refused.
-	settleFor = 2 * time.Second
-	// maxPending bounds the claims that wait in one partition.
+	// batchTimeout is how long the write of a batch is retried before its claims
+	// are refused.
+	batchTimeout = 2 * time.Second
+	// maxPending bounds the number of claims that wait in one partition.
 	maxPending = 4096
-	// maxBatch bounds the claims in one write.
+	// maxBatch bounds the number of claims in one write.
 	maxBatch = 256
 	// InProgressTimeout is how long a claim may be in progress before its outcome
-	// counts as unknown. No request lasts as long.
+	// is reported as unknown. It is longer than any request lasts.
 	InProgressTimeout = 2 * time.Hour
 )
 
-// errBusy is the cause of a refusal for lack of room.
-var errBusy = errors.New("too many claims wait")
+// errQueueFull is returned when maxPending claims already wait in the partition.
+var errQueueFull = errors.New("too many claims are waiting")
 
-// errStopped is the cause of a refusal because the book is closed.
-var errStopped = errors.New("the book of claims is closed")
+// errClosed is returned to the claims that still wait when the Claimer stops.
+var errClosed = errors.New("the claimer is stopped")
 
-// errLate is the cause of a refusal because a write took too long.
-var errLate = errors.New("the claim took too long to be written")
+// errWriteTimeout is returned when a batch is not written before its deadline.
+var errWriteTimeout = errors.New("the claim was not written in time")
 
-// A Store is what the book needs of the platform's service.
+// A Store holds the claims in the platform's key-value service.
 type Store interface {
 	pointport.Store
 	pointport.Deleter
 }
 
-// Counts holds how much a book has done.
+// Counts holds the counters of a Claimer.
 type Counts struct {
 	Claims    int64 // claims granted
-	Taken     int64 // claims refused because the key was taken
-	Failed    int64 // claims refused because the store could not be reached
-	Writes    int64 // compare-and-swaps tried
-	Conflicts int64 // compare-and-swaps that another writer beat
+	Taken     int64 // claims refused because the key was claimed before
+	Failed    int64 // claims refused for any other reason, such as an unreachable store
+	Writes    int64 // compare-and-swaps attempted
+	Conflicts int64 // compare-and-swaps that lost to another writer
 }
 
-// A Claimer claims keys for one entry instance. It is safe for concurrent use.
+// A Claimer claims idempotency keys for one entry instance. It is safe for
+// concurrent use.
 type Claimer struct {
-	store      Store
-	clock      pointport.Clock
-	logger     *slog.Logger
-	owner      string
-	partitions int
-	size       int
-	keep       time.Duration
-	gather     time.Duration
-	limiter    *rate.Limiter
-
-	desks []*desk
-	cut   atomic.Bool
+	store       Store
+	clock       pointport.Clock
+	logger      *slog.Logger
+	owner       string
+	partitions  int
+	segmentSize int
+	retention   time.Duration
+	batchDelay  time.Duration
+	limiter     *rate.Limiter
+
+	batchers  []*batcher
+	storeLost atomic.Bool
 	serial,
 	claims, taken, failed, writes, conflicts atomic.Int64
 }
 
-// An Option changes a Book.
+// An Option configures a Claimer.
 type Option func(*Claimer)
 
-// WithLogger sets where events go.
-func WithLogger(l *slog.Logger) Option { return func(b *Claimer) { b.logger = l } }
+// WithLogger sets the logger for events. By default they are discarded.
+func WithLogger(l *slog.Logger) Option { return func(c *Claimer) { c.logger = l } }
 
-// WithPartitions sets how many partitions there are.
-func WithPartitions(n int) Option { return func(b *Claimer) { b.partitions = n } }
+// WithPartitions sets the number of partitions. The default is DefaultPartitions.
+func WithPartitions(n int) Option { return func(c *Claimer) { c.partitions = n } }
 
-// WithSegmentSize sets how many records seal a segment.
-func WithSegmentSize(n int) Option { return func(b *Claimer) { b.size = n } }
+// WithSegmentSize sets the number of records at which a segment is sealed. The
+// default is DefaultSegmentSize.
+func WithSegmentSize(n int) Option { return func(c *Claimer) { c.segmentSize = n } }
 
-// WithRetention sets how long claims are kept.
-func WithRetention(d time.Duration) Option { return func(b *Claimer) { b.keep = d } }
+// WithRetention sets how long claims are kept. The default is DefaultRetention.
+func WithRetention(retention time.Duration) Option {
+	return func(c *Claimer) { c.retention = retention }
+}
 
-// WithWriteRate sets how many writes a second the book makes, and how long a
-// claim waits for others to share its write.
-func WithWriteRate(perSecond float64, gather time.Duration) Option {
-	return func(b *Claimer) {
-		b.limiter = rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
-		b.gather = gather
+// WithWriteRate sets the maximum rate of writes per second, and how long a claim
+// waits for other claims to share its write.
+func WithWriteRate(perSecond float64, batchDelay time.Duration) Option {
+	return func(c *Claimer) {
+		c.limiter = rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
+		c.batchDelay = batchDelay
 	}
 }
 
-// Start returns a book that works until ctx ends. The owner names this process
-// and no other, also not its predecessor on the same instance.
+// Start returns a Claimer that runs until ctx ends. The owner must be unique to
+// this process: a process that ran earlier on the same instance must have used
+// another one, because the owner is part of the token that identifies a write.
 func Start(ctx context.Context, store Store, clock pointport.Clock, owner string, options ...Option) *Claimer {
-	b := &Claimer{
+	c := &Claimer{
 		store: store, clock: clock, owner: owner, logger: slog.New(slog.DiscardHandler),
-		partitions: DefaultPartitions, size: DefaultSegmentSize, keep: DefaultRetention,
+		partitions: DefaultPartitions, segmentSize: DefaultSegmentSize, retention: DefaultRetention,
 	}
-	WithWriteRate(DefaultWriteRate, DefaultBatchDelay)(b)
+	WithWriteRate(DefaultWriteRate, DefaultBatchDelay)(c)
 	for _, o := range options {
-		o(b)
+		o(c)
 	}
-	for n := range b.partitions {
-		d := &desk{
-			book: b, wake: make(chan struct{}, 1), window: b.gather,
-			part:      &partition{store: store, clock: clock, number: n, size: b.size, keep: b.keep},
+	for n := range c.partitions {
+		b := &batcher{
+			claimer: c, wake: make(chan struct{}, 1), delay: c.batchDelay,
+			partition: &partition{store: store, clock: clock, number: n, segmentSize: c.segmentSize, retention: c.retention},
 			abandoned: make(map[uint64]string),
 		}
-		b.desks = append(b.desks, d)
-		go func() { d.run(ctx) }()
+		c.batchers = append(c.batchers, b)
+		go func() { b.run(ctx) }()
 	}
-	return b
+	return c
 }
 
-// Counts returns how much the book has done.
-func (b *Claimer) Counts() Counts {
-	return Counts{b.claims.Load(), b.taken.Load(), b.failed.Load(), b.writes.Load(), b.conflicts.Load()}
+// Counts returns the current values of the counters.
+func (c *Claimer) Counts() Counts {
+	return Counts{c.claims.Load(), c.taken.Load(), c.failed.Load(), c.writes.Load(), c.conflicts.Load()}
 }
 
-func (b *Claimer) desk(k Key) *desk {
-	return b.desks[binary.BigEndian.Uint32(k[:])%uint32(len(b.desks))]
+// batcherOf returns the batcher of the partition that k belongs to.
+func (c *Claimer) batcherOf(k Key) *batcher {
+	return c.batchers[binary.BigEndian.Uint32(k[:])%uint32(len(c.batchers))]
 }
 
-// A Ticket is the right to run the work of a key, once.
+// A Ticket grants the right to run the work of a claimed key once.
 type Ticket struct {
-	key   Key
-	token string
-	desk  *desk
+	key     Key
+	token   string
+	batcher *batcher
 }
 
-// Claim claims a key. It fails with a *TakenError if the key is claimed
-// already, and with an *pointport.UnavailableError if that cannot be told; in
-// both cases the work must not be run.
-func (b *Claimer) Claim(ctx context.Context, key Key) (Ticket, error) {
-	d := b.desk(key)
+// Claim claims a key. It returns a *TakenError if the key is already claimed,
+// and a *pointport.UnavailableError if the claim could not be made, for example
+// because the store is unreachable or ctx ended. In both cases the caller must
+// not run the work.
+func (c *Claimer) Claim(ctx context.Context, key Key) (Ticket, error) {
+	b := c.batcherOf(key)
 	p := &pending{key: key, done: make(chan error, 1)}
-	if !d.push(p) {
-		return Ticket{}, &pointport.UnavailableError{Op: "claim", Err: errBusy}
+	if !b.enqueue(p) {
+		return Ticket{}, &pointport.UnavailableError{Op: "claim", Err: errQueueFull}
 	}
 	var err error
 	select {
@@ -173,102 +186,109 @@
 		}
 		err = &pointport.UnavailableError{Op: "claim", Err: ctx.Err()}
 	}
-	b.count(err)
+	c.countResult(err)
 	if err != nil {
 		return Ticket{}, err
 	}
-	return Ticket{key, p.token, d}, nil
+	return Ticket{key, p.token, b}, nil
 }
 
-func (b *Claimer) count(err error) {
+func (c *Claimer) countResult(err error) {
 	var taken *TakenError
 	switch {
 	case err == nil:
-		b.claims.Add(1)
+		c.claims.Add(1)
 	case errors.As(err, &taken):
-		b.taken.Add(1)
+		c.taken.Add(1)
 	default:
-		b.failed.Add(1)
+		c.failed.Add(1)
 	}
 }
 
-// RecordOutcome records how the work of a ticket ended. Released frees the key, and
-// is only for work of which nothing was sent.
+// RecordOutcome records how the work of the ticket ended, and the status of the
+// answer if it ran. It does not wait for the write. The state Released frees the
+// key, so it is allowed only if the work did not run.
 func (t Ticket) RecordOutcome(s State, status int) {
-	t.desk.settle(record{Key: t.key, At: t.desk.book.clock.Now().Unix(), State: s, Status: status, Token: t.token})
+	t.batcher.addOutcome(record{Key: t.key, At: t.batcher.claimer.clock.Now().Unix(), State: s, Status: status, Token: t.token})
 }
 
-// A pending is a claim that waits for its write.
+// A pending is a claim that waits for its result.
 type pending struct {
 	key   Key
-	token string     // the write that granted it
-	done  chan error // holds one
+	token string     // the token of the write that granted it
+	done  chan error // buffers the one result
 
-	mu       sync.Mutex
-	answered bool
-	gone     bool
+	mu        sync.Mutex
+	answered  bool
+	abandoned bool
 }
 
-// answer gives the claim its result. It reports whether anyone still waits.
+// answer delivers the result of the claim, unless it already has one. It reports
+// whether the caller still waits or has received a result; false means that the
+// caller abandoned the claim.
 func (p *pending) answer(err error) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.gone || p.answered {
-		return !p.gone
+	if p.abandoned || p.answered {
+		return !p.abandoned
 	}
 	p.answered = true
 	p.done <- err
 	return true
 }
 
-// abandon marks that nobody waits any more, unless an answer has come.
+// abandon marks the claim as no longer waited for, unless its result was
+// delivered already. It reports whether the claim is abandoned.
 func (p *pending) abandon() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.gone = !p.answered
-	return p.gone
+	p.abandoned = !p.answered
+	return p.abandoned
 }
 
-// A desk gathers the claims of one partition and writes them.
-type desk struct {
-	book   *Claimer
-	part   *partition
-	wake   chan struct{}
-	window time.Duration
+// A batcher collects the claims and outcomes of one partition and writes them in
+// batches.
+type batcher struct {
+	claimer   *Claimer
+	partition *partition
+	wake      chan struct{}
+	delay     time.Duration
 
 	mu       sync.Mutex
 	waiting  []*pending
 	outcomes []record
 
-	// abandoned holds tokens, by digest, of writes that were given up on while
-	// their effect was unknown. Their claims are released once they show up.
+	// abandoned maps digests to tokens, for the writes that failed with an unknown
+	// effect. If their claims appear in the partition later, they are released.
 	abandoned map[uint64]string
 }
 
-func (d *desk) push(p *pending) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if len(d.waiting) >= maxPending {
+// enqueue adds a claim to the next batches. It reports false if too many wait.
+func (b *batcher) enqueue(p *pending) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if len(b.waiting) >= maxPending {
 		return false
 	}
-	d.waiting = append(d.waiting, p)
-	d.signal()
+	b.waiting = append(b.waiting, p)
+	b.signal()
 	return true
 }
 
-func (d *desk) settle(r record) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.outcomes = append(d.outcomes, r)
-	d.signal()
+// addOutcome adds an outcome to the next batch.
+func (b *batcher) addOutcome(r record) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.outcomes = append(b.outcomes, r)
+	b.signal()
 }
 
-// latest returns what is known of a key, with an outcome that waits for its
-// write, in this batch or after it.
-func (d *desk) latest(key Key, k known, batch []record) known {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, o := range slices.Concat(batch, d.outcomes) {
+// withPendingOutcome returns the index entry k of a key, updated with an outcome
+// that is not written yet. The batch holds the outcomes that are being written.
+func (b *batcher) withPendingOutcome(key Key, k indexEntry, batch []record) indexEntry {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, o := range slices.Concat(batch, b.outcomes) {
 		if o.Key == key && digest(o.Token) == k.token && o.State != Released {
 			k = k.withOutcome(o)
 		}
@@ -276,133 +296,141 @@
 	return k
 }
 
-func (d *desk) signal() {
+// signal wakes run. It does not block: one wake-up covers all that is queued.
+func (b *batcher) signal() {
 	select {
-	case d.wake <- struct{}{}:
+	case b.wake <- struct{}{}:
 	default:
 	}
 }
 
 // run writes batches until ctx ends.
-func (d *desk) run(ctx context.Context) {
-	defer d.refuseAll()
+func (b *batcher) run(ctx context.Context) {
+	defer b.refuseWaiting()
 	for ctx.Err() == nil {
 		select {
-		case <-d.wake:
+		case <-b.wake:
 		case <-ctx.Done():
 			return
 		}
-		d.pace(ctx)
-		d.round(ctx)
+		b.awaitTurn(ctx)
+		b.writeBatch(ctx)
 	}
 }
 
-// pace waits until the next write may be made: a little for others to share
-// it, longer while only outcomes wait, and as the budget of writes allows.
-func (d *desk) pace(ctx context.Context) {
-	d.mu.Lock()
-	onlyOutcomes := len(d.waiting) == 0
-	d.mu.Unlock()
+// awaitTurn waits until the next write may be made: for at least the batch delay,
+// so that other claims can share the write, for outcomeDelay before that if only
+// outcomes wait, and until the write rate allows it.
+func (b *batcher) awaitTurn(ctx context.Context) {
+	b.mu.Lock()
+	onlyOutcomes := len(b.waiting) == 0
+	b.mu.Unlock()
 	if onlyOutcomes {
 		select {
-		case <-d.book.clock.After(outcomeDelay):
-		case <-d.wake:
+		case <-b.claimer.clock.After(outcomeDelay):
+		case <-b.wake:
 		case <-ctx.Done():
 			return
 		}
 	}
-	d.awaitWrite(ctx, d.window)
+	b.awaitWriteBudget(ctx, b.delay)
 }
 
-// awaitWrite waits until the budget allows one more write, and at least for
-// least.
-func (d *desk) awaitWrite(ctx context.Context, least time.Duration) {
-	now := d.book.clock.Now()
-	wait := max(least, d.book.limiter.ReserveN(now, 1).DelayFrom(now))
+// awaitWriteBudget waits until the write rate allows one more write, and for
+// minWait at least.
+func (b *batcher) awaitWriteBudget(ctx context.Context, minWait time.Duration) {
+	now := b.claimer.clock.Now()
+	wait := max(minWait, b.claimer.limiter.ReserveN(now, 1).DelayFrom(now))
 	select {
-	case <-d.book.clock.After(wait):
+	case <-b.claimer.clock.After(wait):
 	case <-ctx.Done():
 	}
 }
 
-// round writes one batch.
-func (d *desk) round(ctx context.Context) {
-	batch, outcomes := d.takeBatch()
+// writeBatch writes one batch of claims and outcomes. If that fails, its claims
+// are refused and its outcomes stay queued.
+func (b *batcher) writeBatch(ctx context.Context) {
+	batch, outcomes := b.takeBatch()
 	if len(batch) == 0 && len(outcomes) == 0 {
 		return
 	}
-	deadline := d.book.clock.Now().Add(settleFor)
-	b := &commit{desk: d, claims: batch, outcomes: outcomes, deadline: deadline,
-		token: fmt.Sprintf("%s.%d", d.book.owner, d.book.serial.Add(1))}
-	err := b.run(ctx)
-	d.report(err)
+	deadline := b.claimer.clock.Now().Add(batchTimeout)
+	c := &commit{batcher: b, claims: batch, outcomes: outcomes, deadline: deadline,
+		token: fmt.Sprintf("%s.%d", b.claimer.owner, b.claimer.serial.Add(1))}
+	err := c.run(ctx)
+	b.logStoreState(err)
 	if err != nil {
-		b.giveUp(err)
+		c.fail(err)
 	}
 	if err == nil {
-		d.sweep(ctx)
+		b.cleanUp(ctx)
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if len(d.waiting) > 0 || len(d.outcomes) > 0 {
-		d.signal()
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if len(b.waiting) > 0 || len(b.outcomes) > 0 {
+		b.signal()
 	}
 }
 
-func (d *desk) takeBatch() ([]*pending, []record) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	n := min(len(d.waiting), maxBatch)
-	batch := d.waiting[:n:n]
-	d.waiting = d.waiting[n:]
-	if len(d.waiting) == 0 {
-		d.waiting = nil
+// takeBatch removes and returns up to maxBatch claims and all outcomes.
+func (b *batcher) takeBatch() ([]*pending, []record) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	n := min(len(b.waiting), maxBatch)
+	batch := b.waiting[:n:n]
+	b.waiting = b.waiting[n:]
+	if len(b.waiting) == 0 {
+		b.waiting = nil
 	}
-	outcomes := d.outcomes
-	d.outcomes = nil
+	outcomes := b.outcomes
+	b.outcomes = nil
 	return batch, outcomes
 }
 
-// report logs when the store is lost and when it is back.
-func (d *desk) report(err error) {
+// logStoreState logs an event when writes begin to fail with err, and one when
+// they succeed again.
+func (b *batcher) logStoreState(err error) {
 	switch {
-	case err != nil && !d.book.cut.Swap(true):
-		event.ClaimsCut.Log(d.book.logger, slog.Any("error", err))
-	case err == nil && d.book.cut.Swap(false):
-		event.ClaimsBack.Log(d.book.logger)
+	case err != nil && !b.claimer.storeLost.Swap(true):
+		event.ClaimsCut.Log(b.claimer.logger, slog.Any("error", err))
+	case err == nil && b.claimer.storeLost.Swap(false):
+		event.ClaimsBack.Log(b.claimer.logger)
 	}
 }
 
-// sweep releases abandoned claims that have shown up, and drops old segments.
-func (d *desk) sweep(ctx context.Context) {
-	if len(d.abandoned) > 0 {
-		d.releaseAbandoned()
+// cleanUp releases the abandoned claims that were found in the partition, and
+// removes segments that are past the retention.
+func (b *batcher) cleanUp(ctx context.Context) {
+	if len(b.abandoned) > 0 {
+		b.releaseAbandoned()
 	}
-	if err := d.part.expire(ctx, d.book.clock.Now()); err != nil {
-		d.report(err)
+	if err := b.partition.expire(ctx, b.claimer.clock.Now()); err != nil {
+		b.logStoreState(err)
 	}
 }
 
-func (d *desk) releaseAbandoned() {
-	seen := make(map[uint64]bool)
-	for k, v := range d.part.index {
-		token, ours := d.abandoned[v.token]
-		if ours && v.stateOf() == InProgress {
-			seen[v.token] = true
-			d.settle(record{Key: k, At: d.book.clock.Now().Unix(), State: Released, Token: token})
+// releaseAbandoned releases the claims of abandoned writes that are in progress
+// by the index.
+func (b *batcher) releaseAbandoned() {
+	found := make(map[uint64]bool)
+	for k, v := range b.partition.index {
+		token, ok := b.abandoned[v.token]
+		if ok && v.state() == InProgress {
+			found[v.token] = true
+			b.addOutcome(record{Key: k, At: b.claimer.clock.Now().Unix(), State: Released, Token: token})
 		}
 	}
-	for token := range seen {
-		delete(d.abandoned, token)
+	for token := range found {
+		delete(b.abandoned, token)
 	}
 }
 
-// refuseAll answers whoever still waits when the book closes.
-func (d *desk) refuseAll() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, p := range d.waiting {
-		p.answer(&pointport.UnavailableError{Op: "claim", Err: errStopped})
+// refuseWaiting refuses the claims that still wait when the Claimer stops.
+func (b *batcher) refuseWaiting() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, p := range b.waiting {
+		p.answer(&pointport.UnavailableError{Op: "claim", Err: errClosed})
 	}
-	d.waiting = nil
+	b.waiting = nil
 }
--- a/claim/claimer_test.go
+++ b/claim/claimer_test.go
@@ -18,19 +18,22 @@
 	"github.com/pointport/pointport/memory"
 )
 
-// The tests run in bubbles of testing/synctest, in which the machine's clock
-// stands still while anything runs.
+// The tests run in bubbles of testing/synctest, whose clock advances only while
+// every goroutine is blocked.
 
 func key(n int) claim.Key { return claim.NewKey("payout", "bistro", fmt.Sprint(n)) }
 
-func TestSecondRequestLearnsTheFirst(t *testing.T) {
+// TestSecondClaimReturnsOutcome checks that a claimed key cannot be claimed again,
+// at the same entry instance or at another one, and that the error has the state
+// and status of the first request.
+func TestSecondClaimReturnsOutcome(t *testing.T) {
 	for _, c := range []struct {
-		settle claim.State
+		state  claim.State
 		status int
 	}{
 		{claim.Ran, 201}, {claim.Unknown, 0}, {claim.InProgress, 0},
 	} {
-		t.Run(string(c.settle), func(t *testing.T) {
+		t.Run(string(c.state), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store := memory.New(clock.System{})
 				a := claim.Start(t.Context(), store, clock.System{}, "a")
@@ -39,15 +42,15 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if c.settle != claim.InProgress {
-					ticket.RecordOutcome(c.settle, c.status)
+				if c.state != claim.InProgress {
+					ticket.RecordOutcome(c.state, c.status)
 				}
 				time.Sleep(3 * time.Second)
-				for name, book := range map[string]*claim.Claimer{"the same": a, "another": b} {
-					_, err = book.Claim(t.Context(), key(1))
+				for name, claimer := range map[string]*claim.Claimer{"the same": a, "another": b} {
+					_, err = claimer.Claim(t.Context(), key(1))
 					var taken *claim.TakenError
-					if !errors.As(err, &taken) || taken.State != c.settle || taken.Status != c.status {
-						t.Errorf("at %s entry instance: got %v, want %s", name, err, c.settle)
+					if !errors.As(err, &taken) || taken.State != c.state || taken.Status != c.status {
+						t.Errorf("at %s entry instance: got %v, want %s", name, err, c.state)
 					}
 				}
 			})
@@ -55,8 +58,8 @@
 	}
 }
 
-// TestInProgressBecomesUnknown covers an entry instance that died between its
-// claim and its outcome.
+// TestInProgressBecomesUnknown checks that a claim whose entry instance stopped
+// before it recorded an outcome is reported as unknown after InProgressTimeout.
 func TestInProgressBecomesUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
@@ -74,16 +77,16 @@
 	})
 }
 
-// TestGroupCommit counts the writes of many claims at once.
+// TestGroupCommit checks that claims made at the same time share one write.
 func TestGroupCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
-		book := claim.Start(t.Context(), store, clock.System{}, "a")
+		claimer := claim.Start(t.Context(), store, clock.System{}, "a")
 		const claims = 200
 		var wg sync.WaitGroup
 		for n := range claims {
 			wg.Go(func() {
-				if _, err := book.Claim(t.Context(), key(n)); err != nil {
+				if _, err := claimer.Claim(t.Context(), key(n)); err != nil {
 					t.Error(err)
 				}
 			})
@@ -95,16 +98,16 @@
 	})
 }
 
-// TestWritesAreBounded sends claims one after the other, faster than writes may
-// be made.
-func TestWritesAreBounded(t *testing.T) {
+// TestWriteRateIsBounded checks that claims that come faster than the write rate
+// are all granted, and that the writes stay within that rate.
+func TestWriteRateIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
-		book := claim.Start(t.Context(), store, clock.System{}, "a", claim.WithWriteRate(5, time.Millisecond))
+		claimer := claim.Start(t.Context(), store, clock.System{}, "a", claim.WithWriteRate(5, time.Millisecond))
 		const seconds, perSecond = 20, 100
 		for n := range seconds * perSecond {
 			go func() {
-				if _, err := book.Claim(t.Context(), key(n)); err != nil {
+				if _, err := claimer.Claim(t.Context(), key(n)); err != nil {
 					t.Error(err)
 				}
 			}()
@@ -115,14 +118,15 @@
 		if n := store.Counts().Writes; n > most {
 			t.Errorf("%d writes in %d seconds, want at most %d", n, seconds, most)
 		}
-		if n := book.Counts().Claims; n != seconds*perSecond {
+		if n := claimer.Counts().Claims; n != seconds*perSecond {
 			t.Errorf("%d claims granted, want %d", n, seconds*perSecond)
 		}
 	})
 }
 
-// TestLostAnswer loses the answer after the claim took effect. The claim is
-// settled by reading back, and granted once.
+// TestLostAnswer checks that a claim is granted exactly once if the answer of its
+// write, or the call itself, is lost. The claimer reads the segment again to find
+// out whether the write took effect.
 func TestLostAnswer(t *testing.T) {
 	for _, fault := range []memory.Fault{memory.FaultLostAnswer, memory.FaultLostCall} {
 		synctest.Test(t, func(t *testing.T) {
@@ -135,19 +139,20 @@
 				}
 				return memory.FaultNone
 			})
-			book := claim.Start(t.Context(), store, clock.System{}, "a")
-			if _, err := book.Claim(t.Context(), key(1)); err != nil {
+			claimer := claim.Start(t.Context(), store, clock.System{}, "a")
+			if _, err := claimer.Claim(t.Context(), key(1)); err != nil {
 				t.Errorf("fault %d: the claim failed: %v", fault, err)
 			}
-			if _, err := book.Claim(t.Context(), key(1)); err == nil {
+			if _, err := claimer.Claim(t.Context(), key(1)); err == nil {
 				t.Errorf("fault %d: the claim was granted twice", fault)
 			}
 		})
 	}
 }
 
-// TestAbandonedClaimIsReleased loses the answer and then the store. The claim
-// is refused as not run, and the key must be free again once the store is back.
+// TestAbandonedClaimIsReleased checks that a key is free again after its claim was
+// refused although the write took effect. That happens if the answer of the write
+// is lost and the store is unreachable afterwards.
 func TestAbandonedClaimIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
@@ -165,15 +170,15 @@
 			}
 			return memory.FaultNone
 		})
-		book := claim.Start(t.Context(), store, clock.System{}, "a")
-		_, err := book.Claim(t.Context(), key(1))
+		claimer := claim.Start(t.Context(), store, clock.System{}, "a")
+		_, err := claimer.Claim(t.Context(), key(1))
 		var unavailable *pointport.UnavailableError
 		if !errors.As(err, &unavailable) {
 			t.Fatalf("got %v, want unavailable", err)
 		}
 		time.Sleep(time.Minute)
 		store.SetInjector(func(string, string) memory.Fault { return memory.FaultNone })
-		if _, err := book.Claim(t.Context(), key(2)); err != nil {
+		if _, err := claimer.Claim(t.Context(), key(2)); err != nil {
 			t.Fatalf("with the store back: %v", err)
 		}
 		time.Sleep(5 * time.Second)
@@ -184,24 +189,26 @@
 	})
 }
 
-// TestCallerGoneWhileClaiming releases a claim that nobody waits for.
-func TestCallerGoneWhileClaiming(t *testing.T) {
+// TestCallerCancelsWhileClaiming checks that a claim is released if its caller's
+// context ends before the write.
+func TestCallerCancelsWhileClaiming(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
-		book := claim.Start(t.Context(), store, clock.System{}, "a", claim.WithWriteRate(1000, 10*time.Millisecond))
+		claimer := claim.Start(t.Context(), store, clock.System{}, "a", claim.WithWriteRate(1000, 10*time.Millisecond))
 		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 		defer cancel()
-		if _, err := book.Claim(ctx, key(1)); err == nil {
-			t.Fatal("a claim that nobody waits for was granted")
+		if _, err := claimer.Claim(ctx, key(1)); err == nil {
+			t.Fatal("a claim was granted after its context ended")
 		}
 		time.Sleep(5 * time.Second)
-		if _, err := book.Claim(t.Context(), key(1)); err != nil {
+		if _, err := claimer.Claim(t.Context(), key(1)); err != nil {
 			t.Errorf("the key is not free: %v", err)
 		}
 	})
 }
 
-// TestSlowStore lets every call take longer than a batch may.
+// TestSlowStore checks that a claim is refused, and its key released, if every call
+// to the store takes longer than a batch is retried.
 func TestSlowStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
@@ -209,29 +216,29 @@
 			time.Sleep(5 * time.Second)
 			return memory.FaultNone
 		})
-		book := claim.Start(t.Context(), store, clock.System{}, "a")
+		claimer := claim.Start(t.Context(), store, clock.System{}, "a")
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if _, err := book.Claim(ctx, key(1)); err == nil {
-			t.Error("a claim was granted after its caller's time")
+		if _, err := claimer.Claim(ctx, key(1)); err == nil {
+			t.Error("a claim was granted after its caller's deadline")
 		}
 		time.Sleep(time.Minute)
 		store.SetInjector(func(string, string) memory.Fault { return memory.FaultNone })
-		if _, err := book.Claim(t.Context(), key(1)); err != nil {
+		if _, err := claimer.Claim(t.Context(), key(1)); err != nil {
 			t.Errorf("the key is not free: %v", err)
 		}
 	})
 }
 
-// TestSegments fills many segments and lets them grow old. A book that starts
-// later must know the young ones, and the old ones must be gone.
+// TestSegments checks that segments past the retention are removed and their keys
+// are free again, and that a claimer that starts later reads the others.
 func TestSegments(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
 		options := []claim.Option{claim.WithSegmentSize(4), claim.WithRetention(4 * time.Hour), claim.WithWriteRate(1000, 0)}
-		book := claim.Start(t.Context(), store, clock.System{}, "a", options...)
+		claimer := claim.Start(t.Context(), store, clock.System{}, "a", options...)
 		for n := range 100 {
-			if _, err := book.Claim(t.Context(), key(n)); err != nil {
+			if _, err := claimer.Claim(t.Context(), key(n)); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(10 * time.Minute)
@@ -251,16 +258,18 @@
 	})
 }
 
-// TestLongSleeper stops a book past the retention while others fill, seal and
-// drop the segment that it would write next.
-func TestLongSleeper(t *testing.T) {
+// TestSuspendedProcess guards against a key that is granted twice after a process
+// was suspended for longer than the retention. Meanwhile others have filled,
+// sealed and removed the segment that it would write to next, so that it could
+// create that segment again.
+func TestSuspendedProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
 		options := []claim.Option{claim.WithSegmentSize(2), claim.WithRetention(time.Hour), claim.WithWriteRate(1000, 0)}
-		sleeper := claim.Start(t.Context(), store, clock.System{}, "sleeper", options...)
+		suspended := claim.Start(t.Context(), store, clock.System{}, "suspended", options...)
 		busy := claim.Start(t.Context(), store, clock.System{}, "busy", options...)
 		for n := range 2 {
-			if _, err := sleeper.Claim(t.Context(), key(n)); err != nil {
+			if _, err := suspended.Claim(t.Context(), key(n)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -270,32 +279,32 @@
 			}
 			time.Sleep(10 * time.Minute)
 		}
-		if _, err := sleeper.Claim(t.Context(), key(39)); err == nil {
-			t.Error("the sleeper was granted a key that is in use")
+		if _, err := suspended.Claim(t.Context(), key(39)); err == nil {
+			t.Error("the suspended process was granted a key that is in use")
 		}
 	})
 }
 
-// An op is one act in an interleaving.
+// An op is one attempt to run a key in an interleaving.
 type op struct {
-	Book  int // which entry instance
-	Key   int // which key
-	Wait  int // milliseconds before the next act
-	Keep  int // milliseconds that the caller waits for its claim
-	End   int // how the work ends
-	Reset bool
+	Claimer int  // index of the entry instance
+	Key     int  // number of the key
+	Wait    int  // milliseconds before the next attempt
+	Timeout int  // milliseconds that the caller waits for its claim
+	End     int  // outcome: 0 released, 1 ran, 2 unknown
+	Restart bool // whether the entry instance restarts first
 }
 
-// TestAtMostOnce runs keys over any interleaving of attempts at three entry
-// instances, faults of the store, callers that go and processes that die. Each
-// key may run once.
+// TestAtMostOnce checks that each key runs at most once in any interleaving of
+// attempts at three entry instances, store faults, callers that time out and
+// processes that restart.
 func TestAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		ops := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) op {
 			return op{
-				Book: rapid.IntRange(0, 2).Draw(t, "book"), Key: rapid.IntRange(0, 3).Draw(t, "key"),
-				Wait: rapid.IntRange(0, 50).Draw(t, "wait"), Keep: rapid.SampledFrom([]int{1, 5, 50, 5000}).Draw(t, "keep"),
-				End: rapid.IntRange(0, 2).Draw(t, "end"), Reset: rapid.IntRange(0, 9).Draw(t, "reset") == 0,
+				Claimer: rapid.IntRange(0, 2).Draw(t, "claimer"), Key: rapid.IntRange(0, 3).Draw(t, "key"),
+				Wait: rapid.IntRange(0, 50).Draw(t, "wait"), Timeout: rapid.SampledFrom([]int{1, 5, 50, 5000}).Draw(t, "timeout"),
+				End: rapid.IntRange(0, 2).Draw(t, "end"), Restart: rapid.IntRange(0, 9).Draw(t, "restart") == 0,
 			}
 		}), 1, 30).Draw(rt, "ops")
 		faults := rapid.SliceOfN(rapid.SampledFrom([]memory.Fault{
@@ -311,7 +320,8 @@
 	})
 }
 
-// runOps plays ops and returns how often each key ran.
+// runOps executes ops and returns the number of runs of each key. The store
+// applies faults to its calls in order, until they are used up.
 func runOps(t *testing.T, ops []op, faults []memory.Fault) map[int]int {
 	var mu sync.Mutex
 	runs := make(map[int]int)
@@ -327,27 +337,27 @@
 		faults = faults[1:]
 		return f
 	})
-	books := make([]*claim.Claimer, 3)
+	claimers := make([]*claim.Claimer, 3)
 	stop := make([]context.CancelFunc, 3)
-	start := func(n, life int) {
+	start := func(n, incarnation int) {
 		ctx, cancel := context.WithCancel(t.Context())
-		books[n], stop[n] = claim.Start(ctx, store, clock.System{}, fmt.Sprintf("%d.%d", n, life),
+		claimers[n], stop[n] = claim.Start(ctx, store, clock.System{}, fmt.Sprintf("%d.%d", n, incarnation),
 			claim.WithSegmentSize(3), claim.WithWriteRate(1000, time.Millisecond)), cancel
 	}
-	for n := range books {
+	for n := range claimers {
 		start(n, 0)
 	}
 	var wg sync.WaitGroup
-	for life, o := range ops {
-		if o.Reset {
-			stop[o.Book]()
-			start(o.Book, life+1)
+	for i, o := range ops {
+		if o.Restart {
+			stop[o.Claimer]()
+			start(o.Claimer, i+1)
 		}
-		book := books[o.Book]
+		claimer := claimers[o.Claimer]
 		wg.Go(func() {
-			ctx, cancel := context.WithTimeout(t.Context(), time.Duration(o.Keep)*time.Millisecond)
+			ctx, cancel := context.WithTimeout(t.Context(), time.Duration(o.Timeout)*time.Millisecond)
 			defer cancel()
-			ticket, err := book.Claim(ctx, key(o.Key))
+			ticket, err := claimer.Claim(ctx, key(o.Key))
 			if err != nil {
 				return
 			}
@@ -370,8 +380,9 @@
 	return runs
 }
 
-// TestOutcomeSurvivesOutage settles a claim while the store is down. Another
-// entry instance must learn the outcome once it is back.
+// TestOutcomeSurvivesOutage checks that an outcome that is recorded while the store
+// is down is written once the store is back, so that another entry instance
+// returns it.
 func TestOutcomeSurvivesOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
@@ -395,22 +406,22 @@
 			t.Errorf("got %v, want that it ran with status 201", err)
 		}
 		if _, err := b.Claim(t.Context(), key(2)); err != nil {
-			t.Errorf("the key that was refused during the outage: %v", err)
+			t.Errorf("a key whose claim was refused during the outage is not free: %v", err)
 		}
 	})
 }
 
-// TestOutcomeIsKnownAtOnce asks for a key again right after its work ended, at
-// the entry instance that ran it.
-func TestOutcomeIsKnownAtOnce(t *testing.T) {
+// TestOutcomeIsVisibleBeforeWrite checks that the entry instance that recorded an
+// outcome returns it to a second claim even before the outcome is written.
+func TestOutcomeIsVisibleBeforeWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		book := claim.Start(t.Context(), memory.New(clock.System{}), clock.System{}, "a")
-		ticket, err := book.Claim(t.Context(), key(1))
+		claimer := claim.Start(t.Context(), memory.New(clock.System{}), clock.System{}, "a")
+		ticket, err := claimer.Claim(t.Context(), key(1))
 		if err != nil {
 			t.Fatal(err)
 		}
 		ticket.RecordOutcome(claim.Ran, 200)
-		_, err = book.Claim(t.Context(), key(1))
+		_, err = claimer.Claim(t.Context(), key(1))
 		var taken *claim.TakenError
 		if !errors.As(err, &taken) || taken.State != claim.Ran {
 			t.Errorf("got %v, want that it ran", err)
--- a/claim/commit.go
+++ b/claim/commit.go
@@ -8,33 +8,36 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines one group commit: from a batch of claims to their answers.
+// This file defines the group commit of one batch of claims and outcomes.
 
-// writeBound is how long a write may take beyond its batch's deadline. Segments
-// are kept far longer.
-const writeBound = time.Minute
+// maxWriteOverrun is how long after its batch's deadline a successful write may
+// still grant claims. It is far below the retention: a write that took longer
+// could have created a segment anew that others had sealed and removed meanwhile.
+const maxWriteOverrun = time.Minute
 
-// A commit is one batch on its way into the store.
+// A commit writes one batch of claims and outcomes to the store.
 type commit struct {
-	desk     *desk
-	claims   []*pending
-	outcomes []record
-	token    string
-	deadline time.Time
-	inDoubt  bool // whether a write of this batch may have taken effect
+	batcher   *batcher
+	claims    []*pending
+	outcomes  []record
+	token     string
+	deadline  time.Time
+	ambiguous bool // whether a write of this batch may have taken effect, its answer being lost
 }
 
-// run writes the batch. When it returns nil, every claim has its answer.
+// run writes the batch, with retries until its deadline. If it returns nil, every
+// claim has its result. It returns a *pointport.UnavailableError if the deadline
+// passes, or the store's error if a call fails without effect.
 func (c *commit) run(ctx context.Context) error {
-	p := c.desk.part
+	p := c.batcher.partition
 	for {
-		if c.desk.book.clock.Now().After(c.deadline) {
-			return &pointport.UnavailableError{Op: "claim", Ambiguous: c.inDoubt, Err: errLate}
+		if c.batcher.claimer.clock.Now().After(c.deadline) {
+			return &pointport.UnavailableError{Op: "claim", Ambiguous: c.ambiguous, Err: errWriteTimeout}
 		}
 		if err := p.load(ctx); err != nil {
 			return err
 		}
-		if c.inDoubt || p.stale() {
+		if c.ambiguous || p.stale() {
 			if err := p.refresh(ctx); err != nil {
 				return err
 			}
@@ -43,108 +46,115 @@
 		if len(records) == 0 {
 			return nil
 		}
-		c.desk.book.writes.Add(1)
+		c.batcher.claimer.writes.Add(1)
 		err := p.write(ctx, records)
 		switch {
 		case err == nil:
-			c.narrow()
+			c.shortenDelay()
 			return c.finish()
-		case conflicted(err):
-			c.widen()
-			// A write in vain costs the store as much as any other.
-			c.desk.awaitWrite(ctx, 0)
+		case isConflict(err):
+			c.lengthenDelay()
+			// A write that conflicts costs the store as much as any other, so it
+			// counts against the write rate.
+			c.batcher.awaitWriteBudget(ctx, 0)
 			if err := p.refresh(ctx); err != nil {
 				return err
 			}
-		case ambiguous(err):
-			c.inDoubt = true
+		case isAmbiguous(err):
+			c.ambiguous = true
 		default:
 			return err
 		}
 	}
 }
 
-// widen makes claims gather longer, since other writers are as fast.
-func (c *commit) widen() {
-	c.desk.book.conflicts.Add(1)
-	c.desk.window = min(max(2*c.desk.window, time.Millisecond), maxGather)
+// lengthenDelay doubles the batch delay, up to maxBatchDelay, after a conflict:
+// other entry instances write to the partition just as often, and fewer, larger
+// batches conflict less.
+func (c *commit) lengthenDelay() {
+	c.batcher.claimer.conflicts.Add(1)
+	c.batcher.delay = min(max(2*c.batcher.delay, time.Millisecond), maxBatchDelay)
 }
 
-// narrow makes claims gather less again.
-func (c *commit) narrow() {
-	c.desk.window = max(c.desk.book.gather, c.desk.window*3/4)
+// shortenDelay brings the batch delay back towards its configured value.
+func (c *commit) shortenDelay() {
+	c.batcher.delay = max(c.batcher.claimer.batchDelay, c.batcher.delay*3/4)
 }
 
-// prepare answers the claims that are settled by what is known, and returns
-// the records that are left to write.
+// prepare answers the claims whose result the index already shows, and returns
+// the records that remain to be written.
 func (c *commit) prepare() []record {
-	p, now := c.desk.part, c.desk.book.clock.Now()
+	partition, now := c.batcher.partition, c.batcher.claimer.clock.Now()
 	var records []record
-	var left []*pending
+	var remaining []*pending
 	batch := make(map[Key]bool)
-	for _, w := range c.claims {
-		k, ok := p.index[w.key]
+	for _, p := range c.claims {
+		e, ok := partition.index[p.key]
 		switch {
-		case ok && k.token == digest(c.token) && !batch[w.key]:
-			// An earlier write of this batch took effect.
-			batch[w.key] = true
-			c.grant(w)
+		case ok && e.token == digest(c.token) && !batch[p.key]:
+			// An earlier write of this batch took effect, although its answer was lost.
+			batch[p.key] = true
+			c.grant(p)
 		case ok:
-			w.answer(c.desk.latest(w.key, k, c.outcomes).taken(now))
-		case batch[w.key]:
-			w.answer(&TakenError{State: InProgress, At: now})
+			p.answer(c.batcher.withPendingOutcome(p.key, e, c.outcomes).takenError(now))
+		case batch[p.key]:
+			p.answer(&TakenError{State: InProgress, At: now})
 		default:
-			batch[w.key] = true
-			left = append(left, w)
-			records = append(records, record{Key: w.key, At: now.Unix(), Token: c.token})
+			batch[p.key] = true
+			remaining = append(remaining, p)
+			records = append(records, record{Key: p.key, At: now.Unix(), Token: c.token})
 		}
 	}
-	c.claims = left
-	c.outcomes = slices.DeleteFunc(c.outcomes, p.settled)
+	c.claims = remaining
+	c.outcomes = slices.DeleteFunc(c.outcomes, partition.outcomeKnown)
 	return append(records, c.outcomes...)
 }
 
-// taken returns what a second request learns of the first.
-func (k known) taken(now time.Time) error {
-	at := time.Unix(int64(k.at), 0)
-	state := k.stateOf()
+// takenError returns the error for a second request with the same key. A claim
+// that is in progress for longer than InProgressTimeout is reported as Unknown.
+func (e indexEntry) takenError(now time.Time) error {
+	at := time.Unix(int64(e.at), 0)
+	state := e.state()
 	if state == InProgress && now.Sub(at) > InProgressTimeout {
 		state = Unknown
 	}
-	return &TakenError{State: state, Status: int(k.status), At: at}
+	return &TakenError{State: state, Status: int(e.status), At: at}
 }
 
-// finish answers the claims of a batch that was just written. A write that
-// took so long that segments may have been removed meanwhile grants nothing.
+// finish grants the claims of a batch that was just written. A write that ended
+// more than maxWriteOverrun after the deadline grants nothing, because segments
+// may have been removed meanwhile.
 func (c *commit) finish() error {
-	if c.desk.book.clock.Now().After(c.deadline.Add(writeBound)) {
-		c.inDoubt = true
-		return &pointport.UnavailableError{Op: "claim", Ambiguous: true, Err: errLate}
+	if c.batcher.claimer.clock.Now().After(c.deadline.Add(maxWriteOverrun)) {
+		c.ambiguous = true
+		return &pointport.UnavailableError{Op: "claim", Ambiguous: true, Err: errWriteTimeout}
 	}
-	for _, w := range c.claims {
-		c.grant(w)
+	for _, p := range c.claims {
+		c.grant(p)
 	}
 	c.claims = nil
 	return nil
 }
 
-// grant gives a claim to whoever waits for it, and releases it if nobody does.
-func (c *commit) grant(w *pending) {
-	w.token = c.token
-	if !w.answer(nil) {
-		c.desk.settle(record{Key: w.key, At: c.desk.book.clock.Now().Unix(), State: Released, Token: c.token})
+// grant grants a claim to its caller, and releases it if the caller has abandoned it.
+func (c *commit) grant(p *pending) {
+	p.token = c.token
+	if !p.answer(nil) {
+		c.batcher.addOutcome(record{Key: p.key, At: c.batcher.claimer.clock.Now().Unix(), State: Released, Token: c.token})
 	}
 }
 
-// giveUp refuses every claim of the batch and keeps its outcomes for later.
-func (c *commit) giveUp(err error) {
-	if c.inDoubt {
-		c.desk.abandoned[digest(c.token)] = c.token
+// fail refuses every claim of the batch and puts its outcomes back into the queue.
+// If a write may have taken effect, its token is remembered so that its claims can
+// be released later.
+func (c *commit) fail(err error) {
+	if c.ambiguous {
+		c.batcher.abandoned[digest(c.token)] = c.token
 	}
-	for _, w := range c.claims {
-		w.answer(&pointport.UnavailableError{Op: "claim", Err: err})
+	for _, p := range c.claims {
+		p.answer(&pointport.UnavailableError{Op: "claim", Err: err})
 	}
-	c.desk.mu.Lock()
-	defer c.desk.mu.Unlock()
-	c.desk.outcomes = append(c.outcomes, c.desk.outcomes...)
+	c.batcher.mu.Lock()
+	defer c.batcher.mu.Unlock()
+	c.batcher.outcomes = append(c.outcomes, c.batcher.outcomes...)
 }
