--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -55,13 +55,15 @@
 	InProgressTimeout = 2 * time.Hour
 )
 
-// errQueueFull is returned when maxPending claims already wait in the partition.
+// errQueueFull is the cause of a refusal when maxPending claims already wait in the
+// partition.
 var errQueueFull = errors.New("too many claims are waiting")
 
-// errClosed is returned to the claims that still wait when the Claimer stops.
+// errClosed is the cause of a refusal when the Claimer stops.
 var errClosed = errors.New("the claimer is stopped")
 
-// errWriteTimeout is returned when a batch is not written before its deadline.
+// errWriteTimeout is the cause of a refusal when a batch is not written before its
+// deadline.
 var errWriteTimeout = errors.New("the claim was not written in time")
 
 // A Store holds the claims in the platform's key-value service.
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -15,108 +15,115 @@
 	"github.com/pointport/pointport/dispatch"
 )
 
-// This file defines one attempt: a request to one upstream.
+// This file defines an attempt: one request to one upstream.
 
-// An end says how an attempt ended.
-type end int
+// An attemptEnd is the way in which an attempt ended.
+type attemptEnd int
 
-// The ends of an attempt.
+// The ways in which an attempt can end.
 const (
-	endAnswered end = iota // the upstream's answer has begun
-	endNotRun              // the upstream said that it did not run the request
-	endUnsent              // it failed before any byte was sent
-	endUnknown             // it failed after that
+	endAnswered attemptEnd = iota // the headers of the upstream's answer have arrived
+	endNotRun                     // the upstream reported that it did not run the request
+	endUnsent                     // the attempt failed before any byte was sent
+	endUnknown                    // the attempt failed after that, so the request may have run
 )
 
-// An attempt is one request to one upstream.
+// An attempt is one request to one upstream, and its result.
 type attempt struct {
-	x      *exchange
-	grant  *dispatch.Grant
-	peer   *peer
-	end    end
-	answer *http.Response
-	held   []byte // the answer's body, if it was short enough to hold back
-	whole  bool   // whether held is the whole body
-	err    error
-	body   *onceBody
-	sent   sentTrace
+	exchange    *exchange
+	grant       *dispatch.Grant
+	upstream    *upstream
+	end         attemptEnd
+	answer      *http.Response
+	buffered    []byte // the body of the answer, if it was short enough to buffer
+	complete    bool   // whether buffered is the whole body
+	err         error  // why there is no answer, or why its body could not be buffered
+	requestBody *singleUseBody
+	writes      writeTrace
 }
 
-// sentTrace tells whether any byte was written for a request.
-type sentTrace struct {
-	mu     sync.Mutex
-	conn   *countedConn
-	before int64
+// writeTrace records the connection of a request, to find out whether any byte
+// was written to it.
+type writeTrace struct {
+	mu            sync.Mutex
+	conn          *countedConn
+	writtenBefore int64 // bytes written to conn before this request
 }
 
-func (s *sentTrace) gotConn(info httptrace.GotConnInfo) {
+// gotConn is the httptrace hook that is called with the request's connection.
+func (s *writeTrace) gotConn(info httptrace.GotConnInfo) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conn, _ = info.Conn.(*countedConn)
 	if s.conn != nil {
-		s.before = s.conn.written.Load()
+		s.writtenBefore = s.conn.written.Load()
 	}
 }
 
-// any reports whether any byte was written since the connection was got.
-func (s *sentTrace) any() bool {
+// wroteAny reports whether any byte was written since the request got its
+// connection.
+func (s *writeTrace) wroteAny() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.conn != nil && s.conn.written.Load() != s.before
+	return s.conn != nil && s.conn.written.Load() != s.writtenBefore
 }
 
-// send sends the request and waits for the answer's headers, and for its body
-// if that is short.
+// send sends the request and waits for the headers of the answer, and for its
+// body if that is short enough to buffer.
 func (a *attempt) send(ctx context.Context) {
-	trace := &httptrace.ClientTrace{GotConn: a.sent.gotConn}
-	a.body = a.x.body()
-	req := a.x.outgoing(httptrace.WithClientTrace(ctx, trace), a.grant.Instance().Address, a.body)
-	a.answer, a.err = a.peer.transport.RoundTrip(req)
+	trace := &httptrace.ClientTrace{GotConn: a.writes.gotConn}
+	a.requestBody = a.exchange.newBody()
+	req := a.exchange.upstreamRequest(httptrace.WithClientTrace(ctx, trace), a.grant.Instance().Address, a.requestBody)
+	a.answer, a.err = a.upstream.transport.RoundTrip(req)
 	if a.err != nil {
 		a.end = endUnknown
-		if !a.sent.any() {
+		if !a.writes.wroteAny() {
 			a.end = endUnsent
 		}
 		return
 	}
-	if a.answer.Header.Get(a.x.match.Template().Upstream.NotRunHeader) != "" {
+	if a.answer.Header.Get(a.exchange.match.Template().Upstream.NotRunHeader) != "" {
 		a.end = endNotRun
 		a.discard()
 		return
 	}
 	a.end = endAnswered
-	a.hold()
+	a.bufferBody()
 }
 
-// hold reads the whole body if the answer says that it is short.
-func (a *attempt) hold() {
+// bufferBody reads the whole body if its declared length is within the template's
+// retry buffer, so that an answer that is cut short can be retried or refused.
+func (a *attempt) bufferBody() {
 	n := a.answer.ContentLength
-	if n < 0 || n > int64(a.x.match.Template().Retry.Buffer) {
+	if n < 0 || n > int64(a.exchange.match.Template().Retry.Buffer) {
 		return
 	}
-	a.held, a.err = io.ReadAll(a.answer.Body)
+	a.buffered, a.err = io.ReadAll(a.answer.Body)
 	_ = a.answer.Body.Close()
-	a.whole = a.err == nil
+	a.complete = a.err == nil
 }
 
-// discardLimit bounds what is read of an answer that nobody wants, in bytes,
-// so that its connection can be used again.
+// discardLimit bounds how many bytes of an unwanted answer's body are read. A body
+// has to be read to its end for its connection to be reused.
 const discardLimit = 4 << 10
 
+// discard reads and closes the body of an unwanted answer.
 func (a *attempt) discard() {
 	_, _ = io.CopyN(io.Discard, a.answer.Body, discardLimit)
 	_ = a.answer.Body.Close()
 }
 
-// unframed reports whether the answer's end cannot be told from a cut.
+// unframed reports whether the end of the answer is marked only by the close of
+// the connection, so that a truncated answer would look complete.
 func (a *attempt) unframed() bool {
 	r := a.answer
 	chunked := len(r.TransferEncoding) > 0
-	empty := r.Request.Method == http.MethodHead || r.StatusCode == http.StatusNoContent || r.StatusCode == http.StatusNotModified
-	return r.ContentLength < 0 && !chunked && !empty && r.ProtoMajor == 1
+	bodiless := r.Request.Method == http.MethodHead || r.StatusCode == http.StatusNoContent || r.StatusCode == http.StatusNotModified
+	return r.ContentLength < 0 && !chunked && !bodiless && r.ProtoMajor == 1
 }
 
-// failedStatus reports whether an answer's status counts as a failure of it.
+// failedStatus reports whether an answer with this status counts as a failure of
+// the upstream.
 func failedStatus(status int) bool {
 	switch status {
 	case http.StatusInternalServerError, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
@@ -125,8 +132,8 @@
 	return false
 }
 
-// outgoing returns the request for the upstream at address.
-func (x *exchange) outgoing(ctx context.Context, address string, body io.ReadCloser) *http.Request {
+// upstreamRequest returns the request to send to the upstream at address.
+func (x *exchange) upstreamRequest(ctx context.Context, address string, body io.ReadCloser) *http.Request {
 	in := x.in
 	out := &http.Request{
 		Method: in.Method,
@@ -138,14 +145,14 @@
 		Header:        in.Header.Clone(),
 		Host:          in.Host,
 		Body:          body,
-		ContentLength: x.length(),
+		ContentLength: x.bodyLength(),
 	}
 	removeHopByHop(out.Header)
 	if len(in.Trailer) > 0 {
 		out.Trailer = in.Trailer
 	}
 	if out.Header.Get("User-Agent") == "" {
-		out.Header.Set("User-Agent", "") // the transport would add its own
+		out.Header.Set("User-Agent", "") // otherwise the transport adds its own
 	}
 	out.Header.Set(HeaderID, x.id)
 	out.Header.Add("Via", "1.1 pointport")
@@ -159,13 +166,15 @@
 	return out.WithContext(ctx)
 }
 
-// hopByHop lists the headers that are for one connection only (RFC 9110,
-// section 7.6.1).
+// hopByHop lists the headers that apply to a single connection and must not be
+// forwarded (RFC 9110, section 7.6.1).
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
+// removeHopByHop removes the headers in hopByHop and those that the Connection
+// header names.
 func removeHopByHop(h http.Header) {
 	for _, line := range h.Values("Connection") {
 		for _, name := range strings.Split(line, ",") {
@@ -179,8 +188,9 @@
 	}
 }
 
-// gone reports whether err came because the caller has gone.
-func (x *exchange) gone() bool {
+// callerGone reports whether the caller has cancelled the request or closed its
+// connection.
+func (x *exchange) callerGone() bool {
 	err := x.in.Context().Err()
 	return errors.Is(err, context.Canceled)
 }
--- a/gateway/conns.go
+++ b/gateway/conns.go
@@ -11,116 +11,121 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines the connections to one upstream and their bound.
+// This file defines the connections to one upstream and their limit.
 
 const (
-	// dialTimeout bounds how long a connection may take to stand.
+	// dialTimeout bounds the time to open a connection.
 	dialTimeout = 2 * time.Second
-	// idleTimeout is how long an unused connection is kept. It is shorter than
-	// what upstreams commonly keep, so that requests rarely meet a connection
-	// that is being closed.
+	// idleTimeout is how long an idle connection is kept. It is shorter than the
+	// idle timeouts that upstreams commonly use, so that a request is rarely sent
+	// on a connection that its upstream is closing.
 	idleTimeout = 20 * time.Second
-	// maxIdle is no bound of its own: the share bounds all connections.
+	// maxIdle is too high to be a limit of its own: the share limits the number of
+	// connections, idle ones included.
 	maxIdle = 10000
 )
 
-// A peerKey identifies one life of an instance.
-type peerKey struct {
+// An upstreamKey identifies one incarnation of an instance at one address.
+type upstreamKey struct {
 	id      pointport.InstanceID
 	address string
 	boots   int64
 }
 
-func keyOf(i pointport.Instance) peerKey { return peerKey{i.ID, i.Address, i.Boots} }
+func upstreamKeyOf(i pointport.Instance) upstreamKey { return upstreamKey{i.ID, i.Address, i.Boots} }
 
-// A peer is one upstream's transport. It lives as long as the instance keeps
-// its address and boots.
-type peer struct {
+// An upstream is the HTTP transport to one incarnation of an instance. A new one is
+// made when the address or the boot count of the instance changes.
+type upstream struct {
 	instance  pointport.Instance
 	transport *http.Transport
-	share     func() int
+	limit     func() int // returns the maximum number of connections
 
-	mu    sync.Mutex
-	count int
-	freed chan struct{} // closed and replaced when a connection closes
+	mu       sync.Mutex
+	count    int           // open connections and dials in progress
+	released chan struct{} // closed and replaced when a connection is released
 }
 
-func newPeer(i pointport.Instance, share func() int) *peer {
-	p := &peer{instance: i, share: share, freed: make(chan struct{})}
-	p.transport = &http.Transport{
-		DialContext:         p.dial,
+func newUpstream(i pointport.Instance, limit func() int) *upstream {
+	u := &upstream{instance: i, limit: limit, released: make(chan struct{})}
+	u.transport = &http.Transport{
+		DialContext:         u.dial,
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: maxIdle,
 		IdleConnTimeout:     idleTimeout,
 	}
-	return p
+	return u
 }
 
-// dial opens a connection once the share allows one more.
-func (p *peer) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	if err := p.take(ctx); err != nil {
+// dial opens a connection once the limit allows one more.
+func (u *upstream) dial(ctx context.Context, network, address string) (net.Conn, error) {
+	if err := u.acquire(ctx); err != nil {
 		return nil, err
 	}
 	d := net.Dialer{Timeout: dialTimeout}
 	c, err := d.DialContext(ctx, network, address)
 	if err != nil {
-		p.give()
+		u.release()
 		return nil, err
 	}
-	return &countedConn{Conn: c, peer: p}, nil
+	return &countedConn{Conn: c, upstream: u}, nil
 }
 
-func (p *peer) take(ctx context.Context) error {
+// acquire reserves a connection. It waits until the limit allows one more, and
+// fails with ctx's error if ctx ends first.
+func (u *upstream) acquire(ctx context.Context) error {
 	for {
-		p.mu.Lock()
-		if p.count < p.share() {
-			p.count++
-			p.mu.Unlock()
+		u.mu.Lock()
+		if u.count < u.limit() {
+			u.count++
+			u.mu.Unlock()
 			return nil
 		}
-		freed := p.freed
-		p.mu.Unlock()
+		released := u.released
+		u.mu.Unlock()
 		select {
-		case <-freed:
+		case <-released:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-func (p *peer) give() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.count--
-	close(p.freed)
-	p.freed = make(chan struct{})
+// release returns a reserved connection and wakes the calls of acquire that wait.
+func (u *upstream) release() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.count--
+	close(u.released)
+	u.released = make(chan struct{})
 }
 
-// conns returns how many connections there are.
-func (p *peer) conns() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.count
+// conns returns the number of connections, including dials in progress.
+func (u *upstream) conns() int {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.count
 }
 
-// A countedConn counts what was written to it, and is counted itself.
+// A countedConn counts the bytes written to it, and counts against the limit of
+// its upstream until it is closed.
 type countedConn struct {
 	net.Conn
-	peer    *peer
-	written atomic.Int64
-	once    sync.Once
+	upstream  *upstream
+	written   atomic.Int64
+	closeOnce sync.Once
 }
 
-// Write sends data and counts it, also where it fails half way.
+// Write writes data and counts its length, also if the write fails half way.
 func (c *countedConn) Write(data []byte) (int, error) {
-	// Counted before it is written, since a failed write may have sent it.
+	// Counted before the write, because a failed write may have sent some of it.
 	c.written.Add(int64(len(data)))
 	return c.Conn.Write(data)
 }
 
-// Close closes the connection and gives it back to its peer's share.
+// Close closes the connection and releases it, once.
 func (c *countedConn) Close() error {
 	err := c.Conn.Close()
-	c.once.Do(c.peer.give)
+	c.closeOnce.Do(c.upstream.release)
 	return err
 }
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -1,22 +1,24 @@
-// Package gateway serves callers: it takes a request, finds its service, and
-// returns the whole answer of one upstream or an honest refusal.
+// Package gateway is the reverse proxy that serves callers: it routes a request to
+// its service, sends it to an upstream, and returns either the complete answer of
+// one upstream or a refusal that states whether the request ran.
 //
-// The model: a request is checked, claimed if it carries a key and may not be
-// repeated, given an upstream by its service, and sent. An attempt ends in one
-// of four ways: the answer, not run, failed before any byte was sent, or
-// failed after that. What may follow depends on whether the work may be
-// repeated.
+// A request is checked, its idempotency key is claimed if it has one and the route
+// is not repeatable, the service grants it an upstream, and it is sent. An attempt
+// ends in one of four ways: the upstream answered, the upstream reported that it
+// did not run the request, the attempt failed before any byte was sent, or it
+// failed after that. Whether the request is retried depends on this and on whether
+// its route is repeatable.
 //
 // Invariants:
 //
-//   - A refusal says ran=no only if no byte reached an upstream, or the
-//     upstream itself said that it did not run the request.
-//   - Work that may not be repeated is sent to one upstream at most, unless a
-//     key claims it and the upstream said that it did not run it. The transport
-//     below is never given a request that it could send twice.
-//   - An answer that was cut short reaches the caller as a refusal or as a
-//     broken connection, never as an answer that looks whole.
-//   - Connections to an upstream stay within this entry instance's share.
+//   - A refusal has ran=no only if no byte reached an upstream, or the upstream
+//     itself reported that it did not run the request.
+//   - A request that must not be repeated is sent to one upstream at most, unless
+//     its key is claimed and the upstream reported that it did not run the request.
+//     The transport never gets a request that it could retry by itself.
+//   - An answer that was cut short reaches the caller as a refusal or as a broken
+//     connection, never as an answer that looks complete.
+//   - The connections to an upstream stay within this entry instance's share.
 //
-// Deliberately left out: caching, rewriting, protocol upgrades and TLS.
+// Caching, rewriting, protocol upgrades and TLS are left out on purpose.
 package gateway
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -17,14 +17,15 @@
 	"github.com/pointport/pointport/route"
 )
 
-// This file defines the gateway and what is in force in it.
+// This file defines the gateway and its current configuration.
 
-// A Claimer claims keys. It is what the gateway needs of a claim.Book.
+// A Claimer claims idempotency keys. It is implemented by *claim.Claimer.
 type Claimer interface {
 	Claim(ctx context.Context, key claim.Key) (claim.Ticket, error)
 }
 
-// A Gateway is the handler of callers' requests.
+// A Gateway is the HTTP handler for callers' requests. It is safe for concurrent
+// use.
 type Gateway struct {
 	clock    pointport.Clock
 	logger   *slog.Logger
@@ -38,39 +39,42 @@
 	table   atomic.Pointer[route.Table]
 	weights atomic.Pointer[map[string]float64]
 
-	mu       sync.RWMutex
-	services map[string]*dispatch.Service
-	peers    map[peerKey]*peer
+	mu        sync.RWMutex
+	services  map[string]*dispatch.Service
+	upstreams map[upstreamKey]*upstream
 }
 
 var _ http.Handler = (*Gateway)(nil)
 
-// An Option changes a Gateway.
+// An Option configures a Gateway.
 type Option func(*Gateway)
 
-// WithLogger sets where events go.
+// WithLogger sets the logger for events. By default they are discarded.
 func WithLogger(l *slog.Logger) Option { return func(g *Gateway) { g.logger = l } }
 
 // WithZone sets the availability zone of this entry instance.
 func WithZone(z pointport.ZoneID) Option { return func(g *Gateway) { g.zone = z } }
 
-// WithShare sets how many connections this entry instance may have to one
-// upstream of an availability zone.
+// WithShare sets the function that returns how many connections this entry
+// instance may have to one upstream of an availability zone. By default they are
+// not limited in practice.
 func WithShare(share func(pointport.ZoneID) int) Option { return func(g *Gateway) { g.share = share } }
 
-// WithChooser sets the choice among upstreams, made anew for each service.
+// WithChooser sets the function that makes the chooser of upstreams of each
+// service.
 func WithChooser(c func() pointport.Chooser) Option { return func(g *Gateway) { g.chooser = c } }
 
-// WithRegistry sets where metrics are registered.
+// WithRegistry sets the registry for metrics. By default they are not exported.
 func WithRegistry(r prometheus.Registerer) Option { return func(g *Gateway) { g.registry = r } }
 
-// New returns a gateway without routes.
+// New returns a gateway without routes, which refuses all requests until the first
+// call of Update.
 func New(clock pointport.Clock, claims Claimer, options ...Option) *Gateway {
 	g := &Gateway{
 		clock: clock, claims: claims, logger: slog.New(slog.DiscardHandler),
-		registry: prometheus.NewRegistry(),
-		services: make(map[string]*dispatch.Service),
-		peers:    make(map[peerKey]*peer),
+		registry:  prometheus.NewRegistry(),
+		services:  make(map[string]*dispatch.Service),
+		upstreams: make(map[upstreamKey]*upstream),
 	}
 	for _, o := range options {
 		o(g)
@@ -81,16 +85,17 @@
 	return g
 }
 
-// Update puts templates, customers' weights and each service's targets in
-// force. Requests that are under way go on by what they began with.
+// Update replaces the templates, the customers' weights, and the targets of each
+// service by its name. Requests in progress continue with the template and weight
+// that they began with.
 func (g *Gateway) Update(templates []*config.Template, weights map[string]float64, targets map[string][]dispatch.Target) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.weights.Store(&weights)
-	live := make(map[peerKey]pointport.Instance)
-	named := make(map[string]bool)
+	current := make(map[upstreamKey]pointport.Instance)
+	configured := make(map[string]bool)
 	for _, t := range templates {
-		named[t.Service] = true
+		configured[t.Service] = true
 		s := g.services[t.Service]
 		if s == nil {
 			s = g.newService(t)
@@ -98,18 +103,19 @@
 		}
 		s.Update(t, targets[t.Service])
 		for _, target := range targets[t.Service] {
-			live[keyOf(target.Instance)] = target.Instance
+			current[upstreamKeyOf(target.Instance)] = target.Instance
 		}
 	}
 	for name := range g.services {
-		if !named[name] {
+		if !configured[name] {
 			delete(g.services, name)
 		}
 	}
-	g.updatePeers(live)
+	g.updateUpstreams(current)
 	g.table.Store(route.New(templates))
 }
 
+// newService returns the dispatch service of a template.
 func (g *Gateway) newService(t *config.Template) *dispatch.Service {
 	options := []dispatch.Option{dispatch.WithZone(g.zone), dispatch.WithLogger(g.logger)}
 	if g.share != nil {
@@ -121,61 +127,64 @@
 	return dispatch.New(t.Service, g.clock, t, options...)
 }
 
-// updatePeers makes transports for new instances and lets go of old ones. An
-// old one is kept while it has connections, so that an instance that comes back
-// into the list is not given a second share of them.
-func (g *Gateway) updatePeers(live map[peerKey]pointport.Instance) {
-	for k, p := range g.peers {
-		if _, ok := live[k]; ok {
+// updateUpstreams creates transports for new instances and removes those of
+// instances that are not in current. A transport is kept while it has connections,
+// so that an instance that returns to the list does not get a second share of
+// connections.
+func (g *Gateway) updateUpstreams(current map[upstreamKey]pointport.Instance) {
+	for k, u := range g.upstreams {
+		if _, ok := current[k]; ok {
 			continue
 		}
-		p.transport.CloseIdleConnections()
-		if p.conns() == 0 {
-			delete(g.peers, k)
+		u.transport.CloseIdleConnections()
+		if u.conns() == 0 {
+			delete(g.upstreams, k)
 		}
 	}
-	for k, i := range live {
-		if g.peers[k] == nil {
-			g.peers[k] = newPeer(i, func() int { return g.connections(i.Zone) })
+	for k, i := range current {
+		if g.upstreams[k] == nil {
+			g.upstreams[k] = newUpstream(i, func() int { return g.connectionLimit(i.Zone) })
 		}
 	}
 }
 
-// connections returns how many connections an upstream of zone may get.
-func (g *Gateway) connections(zone pointport.ZoneID) int {
+// connectionLimit returns how many connections this entry instance may have to one
+// upstream of zone.
+func (g *Gateway) connectionLimit(zone pointport.ZoneID) int {
 	if g.share == nil {
 		return maxIdle
 	}
 	return g.share(zone)
 }
 
-// TrimIdle closes unused connections to the upstreams of zone, after this
-// entry instance's share of them has fallen.
+// TrimIdle closes the idle connections to the upstreams of zone. It is called after
+// this entry instance's share of them has been lowered.
 func (g *Gateway) TrimIdle(zone pointport.ZoneID) {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
-	for _, p := range g.peers {
-		if p.instance.Zone == zone {
-			p.transport.CloseIdleConnections()
+	for _, u := range g.upstreams {
+		if u.instance.Zone == zone {
+			u.transport.CloseIdleConnections()
 		}
 	}
 }
 
-// MostConnections returns the most connections that any upstream of zone has
-// from this entry instance.
+// MostConnections returns the highest number of connections that this entry
+// instance has to any one upstream of zone.
 func (g *Gateway) MostConnections(zone pointport.ZoneID) int {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	most := 0
-	for _, p := range g.peers {
-		if p.instance.Zone == zone {
-			most = max(most, p.conns())
+	for _, u := range g.upstreams {
+		if u.instance.Zone == zone {
+			most = max(most, u.conns())
 		}
 	}
 	return most
 }
 
-// SaturatedAt returns when a request last found no upstream with room.
+// SaturatedAt returns when a request last found no upstream with free capacity, or the
+// zero time if none has.
 func (g *Gateway) SaturatedAt() time.Time {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
@@ -199,18 +208,22 @@
 	return out
 }
 
+// service returns the service with this name, or nil.
 func (g *Gateway) service(name string) *dispatch.Service {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	return g.services[name]
 }
 
-func (g *Gateway) peer(i pointport.Instance) *peer {
+// upstreamOf returns the upstream of an instance, or nil if the instance is not
+// in the targets.
+func (g *Gateway) upstreamOf(i pointport.Instance) *upstream {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
-	return g.peers[keyOf(i)]
+	return g.upstreams[upstreamKeyOf(i)]
 }
 
+// weight returns the weight of a customer; the default is 1.
 func (g *Gateway) weight(customer string) float64 {
 	if w, ok := (*g.weights.Load())[customer]; ok {
 		return w
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -20,7 +20,7 @@
 	"github.com/pointport/pointport/memory"
 )
 
-// A failure is one case of testdata/failures.yaml.
+// A failure is a case of testdata/failures.yaml.
 type failure struct {
 	Name    string   `json:"name"`
 	Work    string   `json:"work"`
@@ -32,6 +32,8 @@
 	Reached int      `json:"reached"`
 }
 
+// TestFailures checks the status and the ran of the caller's answer, and the number
+// of requests that reach an upstream, for each way in which an upstream can fail.
 func TestFailures(t *testing.T) {
 	data, err := os.ReadFile("testdata/failures.yaml")
 	if err != nil {
@@ -55,7 +57,7 @@
 	}
 	s := &script{steps: c.Script, release: make(chan struct{})}
 	defer close(s.release)
-	b := newBench(t, c.Timeout, c.addresses(t, s)...)
+	g := newTestGateway(t, c.Timeout, c.addresses(t, s)...)
 	method, key := http.MethodPost, ""
 	if c.Work == "repeatable" {
 		method = http.MethodGet
@@ -63,18 +65,19 @@
 	if c.Work == "keyed" {
 		key = "tip-1"
 	}
-	got := b.ask(t, method, "/"+c.Work, key, "")
+	got := g.ask(t, method, "/"+c.Work, key, "")
 	if got.status != c.Status || got.ran != c.Ran {
 		t.Errorf("the caller got status %d, ran %q, want %d, %q: %s", got.status, got.ran, c.Status, c.Ran, got.body)
 	}
 	if got.status == http.StatusOK && got.body != wholeBody {
-		t.Errorf("the caller got %q, want the whole answer", got.body)
+		t.Errorf("the caller got %q, want the complete answer", got.body)
 	}
 	if n := s.count(); n != c.Reached {
 		t.Errorf("%d requests reached an upstream, want %d", n, c.Reached)
 	}
 }
 
+// addresses returns the addresses of the case's upstreams.
 func (c *failure) addresses(t *testing.T, s *script) []string {
 	if c.Dead {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -87,18 +90,19 @@
 	return []string{serveScript(t, s), serveScript(t, s), serveScript(t, s)}
 }
 
-// TestReusedConnectionIsNotReplayed breaks a connection that was used before
-// at the very request that may not be repeated. The transport of net/http would
-// send a request with an Idempotency-Key again by itself.
+// TestReusedConnectionIsNotReplayed checks that a request that must not be repeated
+// is sent once when its connection, which an earlier request has used, breaks. In
+// that case http.Transport would by itself resend a request that has an
+// Idempotency-Key.
 func TestReusedConnectionIsNotReplayed(t *testing.T) {
 	for _, work := range []string{"single", "keyed"} {
 		t.Run(work, func(t *testing.T) {
 			s := &script{steps: []string{"answer", "close-after-read"}, release: make(chan struct{})}
-			b := newBench(t, "30s", serveScript(t, s))
-			if got := b.ask(t, http.MethodGet, "/repeatable", "", ""); got.status != http.StatusOK {
+			g := newTestGateway(t, "30s", serveScript(t, s))
+			if got := g.ask(t, http.MethodGet, "/repeatable", "", ""); got.status != http.StatusOK {
 				t.Fatalf("the first request: %+v", got)
 			}
-			got := b.ask(t, http.MethodPost, "/"+work, "tip-1", "")
+			got := g.ask(t, http.MethodPost, "/"+work, "tip-1", "")
 			if got.status != http.StatusBadGateway || got.ran != "unknown" {
 				t.Errorf("got status %d, ran %q, want 502, unknown", got.status, got.ran)
 			}
@@ -109,26 +113,26 @@
 	}
 }
 
-// TestConnectionClosedWhileIdle lets the upstream close a connection after its
-// answer. The next request must not suffer from it.
+// TestConnectionClosedWhileIdle checks that a request succeeds after the upstream
+// has closed the connection of the request before.
 func TestConnectionClosedWhileIdle(t *testing.T) {
 	s := &script{steps: []string{"answer-and-close", "answer"}, release: make(chan struct{})}
-	b := newBench(t, "30s", serveScript(t, s))
-	b.ask(t, http.MethodGet, "/repeatable", "", "")
-	until(t, "the closed connection is dropped", func() bool { return b.gateway.MostConnections("") == 0 })
-	if got := b.ask(t, http.MethodPost, "/keyed", "tip-1", ""); got.status != http.StatusOK {
+	g := newTestGateway(t, "30s", serveScript(t, s))
+	g.ask(t, http.MethodGet, "/repeatable", "", "")
+	waitUntil(t, "the closed connection is dropped", func() bool { return g.gateway.MostConnections("") == 0 })
+	if got := g.ask(t, http.MethodPost, "/keyed", "tip-1", ""); got.status != http.StatusOK {
 		t.Errorf("got %+v, want a whole answer", got)
 	}
 }
 
-// TestKeyRunsOnce sends one key again after each way in which its first request
-// can end.
+// TestKeyRunsOnce checks that a second request with the same key is refused, with
+// the right ran, for each way in which the first one can end.
 func TestKeyRunsOnce(t *testing.T) {
 	for _, c := range []struct {
 		first  string
 		status int
 		ran    string
-		runs   int
+		count  int
 	}{
 		{"answer", http.StatusConflict, "yes", 1},
 		{"fail", http.StatusConflict, "yes", 1},
@@ -137,74 +141,78 @@
 	} {
 		t.Run(c.first, func(t *testing.T) {
 			s := &script{steps: []string{c.first}, release: make(chan struct{})}
-			b := newBench(t, "30s", serveScript(t, s))
-			b.ask(t, http.MethodPost, "/keyed", "tip-1", "")
+			g := newTestGateway(t, "30s", serveScript(t, s))
+			g.ask(t, http.MethodPost, "/keyed", "tip-1", "")
 			var got reply
-			until(t, "the outcome is known", func() bool {
-				got = b.ask(t, http.MethodPost, "/keyed", "tip-1", "")
+			waitUntil(t, "the outcome is known", func() bool {
+				got = g.ask(t, http.MethodPost, "/keyed", "tip-1", "")
 				return !strings.Contains(got.body, "in progress")
 			})
-			if got.status != c.status || got.ran != c.ran || s.count() != c.runs {
-				t.Errorf("the second request got status %d, ran %q after %d runs, want %d, %q, %d",
-					got.status, got.ran, s.count(), c.status, c.ran, c.runs)
+			if got.status != c.status || got.ran != c.ran || s.count() != c.count {
+				t.Errorf("the second request got status %d, ran %q after %d requests to the upstream, want %d, %q, %d",
+					got.status, got.ran, s.count(), c.status, c.ran, c.count)
 			}
 		})
 	}
 }
 
-// TestKeyIsFreeAfterNotRun lets a key be used again whose request did not run.
+// TestKeyIsFreeAfterNotRun checks that a request with a key is retried if the
+// upstream did not run it, and that a request that no upstream can take is refused
+// without a write of a claim.
 func TestKeyIsFreeAfterNotRun(t *testing.T) {
 	s := &script{steps: []string{"not-run"}, release: make(chan struct{})}
-	b := newBench(t, "30s", serveScript(t, s))
-	// With one upstream the retries go to it as well; the script answers them.
-	if got := b.ask(t, http.MethodPost, "/keyed", "tip-1", ""); got.status != http.StatusOK {
+	g := newTestGateway(t, "30s", serveScript(t, s))
+	// The only upstream also gets the retries, which the script answers.
+	if got := g.ask(t, http.MethodPost, "/keyed", "tip-1", ""); got.status != http.StatusOK {
 		t.Fatalf("got %+v", got)
 	}
-	dead := newBench(t, "30s")
+	dead := newTestGateway(t, "30s")
 	if got := dead.ask(t, http.MethodPost, "/keyed", "tip-2", ""); got.status != http.StatusServiceUnavailable || got.ran != "no" {
 		t.Fatalf("without upstreams: %+v", got)
 	}
 	if n := dead.store.Counts().Writes; n != 0 {
-		t.Errorf("a request that was refused at once cost %d writes", n)
+		t.Errorf("a request that was refused at once caused %d writes", n)
 	}
 }
 
-// TestStoreDown refuses keyed work as not run while its key cannot be claimed,
-// and serves all other work.
+// TestStoreDown checks that requests with a key are refused with ran=no while the
+// store is down, because their keys cannot be claimed, and that all others are
+// served.
 func TestStoreDown(t *testing.T) {
 	s := &script{release: make(chan struct{})}
-	b := newBench(t, "30s", serveScript(t, s))
-	b.store.SetInjector(func(string, string) memory.Fault { return memory.FaultBefore })
-	got := b.ask(t, http.MethodPost, "/keyed", "tip-1", "")
+	g := newTestGateway(t, "30s", serveScript(t, s))
+	g.store.SetInjector(func(string, string) memory.Fault { return memory.FaultBefore })
+	got := g.ask(t, http.MethodPost, "/keyed", "tip-1", "")
 	if got.status != http.StatusServiceUnavailable || got.ran != "no" || got.header.Get("Retry-After") == "" {
 		t.Errorf("keyed work: %+v", got)
 	}
 	if n := s.count(); n != 0 {
 		t.Errorf("%d requests reached the upstream without a claim", n)
 	}
-	if got := b.ask(t, http.MethodPost, "/single", "", ""); got.status != http.StatusOK {
+	if got := g.ask(t, http.MethodPost, "/single", "", ""); got.status != http.StatusOK {
 		t.Errorf("single work: %+v", got)
 	}
-	b.store.SetInjector(func(string, string) memory.Fault { return memory.FaultNone })
-	if got := b.ask(t, http.MethodPost, "/keyed", "tip-1", ""); got.status != http.StatusOK {
+	g.store.SetInjector(func(string, string) memory.Fault { return memory.FaultNone })
+	if got := g.ask(t, http.MethodPost, "/keyed", "tip-1", ""); got.status != http.StatusOK {
 		t.Errorf("keyed work with the store back: %+v", got)
 	}
 }
 
-// TestBadRequests sends what no caller should. Nothing may reach an upstream.
+// TestBadRequests checks that invalid requests are refused with a detail that names
+// the fault, and that they do not reach an upstream.
 func TestBadRequests(t *testing.T) {
 	s := &script{release: make(chan struct{})}
-	b := newBench(t, "30s", serveScript(t, s))
+	g := newTestGateway(t, "30s", serveScript(t, s))
 	long := strings.Repeat("k", 300)
 	for _, c := range []struct {
 		name, path string
 		header     map[string]string
 		body       string
 		status     int
-		says       string
+		detail     string
 	}{
 		{"no route", "/nowhere", nil, "", 404, "no template routes POST /nowhere"},
-		{"path beside a prefix", "/keyedness", nil, "", 404, "no template routes"},
+		{"path that only begins like a prefix", "/keyedness", nil, "", 404, "no template routes"},
 		{"key missing", "/keyed", nil, "", 400, `Idempotency-Key: \"\": is required`},
 		{"key too long", "/keyed", map[string]string{"Idempotency-Key": long}, "", 400, "must have from 1 to 255 bytes"},
 		{"key with space", "/keyed", map[string]string{"Idempotency-Key": "a b"}, "", 400, `Idempotency-Key: \"a b\"`},
@@ -215,7 +223,7 @@
 		{"body too large", "/small", nil, "more than ten bytes", 413, "the body may have 10 bytes"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			req, err := http.NewRequest(http.MethodPost, b.url+c.path, strings.NewReader(c.body))
+			req, err := http.NewRequest(http.MethodPost, g.url+c.path, strings.NewReader(c.body))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -223,8 +231,8 @@
 				req.Header.Set(name, value)
 			}
 			got := send(t, req)
-			if got.status != c.status || got.ran != "no" || !strings.Contains(got.body, c.says) {
-				t.Errorf("got status %d, ran %q, want %d, no and %q: %s", got.status, got.ran, c.status, c.says, got.body)
+			if got.status != c.status || got.ran != "no" || !strings.Contains(got.body, c.detail) {
+				t.Errorf("got status %d, ran %q, want %d, no and %q: %s", got.status, got.ran, c.status, c.detail, got.body)
 			}
 		})
 	}
@@ -233,19 +241,20 @@
 	}
 }
 
-// TestBadBytes sends requests that no client library would.
-func TestBadBytes(t *testing.T) {
+// TestMalformedRequests checks that malformed HTTP, which no client library sends,
+// is refused and does not reach an upstream.
+func TestMalformedRequests(t *testing.T) {
 	s := &script{release: make(chan struct{})}
-	b := newBench(t, "30s", serveScript(t, s))
+	g := newTestGateway(t, "30s", serveScript(t, s))
 	for _, c := range []struct{ name, bytes, status string }{
 		{"conflicting lengths", "POST /single HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", "400"},
-		{"length that is no number", "POST /single HTTP/1.1\r\nHost: a\r\nContent-Length: x\r\n\r\n", "400"},
+		{"length that is not a number", "POST /single HTTP/1.1\r\nHost: a\r\nContent-Length: x\r\n\r\n", "400"},
 		{"header too large", "GET /repeatable HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 64<<10) + "\r\n\r\n", "431"},
 		{"two keys", "POST /keyed HTTP/1.1\r\nHost: a\r\nIdempotency-Key: a\r\nIdempotency-Key: b\r\nContent-Length: 0\r\n\r\n", "400"},
 		{"body too large in chunks", "POST /small HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n14\r\n01234567890123456789\r\n0\r\n\r\n", "413"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			conn, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
+			conn, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -262,12 +271,13 @@
 	}
 }
 
-// TestLengthAndChunks sends a request with both a length and chunks, which the
-// chunks decide (RFC 9112, section 6.3). The upstream must get one framing.
+// TestLengthAndChunks guards against request smuggling by a request with both a
+// Content-Length and chunked encoding. The chunks take precedence (RFC 9112,
+// section 6.3), and the upstream must get one framing only.
 func TestLengthAndChunks(t *testing.T) {
 	s := &script{release: make(chan struct{})}
-	b := newBench(t, "30s", serveScript(t, s))
-	conn, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
+	g := newTestGateway(t, "30s", serveScript(t, s))
+	conn, err := net.Dial("tcp", strings.TrimPrefix(g.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -281,9 +291,9 @@
 	}
 }
 
-// TestCallerGone lets a caller go while its request runs. The upstream must see
-// its connection close.
-func TestCallerGone(t *testing.T) {
+// TestCallerDisconnects checks that the connection to the upstream is closed if the
+// caller disconnects while its request runs.
+func TestCallerDisconnects(t *testing.T) {
 	started, closed := make(chan struct{}), make(chan struct{})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -303,9 +313,9 @@
 		_, _ = r.ReadByte() // returns when the connection closes
 		close(closed)
 	}()
-	b := newBench(t, "30s", l.Addr().String())
+	g := newTestGateway(t, "30s", l.Addr().String())
 	ctx, cancel := context.WithCancel(context.Background())
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, b.url+"/repeatable", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, g.url+"/repeatable", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -314,23 +324,24 @@
 		cancel()
 	}()
 	if got := send(t, req); got.status != 0 {
-		t.Errorf("got %+v, want nothing", got)
+		t.Errorf("got %+v, want no answer", got)
 	}
 	<-closed
 }
 
-// TestBodiesArriveWhole sends bodies of sizes around what a gateway holds back.
+// TestBodiesArriveWhole checks that request bodies with sizes around the retry
+// buffer's reach the upstream unchanged, with a length and in chunks.
 func TestBodiesArriveWhole(t *testing.T) {
 	for _, size := range []int{0, 1, 64<<10 - 1, 64 << 10, 64<<10 + 1, 1 << 20} {
 		for _, chunked := range []bool{false, true} {
 			s := &script{release: make(chan struct{})}
-			b := newBench(t, "30s", serveScript(t, s))
+			g := newTestGateway(t, "30s", serveScript(t, s))
 			body := strings.Repeat("0123456789abcdef", size/16+1)[:size]
 			var r io.Reader = strings.NewReader(body)
 			if chunked {
 				r = io.MultiReader(r) // hides the length
 			}
-			req, err := http.NewRequest(http.MethodPost, b.url+"/single", r)
+			req, err := http.NewRequest(http.MethodPost, g.url+"/single", r)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -344,8 +355,8 @@
 	}
 }
 
-// TestAnswersAreNotMixed runs requests with answers that come late, out of
-// order and cut, and checks that each caller gets its own.
+// TestAnswersAreNotMixed checks that concurrent callers get the answers to their
+// own requests while some answers are cut short and their connections break.
 func TestAnswersAreNotMixed(t *testing.T) {
 	var n atomic.Int64
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -363,14 +374,14 @@
 	})}
 	go func() { _ = srv.Serve(l) }()
 	defer srv.Close()
-	b := newBench(t, "30s", l.Addr().String())
+	g := newTestGateway(t, "30s", l.Addr().String())
 	results := make(chan error)
-	const callers, each = 8, 50
+	const callers, requests = 8, 50
 	for c := range callers {
 		go func() {
-			for i := range each {
+			for i := range requests {
 				want := fmt.Sprintf("caller %d request %d", c, i)
-				if got := b.ask(t, http.MethodPost, "/repeatable", "", want); got.status == http.StatusOK && got.body != want {
+				if got := g.ask(t, http.MethodPost, "/repeatable", "", want); got.status == http.StatusOK && got.body != want {
 					results <- fmt.Errorf("got %q, want %q", got.body, want)
 					return
 				}
@@ -385,33 +396,34 @@
 	}
 }
 
-// TestTwoEntryInstances sends each key through two gateways at once.
+// TestTwoEntryInstances checks that a key that is sent through two gateways at the
+// same time runs once.
 func TestTwoEntryInstances(t *testing.T) {
 	s := &script{release: make(chan struct{})}
 	address := serveScript(t, s)
 	store := memory.New(clock.System{})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var benches []*bench
+	var gateways []*testGateway
 	for _, name := range []string{"entry-1", "entry-2"} {
-		book := claim.Start(ctx, store, clock.System{}, name, claim.WithWriteRate(1000, 0))
-		benches = append(benches, serveBench(t, gateway.New(clock.System{}, book), store, "30s", address))
+		claimer := claim.Start(ctx, store, clock.System{}, name, claim.WithWriteRate(1000, 0))
+		gateways = append(gateways, serveGateway(t, gateway.New(clock.System{}, claimer), store, "30s", address))
 	}
 	const keys = 30
 	answers := make(chan reply)
 	for k := range keys {
-		for _, b := range benches {
-			go func() { answers <- b.ask(t, http.MethodPost, "/keyed", fmt.Sprint("tip-", k), fmt.Sprint(k)) }()
+		for _, g := range gateways {
+			go func() { answers <- g.ask(t, http.MethodPost, "/keyed", fmt.Sprint("tip-", k), fmt.Sprint(k)) }()
 		}
 	}
 	answered := 0
-	for range keys * len(benches) {
+	for range keys * len(gateways) {
 		got := <-answers
 		switch {
 		case got.status == http.StatusOK:
 			answered++
 		case got.status != http.StatusConflict || got.ran == "no":
-			t.Errorf("got %+v, want an answer or a conflict that does not say no", got)
+			t.Errorf("got %+v, want an answer, or a conflict with ran other than no", got)
 		}
 	}
 	if answered != keys || s.count() != keys {
@@ -419,14 +431,15 @@
 	}
 }
 
-// TestLeavingSign stops new work to an upstream by its own sign.
-func TestLeavingSign(t *testing.T) {
+// TestLeavingHeader checks that an upstream gets no more requests after an answer
+// with the leaving header.
+func TestLeavingHeader(t *testing.T) {
 	leaving := &script{steps: []string{"leaving"}, release: make(chan struct{})}
-	b := newBench(t, "30s", serveScript(t, leaving))
-	if got := b.ask(t, http.MethodGet, "/repeatable", "", ""); got.status != http.StatusOK {
+	g := newTestGateway(t, "30s", serveScript(t, leaving))
+	if got := g.ask(t, http.MethodGet, "/repeatable", "", ""); got.status != http.StatusOK {
 		t.Fatalf("got %+v", got)
 	}
-	got := b.ask(t, http.MethodGet, "/repeatable", "", "")
+	got := g.ask(t, http.MethodGet, "/repeatable", "", "")
 	if got.status != http.StatusServiceUnavailable || got.ran != "no" || leaving.count() != 1 {
 		t.Errorf("got %+v after %d requests, want a refusal after 1", got, leaving.count())
 	}
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -22,25 +22,27 @@
 	"github.com/pointport/pointport/memory"
 )
 
-// This file arranges a gateway before scripted upstreams.
+// This file sets up a gateway in front of scripted upstreams.
 
-// wholeBody is the body of every whole answer.
+// wholeBody is the body of every complete answer.
 const wholeBody = "the whole answer"
 
-// longAnswer is longer than what a gateway holds back.
+// longAnswer is the length of an answer that is too long for the gateway to
+// buffer, in bytes.
 const longAnswer = 1 << 20
 
-// A script says what the upstreams do with the requests that reach them, in
-// turn. Once it is used up, they answer.
+// A script holds what the upstreams do with the requests that reach them, one step
+// for each request. Once the steps are used up, they answer.
 type script struct {
 	mu      sync.Mutex
 	steps   []string
 	reached int
 	bodies  []string
-	ran     map[string]int // by body, the requests that were not refused
-	release chan struct{}  // closed when hanging upstreams may go on
+	ran     map[string]int // by body, the number of requests that the upstreams ran
+	release chan struct{}  // closed when hanging upstreams may continue
 }
 
+// next records a request and returns the step for it.
 func (s *script) next(body string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,27 +62,30 @@
 	return step
 }
 
-// plan replaces what the upstreams will do.
-func (s *script) plan(steps []string) {
+// setSteps replaces the steps.
+func (s *script) setSteps(steps []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.steps = steps
 }
 
-// started returns how many requests with a body were not refused.
+// started returns the number of requests with a body that the upstreams ran, that
+// is, did not answer with the not-run header.
 func (s *script) started(body string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ran[body]
 }
 
+// count returns the number of requests that reached the upstreams.
 func (s *script) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reached
 }
 
-// serveScript serves connections by hand, so that they can break anywhere.
+// serveScript starts an upstream and returns its address. It writes to the
+// connections itself, so that they can break at any point.
 func serveScript(t *testing.T, s *script) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -100,6 +105,7 @@
 	return l.Addr().String()
 }
 
+// serve handles the requests of one connection until a step closes it.
 func (s *script) serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
@@ -112,14 +118,14 @@
 		if err != nil {
 			return
 		}
-		if !s.act(c, s.next(string(body))) {
+		if !s.perform(c, s.next(string(body))) {
 			return
 		}
 	}
 }
 
-// act takes one step. It reports whether the connection stays open.
-func (s *script) act(c net.Conn, step string) bool {
+// perform performs one step. It reports whether the connection stays open.
+func (s *script) perform(c net.Conn, step string) bool {
 	write := func(format string, args ...any) { fmt.Fprintf(c, format, args...) }
 	switch step {
 	case "answer":
@@ -164,12 +170,13 @@
 		<-s.release
 	case "close-after-read":
 	default:
-		panic("no such step: " + step)
+		panic("unknown step: " + step)
 	}
 	return false
 }
 
-// routes has a route for each kind of work. TIMEOUT is replaced.
+// routes is a template with a route for each kind of work. TIMEOUT is replaced by
+// the timeout of the test.
 const routes = `
 kind: Template
 name: tips
@@ -182,6 +189,7 @@
 ejection: {failures: 100}
 `
 
+// parseTemplate returns the template that text defines.
 func parseTemplate(t *testing.T, text string) *config.Template {
 	t.Helper()
 	objects, err := config.Parse("test", []byte(text))
@@ -191,24 +199,26 @@
 	return objects[0].Template()
 }
 
-// A bench is a gateway under test, served to callers.
-type bench struct {
+// A testGateway is a gateway under test, served over HTTP.
+type testGateway struct {
 	gateway *gateway.Gateway
 	store   *memory.Store
 	url     string
 }
 
-// newBench returns a gateway over upstreams at addresses.
-func newBench(t *testing.T, timeout string, addresses ...string) *bench {
+// newTestGateway starts a gateway with its own store and claimer, in front of
+// upstreams at addresses.
+func newTestGateway(t *testing.T, timeout string, addresses ...string) *testGateway {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	store := memory.New(clock.System{})
-	book := claim.Start(ctx, store, clock.System{}, "entry-1", claim.WithWriteRate(1000, 0))
-	return serveBench(t, gateway.New(clock.System{}, book), store, timeout, addresses...)
+	claimer := claim.Start(ctx, store, clock.System{}, "entry-1", claim.WithWriteRate(1000, 0))
+	return serveGateway(t, gateway.New(clock.System{}, claimer), store, timeout, addresses...)
 }
 
-func serveBench(t *testing.T, g *gateway.Gateway, store *memory.Store, timeout string, addresses ...string) *bench {
+// serveGateway serves g in front of upstreams at addresses.
+func serveGateway(t *testing.T, g *gateway.Gateway, store *memory.Store, timeout string, addresses ...string) *testGateway {
 	t.Helper()
 	template := parseTemplate(t, strings.ReplaceAll(routes, "TIMEOUT", timeout))
 	targets := make([]dispatch.Target, len(addresses))
@@ -220,10 +230,10 @@
 	srv.Config.MaxHeaderBytes = 8 << 10
 	srv.Start()
 	t.Cleanup(srv.Close)
-	return &bench{g, store, srv.URL}
+	return &testGateway{g, store, srv.URL}
 }
 
-// A reply is what a caller gets; status 0 means that no whole answer came.
+// A reply is what a caller receives. Its status is 0 if no complete answer came.
 type reply struct {
 	status int
 	ran    string
@@ -231,9 +241,10 @@
 	header http.Header
 }
 
-func (b *bench) ask(t *testing.T, method, path, key, body string) reply {
+// ask sends a request with a key, or without one if key is empty.
+func (g *testGateway) ask(t *testing.T, method, path, key, body string) reply {
 	t.Helper()
-	req, err := http.NewRequest(method, b.url+path, strings.NewReader(body))
+	req, err := http.NewRequest(method, g.url+path, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -243,6 +254,7 @@
 	return send(t, req)
 }
 
+// send sends a request on a connection of its own.
 func send(t *testing.T, req *http.Request) reply {
 	t.Helper()
 	transport := &http.Transport{DisableKeepAlives: true}
@@ -258,14 +270,14 @@
 	return reply{res.StatusCode, res.Header.Get(gateway.HeaderRan), string(data), res.Header}
 }
 
-// until waits until ok returns true.
-func until(t *testing.T, what string, ok func() bool) {
+// waitUntil waits until ok returns true, and fails the test if it takes too long.
+func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	const patience = 30 * time.Second
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	const timeout = 30 * time.Second
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	t.Fatalf("waited %v in vain until %s", patience, what)
+	t.Fatalf("timed out after %v waiting until %s", timeout, what)
 }
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -4,10 +4,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// This file defines the metrics of the request path. Their labels are bounded:
-// services come from templates, outcomes from this file.
+// This file defines the metrics of the request path. The number of label values is
+// bounded: services come from templates, outcomes from this file.
 
-// An outcome classes how a request ended.
+// An outcome is how a request ended, as a metric label and in problem types.
 type outcome string
 
 // The outcomes of a request.
@@ -17,14 +17,14 @@
 	outcomeRefused    outcome = "refused"
 	outcomeTimeout    outcome = "timeout"
 	outcomeUnknown    outcome = "unknown"
-	outcomeTaken      outcome = "key-taken"
+	outcomeKeyTaken   outcome = "key-taken"
 	outcomeStoreDown  outcome = "store-down"
 	outcomeNotRun     outcome = "not-run"
-	outcomeCut        outcome = "cut-short"
-	outcomeGone       outcome = "caller-gone"
+	outcomeCutShort   outcome = "cut-short"
+	outcomeCallerGone outcome = "caller-gone"
 )
 
-// metrics are the counters of one gateway.
+// metrics holds the metrics of one gateway.
 type metrics struct {
 	requests *prometheus.CounterVec
 	seconds  *prometheus.HistogramVec
@@ -32,7 +32,7 @@
 	inFlight prometheus.Gauge
 }
 
-// buckets are the bounds of the latency histogram, in seconds.
+// buckets are the upper bounds of the latency histogram's buckets, in seconds.
 var buckets = []float64{.001, .0025, .005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5, 10, 30}
 
 func newMetrics(r prometheus.Registerer) *metrics {
@@ -54,8 +54,8 @@
 	return m
 }
 
-// String names an attempt's end in metrics.
-func (e end) String() string {
+// String returns the value of the end label in metrics.
+func (e attemptEnd) String() string {
 	switch e {
 	case endAnswered:
 		return "answered"
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -8,16 +8,16 @@
 	"sync"
 )
 
-// This file defines how an upstream's answer reaches the caller.
+// This file defines how an upstream's answer is forwarded to the caller.
 
-// copyBuffer is the size of the pieces in which an answer is passed on, in
-// bytes.
-const copyBuffer = 32 << 10
+// copyBufferSize is the size of the buffers through which answers are forwarded,
+// in bytes.
+const copyBufferSize = 32 << 10
 
-// buffers is a pool of pieces.
-var buffers = newBufferPool(copyBuffer)
+// buffers is the pool of those buffers.
+var buffers = newBufferPool(copyBufferSize)
 
-// A bufferPool hands out byte slices of one size.
+// A bufferPool is a pool of byte slices of one size.
 type bufferPool struct{ pool sync.Pool }
 
 func newBufferPool(size int) *bufferPool {
@@ -30,22 +30,22 @@
 func (p *bufferPool) get() *[]byte  { return p.pool.Get().(*[]byte) }
 func (p *bufferPool) put(b *[]byte) { p.pool.Put(b) }
 
-// errCaller wraps an error of writing to the caller.
-type errCaller struct{ err error }
+// callerError wraps an error in writing to the caller.
+type callerError struct{ err error }
 
-func (e *errCaller) Error() string { return "caller: " + e.err.Error() }
+func (e *callerError) Error() string { return "caller: " + e.err.Error() }
 
-// Unwrap returns the cause.
-func (e *errCaller) Unwrap() error { return e.err }
+// Unwrap returns the underlying error.
+func (e *callerError) Unwrap() error { return e.err }
 
-// relayHead sends the answer's status and headers.
+// relayHead writes the status and headers of the upstream's answer.
 func (a *attempt) relayHead(w http.ResponseWriter) {
 	h := w.Header()
 	for name, values := range a.answer.Header {
 		h[name] = values
 	}
 	removeHopByHop(h)
-	h.Del(HeaderRan) // only a refusal of this gateway says it
+	h.Del(HeaderRan) // only refusals by this gateway have it
 	for name := range a.answer.Trailer {
 		h.Add("Trailer", name)
 	}
@@ -55,12 +55,13 @@
 	w.WriteHeader(a.answer.StatusCode)
 }
 
-// relayBody sends the answer's body. Its error is an *errCaller if the caller
-// could not take it, and else the upstream's.
+// relayBody writes the body and trailers of the upstream's answer. Its error is a
+// *callerError if writing to the caller failed; otherwise it is the error of
+// reading the answer.
 func (a *attempt) relayBody(w http.ResponseWriter) error {
-	if a.whole {
-		if _, err := w.Write(a.held); err != nil {
-			return &errCaller{err}
+	if a.complete {
+		if _, err := w.Write(a.buffered); err != nil {
+			return &callerError{err}
 		}
 		a.relayTrailer(w)
 		return nil
@@ -73,8 +74,8 @@
 	return nil
 }
 
-// copyFlushing passes each piece on as it comes, so that an answer that is
-// made slowly arrives as it is made.
+// copyFlushing copies r to w and flushes after each read, so that an answer that
+// is produced slowly reaches the caller without delay.
 func copyFlushing(w http.ResponseWriter, r io.Reader) error {
 	buf := buffers.get()
 	defer buffers.put(buf)
@@ -83,10 +84,10 @@
 		n, err := r.Read(*buf)
 		if n > 0 {
 			if _, werr := w.Write((*buf)[:n]); werr != nil {
-				return &errCaller{werr}
+				return &callerError{werr}
 			}
 			if ferr := control.Flush(); ferr != nil && !errors.Is(ferr, http.ErrNotSupported) {
-				return &errCaller{ferr}
+				return &callerError{ferr}
 			}
 		}
 		if errors.Is(err, io.EOF) {
@@ -98,6 +99,7 @@
 	}
 }
 
+// relayTrailer sets the trailers of the upstream's answer.
 func (a *attempt) relayTrailer(w http.ResponseWriter) {
 	for name, values := range a.answer.Trailer {
 		w.Header()[name] = values
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -20,50 +20,53 @@
 	"github.com/pointport/pointport/route"
 )
 
-// This file defines a caller's request once it has been checked.
+// This file defines an exchange, which is a checked request of a caller.
 
 // Headers that callers may set.
 const (
 	HeaderKey      = "Idempotency-Key"
 	HeaderCustomer = "X-Customer"
-	HeaderTimeout  = "Request-Timeout" // a duration with its unit, or seconds
+	HeaderTimeout  = "Request-Timeout" // a duration such as "2.5s", or a number of seconds
 	HeaderID       = "X-Request-Id"
 )
 
 const (
-	// maxKey and maxCustomer bound what callers may name, in bytes.
+	// maxKey and maxCustomer bound the length of the headers with the idempotency
+	// key and the customer's name, in bytes.
 	maxKey      = 255
 	maxCustomer = 63
 )
 
-// An exchange is one caller's request on its way to its answer.
+// An exchange is one request of a caller that has passed the checks, and the state
+// of its attempts.
 type exchange struct {
-	in       *http.Request
-	match    route.Match
-	service  *dispatch.Service
-	customer string
-	key      string
-	id       string
-	deadline time.Time
-	weight   float64
-	head     []byte // the body, or its start
-	whole    bool   // whether head is the whole body
-	started  time.Time
-	avoid    []pointport.InstanceID // upstreams that have failed this request
-	grant    *dispatch.Grant        // the last one
-	ran      Ran                    // what is known of the attempts so far
-}
-
-// repeatable reports whether the work may run more than once.
+	in           *http.Request
+	match        route.Match
+	service      *dispatch.Service
+	customer     string
+	key          string
+	id           string
+	deadline     time.Time
+	weight       float64
+	bodyStart    []byte // the start of the body, up to the retry buffer
+	bodyComplete bool   // whether bodyStart is the whole body
+	started      time.Time
+	avoid        []pointport.InstanceID // upstreams that have failed this request
+	grant        *dispatch.Grant        // of the last attempt
+	ran          Ran                    // whether an attempt so far may have run
+}
+
+// repeatable reports whether the request may run more than once.
 func (x *exchange) repeatable() bool {
 	return x.match.Route().Repeatable
 }
 
-// claims reports whether the work needs a claim before it is sent.
-func (x *exchange) claims() bool { return x.key != "" && !x.repeatable() }
+// needsClaim reports whether the request's key must be claimed before it is sent.
+func (x *exchange) needsClaim() bool { return x.key != "" && !x.repeatable() }
 
-// check reads what the caller asks for besides its body.
-func (g *Gateway) check(r *http.Request) (*exchange, *Problem) {
+// newExchange finds the route of a request and checks its headers. It returns a
+// Problem if the request cannot be served.
+func (g *Gateway) newExchange(r *http.Request) (*exchange, *Problem) {
 	m, ok := g.table.Load().Find(r.Host, r.URL.Path, r.Method)
 	if !ok {
 		return nil, newProblem(http.StatusNotFound, outcomeBadRequest, RanNo, "no route",
@@ -72,7 +75,7 @@
 	x := &exchange{in: r, match: m, started: g.clock.Now(), service: g.service(m.Template().Service)}
 	if x.service == nil {
 		return nil, newProblem(http.StatusServiceUnavailable, outcomeRefused, RanNo, "service not ready",
-			"the service was just configured").after(time.Second)
+			"the service was just configured").withRetryAfter(time.Second)
 	}
 	for _, read := range []func(*http.Request) *Problem{x.readKey, x.readCustomer, x.readTimeout, x.readLength} {
 		if p := read(r); p != nil {
@@ -87,11 +90,13 @@
 	return x, nil
 }
 
+// badHeader returns the refusal for a header with an invalid value.
 func badHeader(name, value, reason string) *Problem {
 	return newProblem(http.StatusBadRequest, outcomeBadRequest, RanNo, "bad request header",
 		fmt.Sprintf("%s: %q: %s", name, value, reason))
 }
 
+// readKey reads and checks the idempotency key.
 func (x *exchange) readKey(r *http.Request) *Problem {
 	values := r.Header.Values(HeaderKey)
 	if len(values) > 1 {
@@ -105,7 +110,7 @@
 	}
 	x.key = values[0]
 	if x.key == "" || len(x.key) > maxKey {
-		return badHeader(HeaderKey, clip(x.key), fmt.Sprintf("must have from 1 to %d bytes", maxKey))
+		return badHeader(HeaderKey, truncate(x.key), fmt.Sprintf("must have from 1 to %d bytes", maxKey))
 	}
 	for _, c := range []byte(x.key) {
 		if c <= ' ' || c > '~' {
@@ -115,14 +120,17 @@
 	return nil
 }
 
+// readCustomer reads and checks the customer's name.
 func (x *exchange) readCustomer(r *http.Request) *Problem {
 	x.customer = r.Header.Get(HeaderCustomer)
 	if len(x.customer) > maxCustomer {
-		return badHeader(HeaderCustomer, clip(x.customer), fmt.Sprintf("must not be longer than %d bytes", maxCustomer))
+		return badHeader(HeaderCustomer, truncate(x.customer), fmt.Sprintf("must not be longer than %d bytes", maxCustomer))
 	}
 	return nil
 }
 
+// readTimeout sets the deadline from the route's timeout and the caller's, whichever
+// is shorter.
 func (x *exchange) readTimeout(r *http.Request) *Problem {
 	limit := x.match.Route().Timeout.D()
 	if v := r.Header.Get(HeaderTimeout); v != "" {
@@ -131,7 +139,7 @@
 			d, err = time.Duration(seconds*float64(time.Second)), nil
 		}
 		if err != nil || d <= 0 {
-			return badHeader(HeaderTimeout, clip(v), "must be a positive duration such as \"2.5s\", or seconds")
+			return badHeader(HeaderTimeout, truncate(v), "must be a positive duration such as \"2.5s\", or seconds")
 		}
 		limit = min(limit, d)
 	}
@@ -139,6 +147,7 @@
 	return nil
 }
 
+// readLength checks the declared length of the body.
 func (x *exchange) readLength(r *http.Request) *Problem {
 	if r.ContentLength > x.match.Route().MaxBody {
 		return tooLarge(x.match.Route(), RanNo)
@@ -146,22 +155,24 @@
 	return nil
 }
 
+// tooLarge returns the refusal for a body above the route's limit.
 func tooLarge(r *config.Route, ran Ran) *Problem {
 	return newProblem(http.StatusRequestEntityTooLarge, outcomeBadRequest, ran, "request body too large",
 		fmt.Sprintf("the body may have %d bytes", r.MaxBody))
 }
 
-// clip shortens a value for a message.
-func clip(s string) string {
-	const most = 80
-	if len(s) > most {
-		return s[:most] + "..."
+// truncate shortens a value for an error message.
+func truncate(s string) string {
+	const maxLen = 80
+	if len(s) > maxLen {
+		return s[:maxLen] + "..."
 	}
 	return s
 }
 
-// readBody reads the start of the body before an upstream is asked for, so
-// that a slow caller holds none, and so that a short body can be sent again.
+// readBody reads the start of the body before an upstream is acquired, so that a
+// slow caller does not occupy an upstream, and so that a short body can be sent
+// again in a retry.
 func (x *exchange) readBody(w http.ResponseWriter, r *http.Request) *Problem {
 	r.Body = http.MaxBytesReader(w, r.Body, x.match.Route().MaxBody)
 	limit := int64(x.match.Template().Retry.Buffer)
@@ -174,58 +185,61 @@
 		return newProblem(http.StatusRequestTimeout, outcomeTimeout, RanNo, "the request's body came too slowly",
 			fmt.Sprintf("%d bytes came within %v", len(head), x.deadline.Sub(x.started)))
 	case err != nil && r.Context().Err() != nil:
-		return x.late(RanNo)
+		return x.contextProblem(RanNo)
 	case err != nil:
 		return newProblem(http.StatusBadRequest, outcomeBadRequest, RanNo, "request body cut short", err.Error())
 	}
-	x.head, x.whole = head, int64(len(head)) <= limit
+	x.bodyStart, x.bodyComplete = head, int64(len(head)) <= limit
 	return nil
 }
 
-// late is the refusal of a request whose time ran out.
-func (x *exchange) late(ran Ran) *Problem {
+// contextProblem returns the refusal of a request whose context has ended: because
+// the caller has gone, or else because the deadline passed.
+func (x *exchange) contextProblem(ran Ran) *Problem {
 	if x.in.Context().Err() != nil && !errors.Is(context.Cause(x.in.Context()), context.DeadlineExceeded) {
-		return newProblem(statusGone, outcomeGone, ran, "the caller has gone", "")
+		return newProblem(statusClientClosed, outcomeCallerGone, ran, "the caller has gone", "")
 	}
 	return newProblem(http.StatusGatewayTimeout, outcomeTimeout, ran, "deadline passed",
 		fmt.Sprintf("the request had %v", x.deadline.Sub(x.started)))
 }
 
-// statusGone stands in logs and metrics for callers that closed early.
-const statusGone = 499
+// statusClientClosed is the non-standard status, for logs and metrics, of a request
+// whose caller closed its connection early.
+const statusClientClosed = 499
 
-// body returns the request's body for one attempt. It is never a type that the
-// transport knows how to send a second time.
-func (x *exchange) body() *onceBody {
-	if x.whole {
-		return &onceBody{from: bytes.NewReader(x.head)}
+// newBody returns the request's body for one attempt. It is always a type that
+// http.Transport cannot rewind, so that the transport does not retry by itself.
+func (x *exchange) newBody() *singleUseBody {
+	if x.bodyComplete {
+		return &singleUseBody{reader: bytes.NewReader(x.bodyStart)}
 	}
-	return &onceBody{from: io.MultiReader(bytes.NewReader(x.head), x.in.Body)}
+	return &singleUseBody{reader: io.MultiReader(bytes.NewReader(x.bodyStart), x.in.Body)}
 }
 
-// length returns the body's length, or -1 if it is not known.
-func (x *exchange) length() int64 {
+// bodyLength returns the Content-Length to send, or -1 if it is unknown. Requests
+// with trailers are sent in chunks, so they have none.
+func (x *exchange) bodyLength() int64 {
 	switch {
 	case len(x.in.Trailer) > 0:
 		return -1
-	case x.whole:
-		return int64(len(x.head))
+	case x.bodyComplete:
+		return int64(len(x.bodyStart))
 	}
 	return x.in.ContentLength
 }
 
-// An onceBody hides what it reads from, so that it cannot be rewound, and knows
-// whether it has been read.
-type onceBody struct {
-	from io.Reader
-	read atomic.Bool
+// A singleUseBody is a request body that hides the type of its reader, so that
+// http.Transport cannot rewind it. It records whether it has been read from.
+type singleUseBody struct {
+	reader  io.Reader
+	wasRead atomic.Bool
 }
 
-// Read reads on.
-func (b *onceBody) Read(p []byte) (int, error) {
-	b.read.Store(true)
-	return b.from.Read(p)
+// Read reads from the underlying reader.
+func (b *singleUseBody) Read(p []byte) (int, error) {
+	b.wasRead.Store(true)
+	return b.reader.Read(p)
 }
 
-// Close does nothing: the server closes the caller's body.
-func (*onceBody) Close() error { return nil }
+// Close does nothing, because the HTTP server closes the caller's body.
+func (*singleUseBody) Close() error { return nil }
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -15,44 +15,47 @@
 	"github.com/pointport/pointport/event"
 )
 
-// This file defines the way of a request through the gateway.
+// This file defines how the gateway serves a request, from its checks to its
+// answer.
 
-// backoff is the mean pause before the second attempt; it doubles with each.
-const backoff = 5 * time.Millisecond
+// baseBackoff is the mean pause before the second attempt. It doubles with each
+// further attempt.
+const baseBackoff = 5 * time.Millisecond
 
-// writeGrace is how long after its deadline an answer may still be written, so
-// that a caller can be told that the deadline has passed.
+// writeGrace is how long after a request's deadline its answer may still be
+// written, so that the caller receives the refusal when the deadline has passed.
 const writeGrace = time.Second
 
-// takenRetryAfter is what a caller is told whose key is in progress.
+// takenRetryAfter is the Retry-After for a request whose key is in progress.
 const takenRetryAfter = 2 * time.Second
 
-// storeRetryAfter is what a caller is told whose key could not be claimed.
+// storeRetryAfter is the Retry-After for a request whose key could not be claimed.
 const storeRetryAfter = 5 * time.Second
 
-// ServeHTTP answers one request.
+// ServeHTTP routes a request to an upstream of its service, and writes the
+// upstream's answer or a refusal.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.metrics.inFlight.Inc()
 	defer g.metrics.inFlight.Dec()
-	// A connection that is used again must not keep the last request's deadlines.
+	// A connection that is reused must not keep the deadlines of its last request.
 	control := http.NewResponseController(w)
 	_ = control.SetWriteDeadline(time.Time{})
-	x, problem := g.check(r)
+	x, problem := g.newExchange(r)
 	if problem != nil {
-		g.finish("", problem.outcome, 0)
-		problem.write(w)
+		g.recordMetrics("", problem.outcome, 0)
+		problem.writeTo(w)
 		return
 	}
 	name := x.match.Template().Service
-	defer g.recoverBroken(x)
+	defer g.recoverPanic(x)
 	result := g.serve(w, x)
-	g.finish(name, result, g.clock.Now().Sub(x.started))
+	g.recordMetrics(name, result, g.clock.Now().Sub(x.started))
 }
 
-// recoverBroken ends the count of a request whose handler panics, and lets the
-// panic go on. A panic with http.ErrAbortHandler is how a cut answer is told to
-// the caller; see passOn.
-func (g *Gateway) recoverBroken(x *exchange) {
+// recoverPanic releases the grant and records the metrics of a request whose
+// handler panics, and panics again. The panic http.ErrAbortHandler is expected: it
+// breaks the caller's connection when an answer was cut short; see relay.
+func (g *Gateway) recoverPanic(x *exchange) {
 	v := recover()
 	if v == nil {
 		return
@@ -60,62 +63,68 @@
 	if x.grant != nil {
 		x.grant.End(dispatch.Abandoned, 0)
 	}
-	g.finish(x.match.Template().Service, outcomeCut, g.clock.Now().Sub(x.started))
+	g.recordMetrics(x.match.Template().Service, outcomeCutShort, g.clock.Now().Sub(x.started))
 	if v != http.ErrAbortHandler {
 		event.HandlerPanic.Log(g.logger, slog.String("request", x.id), slog.Any("panic", v))
 	}
 	panic(v)
 }
 
-func (g *Gateway) finish(service string, o outcome, d time.Duration) {
+// recordMetrics counts a request and its duration. The service is empty if none was
+// found.
+func (g *Gateway) recordMetrics(service string, o outcome, d time.Duration) {
 	g.metrics.requests.WithLabelValues(service, string(o)).Inc()
 	if service != "" {
 		g.metrics.seconds.WithLabelValues(service).Observe(d.Seconds())
 	}
 }
 
-// serve takes a checked request to its end.
+// serve reads the request's body, claims its key if needed, and sends it to an
+// upstream. It returns the outcome once the answer or refusal is written.
 func (g *Gateway) serve(w http.ResponseWriter, x *exchange) outcome {
 	ctx, cancel := context.WithTimeout(x.in.Context(), x.deadline.Sub(g.clock.Now()))
 	defer cancel()
-	// A caller that does not take its answer must not hold an upstream.
+	// A caller that does not read its answer must not occupy an upstream.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(x.deadline.Sub(g.clock.Now()) + writeGrace))
 	if problem := g.readBody(w, x); problem != nil {
 		return g.refuse(w, x, problem)
 	}
-	if !x.claims() {
-		return g.try(ctx, w, x, noTicket{})
+	if !x.needsClaim() {
+		return g.serveWithRetries(ctx, w, x, noTicket{})
 	}
 	ticket, problem := g.claim(ctx, x)
 	if problem != nil {
 		return g.refuse(w, x, problem)
 	}
-	return g.try(ctx, w, x, ticket)
+	return g.serveWithRetries(ctx, w, x, ticket)
 }
 
+// readBody reads the start of the body under the request's deadline.
 func (g *Gateway) readBody(w http.ResponseWriter, x *exchange) *Problem {
-	// A body that comes too slowly ends with the request's deadline.
+	// Reading a slow body ends at the request's deadline.
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(time.Now().Add(x.deadline.Sub(g.clock.Now())))
 	problem := x.readBody(w, x.in)
-	if x.whole {
+	if x.bodyComplete {
 		_ = control.SetReadDeadline(time.Time{})
 	}
 	return problem
 }
 
-// refuse sends a refusal. An earlier attempt may have run even if the last did
-// not. It is sent also when the caller seems to have gone: a handler that sends
-// nothing would leave an empty answer that looks whole.
+// refuse writes a refusal. Its ran is changed to unknown if an earlier attempt may
+// have run, even if the last one did not. The refusal is written even if the caller
+// seems to have gone: a handler that writes nothing produces an empty answer that
+// looks complete.
 func (g *Gateway) refuse(w http.ResponseWriter, x *exchange, p *Problem) outcome {
 	if p.Ran == RanNo && x.ran == RanUnknown {
 		p.Ran = RanUnknown
 	}
-	p.write(w)
+	p.writeTo(w)
 	return p.outcome
 }
 
-// A ticket settles the claim of a request, if it has one.
+// A ticket records the outcome of a request's claim. It is implemented by
+// claim.Ticket, and by noTicket for requests without a claim.
 type ticket interface {
 	RecordOutcome(s claim.State, status int)
 }
@@ -131,11 +140,11 @@
 // RecordOutcome does nothing.
 func (noTicket) RecordOutcome(claim.State, int) {}
 
-// claim claims the request's key. Nothing has been sent by then, so every
-// refusal is honest in saying that this request did not run.
+// claim claims the request's key. Nothing has been sent to an upstream at that
+// point, so a refusal can state that this request did not run.
 func (g *Gateway) claim(ctx context.Context, x *exchange) (ticket, *Problem) {
-	if err := x.service.CheckAdmission(x.request()); err != nil {
-		return nil, refusal(err)
+	if err := x.service.CheckAdmission(x.dispatchRequest()); err != nil {
+		return nil, dispatchProblem(err)
 	}
 	key := claim.NewKey(x.match.Template().Service, x.customer, x.key)
 	t, err := g.claims.Claim(ctx, key)
@@ -146,54 +155,56 @@
 	case errors.As(err, &taken):
 		return nil, takenProblem(taken)
 	case ctx.Err() != nil:
-		return nil, x.late(RanNo)
+		return nil, x.contextProblem(RanNo)
 	}
 	return nil, newProblem(http.StatusServiceUnavailable, outcomeStoreDown, RanNo, "the key cannot be claimed now",
-		"work that may not be repeated is not run while its key cannot be claimed").after(storeRetryAfter)
+		"work that may not be repeated is not run while its key cannot be claimed").withRetryAfter(storeRetryAfter)
 }
 
+// takenProblem returns the refusal for a key that is already claimed.
 func takenProblem(t *claim.TakenError) *Problem {
-	p := newProblem(http.StatusConflict, outcomeTaken, RanUnknown, "the key was used before", t.Error())
+	p := newProblem(http.StatusConflict, outcomeKeyTaken, RanUnknown, "the key was used before", t.Error())
 	switch t.State {
 	case claim.Ran:
 		p.Ran, p.EarlierStatus = RanYes, t.Status
 	case claim.InProgress:
-		p.after(takenRetryAfter)
+		p.withRetryAfter(takenRetryAfter)
 	}
 	return p
 }
 
-// request is what the service needs to know.
-func (x *exchange) request() dispatch.Request {
+// dispatchRequest returns the request in the form that the service needs.
+func (x *exchange) dispatchRequest() dispatch.Request {
 	return dispatch.Request{
 		Customer: x.customer, Weight: x.weight, Priority: x.match.Route().Priority,
 		Deadline: x.deadline, Avoid: x.avoid,
 	}
 }
 
-// refusal turns a service's refusal into the caller's.
-func refusal(err error) *Problem {
+// dispatchProblem returns the refusal to the caller for a refusal by the service. It
+// panics if err is not a *dispatch.RefusedError.
+func dispatchProblem(err error) *Problem {
 	var refused *dispatch.RefusedError
 	if !errors.As(err, &refused) {
-		panic("gateway: a service refused with " + err.Error())
+		panic("gateway: unexpected error from a service: " + err.Error())
 	}
 	switch refused.Reason {
 	case dispatch.ReasonCallerGone:
-		return newProblem(statusGone, outcomeGone, RanNo, string(refused.Reason), "")
+		return newProblem(statusClientClosed, outcomeCallerGone, RanNo, string(refused.Reason), "")
 	case dispatch.ReasonDeadline:
-		return newProblem(http.StatusGatewayTimeout, outcomeTimeout, RanNo, string(refused.Reason), "").after(refused.RetryAfter)
+		return newProblem(http.StatusGatewayTimeout, outcomeTimeout, RanNo, string(refused.Reason), "").withRetryAfter(refused.RetryAfter)
 	}
-	return newProblem(http.StatusServiceUnavailable, outcomeRefused, RanNo, string(refused.Reason), "").after(refused.RetryAfter)
+	return newProblem(http.StatusServiceUnavailable, outcomeRefused, RanNo, string(refused.Reason), "").withRetryAfter(refused.RetryAfter)
 }
 
-// try attempts the request until it has an answer, or must not or cannot be
-// attempted again.
-func (g *Gateway) try(ctx context.Context, w http.ResponseWriter, x *exchange, t ticket) outcome {
+// serveWithRetries sends the request to an upstream, and retries it until it is
+// answered, or a retry is unsafe or not possible.
+func (g *Gateway) serveWithRetries(ctx context.Context, w http.ResponseWriter, x *exchange, t ticket) outcome {
 	for n := 1; ; n++ {
-		grant, err := x.service.Acquire(ctx, x.request())
+		grant, err := x.service.Acquire(ctx, x.dispatchRequest())
 		if err != nil {
 			t.RecordOutcome(claim.Released, 0)
-			return g.refuse(w, x, refusal(err))
+			return g.refuse(w, x, dispatchProblem(err))
 		}
 		x.grant = grant
 		a := g.attempt(ctx, x, grant)
@@ -202,19 +213,19 @@
 		}
 		if g.mayRetry(ctx, x, a, n) {
 			x.avoid = append(x.avoid, grant.Instance().ID)
-			g.pause(ctx, n)
+			g.backOff(ctx, n)
 			continue
 		}
-		return g.conclude(w, x, a, t)
+		return g.respond(w, x, a, t)
 	}
 }
 
-// attempt sends the request to the granted upstream. The grant has ended when
-// it returns, unless an answer has still to be passed on.
+// attempt sends the request to the granted upstream. It ends the grant before it
+// returns, unless the body of an answer remains to be forwarded.
 func (g *Gateway) attempt(ctx context.Context, x *exchange, grant *dispatch.Grant) *attempt {
-	a := &attempt{x: x, grant: grant, peer: g.peer(grant.Instance())}
-	if a.peer == nil {
-		// The instance was taken out between the grant and now.
+	a := &attempt{exchange: x, grant: grant, upstream: g.upstreamOf(grant.Instance())}
+	if a.upstream == nil {
+		// The instance was removed after the grant was made.
 		a.end, a.err = endUnsent, &pointport.NotFoundError{Kind: "instance", Name: string(grant.Instance().ID)}
 		grant.End(dispatch.Abandoned, 0)
 		return a
@@ -224,18 +235,18 @@
 	if a.answer != nil && a.answer.Header.Get(x.match.Template().Upstream.LeavingHeader) != "" {
 		x.service.MarkLeaving(grant.Instance().ID)
 	}
-	if a.end != endAnswered || a.whole || a.err != nil {
+	if a.end != endAnswered || a.complete || a.err != nil {
 		grant.End(a.outcome(ctx), 0)
 	}
 	return a
 }
 
-// outcome is what the attempt says of the upstream.
+// outcome returns the result of the attempt as it counts for the upstream.
 func (a *attempt) outcome(ctx context.Context) dispatch.Outcome {
 	switch {
 	case a.end == endNotRun:
 		return dispatch.NotRun
-	case a.err != nil && a.x.gone():
+	case a.err != nil && a.exchange.callerGone():
 		return dispatch.Abandoned
 	case a.end == endUnsent && ctx.Err() != nil:
 		return dispatch.Abandoned
@@ -245,7 +256,9 @@
 	return dispatch.Succeeded
 }
 
-// mayRetry decides whether the request is attempted once more.
+// mayRetry reports whether the request is attempted again after attempt n: whether
+// that is safe, and time, attempts and the service's retry budget are left. If so,
+// it takes the retry from the budget.
 func (g *Gateway) mayRetry(ctx context.Context, x *exchange, a *attempt, n int) bool {
 	if ctx.Err() != nil || n >= x.match.Template().Retry.MaxAttempts {
 		return false
@@ -253,71 +266,75 @@
 	safe := false
 	switch a.end {
 	case endUnsent:
-		// No byte was sent, but the transport may have looked into the body.
-		safe = x.whole || a.body == nil || !a.body.read.Load()
+		// No byte was sent, but the transport may have read from the body.
+		safe = x.bodyComplete || a.requestBody == nil || !a.requestBody.wasRead.Load()
 	case endNotRun:
-		safe = x.whole && (x.repeatable() || x.claims())
+		safe = x.bodyComplete && (x.repeatable() || x.needsClaim())
 	case endUnknown:
-		safe = x.whole && x.repeatable()
+		safe = x.bodyComplete && x.repeatable()
 	case endAnswered:
-		bad := a.err != nil || failedStatus(a.answer.StatusCode)
-		held := a.whole || a.err != nil
-		safe = bad && held && x.whole && x.repeatable()
+		failed := a.err != nil || failedStatus(a.answer.StatusCode)
+		buffered := a.complete || a.err != nil
+		safe = failed && buffered && x.bodyComplete && x.repeatable()
 	}
 	return safe && x.service.TakeRetry()
 }
 
-// pause waits a little, by chance, before attempt n+1.
-func (g *Gateway) pause(ctx context.Context, n int) {
-	d := backoff << (n - 1)
+// backOff waits before attempt n+1, for a random time with a mean of baseBackoff
+// that doubles with each attempt.
+func (g *Gateway) backOff(ctx context.Context, n int) {
+	d := baseBackoff << (n - 1)
 	select {
 	case <-g.clock.After(time.Duration(rand.Int64N(int64(2 * d)))):
 	case <-ctx.Done():
 	}
 }
 
-// conclude gives the caller what the last attempt came to.
-func (g *Gateway) conclude(w http.ResponseWriter, x *exchange, a *attempt, t ticket) outcome {
+// respond records the outcome of the request's claim, and writes the answer or the
+// refusal that the last attempt resulted in.
+func (g *Gateway) respond(w http.ResponseWriter, x *exchange, a *attempt, t ticket) outcome {
 	switch a.end {
 	case endUnsent:
 		t.RecordOutcome(claim.Released, 0)
-		if x.in.Context().Err() != nil || a.peer != nil && errors.Is(a.err, context.DeadlineExceeded) {
-			return g.refuse(w, x, x.late(RanNo))
+		if x.in.Context().Err() != nil || a.upstream != nil && errors.Is(a.err, context.DeadlineExceeded) {
+			return g.refuse(w, x, x.contextProblem(RanNo))
 		}
 		return g.refuse(w, x, newProblem(http.StatusServiceUnavailable, outcomeNotRun, RanNo,
-			"the upstream could not be reached", a.err.Error()).after(time.Second))
+			"the upstream could not be reached", a.err.Error()).withRetryAfter(time.Second))
 	case endNotRun:
 		t.RecordOutcome(claim.Released, 0)
 		return g.refuse(w, x, newProblem(http.StatusServiceUnavailable, outcomeNotRun, RanNo,
-			"the upstream did not run the request", "").after(time.Second))
+			"the upstream did not run the request", "").withRetryAfter(time.Second))
 	case endUnknown:
 		t.RecordOutcome(claim.Unknown, 0)
 		if x.in.Context().Err() != nil || errors.Is(a.err, context.DeadlineExceeded) {
-			return g.refuse(w, x, x.late(RanUnknown))
+			return g.refuse(w, x, x.contextProblem(RanUnknown))
 		}
 		return g.refuse(w, x, newProblem(http.StatusBadGateway, outcomeUnknown, RanUnknown,
 			"the upstream failed", a.err.Error()))
 	}
 	t.RecordOutcome(claim.Ran, a.answer.StatusCode)
-	return g.passOn(w, x, a)
+	return g.relay(w, x, a)
 }
 
-// passOn sends an upstream's answer to the caller.
-func (g *Gateway) passOn(w http.ResponseWriter, x *exchange, a *attempt) outcome {
+// relay forwards an upstream's answer to the caller. If the answer is cut short after
+// some of it was forwarded, it breaks the caller's connection by a panic with
+// http.ErrAbortHandler, so that the answer does not look complete.
+func (g *Gateway) relay(w http.ResponseWriter, x *exchange, a *attempt) outcome {
 	if a.err != nil || a.unframed() && !x.match.Route().AllowUnframed {
-		return g.refuseAnswer(w, x, a)
+		return g.refuseBrokenAnswer(w, x, a)
 	}
 	a.relayHead(w)
 	err := a.relayBody(w)
-	if a.whole {
+	if a.complete {
 		return outcomeAnswered
 	}
-	var caller *errCaller
+	var callerErr *callerError
 	switch {
 	case err == nil:
 		a.grant.End(a.outcome(x.in.Context()), 0)
 		return outcomeAnswered
-	case errors.As(err, &caller) || x.gone():
+	case errors.As(err, &callerErr) || x.callerGone():
 		a.grant.End(dispatch.Abandoned, 0)
 		panic(http.ErrAbortHandler)
 	}
@@ -327,14 +344,15 @@
 	panic(http.ErrAbortHandler)
 }
 
-// refuseAnswer refuses in place of an answer of which nothing was passed on.
-func (g *Gateway) refuseAnswer(w http.ResponseWriter, x *exchange, a *attempt) outcome {
+// refuseBrokenAnswer writes a refusal instead of an answer of which nothing was
+// forwarded, because it was cut short or its end cannot be recognized.
+func (g *Gateway) refuseBrokenAnswer(w http.ResponseWriter, x *exchange, a *attempt) outcome {
 	if a.err == nil {
 		_ = a.answer.Body.Close()
 		a.grant.End(dispatch.Abandoned, 0)
-		return g.refuse(w, x, newProblem(http.StatusBadGateway, outcomeCut, RanUnknown, "the answer has no end",
-			"the upstream's answer has neither a length nor chunks, so a cut could not be told"))
+		return g.refuse(w, x, newProblem(http.StatusBadGateway, outcomeCutShort, RanUnknown, "the answer has no end",
+			"the upstream's answer has neither a Content-Length nor chunked encoding, so a truncated answer would look complete"))
 	}
-	return g.refuse(w, x, newProblem(http.StatusBadGateway, outcomeCut, RanUnknown,
-		"the upstream's answer was cut short", fmt.Sprintf("after %d bytes: %v", len(a.held), a.err)))
+	return g.refuse(w, x, newProblem(http.StatusBadGateway, outcomeCutShort, RanUnknown,
+		"the upstream's answer was cut short", fmt.Sprintf("after %d bytes: %v", len(a.buffered), a.err)))
 }
