--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -121,7 +121,7 @@
 	g.ask(t, http.MethodGet, "/repeatable", "", "")
 	waitUntil(t, "the closed connection is dropped", func() bool { return g.gateway.MostConnections("") == 0 })
 	if got := g.ask(t, http.MethodPost, "/keyed", "tip-1", ""); got.status != http.StatusOK {
-		t.Errorf("got %+v, want a whole answer", got)
+		t.Errorf("got %+v, want a complete answer", got)
 	}
 }
 
--- a/intake/service.go
+++ b/intake/service.go
@@ -1,16 +1,18 @@
-// Package intake takes jobs from customers at any entry instance: it accepts or
-// refuses, cancels, and says how a job stands.
+// Package intake accepts, refuses and cancels customers' jobs at any entry instance,
+// and returns their status.
 //
-// The model: a job is accepted by one transaction that takes its identity and
-// leaves it for its pool's owner. The owner hears of it by a message, and by its
-// watch if the message is lost. What a job has come to is asked of the owner,
-// and read from the store if the owner does not know or cannot be reached.
+// A job is accepted by one transaction, which reserves its identity and stores the
+// job for the owner of its pool. The owner is notified by a message, and by its
+// watch of the store if the message is lost. The status of a job comes from the
+// owner, or from the store if the owner does not know the job or is unreachable.
 //
 // Invariants:
 //
-//   - A job is stored before its acceptance is told.
-//   - An identity is one job, however often and wherever it is submitted.
-//   - A refusal is told only if nothing was stored and nothing can be any more.
+//   - A job is stored before its acceptance is returned.
+//   - An identity stands for one job, however often and at whichever entry instance
+//     it is submitted.
+//   - A refusal is returned only if nothing was stored, and nothing can be stored
+//     later by the same submission.
 package intake
 
 import (
@@ -27,47 +29,50 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file defines the desk and what it does with a job.
+// This file defines the Service: the status and the cancellation of jobs, and the
+// errors for jobs that are not accepted.
 
 const (
-	// unsureRetry is how long to wait before a change without an answer is sent
-	// again.
-	unsureRetry = 40 * time.Millisecond
-	// RetryAfter is when a refused customer should come back: an outage of the
-	// store lasts seconds.
+	// ambiguousRetryInterval is the time after which a change whose effect is unknown is
+	// sent to the store again.
+	ambiguousRetryInterval = 40 * time.Millisecond
+	// RetryAfter is after which time a refused customer should retry. Outages of
+	// the store last for seconds.
 	RetryAfter = time.Second
 )
 
-// An Owners reaches the owners of pools, wherever they are.
+// Owners is a client of the owners of pools, which run on this instance or on
+// another one.
 type Owners interface {
-	// NotifySubmitted tells a pool's owner of a job that was accepted by the change
-	// that made revision at. It does not wait.
+	// NotifySubmitted notifies a pool's owner of a job that was accepted by the change
+	// with revision at. It does not block.
 	NotifySubmitted(pool, id, customer string, accepted []byte, at pointport.Revision)
-	// Excess returns for how long a pool's owner wants no more jobs of a customer, zero if
-	// it does. It does not wait.
+	// Excess returns for how long a pool's owner accepts no more jobs of a customer, or
+	// zero if it accepts them. It does not block.
 	Excess(pool, customer string) time.Duration
-	// Cancel has a pool's owner cancel a job; false if it does not know the job, or the
-	// caller may not.
+	// Cancel asks a pool's owner to cancel a job. It returns false if the owner does not
+	// know the job, or the caller may not access it.
 	Cancel(ctx context.Context, pool, id string, by customer.Caller) (bool, error)
-	// Status asks a pool's owner for a job; false if it does not know the job, or the
-	// caller may not.
+	// Status asks a pool's owner for the status of a job. It returns false if the owner
+	// does not know the job, or the caller may not access it.
 	Status(ctx context.Context, pool, id string, by customer.Caller) (workload.Status, bool, error)
-	// StoreAtPeer has a peer keep a job and returns the peer's name. It fails with a
-	// *RefusedError or an *UnsureError.
+	// StoreAtPeer asks a peer to store a job and returns the peer's name. It fails with a
+	// *RefusedError or an *AmbiguousError.
 	StoreAtPeer(ctx context.Context, s Submission) (peer string, err error)
-	// Waiting asks a pool's owner how many jobs of a queue have not begun.
+	// Waiting asks a pool's owner for the number of jobs of a queue that have not begun.
 	Waiting(ctx context.Context, pool, queue string) (int, error)
 }
 
-// A Service takes jobs. It is safe for concurrent use.
+// A Service accepts, refuses and cancels jobs and returns their status, on behalf of
+// one caller. It is safe for concurrent use.
 type Service struct {
 	kv     pointport.KV
 	owners Owners
 	clock  pointport.Clock
 	// reachable reports whether the store answers at present.
 	reachable func() bool
-	// full reports whether this member can hold no more.
-	full func() bool
+	// lowMemory reports whether this member is too low on memory to store jobs.
+	lowMemory func() bool
 	// customers returns the customers in force and the version of the configuration that
 	// lists them.
 	customers func() (*customer.Directory, int64)
@@ -75,40 +80,45 @@
 	logger    *slog.Logger
 }
 
-// A Option changes a Desk.
+// An Option configures a Service.
 type Option func(*Service)
 
-// WithLowMemory sets what reports that this member can hold no more. A job is then kept by a
-// peer, or refused at once.
-func WithLowMemory(full func() bool) Option { return func(d *Service) { d.full = full } }
+// WithLowMemory sets the function that reports whether this member is too low on
+// memory to store jobs. While it is, a job is stored by a peer or refused at once.
+func WithLowMemory(lowMemory func() bool) Option {
+	return func(svc *Service) { svc.lowMemory = lowMemory }
+}
 
-// WithCustomers sets what returns the customers in force and the version of the
-// configuration that lists them.
+// WithCustomers sets the function that returns the customers in force and the
+// version of the configuration that lists them.
 func WithCustomers(customers func() (*customer.Directory, int64)) Option {
-	return func(d *Service) { d.customers = customers }
+	return func(svc *Service) { svc.customers = customers }
 }
 
-// NewService returns a desk for callers that show no key.
+// NewService returns a service for callers without a key. reachable reports whether
+// the store answers at present.
 func NewService(kv pointport.KV, owners Owners, clock pointport.Clock, reachable func() bool, logger *slog.Logger, options ...Option) *Service {
-	d := &Service{kv: kv, owners: owners, clock: clock, reachable: reachable, full: func() bool { return false }, logger: logger}
-	d.customers = func() (*customer.Directory, int64) { return nil, 0 }
+	svc := &Service{kv: kv, owners: owners, clock: clock, reachable: reachable, lowMemory: func() bool { return false }, logger: logger}
+	svc.customers = func() (*customer.Directory, int64) { return nil, 0 }
 	for _, o := range options {
-		o(d)
+		o(svc)
 	}
-	return d
+	return svc
 }
 
-// ForCaller returns the desk as a caller sees it.
-func (d *Service) ForCaller(c customer.Caller) *Service {
-	as := *d
-	as.caller = c
-	return &as
+// ForCaller returns a copy of the service that acts on behalf of a caller: it accesses
+// only the jobs that the caller can access.
+func (svc *Service) ForCaller(c customer.Caller) *Service {
+	scoped := *svc
+	scoped.caller = c
+	return &scoped
 }
 
-// A RefusedError says that a job was not taken and never runs by this attempt.
+// A RefusedError means that a job was not accepted and never runs by this
+// submission.
 type RefusedError struct {
 	ID         string
-	RetryAfter time.Duration // when to come back
+	RetryAfter time.Duration // after which time to retry
 	Cause      string
 }
 
@@ -116,7 +126,7 @@
 	return fmt.Sprintf("job %s is not taken: %s; come back in %v", e.ID, e.Cause, e.RetryAfter)
 }
 
-// An AmbiguousError says that it is not known whether a change took effect.
+// An AmbiguousError means that it is unknown whether a change took effect.
 type AmbiguousError struct {
 	ID  string
 	Err error
@@ -126,31 +136,33 @@
 	return fmt.Sprintf("job %s: effect unknown: %v", e.ID, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of the change.
 func (e *AmbiguousError) Unwrap() error { return e.Err }
 
-// An UnknownJobError says that there is no such job, as far as its caller may know.
+// An UnknownJobError means that there is no such job, or that its caller may not
+// know of it.
 type UnknownJobError struct {
 	ID string
-	// others says that there is one of another customer.
-	others bool
+	// otherCustomer is set if there is such a job, but of another customer.
+	otherCustomer bool
 }
 
 func (e *UnknownJobError) Error() string { return fmt.Sprintf("there is no job %s", e.ID) }
 
-// An ExcessError says that a job was not taken, and never runs, because what its customer has
-// waiting already takes longer than any of it is of use.
+// An ExcessError means that a job was not accepted, and never runs, because its
+// customer's backlog already takes longer to run than any waiting job is of use.
 type ExcessError struct {
 	ID         string
 	Customer   string
-	RetryAfter time.Duration // when to come back
+	RetryAfter time.Duration // after which time to retry
 }
 
 func (e *ExcessError) Error() string {
-	return fmt.Sprintf("job %s is not taken: what %s has waiting already takes too long; come back in %v", e.ID, e.Customer, e.RetryAfter)
+	return fmt.Sprintf("job %s is not taken: the backlog of %s already takes too long; come back in %v", e.ID, e.Customer, e.RetryAfter)
 }
 
-// A TakenError says that a job was not taken because its identity is another customer's.
+// A TakenError means that a job was not accepted because its identity belongs to a
+// job of another customer.
 type TakenError struct {
 	ID string
 }
@@ -159,36 +171,38 @@
 	return fmt.Sprintf("job %s is not taken: its identity is in use", e.ID)
 }
 
-// A RevokedError says that a job was not taken because the key that its caller showed is
-// good no longer.
+// A RevokedError means that a job was not accepted because the key that its caller
+// presented is no longer valid.
 type RevokedError struct {
 	ID string
 }
 
 func (e *RevokedError) Error() string {
-	return fmt.Sprintf("job %s is not taken: the key is not in force any more", e.ID)
+	return fmt.Sprintf("job %s is not taken: the key is no longer valid", e.ID)
 }
 
-// Status returns how a job stands. It fails with an *UnknownJobError if there is
-// no such job.
-func (d *Service) Status(ctx context.Context, q *workload.Queue, id string) (workload.Status, error) {
-	status, known, ownerErr := d.owners.Status(ctx, q.Pool, id, d.caller)
+// Status returns the status of a job. It fails with an *UnknownJobError if there is
+// no such job, or with the error of the store if neither the owner nor the store
+// answers.
+func (svc *Service) Status(ctx context.Context, q *workload.Queue, id string) (workload.Status, error) {
+	status, known, ownerErr := svc.owners.Status(ctx, q.Pool, id, svc.caller)
 	if ownerErr == nil && known {
 		return status, nil
 	}
-	status, err := d.storedStatus(ctx, q, id)
+	status, err := svc.storedStatus(ctx, q, id)
 	if err != nil {
-		d.logUnknown(err, q, id, "status")
+		svc.logUnknown(err, q, id, "status")
 		return "", err
 	}
-	event.StatusRead.Log(d.logger, slog.String("job", id), slog.String("queue", q.Name), slog.String("state", string(status)), slog.Any("reason", ownerErr))
+	event.StatusRead.Log(svc.logger, slog.String("job", id), slog.String("queue", q.Name), slog.String("state", string(status)), slog.Any("reason", ownerErr))
 	return status, nil
 }
 
-// storedStatus returns how a job stands by the store, or by the owner of the pool
-// that it was accepted for if its queue has gone to another since.
-func (d *Service) storedStatus(ctx context.Context, q *workload.Queue, id string) (workload.Status, error) {
-	record, err := d.record(ctx, id)
+// storedStatus returns the status of a job from the store. If the job's queue has
+// been assigned to another pool since the job was accepted, the owner of the earlier
+// pool is asked first.
+func (svc *Service) storedStatus(ctx context.Context, q *workload.Queue, id string) (workload.Status, error) {
+	record, err := svc.record(ctx, id)
 	if err != nil {
 		return "", err
 	}
@@ -196,11 +210,11 @@
 		return record.Ended, nil
 	}
 	if record.Pool != q.Pool {
-		if s, known, err := d.owners.Status(ctx, record.Pool, id, d.caller); err == nil && known {
+		if s, known, err := svc.owners.Status(ctx, record.Pool, id, svc.caller); err == nil && known {
 			return s, nil
 		}
 	}
-	progress, err := d.kv.Get(ctx, workload.ProgressKey(record.Pool, id))
+	progress, err := svc.kv.Get(ctx, workload.ProgressKey(record.Pool, id))
 	if err != nil {
 		return "", err
 	}
@@ -210,16 +224,18 @@
 	return workload.Queued, nil
 }
 
-// logUnknown notes that a customer is told that there is no such job.
-func (d *Service) logUnknown(err error, q *workload.Queue, id, asked string) {
+// logUnknown logs an event if err is an *UnknownJobError. asked is the operation.
+func (svc *Service) logUnknown(err error, q *workload.Queue, id, asked string) {
 	var unknown *UnknownJobError
 	if errors.As(err, &unknown) {
-		event.JobUnknown.Log(d.logger, slog.String("job", id), slog.String("queue", q.Name), slog.String("asked", asked))
+		event.JobUnknown.Log(svc.logger, slog.String("job", id), slog.String("queue", q.Name), slog.String("asked", asked))
 	}
 }
 
-func (d *Service) record(ctx context.Context, id string) (workload.Record, error) {
-	e, err := d.kv.Get(ctx, workload.RecordKey(id))
+// record returns the stored record of a job. It fails with an *UnknownJobError if
+// there is none, or the caller may not access it.
+func (svc *Service) record(ctx context.Context, id string) (workload.Record, error) {
+	e, err := svc.kv.Get(ctx, workload.RecordKey(id))
 	if err != nil {
 		return workload.Record{}, err
 	}
@@ -227,26 +243,27 @@
 		return workload.Record{}, &UnknownJobError{ID: id}
 	}
 	record, err := workload.DecodeRecord(id, e.Value())
-	if err == nil && !d.caller.CanAccess(record.Customer) {
-		return workload.Record{}, &UnknownJobError{ID: id, others: true}
+	if err == nil && !svc.caller.CanAccess(record.Customer) {
+		return workload.Record{}, &UnknownJobError{ID: id, otherCustomer: true}
 	}
 	return record, err
 }
 
-// Cancel cancels a job and returns once that is stored. A job that is over stays
-// as it ended. It fails with an *UnknownJobError if there is no such job.
-func (d *Service) Cancel(ctx context.Context, q *workload.Queue, id string) error {
-	if known, err := d.owners.Cancel(ctx, q.Pool, id, d.caller); err == nil && known {
-		event.JobCancelled.Log(d.logger, slog.String("job", id), slog.String("by", "owner"))
+// Cancel cancels a job and returns once the cancellation is stored. It does not
+// change a job that has ended. It fails with an *UnknownJobError if there is no such
+// job, and with an *AmbiguousError if ctx ends while the effect is unknown.
+func (svc *Service) Cancel(ctx context.Context, q *workload.Queue, id string) error {
+	if known, err := svc.owners.Cancel(ctx, q.Pool, id, svc.caller); err == nil && known {
+		event.JobCancelled.Log(svc.logger, slog.String("job", id), slog.String("by", "owner"))
 		return nil
 	}
-	record, err := d.record(ctx, id)
+	record, err := svc.record(ctx, id)
 	var unknown *UnknownJobError
 	if errors.As(err, &unknown) {
-		if !unknown.others {
-			err = d.bury(ctx, q, id)
+		if !unknown.otherCustomer {
+			err = svc.reserveAsCancelled(ctx, q, id)
 		}
-		d.logUnknown(err, q, id, "cancel")
+		svc.logUnknown(err, q, id, "cancel")
 		return err
 	}
 	if err != nil {
@@ -255,51 +272,53 @@
 	if record.Ended != "" {
 		return nil
 	}
-	return d.leaveCancel(ctx, record.Pool, id)
+	return svc.storeCancel(ctx, record.Pool, id)
 }
 
-// leaveCancel leaves a cancellation in the store for the owner.
-func (d *Service) leaveCancel(ctx context.Context, pool, id string) error {
+// storeCancel stores a cancellation for the owner. It retries until ctx ends, and then
+// fails with an *AmbiguousError.
+func (svc *Service) storeCancel(ctx context.Context, pool, id string) error {
 	txn := pointport.Txn{Put: []pointport.Put{{Key: workload.CancelKey(pool, id), Value: []byte("cancel")}}}
 	for {
-		_, err := d.kv.Commit(ctx, txn)
+		_, err := svc.kv.Commit(ctx, txn)
 		if err == nil {
-			event.JobCancelled.Log(d.logger, slog.String("job", id), slog.String("by", "store"))
+			event.JobCancelled.Log(svc.logger, slog.String("job", id), slog.String("by", "store"))
 			return nil
 		}
 		select {
-		case <-d.clock.After(unsureRetry):
+		case <-svc.clock.After(ambiguousRetryInterval):
 		case <-ctx.Done():
 			return &AmbiguousError{ID: id, Err: err}
 		}
 	}
 }
 
-// bury takes the identity of a job that nobody has submitted yet, so that a
-// submission that is still under way cannot bring it to life after its customer
-// was told that there is no such job.
-func (d *Service) bury(ctx context.Context, q *workload.Queue, id string) error {
-	record, err := workload.Record{Pool: q.Pool, Queue: q.Name, Customer: d.caller.Name, Ended: workload.Cancelled}.Encode()
+// reserveAsCancelled reserves the identity of a job that does not exist, with a
+// record of a cancelled job. Otherwise a submission still in progress could create
+// the job after its customer was told that it does not exist. It returns an
+// *UnknownJobError on success. If the job exists by now, it stores a cancellation.
+func (svc *Service) reserveAsCancelled(ctx context.Context, q *workload.Queue, id string) error {
+	record, err := workload.Record{Pool: q.Pool, Queue: q.Name, Customer: svc.caller.Name, Ended: workload.Cancelled}.Encode()
 	if err != nil {
 		return err
 	}
-	kept, err := d.commit(ctx, id, pointport.Txn{
+	result, err := svc.commit(ctx, id, pointport.Txn{
 		If:  []pointport.Condition{{Key: workload.RecordKey(id)}},
 		Put: []pointport.Put{{Key: workload.RecordKey(id), Value: record}},
 	})
 	if err != nil {
 		return err
 	}
-	if kept.before && !d.caller.CanAccess(kept.customer) {
-		return &UnknownJobError{ID: id, others: true}
+	if result.existed && !svc.caller.CanAccess(result.customer) {
+		return &UnknownJobError{ID: id, otherCustomer: true}
 	}
-	if kept.before {
-		return d.leaveCancel(ctx, cmp.Or(kept.pool, q.Pool), id)
+	if result.existed {
+		return svc.storeCancel(ctx, cmp.Or(result.pool, q.Pool), id)
 	}
 	return &UnknownJobError{ID: id}
 }
 
-// Waiting returns how many jobs of a queue have not begun.
-func (d *Service) Waiting(ctx context.Context, q *workload.Queue) (int, error) {
-	return d.owners.Waiting(ctx, q.Pool, q.Name)
+// Waiting returns the number of jobs of a queue that have not begun.
+func (svc *Service) Waiting(ctx context.Context, q *workload.Queue) (int, error) {
+	return svc.owners.Waiting(ctx, q.Pool, q.Name)
 }
--- a/intake/submit.go
+++ b/intake/submit.go
@@ -14,21 +14,21 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file defines how a job is accepted or refused.
+// This file defines the submission of jobs.
 
-// A Submission is a job that is to be kept. Its fields are exported because a
-// codec reads and writes them.
+// A Submission is a job to be stored. Its fields are exported because they are
+// encoded in JSON.
 type Submission struct {
 	ID    string `json:"id"`
 	Queue string `json:"queue"`
 	Pool  string `json:"pool"`
-	// By is who hands it in.
+	// By is the caller that submits the job.
 	By customer.Caller `json:"by,omitzero"`
-	// Accepted is the stored form of the job.
+	// Accepted is the job in its stored form.
 	Accepted json.RawMessage `json:"accepted"`
 }
 
-// txn returns the change that keeps the job if its identity is not taken.
+// txn returns the transaction that stores the job if its identity is not in use.
 func (s Submission) txn() (pointport.Txn, error) {
 	record, err := workload.Record{Pool: s.Pool, Queue: s.Queue, Customer: s.By.Name}.Encode()
 	if err != nil {
@@ -43,80 +43,83 @@
 	}, nil
 }
 
-// Submit accepts a job. It fails with a *workload.SpecError, a *RefusedError, an
-// *ExcessError, a *RevokedError, a *TakenError or an *UnsureError.
-func (d *Service) Submit(ctx context.Context, q *workload.Queue, id string, spec *workload.Spec) error {
-	if err := d.check(spec); err != nil {
-		event.JobInvalid.Log(d.logger, slog.String("job", id), slog.String("queue", q.Name), slog.Any("error", err))
+// Submit checks a job and stores it, at a peer if this member cannot. It fails with a
+// *workload.SpecError, a *RefusedError, an *ExcessError, a *RevokedError, a *TakenError or
+// an *AmbiguousError.
+func (svc *Service) Submit(ctx context.Context, q *workload.Queue, id string, spec *workload.Spec) error {
+	if err := svc.checkSpec(spec); err != nil {
+		event.JobInvalid.Log(svc.logger, slog.String("job", id), slog.String("queue", q.Name), slog.Any("error", err))
 		return err
 	}
-	if err := d.inExcess(ctx, q, id); err != nil {
+	if err := svc.checkExcess(ctx, q, id); err != nil {
 		return err
 	}
-	accepted, err := workload.New(id, q.Name, q.Policy, spec, d.clock.Now(), workload.WithCustomer(d.caller.Name)).EncodeAccepted()
+	accepted, err := workload.New(id, q.Name, q.Policy, spec, svc.clock.Now(), workload.WithCustomer(svc.caller.Name)).EncodeAccepted()
 	if err != nil {
 		return err
 	}
-	s := Submission{ID: id, Queue: q.Name, Pool: q.Pool, By: d.caller, Accepted: accepted}
-	err = d.StoreJob(ctx, s)
+	s := Submission{ID: id, Queue: q.Name, Pool: q.Pool, By: svc.caller, Accepted: accepted}
+	err = svc.StoreJob(ctx, s)
 	var refused *RefusedError
-	var unsure *AmbiguousError
-	if errors.As(err, &refused) || errors.As(err, &unsure) && ctx.Err() == nil {
-		err = d.handOn(ctx, s, err)
+	var ambiguous *AmbiguousError
+	if errors.As(err, &refused) || errors.As(err, &ambiguous) && ctx.Err() == nil {
+		err = svc.storeAtPeer(ctx, s, err)
 	}
 	if err != nil {
-		event.JobRefused.Log(d.logger, slog.String("job", id), slog.String("queue", q.Name),
-			slog.String("customer", d.caller.Name), slog.Bool("sure", !errors.As(err, &unsure)), slog.Any("reason", err))
+		event.JobRefused.Log(svc.logger, slog.String("job", id), slog.String("queue", q.Name),
+			slog.String("customer", svc.caller.Name), slog.Bool("sure", !errors.As(err, &ambiguous)), slog.Any("reason", err))
 	}
 	return err
 }
 
-// check returns a *workload.SpecError if the job could never run: as it is, or because its
-// customer's cap is below what has to run at once.
-func (d *Service) check(spec *workload.Spec) error {
+// checkSpec returns a *workload.SpecError if the job could never run: because it is
+// invalid, or because a step's tasks that must run at the same time exceed its
+// customer's cap.
+func (svc *Service) checkSpec(spec *workload.Spec) error {
 	if err := spec.Check(); err != nil {
 		return err
 	}
-	customers, _ := d.customers()
-	c, ok := customers.Find(d.caller.Name)
+	customers, _ := svc.customers()
+	c, ok := customers.Find(svc.caller.Name)
 	if !ok {
 		return nil
 	}
 	for n := range spec.Steps {
-		if most := spec.Steps[n].ConcurrentNeed(); !c.CapAllows(most) {
-			return &workload.SpecError{Field: fmt.Sprintf("steps[%d].need", n), Value: most, Reason: fmt.Sprintf("must run at once and is beyond the cap of %s, %v", c.Name, c.Cap)}
+		if need := spec.Steps[n].ConcurrentNeed(); !c.CapAllows(need) {
+			return &workload.SpecError{Field: fmt.Sprintf("steps[%d].need", n), Value: need, Reason: fmt.Sprintf("must run at the same time and exceeds the cap of %s, %v", c.Name, c.Cap)}
 		}
 	}
 	return nil
 }
 
-// inExcess refuses a job of which its customer has too many already. One that was accepted
-// before, and whose customer has not heard so, is none more: what is refused never runs. It
-// fails with an *ExcessError.
-func (d *Service) inExcess(ctx context.Context, q *workload.Queue, id string) error {
-	after := d.owners.Excess(q.Pool, d.caller.Name)
+// checkExcess returns an *ExcessError if the customer's backlog is too long already. It does
+// not refuse a job that was accepted by an earlier submission whose answer was lost: such a
+// job does not add to the backlog, and it runs, which a refused job never does.
+func (svc *Service) checkExcess(ctx context.Context, q *workload.Queue, id string) error {
+	after := svc.owners.Excess(q.Pool, svc.caller.Name)
 	if after <= 0 {
 		return nil
 	}
 	var unknown *UnknownJobError
-	if _, err := d.record(ctx, id); !errors.As(err, &unknown) {
+	if _, err := svc.record(ctx, id); !errors.As(err, &unknown) {
 		return nil
 	}
-	event.JobExcess.Log(d.logger, slog.String("job", id), slog.String("queue", q.Name), slog.String("customer", d.caller.Name), slog.Duration("after", after))
-	return &ExcessError{ID: id, Customer: d.caller.Name, RetryAfter: after}
+	event.JobExcess.Log(svc.logger, slog.String("job", id), slog.String("queue", q.Name), slog.String("customer", svc.caller.Name), slog.Duration("after", after))
+	return &ExcessError{ID: id, Customer: svc.caller.Name, RetryAfter: after}
 }
 
-// handOn has a peer keep a job that this member could not. cause is why; if it
-// leaves open whether the job is kept, only an acceptance makes that sure.
-func (d *Service) handOn(ctx context.Context, s Submission, cause error) error {
-	peer, err := d.owners.StoreAtPeer(ctx, s)
-	var unsure *AmbiguousError
+// storeAtPeer asks a peer to store a job that this member could not store, because of
+// cause. If cause leaves open whether the job is stored, a failure at the peer leaves
+// it open too, so cause is returned unless the peer accepts the job.
+func (svc *Service) storeAtPeer(ctx context.Context, s Submission, cause error) error {
+	peer, err := svc.owners.StoreAtPeer(ctx, s)
+	var ambiguous *AmbiguousError
 	var refused, refusedHere *RefusedError
 	switch {
 	case err == nil:
-		event.JobHandedOn.Log(d.logger, slog.String("job", s.ID), slog.String("queue", s.Queue), slog.String("peer", peer), slog.Any("reason", cause))
+		event.JobHandedOn.Log(svc.logger, slog.String("job", s.ID), slog.String("queue", s.Queue), slog.String("peer", peer), slog.Any("reason", cause))
 		return nil
-	case errors.As(cause, &unsure):
+	case errors.As(cause, &ambiguous):
 		return cause
 	case errors.As(err, &refused) && errors.As(cause, &refusedHere):
 		return &RefusedError{ID: s.ID, RetryAfter: refused.RetryAfter, Cause: refusedHere.Cause + "; nor does a peer store it: " + refused.Cause}
@@ -125,102 +128,109 @@
 }
 
 // CanStore reports whether this member can store a job at present: the platform's store
-// answers, and there is memory for it.
-func (d *Service) CanStore() bool { return d.reachable() && !d.full() }
+// answers, and the member is not low on memory.
+func (svc *Service) CanStore() bool { return svc.reachable() && !svc.lowMemory() }
 
-// StoreJob stores a job without asking anybody else to. It fails with a *RefusedError, a
-// *RevokedError, a *TakenError or an *UnsureError.
+// StoreJob stores a job without the help of a peer. It fails with a *RefusedError, a
+// *RevokedError, a *TakenError or an *AmbiguousError.
 //
-// A job that a peer hands on was judged by the configuration that the peer knew. A peer that
-// the store does not serve may know an old one, so a newer one here has the last word.
-func (d *Service) StoreJob(ctx context.Context, s Submission) error {
-	if customers, version := d.customers(); s.By.Revoked(customers, version) {
+// A job from a peer was checked against the peer's configuration, which may be out of date
+// if the peer cannot reach the store. So the caller's key is checked again here, against
+// this member's configuration if that is newer.
+func (svc *Service) StoreJob(ctx context.Context, s Submission) error {
+	if customers, version := svc.customers(); s.By.Revoked(customers, version) {
 		return &RevokedError{ID: s.ID}
 	}
-	if !d.reachable() {
+	if !svc.reachable() {
 		return &RefusedError{ID: s.ID, RetryAfter: RetryAfter, Cause: "the store gives no answer"}
 	}
-	if d.full() {
+	if svc.lowMemory() {
 		return &RefusedError{ID: s.ID, RetryAfter: RetryAfter, Cause: "the entry instance is short of memory"}
 	}
-	now := d.clock.Now()
+	now := svc.clock.Now()
 	txn, err := s.txn()
 	if err != nil {
 		return err
 	}
-	kept, err := d.commit(ctx, s.ID, txn)
+	result, err := svc.commit(ctx, s.ID, txn)
 	if err != nil {
 		return err
 	}
-	if kept.before && !s.By.CanAccess(kept.customer) {
+	if result.existed && !s.By.CanAccess(result.customer) {
 		return &TakenError{ID: s.ID}
 	}
-	event.JobAccepted.Log(d.logger, slog.String("job", s.ID), slog.String("queue", s.Queue), slog.String("pool", s.Pool), slog.String("customer", s.By.Name),
-		slog.Bool("known", kept.before), slog.Duration("took", d.clock.Now().Sub(now)))
-	if kept.open {
-		// A job that was found may be kept by another pool than that which its queue has
-		// now, and two owners would run it.
-		d.owners.NotifySubmitted(cmp.Or(kept.pool, s.Pool), s.ID, s.By.Name, s.Accepted, kept.at)
+	event.JobAccepted.Log(svc.logger, slog.String("job", s.ID), slog.String("queue", s.Queue), slog.String("pool", s.Pool), slog.String("customer", s.By.Name),
+		slog.Bool("known", result.existed), slog.Duration("took", svc.clock.Now().Sub(now)))
+	if result.open {
+		// A job that was accepted before may belong to another pool than the one its queue
+		// has now. If the latter's owner were notified, two owners would run the job.
+		svc.owners.NotifySubmitted(cmp.Or(result.pool, s.Pool), s.ID, s.By.Name, s.Accepted, result.revision)
 	}
 	return nil
 }
 
-// A keeping says how an identity was taken.
-type keeping struct {
-	// at is the revision at which it was taken.
-	at pointport.Revision
-	// before says that it was found taken: by an earlier submission, or by a sending
-	// of this one whose answer was lost. Which it was does not matter.
-	before bool
-	// customer is the name of whose the job is that was found, pool the pool that keeps it.
+// A commitResult is the result of a change that reserves a job's identity.
+type commitResult struct {
+	// revision is the revision at which the identity was reserved.
+	revision pointport.Revision
+	// existed reports whether the identity was in use already: by an earlier
+	// submission, or by an earlier attempt of this one whose answer was lost. The two
+	// need not be distinguished.
+	existed bool
+	// customer and pool are the names of the customer and the pool of the job that
+	// has the identity, if existed is set.
 	customer, pool string
-	// open says that its job has not ended, so that the pool's owner must know it.
-	// The owner is told even if it may know: if the answer was lost, nobody has told
-	// it, and it would learn of the job from its watch some 0.2 s later.
+	// open reports whether the job has not ended, so that the pool's owner must know
+	// it. The owner is notified even if it may know the job already: if the answer was
+	// lost, no notification was sent, and the owner would get the job from its watch
+	// only some 0.2 s later.
 	open bool
 }
 
-// commit makes a change that takes an identity.
-func (d *Service) commit(ctx context.Context, id string, txn pointport.Txn) (keeping, error) {
-	unsure := false
+// commit commits a transaction that reserves a job's identity, and retries while its
+// effect is unknown. It fails with a *RefusedError if the transaction had no effect, and
+// with an *AmbiguousError if its effect remains unknown because the store is unreachable
+// or ctx ended.
+func (svc *Service) commit(ctx context.Context, id string, txn pointport.Txn) (commitResult, error) {
+	mayHaveApplied := false
 	for {
-		at, err := d.kv.Commit(ctx, txn)
+		at, err := svc.kv.Commit(ctx, txn)
 		if err == nil {
-			return keeping{at: at, open: true}, nil
+			return commitResult{revision: at, open: true}, nil
 		}
 		var conflict *pointport.TxnConflictError
 		if errors.As(err, &conflict) {
-			return d.found(id, conflict), nil
+			return svc.existingResult(id, conflict), nil
 		}
 		var unavailable *pointport.UnavailableError
 		ambiguous := !errors.As(err, &unavailable) || unavailable.Ambiguous
-		unsure = unsure || ambiguous
-		if !unsure {
-			return keeping{}, &RefusedError{ID: id, RetryAfter: RetryAfter, Cause: err.Error()}
+		mayHaveApplied = mayHaveApplied || ambiguous
+		if !mayHaveApplied {
+			return commitResult{}, &RefusedError{ID: id, RetryAfter: RetryAfter, Cause: err.Error()}
 		}
-		if !d.reachable() {
-			return keeping{}, &AmbiguousError{ID: id, Err: err}
+		if !svc.reachable() {
+			return commitResult{}, &AmbiguousError{ID: id, Err: err}
 		}
 		select {
-		case <-d.clock.After(unsureRetry):
+		case <-svc.clock.After(ambiguousRetryInterval):
 		case <-ctx.Done():
-			return keeping{}, &AmbiguousError{ID: id, Err: err}
+			return commitResult{}, &AmbiguousError{ID: id, Err: err}
 		}
 	}
 }
 
-// found says how an identity stands that was taken already.
-func (d *Service) found(id string, conflict *pointport.TxnConflictError) keeping {
+// existingResult returns the result for an identity that was in use already.
+func (svc *Service) existingResult(id string, conflict *pointport.TxnConflictError) commitResult {
 	for _, e := range conflict.Entries {
 		if e.Key() != workload.RecordKey(id) {
 			continue
 		}
 		record, err := workload.DecodeRecord(id, e.Value())
 		if err != nil {
-			// Whoever took the identity, no job is begun under it again.
-			event.JobUnreadable.Log(d.logger, slog.String("job", id), slog.Int64("revision", int64(e.Revision())), slog.Any("error", err))
+			// The identity stays reserved, so no other job is started under it.
+			event.JobUnreadable.Log(svc.logger, slog.String("job", id), slog.Int64("revision", int64(e.Revision())), slog.Any("error", err))
 		}
-		return keeping{at: e.Created(), before: true, customer: record.Customer, pool: record.Pool, open: err == nil && record.Ended == ""}
+		return commitResult{revision: e.Created(), existed: true, customer: record.Customer, pool: record.Pool, open: err == nil && record.Ended == ""}
 	}
-	return keeping{before: true}
+	return commitResult{existed: true}
 }
