--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -114,9 +114,7 @@
 func WithSegmentSize(n int) Option { return func(c *Claimer) { c.segmentSize = n } }
 
 // WithRetention sets how long claims are kept. The default is DefaultRetention.
-func WithRetention(retention time.Duration) Option {
-	return func(c *Claimer) { c.retention = retention }
-}
+func WithRetention(d time.Duration) Option { return func(c *Claimer) { c.retention = d } }
 
 // WithWriteRate sets the maximum rate of writes per second, and how long a claim
 // waits for other claims to share its write.
--- a/claim/commit.go
+++ b/claim/commit.go
@@ -84,12 +84,12 @@
 // prepare answers the claims whose result the index already shows, and returns
 // the records that remain to be written.
 func (c *commit) prepare() []record {
-	partition, now := c.batcher.partition, c.batcher.claimer.clock.Now()
+	part, now := c.batcher.partition, c.batcher.claimer.clock.Now()
 	var records []record
 	var remaining []*pending
 	batch := make(map[Key]bool)
 	for _, p := range c.claims {
-		e, ok := partition.index[p.key]
+		e, ok := part.index[p.key]
 		switch {
 		case ok && e.token == digest(c.token) && !batch[p.key]:
 			// An earlier write of this batch took effect, although its answer was lost.
@@ -106,7 +106,7 @@
 		}
 	}
 	c.claims = remaining
-	c.outcomes = slices.DeleteFunc(c.outcomes, partition.outcomeKnown)
+	c.outcomes = slices.DeleteFunc(c.outcomes, part.outcomeKnown)
 	return append(records, c.outcomes...)
 }
 
