--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -193,6 +193,7 @@
 	return Ticket{key, p.token, b}, nil
 }
 
+// countResult counts the result of one claim.
 func (c *Claimer) countResult(err error) {
 	var taken *TakenError
 	switch {
@@ -216,7 +217,7 @@
 type pending struct {
 	key   Key
 	token string     // the token of the write that granted it
-	done  chan error // buffers the one result
+	done  chan error // receives the result; has room for it
 
 	mu        sync.Mutex
 	answered  bool
@@ -251,8 +252,8 @@
 type batcher struct {
 	claimer   *Claimer
 	partition *partition
-	wake      chan struct{}
-	delay     time.Duration
+	wake      chan struct{} // signals that claims or outcomes wait; holds one signal
+	delay     time.Duration // current batch delay, which conflicts lengthen
 
 	mu       sync.Mutex
 	waiting  []*pending
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -56,8 +56,8 @@
 func WithZone(z pointport.ZoneID) Option { return func(g *Gateway) { g.zone = z } }
 
 // WithShare sets the function that returns how many connections this entry
-// instance may have to one upstream of an availability zone. By default they are
-// not limited in practice.
+// instance may have to one upstream of an availability zone. The default is maxIdle
+// for every zone.
 func WithShare(share func(pointport.ZoneID) int) Option { return func(g *Gateway) { g.share = share } }
 
 // WithChooser sets the function that makes the chooser of upstreams of each
