--- a/cli/join.go
+++ b/cli/join.go
@@ -123,7 +123,7 @@
 	logger := slog.New(figures.Events(limit)).With(slog.String("node", s.Name))
 	guard := heap.Start(ctx, clock.System{}, s.MemoryBytes, logger)
 	services := node.Services{
-		KV:       figures.KV(platform.NewStore(s.Store, platform.WithReceived(figures.FromStore))),
+		KV:       figures.KV(platform.NewStore(s.Store, platform.WithReceiveObserver(figures.FromStore))),
 		Executor: figures.Executor(platform.NewExecutor()),
 		Clock:    suspend.Clock(logger),
 		Config: node.Source[*workload.Catalog]{
@@ -135,12 +135,12 @@
 		},
 		Waves: node.WaveSource{
 			Source: node.Source[capacity.Wave]{Prefix: platform.WavePrefix, Decode: platform.DecodeWave},
-			Status: platform.WaveStatus,
+			Status: platform.EncodeWaveStatus,
 		},
 		Evacuations: node.Source[evacuation.Request]{Prefix: platform.EvacuationPrefix, Decode: platform.DecodeEvacuation},
 		Ingress: func(n *node.Node) http.Handler {
-			as := func(c customer.Caller) platform.Desk { return n.Desk().ForCaller(c) }
-			keys := platform.KeyState{Trusted: n.KeysTrusted, Newest: n.KeysNewest}
+			as := func(c customer.Caller) platform.JobService { return n.Intake().ForCaller(c) }
+			keys := platform.KeyState{Trusted: n.KeysTrusted, UpToDate: n.KeysNewest}
 			return platform.NewIngress(as, n.Catalog, logger, platform.WithKeyState(keys))
 		},
 	}
@@ -153,17 +153,17 @@
 	if s.Advisor != "" {
 		services.Advisor = figures.Advisor(platform.NewAdvisor(s.Advisor))
 	}
-	services.Metrics, services.Brief = figures.Handler(), figures.Brief()
-	services.Operators = func(d *intake.Service, owners *peer.Owners, catalog func() *workload.Catalog) http.Handler {
+	services.Metrics, services.BriefMetrics = figures.Handler(), figures.Brief()
+	services.OperatorAPI = func(d *intake.Service, owners *peer.Owners, catalog func() *workload.Catalog) http.Handler {
 		return operator.NewWorkloads(d.ForCaller(customer.Operator()), owners, catalog)
 	}
 	n, err := node.Start(ctx, services, node.Parameters{
 		Name: s.Name, Zone: s.Zone, Strength: strength(s),
 		Addresses: node.Addresses{Clients: s.Clients, Readiness: s.Readiness, Peers: s.Peers, Metrics: s.Metrics},
 		LeaseTTL:  max(member.DefaultTTL, s.MinLeaseTTL), TaskLease: min(shard.DefaultLease, s.MaxHold), MaxHold: s.MaxHold, Grace: s.Grace,
-		GangTime: s.GangTime, FarFactor: s.FarFactor, HolderTime: s.HolderTime, MachineOrders: s.MachineCalls,
-		Capacity: capacity.Settings{MoveTime: s.MoveTime, UpkeepTime: s.UpkeepTime}, Full: guard.Near,
-		Keys: node.KeyPolicy{Strict: s.StrictKeys, Time: s.KeyTime}, ConfigTime: s.ConfigTime, EvacuationTime: s.EvacuationTime,
+		GangTimeout: s.GangTime, RemoteDataSlowdown: s.FarFactor, HolderTime: s.HolderTime, MachineOrdersPerSecond: s.MachineCalls,
+		Capacity: capacity.Settings{MoveTime: s.MoveTime, UpkeepTime: s.UpkeepTime}, LowMemory: guard.Near,
+		Keys: node.KeyPolicy{Strict: s.StrictKeys, MaxConfigAge: s.KeyTime}, ConfigApplyTime: s.ConfigTime, EvacuationTime: s.EvacuationTime,
 	}, logger)
 	if err != nil {
 		event.Failed.Log(logger, slog.String("part", "start"), slog.Any("error", err))
@@ -188,10 +188,10 @@
 	m.Gauge("pointport_config_version", "Version of the configuration in force.", func() float64 { return float64(n.ConfigVersion()) })
 	m.Gauge("pointport_config_age_seconds", "Time since the version in force was last known to be the newest.", func() float64 { return n.ConfigAge().Seconds() })
 	m.Gauge("pointport_ready", "Whether the balancer should send new connections.", truth(n.Ready))
-	m.Gauge("pointport_lease_proven", "Whether the lease at the store has surely not ended.", truth(n.Proven))
+	m.Gauge("pointport_lease_proven", "Whether the lease at the store has surely not ended.", truth(n.LeaseProven))
 	m.Gauge("pointport_members", "Entry instances that this one knows, itself among them.", func() float64 { return float64(n.Members()) })
 	m.Gauge("pointport_pools_owned", "Pools that this entry instance owns, the steward's post among them.", func() float64 { return float64(n.Owned()) })
-	m.Gauge("pointport_zones_evacuated", "Availability zones in which this entry instance starts nothing because operators ask for it, as far as it needs to know.", func() float64 { return float64(n.Evacuated()) })
+	m.Gauge("pointport_zones_evacuated", "Availability zones in which this entry instance starts nothing because operators ask for it, as far as it needs to know.", func() float64 { return float64(n.EvacuatedZones()) })
 	m.Gauge("pointport_owner_lag_seconds", "Longest time in the last second that something waited for the owner of a pool here.", func() float64 { return n.Load().Lag.Seconds() })
 	m.Gauge("pointport_starts_window", "Starts that an owner here may have under way, the smallest of its pools; 0 without one.", func() float64 { return float64(n.Load().Window) })
 	m.Gauge("pointport_orders_delegated", "Whether an owner here sends its orders through peers.", truth(func() bool { return n.Load().Delegating }))
--- a/node/bench_test.go
+++ b/node/bench_test.go
@@ -41,7 +41,7 @@
 	defer ticker.Stop()
 	for i := range b.N {
 		<-ticker.C
-		if err := n.Desk().Submit(context.Background(), q, fmt.Sprintf("%016x", i), spec); err != nil {
+		if err := n.Intake().Submit(context.Background(), q, fmt.Sprintf("%016x", i), spec); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -364,11 +364,11 @@
 	}
 	n, err := node.Start(ctx, services, node.Parameters{
 		Name: name, Zone: "north", Addresses: node.Addresses{Peers: ""}, LeaseTTL: member.DefaultTTL,
-		TaskLease: 4 * time.Second, Grace: 6 * time.Second, HolderTime: holderTime, PeerName: name, MachineOrders: c.perSecond,
-		GangTime: testbed.DefaultGangTime, FarFactor: 2,
-		ConfigTime: c.configTime,
-		Capacity:   capacity.Settings{MoveTime: testbed.DefaultMoveTime, UpkeepTime: testbed.DefaultUpkeep}, Keys: c.keys,
-		Full: func() bool {
+		TaskLease: 4 * time.Second, Grace: 6 * time.Second, HolderTime: holderTime, PeerName: name, MachineOrdersPerSecond: c.perSecond,
+		GangTimeout: testbed.DefaultGangTime, RemoteDataSlowdown: 2,
+		ConfigApplyTime: c.configTime,
+		Capacity:        capacity.Settings{MoveTime: testbed.DefaultMoveTime, UpkeepTime: testbed.DefaultUpkeep}, Keys: c.keys,
+		LowMemory: func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			return c.full[name]
@@ -583,7 +583,7 @@
 	var lastErr error
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		last, lastErr = n.Desk().Status(ctx, q, id)
+		last, lastErr = n.Intake().Status(ctx, q, id)
 		cancel()
 		if lastErr == nil && last == want {
 			return
@@ -596,7 +596,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
-	if err := n.Desk().Submit(ctx, q, id, spec); err != nil {
+	if err := n.Intake().Submit(ctx, q, id, spec); err != nil {
 		t.Fatalf("submit %s: %v", id, err)
 	}
 }
--- a/node/customer_test.go
+++ b/node/customer_test.go
@@ -34,7 +34,7 @@
 
 // as returns a node's desk as a customer sees it.
 func as(n *node.Node, name string) *intake.Service {
-	return n.Desk().ForCaller(customer.Caller{Name: name, Key: keyOf(name), Version: n.ConfigVersion()})
+	return n.Intake().ForCaller(customer.Caller{Name: name, Key: keyOf(name), Version: n.ConfigVersion()})
 }
 
 // A customer sees and cancels its own jobs at every node, while they run and once they are
@@ -52,7 +52,7 @@
 		}
 		hidden := func(when string) {
 			for name, r := range c.nodes {
-				for _, desk := range []*intake.Service{as(r.node, "cafe"), r.node.Desk()} {
+				for _, desk := range []*intake.Service{as(r.node, "cafe"), r.node.Intake()} {
 					var unknown *intake.UnknownJobError
 					var taken *intake.TakenError
 					if s, err := desk.Status(ctx, q, id); !errors.As(err, &unknown) {
@@ -71,7 +71,7 @@
 				if err := as(r.node, "bistro").Submit(ctx, q, id, twoSteps(3*time.Second)); err != nil {
 					t.Errorf("%s, at %s, its customer's second submission: %v", when, name, err)
 				}
-				if _, err := r.node.Desk().ForCaller(customer.Operator()).Status(ctx, q, id); err != nil {
+				if _, err := r.node.Intake().ForCaller(customer.Operator()).Status(ctx, q, id); err != nil {
 					t.Errorf("%s, at %s, operators are told %v", when, name, err)
 				}
 			}
@@ -152,12 +152,12 @@
 // its return it knows the newest.
 func TestKeysTakenAwayAndPutIn(t *testing.T) {
 	const inForce = 2 * time.Second
-	for name, policy := range map[string]node.KeyPolicy{"strict": {Strict: true, Time: 3 * time.Second}, "not strict": {}} {
+	for name, policy := range map[string]node.KeyPolicy{"strict": {Strict: true, MaxConfigAge: 3 * time.Second}, "not strict": {}} {
 		t.Run(name, func(t *testing.T) {
 			bubble(t, 4, func(c *cluster) {
 				ask := func(n *node.Node, key string) int {
-					desk := func(by customer.Caller) platform.Desk { return n.Desk().ForCaller(by) }
-					keys := platform.KeyState{Trusted: n.KeysTrusted, Newest: n.KeysNewest}
+					desk := func(by customer.Caller) platform.JobService { return n.Intake().ForCaller(by) }
+					keys := platform.KeyState{Trusted: n.KeysTrusted, UpToDate: n.KeysNewest}
 					ingress := platform.NewIngress(desk, n.Catalog, n.Logger(), platform.WithKeyState(keys))
 					r := httptest.NewRequest(http.MethodGet, "http://example/shift/00000000000000aa", nil)
 					r.Header.Set("Authorization", "Token key-of-"+key)
@@ -215,8 +215,8 @@
 		policy         node.KeyPolicy
 		before, beyond bool // whether keys are trusted after 3 s and after 8 s
 	}{
-		"strict":     {node.KeyPolicy{Strict: true, Time: 5 * time.Second}, true, false},
-		"not strict": {node.KeyPolicy{Time: 5 * time.Second}, true, true},
+		"strict":     {node.KeyPolicy{Strict: true, MaxConfigAge: 5 * time.Second}, true, false},
+		"not strict": {node.KeyPolicy{MaxConfigAge: 5 * time.Second}, true, true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/node/cut_test.go
+++ b/node/cut_test.go
@@ -86,7 +86,7 @@
 	for name, r := range c.nodes {
 		if name != owner {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-			_ = r.node.Desk().Cancel(ctx, q, cancelled) // its answer is not what is tested
+			_ = r.node.Intake().Cancel(ctx, q, cancelled) // its answer is not what is tested
 			cancel()
 			break
 		}
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -45,7 +45,7 @@
 	for try := range 100 {
 		n := c.any(l.jobs + try)
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-		err := n.Desk().Submit(ctx, queue(c.t, n, "shift-close"), id, spec)
+		err := n.Intake().Submit(ctx, queue(c.t, n, "shift-close"), id, spec)
 		cancel()
 		if err == nil {
 			l.jobs++
--- a/node/failure_test.go
+++ b/node/failure_test.go
@@ -173,7 +173,7 @@
 		if c.fleet.Running() == 0 {
 			t.Fatal("nothing runs")
 		}
-		if err := c.nodes["n1"].node.Desk().Cancel(context.Background(), q, "00000000000000ee"); err != nil {
+		if err := c.nodes["n1"].node.Intake().Cancel(context.Background(), q, "00000000000000ee"); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
@@ -190,7 +190,7 @@
 	bubble(t, 1, func(c *cluster) {
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
-		err := n.Desk().Cancel(context.Background(), q, "00000000000000ff")
+		err := n.Intake().Cancel(context.Background(), q, "00000000000000ff")
 		var unknown *intake.UnknownJobError
 		if !errors.As(err, &unknown) {
 			t.Fatalf("cancel of an unknown job: %v, want an unknown job", err)
--- a/node/handon_test.go
+++ b/node/handon_test.go
@@ -66,7 +66,7 @@
 		c.fill("n0", "n1", "n2")
 		time.Sleep(time.Second) // until the peer that has stored a job is asked again
 		from := time.Now()
-		err := n.Desk().Submit(context.Background(), q, refused, twoSteps(100*time.Millisecond))
+		err := n.Intake().Submit(context.Background(), q, refused, twoSteps(100*time.Millisecond))
 		var no *intake.RefusedError
 		if !errors.As(err, &no) || no.RetryAfter <= 0 || time.Since(from) > 300*time.Millisecond {
 			t.Errorf("%v after %v, want a refusal at once with a time to come back", err, time.Since(from))
@@ -105,7 +105,7 @@
 				test.trouble(c)
 				time.Sleep(2 * time.Second) // the node has noticed
 				from := time.Now()
-				err := n.Desk().Submit(context.Background(), q, "00000000000000aa", twoSteps(100*time.Millisecond))
+				err := n.Intake().Submit(context.Background(), q, "00000000000000aa", twoSteps(100*time.Millisecond))
 				var refused *intake.RefusedError
 				if !errors.As(err, &refused) || refused.RetryAfter <= 0 {
 					t.Errorf("answer %v, want a refusal with a time to come back", err)
--- a/node/hearsay_test.go
+++ b/node/hearsay_test.go
@@ -123,7 +123,7 @@
 	time.Sleep(3 * time.Second)
 	c.setNetwork(testbed.Reliable)
 	time.Sleep(15 * time.Second)
-	if status, err := n.Desk().Status(context.Background(), q, job); err != nil || !status.Ended() {
+	if status, err := n.Intake().Status(context.Background(), q, job); err != nil || !status.Ended() {
 		t.Errorf("job is %s (%v)", status, err)
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -68,10 +68,10 @@
 	// Ingress makes the handler of the calls of a node's clients.
 	Ingress func(n *Node) http.Handler
 	// Metrics serves the node's figures, Brief the most telling of them; nil for none.
-	Metrics, Brief http.Handler
-	// Operators makes the handler of the operators' API, which is served beside the
+	Metrics, BriefMetrics http.Handler
+	// OperatorAPI makes the handler of the operators' API, which is served beside the
 	// figures; nil for none.
-	Operators func(*intake.Service, *peer.Owners, func() *workload.Catalog) http.Handler
+	OperatorAPI func(*intake.Service, *peer.Owners, func() *workload.Catalog) http.Handler
 	// PeerTransport carries questions to peers; nil for the network.
 	PeerTransport http.RoundTripper
 }
@@ -92,27 +92,27 @@
 	TaskLease time.Duration
 	// MaxHold is for how long an instance runs anything without a further order.
 	MaxHold time.Duration
-	// GangTime is how long an instance waits for the others of a gang.
-	GangTime time.Duration
-	// FarFactor is how many times as long a task takes away from its data.
-	FarFactor float64
+	// GangTimeout is how long an instance waits for the others of a gang.
+	GangTimeout time.Duration
+	// RemoteDataSlowdown is how many times as long a task takes away from its data.
+	RemoteDataSlowdown float64
 	// Grace is the time between the signal to stop and the end by force.
 	Grace time.Duration
 	// HolderTime must lie between the orders of two holders of an instance.
 	HolderTime time.Duration
-	// ConfigTime is within which time a change of the configuration must be in force.
-	ConfigTime time.Duration
+	// ConfigApplyTime is within which time a change of the configuration must be in force.
+	ConfigApplyTime time.Duration
 	// EvacuationTime is within which time nothing more may be started in an availability
 	// zone that operators ask to be left empty.
 	EvacuationTime time.Duration
-	// MachineOrders is how many orders about instances the platform takes in a second from all
+	// MachineOrdersPerSecond is how many orders about instances the platform takes in a second from all
 	// members, zero if it does not say.
-	MachineOrders float64
-	Capacity      capacity.Settings
-	Keys          KeyPolicy
-	// Full reports whether the node can hold no more, so that new jobs are better kept
+	MachineOrdersPerSecond float64
+	Capacity               capacity.Settings
+	Keys                   KeyPolicy
+	// LowMemory reports whether the node can hold no more, so that new jobs are better kept
 	// by a peer; nil if it always can.
-	Full func() bool
+	LowMemory func() bool
 }
 
 // A KeyPolicy says how customers' keys are judged while the newest configuration is not
@@ -120,8 +120,8 @@
 type KeyPolicy struct {
 	// Strict says that a key that may have been taken away is refused rather than let in.
 	Strict bool
-	// Time is for how long a configuration may be out of date before that begins.
-	Time time.Duration
+	// MaxConfigAge is for how long a configuration may be out of date before that begins.
+	MaxConfigAge time.Duration
 }
 
 // A Node is a running entry instance.
@@ -160,7 +160,7 @@
 	n.session = member.StartSession(ctx, s.KV, s.Clock, p.LeaseTTL, logger)
 	self := member.Member{Name: p.Name, Peer: cmp.Or(p.PeerName, p.Addresses.Peers), Zone: p.Zone, Strength: p.Strength}
 	n.roster = member.StartRoster(ctx, s.KV, s.Clock, n.session, self, logger)
-	n.configs = startConfigs(ctx, s.KV, s.Clock, s.Config, n.roster.Size, cmp.Or(p.ConfigTime, DefaultConfigTime), logger)
+	n.configs = startConfigs(ctx, s.KV, s.Clock, s.Config, n.roster.Size, cmp.Or(p.ConfigApplyTime, DefaultConfigTime), logger)
 	n.fleet = newFleet(ctx, s.KV, s.Clock, s.Registrations, logger)
 	n.emptied = newEvacuations(ctx, s.KV, s.Clock, s.Evacuations, cmp.Or(p.EvacuationTime, DefaultEvacuationTime), logger)
 	n.keeper = member.StartPoolManager(ctx, s.Clock, n.session, n.roster, n.configs.workPools, n.startOwner(ctx), logger)
@@ -179,8 +179,8 @@
 // deskOptions returns what varies of the desk.
 func (n *Node) deskOptions() []intake.Option {
 	options := []intake.Option{intake.WithCustomers(n.configs.customers)}
-	if n.params.Full != nil {
-		options = append(options, intake.WithLowMemory(n.params.Full))
+	if n.params.LowMemory != nil {
+		options = append(options, intake.WithLowMemory(n.params.LowMemory))
 	}
 	return options
 }
@@ -189,7 +189,7 @@
 // ask for that: a member that is cut off from the store goes on with the keys that it knows
 // unless they are strict about it.
 func (n *Node) KeysTrusted() bool {
-	return !n.params.Keys.Strict || n.configs.age() <= n.params.Keys.Time
+	return !n.params.Keys.Strict || n.configs.age() <= n.params.Keys.MaxConfigAge
 }
 
 // KeysNewest reports whether the newest keys are known: whether the configuration was known
@@ -203,7 +203,7 @@
 		KV: s.KV, Machines: s.Machines, Clock: s.Clock, Session: n.session, Pools: pools,
 		Waves: newWaves(ctx, s.KV, s.Clock, s.Waves, n.logger), Layout: n.configs.layout, Evacuations: n.emptied.Zones,
 	}
-	settings := steward.Settings{Name: n.params.Name, HolderTime: n.params.HolderTime, OrdersPerSecond: n.params.MachineOrders, Planner: n.params.Capacity}
+	settings := steward.Settings{Name: n.params.Name, HolderTime: n.params.HolderTime, OrdersPerSecond: n.params.MachineOrdersPerSecond, Planner: n.params.Capacity}
 	posts := func() []string { return []string{steward.OwnershipName} }
 	n.stewards = member.StartPoolManager(ctx, s.Clock, n.session, n.roster, posts, func(own member.Ownership) *steward.Steward {
 		return steward.Start(ctx, services, settings, own, n.logger)
@@ -218,7 +218,7 @@
 	}
 	return func(own member.Ownership) *shard.Owner {
 		return shard.Start(ctx, services, own, n.logger, shard.WithLease(n.params.TaskLease),
-			shard.WithMaxHold(n.params.MaxHold), shard.WithGangTimeout(n.params.GangTime), shard.WithRemoteDataSlowdown(n.params.FarFactor))
+			shard.WithMaxHold(n.params.MaxHold), shard.WithGangTimeout(n.params.GangTimeout), shard.WithRemoteDataSlowdown(n.params.RemoteDataSlowdown))
 	}
 }
 
@@ -271,20 +271,20 @@
 // operators returns the handler of the figures and of the operators' API.
 func (n *Node) operators() http.Handler {
 	s := n.services
-	if s.Operators == nil || s.Metrics == nil {
+	if s.OperatorAPI == nil || s.Metrics == nil {
 		return s.Metrics
 	}
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", s.Metrics)
-	if s.Brief != nil {
-		mux.Handle("/metrics/brief", s.Brief)
+	if s.BriefMetrics != nil {
+		mux.Handle("/metrics/brief", s.BriefMetrics)
 	}
-	mux.Handle("/v1/", s.Operators(n.desk, n.owners, n.configs.Catalog))
+	mux.Handle("/v1/", s.OperatorAPI(n.desk, n.owners, n.configs.Catalog))
 	return mux
 }
 
-// Desk returns what takes jobs.
-func (n *Node) Desk() *intake.Service { return n.desk }
+// Intake returns what takes jobs.
+func (n *Node) Intake() *intake.Service { return n.desk }
 
 // Catalog returns the configuration in force, nil while there is none.
 func (n *Node) Catalog() *workload.Catalog { return n.configs.Trusted() }
@@ -329,8 +329,8 @@
 // ConfigAge returns how long ago the version in force was last known to be the newest.
 func (n *Node) ConfigAge() time.Duration { return n.configs.age() }
 
-// Proven reports whether the node's lease at the store has surely not ended.
-func (n *Node) Proven() bool { return n.session.Proven() }
+// LeaseProven reports whether the node's lease at the store has surely not ended.
+func (n *Node) LeaseProven() bool { return n.session.Proven() }
 
 // Members returns how many members the node knows, itself among them.
 func (n *Node) Members() int { return len(n.roster.Peers()) + 1 }
@@ -344,9 +344,9 @@
 	return owned
 }
 
-// Evacuated returns how many availability zones are evacuated, as far as the node knows; it
+// EvacuatedZones returns how many availability zones are evacuated, as far as the node knows; it
 // reads that while it owns something.
-func (n *Node) Evacuated() int { return n.emptied.Evacuated() }
+func (n *Node) EvacuatedZones() int { return n.emptied.Evacuated() }
 
 // Load returns what the owners of this node's pools carry: the worst lag, the smallest
 // window of starts, and whether any sends its orders through peers; zero if there is none.
--- a/node/overload_test.go
+++ b/node/overload_test.go
@@ -46,7 +46,7 @@
 			submit(t, n, q, id, spec)
 			wg.Go(func() {
 				for time.Since(asked) < time.Minute {
-					if s, err := n.Desk().Status(context.Background(), q, id); err == nil && s.Ended() {
+					if s, err := n.Intake().Status(context.Background(), q, id); err == nil && s.Ended() {
 						ended.Add(1)
 						if time.Since(asked) <= objective && timely != nil {
 							timely.Add(1)
--- a/node/pressed_test.go
+++ b/node/pressed_test.go
@@ -131,7 +131,7 @@
 			if len(troubles) == 0 {
 				submit(t, asked, q, id, spec)
 				ids = append(ids, id)
-			} else if asked.Desk().Submit(context.Background(), q, id, spec) == nil {
+			} else if asked.Intake().Submit(context.Background(), q, id, spec) == nil {
 				ids = append(ids, id)
 			}
 			next = next.Add(time.Second / pressedJobs)
@@ -162,7 +162,7 @@
 func countEnded(n *node.Node, q *workload.Queue, ids []string) int {
 	ended := 0
 	for _, id := range ids {
-		if s, err := n.Desk().Status(context.Background(), q, id); err == nil && s == workload.Completed {
+		if s, err := n.Intake().Status(context.Background(), q, id); err == nil && s == workload.Completed {
 			ended++
 		}
 	}
--- a/node/random_test.go
+++ b/node/random_test.go
@@ -286,7 +286,7 @@
 	for try := range 400 {
 		if r := p.any(n + try); r != nil {
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-			err := r.node.Desk().Submit(ctx, p.queue(r, n), jobID(n), p.script.jobs[n])
+			err := r.node.Intake().Submit(ctx, p.queue(r, n), jobID(n), p.script.jobs[n])
 			cancel()
 			if err == nil {
 				p.accepted[n].Store(true)
@@ -307,7 +307,7 @@
 	for try := range 400 {
 		if r := p.any(n + try); r != nil && p.accepted[n].Load() {
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-			err := r.node.Desk().Cancel(ctx, p.queue(r, n), jobID(n))
+			err := r.node.Intake().Cancel(ctx, p.queue(r, n), jobID(n))
 			cancel()
 			if err == nil {
 				p.cancelled[n].Store(true)
@@ -456,7 +456,7 @@
 	}
 	for n, spec := range p.script.jobs {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		status, err := r.node.Desk().Status(ctx, p.queue(r, n), jobID(n))
+		status, err := r.node.Intake().Status(ctx, p.queue(r, n), jobID(n))
 		cancel()
 		var unknown *intake.UnknownJobError
 		want := workload.Completed
--- a/node/reborn_test.go
+++ b/node/reborn_test.go
@@ -33,14 +33,14 @@
 		r := c.start("n0")
 		time.Sleep(2 * time.Second)
 		for n := range 3 { // several ends on each instance
-			submitTasks(t, r.Desk().Submit, c, jobID(n), 16)
+			submitTasks(t, r.Intake().Submit, c, jobID(n), 16)
 			time.Sleep(1500 * time.Millisecond)
 		}
 		for _, id := range c.fleet.IDs() {
 			c.fleet.Crash(id, 300*time.Millisecond)
 		}
 		time.Sleep(1500 * time.Millisecond)
-		submitTasks(t, r.Desk().Submit, c, jobID(3), 8)
+		submitTasks(t, r.Intake().Submit, c, jobID(3), 8)
 		time.Sleep(10 * time.Second)
 		for n := range 8 {
 			task := workload.TaskName(jobID(3), workload.TaskRef{Index: n})
--- a/node/store_test.go
+++ b/node/store_test.go
@@ -27,7 +27,7 @@
 		c.setStoreFate(func(string, string) memory.Fault { return memory.FaultLostCall })
 		time.Sleep(4 * time.Second)
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-		err := n.Desk().Submit(ctx, q, "00000000000000dd", twoSteps(time.Second))
+		err := n.Intake().Submit(ctx, q, "00000000000000dd", twoSteps(time.Second))
 		cancel()
 		var refused *intake.RefusedError
 		if !errors.As(err, &refused) || refused.RetryAfter <= 0 {
@@ -37,7 +37,7 @@
 		for i := range 4 {
 			c.eventually(n, q, fmt.Sprintf("%016x", i), workload.Completed, 30*time.Second)
 		}
-		if s, err := n.Desk().Status(context.Background(), q, "00000000000000dd"); err == nil {
+		if s, err := n.Intake().Status(context.Background(), q, "00000000000000dd"); err == nil {
 			t.Errorf("the refused job is %q", s)
 		}
 	})
@@ -64,7 +64,7 @@
 					id := fmt.Sprintf("%016x", i)
 					for {
 						ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-						err := n.Desk().Submit(ctx, q, id, twoSteps(300*time.Millisecond))
+						err := n.Intake().Submit(ctx, q, id, twoSteps(300*time.Millisecond))
 						cancel()
 						if err == nil {
 							break
--- a/node/trace_test.go
+++ b/node/trace_test.go
@@ -65,7 +65,7 @@
 		q := queue(t, n, "shift-close")
 		c.setStoreFate(func(string, string) memory.Fault { return memory.FaultBefore })
 		time.Sleep(2 * time.Second)
-		if err := n.Desk().Submit(context.Background(), q, "00000000000000aa", twoSteps(time.Second)); err == nil {
+		if err := n.Intake().Submit(context.Background(), q, "00000000000000aa", twoSteps(time.Second)); err == nil {
 			t.Fatal("a job is accepted without the store")
 		}
 		c.setStoreFate(storeWorks)
