--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -217,7 +217,7 @@
 type pending struct {
 	key   Key
 	token string     // the token of the write that granted it
-	done  chan error // receives the result; has room for it
+	done  chan error // receives the result; buffered, so that the send does not block
 
 	mu        sync.Mutex
 	answered  bool
