--- a/changelog/log_test.go
+++ b/changelog/log_test.go
@@ -64,7 +64,7 @@
 			id := fmt.Sprint("change-", n)
 			c, err := configure(nodes[at], id, name, 1+n%100, read)
 			var race *config.RaceError
-			var unsettled *changelog.UnsettledError
+			var unsettled *changelog.AmbiguousError
 			switch {
 			case err == nil:
 				if read != command.AnyVersion && c.From != read {
