--- a/assign/maintain.go
+++ b/assign/maintain.go
@@ -24,7 +24,7 @@
 			d.runWave(t, o)
 		}
 	}
-	if t.Maintenance.Period.D() > 0 {
+	if t.Maintenance.Period.Value() > 0 {
 		d.runPeriodicWave(t)
 	}
 }
@@ -64,7 +64,7 @@
 // dueByPeriod returns a function that reports whether a member is due for
 // maintenance by its pool's period.
 func (d *decision) dueByPeriod(t *config.Template) func(Member) bool {
-	period := t.Maintenance.Period.D()
+	period := t.Maintenance.Period.Value()
 	early := time.Duration(earlyFraction * float64(period))
 	return func(m Member) bool {
 		return d.in.Now.Sub(m.Maintained) >= period-early && d.in.Now.Sub(m.Since) >= early
@@ -134,7 +134,7 @@
 		}
 	}
 	size := ZoneSize(t, d.in.Zones, d.in.Zone)
-	return max(1, t.Maintenance.Speed.Up(size)) - inMaintenance
+	return max(1, t.Maintenance.Speed.RoundUp(size)) - inMaintenance
 }
 
 // remainingBudget returns how many more instances may go out of service before
--- a/assign/observe.go
+++ b/assign/observe.go
@@ -12,7 +12,7 @@
 
 // defaultMaintenance holds the bounds for instances whose pool no longer exists.
 var defaultMaintenance = config.Maintenance{
-	DrainQuiet: config.Of(3 * time.Second), DrainBound: config.Of(10 * time.Minute), ReturnBound: config.Of(15 * time.Minute),
+	DrainQuiet: config.NewDuration(3 * time.Second), DrainBound: config.NewDuration(10 * time.Minute), ReturnBound: config.NewDuration(15 * time.Minute),
 }
 
 // bounds returns the maintenance settings of a member's pool.
@@ -101,7 +101,7 @@
 // its reboot. If it restarts by itself meanwhile, that counts as maintenance.
 func (d *decision) observeDraining(m Member, i pointport.Instance) {
 	b := d.bounds(m)
-	idle := d.in.IdleFor[m.ID] >= b.DrainQuiet.D()
+	idle := d.in.IdleFor[m.ID] >= b.DrainQuiet.Value()
 	switch {
 	case i.State == pointport.InstanceDown:
 		d.fail(m, "went down while it drained")
@@ -114,7 +114,7 @@
 	case idle:
 		m.Phase = Rebooting
 		d.update(m, "idle for %v", b.DrainQuiet)
-	case d.in.Now.Sub(m.Since) >= b.DrainBound.D():
+	case d.in.Now.Sub(m.Since) >= b.DrainBound.Value():
 		d.abandonDrain(m, b)
 	}
 }
@@ -154,7 +154,7 @@
 // checkRebootTimeout fails a member whose reboot takes too long.
 func (d *decision) checkRebootTimeout(m Member) {
 	b := d.bounds(m).ReturnBound
-	if d.in.Now.Sub(m.Since) >= b.D() {
+	if d.in.Now.Sub(m.Since) >= b.Value() {
 		d.fail(m, "did not come back within %v of its reboot", b)
 	}
 }
--- a/dispatch/grant.go
+++ b/dispatch/grant.go
@@ -54,7 +54,7 @@
 		u.recordRefusal(now)
 	case Failed:
 		if u.recordFailure(latency, s.latency, s.template.Ejection.Failures) && s.mayEject(u, now) {
-			duration := u.eject(now, s.template.Ejection.For.D())
+			duration := u.eject(now, s.template.Ejection.For.Value())
 			event.UpstreamEjected.Log(s.logger, slog.String("service", s.name),
 				slog.String("instance", string(u.instance.ID)), slog.Duration("for", duration))
 		}
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -132,7 +132,7 @@
 // readTimeout sets the deadline from the route's timeout and the caller's, whichever
 // is shorter.
 func (x *exchange) readTimeout(r *http.Request) *Problem {
-	limit := x.match.Route().Timeout.D()
+	limit := x.match.Route().Timeout.Value()
 	if v := r.Header.Get(HeaderTimeout); v != "" {
 		d, err := time.ParseDuration(v)
 		if seconds, nerr := strconv.ParseFloat(v, 64); nerr == nil {
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -137,7 +137,7 @@
 func (g *grid) submit(key string, cpu int64, billed bool) (job.Job, error) {
 	return command.Submit(context.Background(), g.log(), g.clock, command.Submission{
 		Key: key, Customer: "sahab", Kind: "proof", Service: "proof", Billed: billed,
-		Need: pointport.Shape{CPUMilli: cpu, MemoryMiB: 100}, Runtime: config.Of(5 * time.Second),
+		Need: pointport.Shape{CPUMilli: cpu, MemoryMiB: 100}, Runtime: config.NewDuration(5 * time.Second),
 	})
 }
 
