--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -181,7 +181,7 @@
 func TestStoreDown(t *testing.T) {
 	s := &script{release: make(chan struct{})}
 	g := newTestGateway(t, "30s", serveScript(t, s))
-	g.store.SetInjector(func(string, string) memory.Fault { return memory.FaultBefore })
+	g.store.SetInjector(func(string, string) memory.Fault { return memory.FaultDown })
 	got := g.ask(t, http.MethodPost, "/keyed", "tip-1", "")
 	if got.status != http.StatusServiceUnavailable || got.ran != "no" || got.header.Get("Retry-After") == "" {
 		t.Errorf("keyed work: %+v", got)
--- a/hedge/kv_test.go
+++ b/hedge/kv_test.go
@@ -92,9 +92,9 @@
 // ambiguous whichever call ends last.
 func TestAmbiguityIsKept(t *testing.T) {
 	for _, faults := range [][]memory.Fault{
-		{memory.FaultLostAnswer, memory.FaultBefore, memory.FaultBefore, memory.FaultBefore},
+		{memory.FaultLostAnswer, memory.FaultDown, memory.FaultDown, memory.FaultDown},
 		{memory.FaultLostCall, memory.FaultLostCall, memory.FaultLostCall, memory.FaultLostCall},
-		{memory.FaultLate, memory.FaultBefore, memory.FaultBefore, memory.FaultBefore},
+		{memory.FaultLate, memory.FaultDown, memory.FaultDown, memory.FaultDown},
 	} {
 		withFaults(t, func(ctx context.Context, kv, _ pointport.KV, _ *atomic.Int64) {
 			_, err := kv.Commit(ctx, create)
--- a/member/follow_key_test.go
+++ b/member/follow_key_test.go
@@ -108,19 +108,19 @@
 				case "pause":
 					time.Sleep(700 * time.Millisecond)
 				case "drop changes", "send changes":
-					f.store.SetDeaf(step == "drop changes")
+					f.store.DropWatchEvents(step == "drop changes")
 				case "compact":
-					f.store.Forget()
+					f.store.Compact()
 				case "lose answers":
 					f.setFault(memory.FaultLostAnswer)
 				case "refuse":
-					f.setFault(memory.FaultBefore)
+					f.setFault(memory.FaultDown)
 				case "recover":
 					f.setFault(memory.FaultNone)
 				}
 			}
 			f.setFault(memory.FaultNone)
-			f.store.SetDeaf(false)
+			f.store.DropWatchEvents(false)
 			time.Sleep(2 * time.Second)
 			if got, _ := f.lastValue(); last > 0 && got != strconv.Itoa(last) {
 				rt.Errorf("newest value is %q, want %d", got, last)
@@ -180,11 +180,11 @@
 			f := follow(t.Context(), member.RecheckInterval(func() time.Duration { return 15 * time.Second }))
 			f.put(t, "1")
 			time.Sleep(3*time.Second + offset)
-			f.store.SetDeaf(true)
+			f.store.DropWatchEvents(true)
 			f.put(t, "2")
 			time.Sleep(time.Second)
-			f.store.SetDeaf(false)
-			f.store.Forget()
+			f.store.DropWatchEvents(false)
+			f.store.Compact()
 			time.Sleep(time.Second)
 			if got, _ := f.lastValue(); got != "2" {
 				t.Errorf("offset %v: value is %q two seconds after the change, want \"2\"", offset, got)
--- a/member/pool_manager_test.go
+++ b/member/pool_manager_test.go
@@ -192,7 +192,7 @@
 		if rand.IntN(8) > 0 {
 			return memory.FaultNone
 		}
-		return []memory.Fault{memory.FaultBefore, memory.FaultLostAnswer, memory.FaultLostCall, memory.FaultLate}[rand.IntN(4)]
+		return []memory.Fault{memory.FaultDown, memory.FaultLostAnswer, memory.FaultLostCall, memory.FaultLate}[rand.IntN(4)]
 	}
 	names := []string{"p", "q", "r"}
 	for _, name := range []string{"a", "b", "c"} {
@@ -203,7 +203,7 @@
 	}
 	const duration = 4 * time.Second
 	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
-		store.Take(member.OwnerKey(names[rand.IntN(len(names))]))
+		store.ExpireKey(member.OwnerKey(names[rand.IntN(len(names))]))
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -181,7 +181,7 @@
 				g.runner.gone[i] = !g.runner.gone[i]
 			default:
 				faults := rapid.SliceOfN(rapid.SampledFrom([]memory.Fault{
-					memory.FaultNone, memory.FaultNone, memory.FaultBefore, memory.FaultLostAnswer, memory.FaultLostCall,
+					memory.FaultNone, memory.FaultNone, memory.FaultDown, memory.FaultLostAnswer, memory.FaultLostCall,
 				}), 0, 5).Draw(t, "faults")
 				lost := rapid.Bool().Draw(t, "lost")
 				g.runner.lost = func() bool { return lost }
