--- a/cli/join.go
+++ b/cli/join.go
@@ -119,7 +119,7 @@
 // join starts a node on the services that the settings name.
 func join(ctx context.Context, s *platform.Settings, sink *event.Sink) (*node.Node, error) {
 	figures := meter.New(clock.System{})
-	limit := event.NewLimit(slog.NewJSONHandler(sink, nil), clock.System{})
+	limit := event.NewRateLimiter(slog.NewJSONHandler(sink, nil), clock.System{})
 	logger := slog.New(figures.Events(limit)).With(slog.String("node", s.Name))
 	guard := heap.Start(ctx, clock.System{}, s.MemoryBytes, logger)
 	services := node.Services{
@@ -176,7 +176,7 @@
 }
 
 // gauges adds the figures that are read from the node when they are asked for.
-func gauges(m *meter.Meter, n *node.Node, limit *event.Limit, sink *event.Sink) {
+func gauges(m *meter.Meter, n *node.Node, limit *event.RateLimiter, sink *event.Sink) {
 	truth := func(is func() bool) func() float64 {
 		return func() float64 {
 			if is() {
--- a/meter/meter_test.go
+++ b/meter/meter_test.go
@@ -55,7 +55,7 @@
 // An event whose line is left out is counted all the same.
 func TestEventsLeftOutOfTheLogAreCounted(t *testing.T) {
 	m := meter.New(clock.System{})
-	limit := event.NewLimit(slog.NewTextHandler(new(strings.Builder), nil), clock.NewFake(time.Unix(1000, 0)))
+	limit := event.NewRateLimiter(slog.NewTextHandler(new(strings.Builder), nil), clock.NewFake(time.Unix(1000, 0)))
 	logger := slog.New(m.Events(limit))
 	for range 3000 {
 		event.TaskPlaced.Log(logger)
