--- a/changelog/append.go
+++ b/changelog/append.go
@@ -175,7 +175,7 @@
 		return
 	}
 	if err := g.compact(ctx, t.number+1, state); err != nil {
-		event.LogCut.Log(g.logger, slog.Any("error", err))
+		event.LogUnavailable.Log(g.logger, slog.Any("error", err))
 		return
 	}
 	event.LogCompacted.Log(g.logger, slog.Int64("next", t.number+1))
--- a/changelog/log.go
+++ b/changelog/log.go
@@ -232,7 +232,7 @@
 		next, err := g.step(ctx, t)
 		if err != nil {
 			if !cut && ctx.Err() == nil {
-				event.LogCut.Log(g.logger, slog.Any("error", err))
+				event.LogUnavailable.Log(g.logger, slog.Any("error", err))
 			}
 			cut = true
 			// What was read before an outage may be gone after it.
@@ -242,7 +242,7 @@
 		}
 		if cut {
 			cut = false
-			event.LogBack.Log(g.logger)
+			event.LogRecovered.Log(g.logger)
 		}
 		t = next
 		g.apply(t.state)
--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -393,9 +393,9 @@
 func (b *batcher) logStoreState(err error) {
 	switch {
 	case err != nil && !b.claimer.storeLost.Swap(true):
-		event.ClaimsCut.Log(b.claimer.logger, slog.Any("error", err))
+		event.ClaimsUnavailable.Log(b.claimer.logger, slog.Any("error", err))
 	case err == nil && b.claimer.storeLost.Swap(false):
-		event.ClaimsBack.Log(b.claimer.logger)
+		event.ClaimsRecovered.Log(b.claimer.logger)
 	}
 }
 
--- a/event/catalogue.go
+++ b/event/catalogue.go
@@ -26,16 +26,16 @@
 var (
 	VersionApplied = define(201, "version applied", slog.LevelInfo, "A version of the log named is in force on this node.")
 	LogBehind      = define(202, "log behind", slog.LevelWarn, "The store shows a lower version than this node has applied; it is ignored.")
-	LogCut         = define(203, "log cut off", slog.LevelWarn, "A log cannot be read or compacted; the last version stays in force.")
-	LogBack        = define(204, "log back", slog.LevelInfo, "A log can be read again.")
+	LogUnavailable = define(203, "log cut off", slog.LevelWarn, "A log cannot be read or compacted; the last version stays in force.")
+	LogRecovered   = define(204, "log back", slog.LevelInfo, "A log can be read again.")
 	ChangeSettled  = define(205, "change settled", slog.LevelInfo, "A change whose answer was lost was settled by reading it back.")
 	LogCompacted   = define(206, "log compacted", slog.LevelInfo, "A snapshot of a log was written and old segments were removed.")
 )
 
 // Events of membership.
 var (
-	StoreLost              = define(221, "store lost", slog.LevelWarn, "The platform's store gives no answer; what lasts cannot be changed.")
-	StoreBack              = define(222, "store back", slog.LevelInfo, "The platform's store answers again.")
+	StoreUnavailable       = define(221, "store lost", slog.LevelWarn, "The platform's store gives no answer; what lasts cannot be changed.")
+	StoreRecovered         = define(222, "store back", slog.LevelInfo, "The platform's store answers again.")
 	LeaseEnded             = define(223, "lease ended", slog.LevelWarn, "This member's lease has ended, and with it everything that it owned.")
 	FormerEnded            = define(234, "former lease ended", slog.LevelInfo, "The lease of an earlier life of this member was ended, so that what it owned is free at once.")
 	EnrollFailed           = define(224, "enroll failed", slog.LevelWarn, "This member could not put itself into the roster; it tries again.")
@@ -55,16 +55,16 @@
 
 // Events of the request path.
 var (
-	UpstreamEjected  = define(301, "upstream ejected", slog.LevelWarn, "An upstream failed too often and is left alone for a while.")
-	UpstreamRestored = define(302, "upstream restored", slog.LevelInfo, "An ejected upstream answered a trial request and is in use again.")
-	UpstreamLeaving  = define(303, "upstream leaving", slog.LevelInfo, "An upstream gets no new work because it is leaving.")
-	AnswerCut        = define(304, "answer cut short", slog.LevelWarn, "An upstream's answer ended early; the caller's connection was broken so that it cannot pass for whole.")
-	ClaimsCut        = define(305, "claims cut off", slog.LevelWarn, "Claims cannot be written; keyed requests are refused as not run.")
-	ClaimsBack       = define(306, "claims back", slog.LevelInfo, "Claims can be written again.")
-	HandlerPanic     = define(307, "handler panic", slog.LevelError, "A request's handler panicked; its connection was broken.")
-	ListCut          = define(308, "instance list cut off", slog.LevelWarn, "The platform's list of instances cannot be read; the last one stays in use.")
-	ListBack         = define(309, "instance list back", slog.LevelInfo, "The platform's list of instances can be read again.")
-	ShareChanged     = define(310, "connection share changed", slog.LevelInfo, "This entry instance holds another number of connections beyond its fixed share.")
+	UpstreamEjected         = define(301, "upstream ejected", slog.LevelWarn, "An upstream failed too often and is left alone for a while.")
+	UpstreamRestored        = define(302, "upstream restored", slog.LevelInfo, "An ejected upstream answered a trial request and is in use again.")
+	UpstreamLeaving         = define(303, "upstream leaving", slog.LevelInfo, "An upstream gets no new work because it is leaving.")
+	AnswerCut               = define(304, "answer cut short", slog.LevelWarn, "An upstream's answer ended early; the caller's connection was broken so that it cannot pass for whole.")
+	ClaimsUnavailable       = define(305, "claims cut off", slog.LevelWarn, "Claims cannot be written; keyed requests are refused as not run.")
+	ClaimsRecovered         = define(306, "claims back", slog.LevelInfo, "Claims can be written again.")
+	HandlerPanic            = define(307, "handler panic", slog.LevelError, "A request's handler panicked; its connection was broken.")
+	InstanceListUnavailable = define(308, "instance list cut off", slog.LevelWarn, "The platform's list of instances cannot be read; the last one stays in use.")
+	InstanceListRecovered   = define(309, "instance list back", slog.LevelInfo, "The platform's list of instances can be read again.")
+	ShareChanged            = define(310, "connection share changed", slog.LevelInfo, "This entry instance holds another number of connections beyond its fixed share.")
 )
 
 // Events of pools and waves.
@@ -79,19 +79,19 @@
 
 // Events of machines.
 var (
-	MachineOrdered       = define(421, "machine ordered", slog.LevelInfo, "The platform was asked to move an instance to a pool, or to maintain it for a wave; error says whether it refused or gave no answer.", times("took"))
-	IncarnationOver      = define(427, "incarnation shown over", slog.LevelInfo, "The list of machines shows that an incarnation is over of which its pool's owner hears nothing: life and state are the list's, listAge says how long ago it was asked for, known for how long the owner has known the incarnation.")
-	OrdersHeldBack       = define(428, "orders held back", slog.LevelInfo, "More orders about instances were due than the platform takes in a second; held says how many wait for a later round.")
-	PoolSized            = define(425, "pool sized", slog.LevelInfo, "A pool has, or should have, another number of instances than before.")
-	MachinesCut          = define(422, "machine list cut off", slog.LevelWarn, "The platform's list of machines cannot be read; the last one stays in use.")
-	WaveReported         = define(423, "wave reported", slog.LevelInfo, "How far a wave has come was stored.")
-	WaveUnreadable       = define(424, "wave unreadable", slog.LevelError, "A wave that an operator asks for cannot be used; nothing is ordered for it. error names the field and what it holds.")
-	ZoneEvacuated        = define(429, "zone evacuated", slog.LevelInfo, "The operators ask that nothing be started on the instances of an availability zone; from now on this node starts nothing there. revision is the request's, age how long ago it was read.")
-	ZoneOpened           = define(430, "zone open", slog.LevelInfo, "The operators have taken back that an availability zone be left empty; this node may start tasks there again. revision is that of the request.")
-	EvacuationsUnknown   = define(431, "evacuations unknown", slog.LevelWarn, "For the time named in age, this node has not read which availability zones are evacuated; until it has, it starts nothing anywhere. error is what the last reading came to, none if nobody had asked since.", times("age"))
-	EvacuationsKnown     = define(432, "evacuations known", slog.LevelInfo, "This node knows again which availability zones are evacuated.", times("after"))
-	EvacuationUnreadable = define(433, "evacuation unreadable", slog.LevelError, "A request that an availability zone be left empty names none; it is passed over. error names the key.")
-	MachineUnreadable    = define(426, "machine line unreadable", slog.LevelError, "A line of the platform's list of machines cannot be used; nothing is ordered about a machine by it. error names the field.")
+	MachineOrdered         = define(421, "machine ordered", slog.LevelInfo, "The platform was asked to move an instance to a pool, or to maintain it for a wave; error says whether it refused or gave no answer.", times("took"))
+	IncarnationOver        = define(427, "incarnation shown over", slog.LevelInfo, "The list of machines shows that an incarnation is over of which its pool's owner hears nothing: life and state are the list's, listAge says how long ago it was asked for, known for how long the owner has known the incarnation.")
+	OrdersHeldBack         = define(428, "orders held back", slog.LevelInfo, "More orders about instances were due than the platform takes in a second; held says how many wait for a later round.")
+	PoolSized              = define(425, "pool sized", slog.LevelInfo, "A pool has, or should have, another number of instances than before.")
+	MachineListUnavailable = define(422, "machine list cut off", slog.LevelWarn, "The platform's list of machines cannot be read; the last one stays in use.")
+	WaveReported           = define(423, "wave reported", slog.LevelInfo, "How far a wave has come was stored.")
+	WaveUnreadable         = define(424, "wave unreadable", slog.LevelError, "A wave that an operator asks for cannot be used; nothing is ordered for it. error names the field and what it holds.")
+	ZoneEvacuated          = define(429, "zone evacuated", slog.LevelInfo, "The operators ask that nothing be started on the instances of an availability zone; from now on this node starts nothing there. revision is the request's, age how long ago it was read.")
+	ZoneOpened             = define(430, "zone open", slog.LevelInfo, "The operators have taken back that an availability zone be left empty; this node may start tasks there again. revision is that of the request.")
+	EvacuationsUnknown     = define(431, "evacuations unknown", slog.LevelWarn, "For the time named in age, this node has not read which availability zones are evacuated; until it has, it starts nothing anywhere. error is what the last reading came to, none if nobody had asked since.", times("age"))
+	EvacuationsKnown       = define(432, "evacuations known", slog.LevelInfo, "This node knows again which availability zones are evacuated.", times("after"))
+	EvacuationUnreadable   = define(433, "evacuation unreadable", slog.LevelError, "A request that an availability zone be left empty names none; it is passed over. error names the key.")
+	MachineUnreadable      = define(426, "machine line unreadable", slog.LevelError, "A line of the platform's list of machines cannot be used; nothing is ordered about a machine by it. error names the field.")
 )
 
 // Events of jobs.
@@ -99,10 +99,10 @@
 	JobPlaced = define(501, "job placed", slog.LevelInfo, "A job was given to an instance.")
 	JobEnded  = define(502, "job ended", slog.LevelInfo, "A job has its result or its reason; after says how long it took, objective in which time it should have ended.",
 		splits("state", "completed", "failed", "cancelled"), times("after"))
-	JobSetAside  = define(503, "job set aside", slog.LevelWarn, "A job failed on too many instances and is not tried again.")
-	PlacementCut = define(504, "placement cut off", slog.LevelWarn, "Jobs cannot be read or written; nothing is started.")
-	TaskPlaced   = define(506, "task placed", slog.LevelInfo, "A task was given to an incarnation of an instance; its start is sent once that is stored.")
-	StartRefused = define(507, "start refused", slog.LevelInfo, "An instance refused to start a task and did nothing; reason says why.",
+	JobSetAside          = define(503, "job set aside", slog.LevelWarn, "A job failed on too many instances and is not tried again.")
+	PlacementUnavailable = define(504, "placement cut off", slog.LevelWarn, "Jobs cannot be read or written; nothing is started.")
+	TaskPlaced           = define(506, "task placed", slog.LevelInfo, "A task was given to an incarnation of an instance; its start is sent once that is stored.")
+	StartRefused         = define(507, "start refused", slog.LevelInfo, "An instance refused to start a task and did nothing; reason says why.",
 		splits("reason", "fence", "oldRun", "late", "room", "ticket", "unhealthy", "invalid"))
 	StartUnanswered = define(508, "start unanswered", slog.LevelWarn, "An instance gave no answer to a start; it is sent again, which changes nothing if the task runs.")
 	RunEnded        = define(509, "run ended", slog.LevelInfo, "An instance says that a run of a task has ended; how says in which way.",
--- a/member/session.go
+++ b/member/session.go
@@ -149,10 +149,10 @@
 	}
 	s.storeLost = lost
 	if s.storeLost {
-		event.StoreLost.Log(s.logger, slog.Any("error", err))
+		event.StoreUnavailable.Log(s.logger, slog.Any("error", err))
 		return
 	}
-	event.StoreBack.Log(s.logger, slog.Int64("lease", int64(s.Lease())))
+	event.StoreRecovered.Log(s.logger, slog.Int64("lease", int64(s.Lease())))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	close(s.recovered)
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -325,7 +325,7 @@
 		s.enqueue(func(time.Time) {
 			s.listing = false
 			if err != nil {
-				event.MachinesCut.Log(s.logger, slog.Any("error", err))
+				event.MachineListUnavailable.Log(s.logger, slog.Any("error", err))
 				return
 			}
 			s.listedAt = now
--- a/trace/story.go
+++ b/trace/story.go
@@ -97,7 +97,7 @@
 
 // background are the events of a process on which its jobs depend.
 var background = []event.Event{
-	event.Started, event.Stopping, event.Stopped, event.StoreLost, event.StoreBack, event.LeaseEnded,
+	event.Started, event.Stopping, event.Stopped, event.StoreUnavailable, event.StoreRecovered, event.LeaseEnded,
 	event.ConfigApplied, event.LinesDropped, event.Failed,
 }
 
