--- a/member/pool_manager.go
+++ b/member/pool_manager.go
@@ -216,7 +216,7 @@
 		// a Release did not take effect. The ownership is not proven until it is checked.
 		return m.startOrRelease(ctx, m.roster.newOwnership(pool, holding.Fence, holding.Revision, time.Time{}))
 	case running && now.Sub(m.startedAt[pool]) > minOwnershipTime && unfit(c) && len(m.roster.Peers()) > 0:
-		event.PoolUnfit.Log(m.logger, slog.String("pool", pool))
+		event.PoolHandedOff.Log(m.logger, slog.String("pool", pool))
 		m.avoidedUntil[pool] = now.Add(avoidFor)
 		m.handOver(ctx, c)
 		return checkInterval
--- a/member/session.go
+++ b/member/session.go
@@ -335,7 +335,7 @@
 	if lease == 0 || s.isOwnLease(lease) {
 		return nil
 	}
-	event.FormerEnded.Log(s.logger, slog.Int64("lease", int64(lease)))
+	event.FormerLeaseEnded.Log(s.logger, slog.Int64("lease", int64(lease)))
 	return s.kv.Revoke(ctx, lease)
 }
 
--- a/shard/peer_poll.go
+++ b/shard/peer_poll.go
@@ -62,7 +62,7 @@
 		return
 	}
 	if w.Silent() {
-		event.HeardThroughPeer.Log(o.logger, slog.String("incarnation", string(w.Endpoint().Incarnation)), slog.Duration("after", w.SilentFor(now)))
+		event.InstanceAnsweredPeer.Log(o.logger, slog.String("incarnation", string(w.Endpoint().Incarnation)), slog.Duration("after", w.SilentFor(now)))
 		s.viaPeersUntil, s.next = now.Add(rerouteFor), now
 	}
 	o.scheduler.Report(w, sent, now, report)
--- a/trace/story.go
+++ b/trace/story.go
@@ -102,7 +102,7 @@
 }
 
 // ownership are the events of a pool's ownership.
-var ownership = []event.Event{event.PoolTaken, event.PoolLost, event.PoolUnproven, event.StoreRefused}
+var ownership = []event.Event{event.PoolTaken, event.PoolLost, event.PoolUnproven, event.ChangeRefused}
 
 func (l *Line) isOneOf(events []event.Event) bool {
 	return slices.ContainsFunc(events, func(e event.Event) bool { return e.Number() == l.Number })
