--- a/cli/join.go
+++ b/cli/join.go
@@ -123,7 +123,7 @@
 	logger := slog.New(figures.Events(limit)).With(slog.String("node", s.Name))
 	guard := heap.Start(ctx, clock.System{}, s.MemoryBytes, logger)
 	services := node.Services{
-		KV:       figures.KV(platform.NewStore(s.Store, platform.WithReceiveObserver(figures.FromStore))),
+		KV:       figures.KV(platform.NewStore(s.Store, platform.WithReceiveObserver(figures.AddStoreBytes))),
 		Executor: figures.Executor(platform.NewExecutor()),
 		Clock:    suspend.Clock(logger),
 		Config: node.Source[*workload.Catalog]{
@@ -153,7 +153,7 @@
 	if s.Advisor != "" {
 		services.Advisor = figures.Advisor(platform.NewAdvisor(s.Advisor))
 	}
-	services.Metrics, services.BriefMetrics = figures.Handler(), figures.Brief()
+	services.Metrics, services.BriefMetrics = figures.Handler(), figures.BriefHandler()
 	services.OperatorAPI = func(d *intake.Service, owners *peer.Owners, catalog func() *workload.Catalog) http.Handler {
 		return operator.NewWorkloads(d.ForCaller(customer.Operator()), owners, catalog)
 	}
