--- a/schedule/later_incarnation.go
+++ b/schedule/later_incarnation.go
@@ -45,7 +45,7 @@
 
 // replaced handles an answer that came from another incarnation than the worker's.
 func (b *Scheduler) replaced(w *Worker, now time.Time, gone *pointport.GoneError) {
-	b.workerEnded(w, now, "another incarnation answered", b.laterIncarnation(w, now, gone.By))
+	b.workerEnded(w, now, "another incarnation answered", b.laterIncarnation(w, now, gone.AnsweredBy))
 }
 
 // laterIncarnation returns the worker for id, the incarnation that answered in place of w, or nil if
--- a/schedule/order.go
+++ b/schedule/order.go
@@ -107,7 +107,7 @@
 	case pointport.RejectFence:
 		// Another owner decides about the task now.
 	default:
-		if rejected.Reason == pointport.RejectRoom || rejected.Reason == pointport.RejectUnhealthy {
+		if rejected.Reason == pointport.RejectNoCapacity || rejected.Reason == pointport.RejectUnhealthy {
 			r.worker.refusingUntil = now.Add(refusalBackoff)
 		}
 		b.startRefused(r, now)
