--- a/changelog/log.go
+++ b/changelog/log.go
@@ -180,8 +180,8 @@
 	return g.changed
 }
 
-// Heard returns when the store last answered the follower.
-func (g *Log[S, C]) Heard() time.Time {
+// LastAnswer returns when the store last answered the follower.
+func (g *Log[S, C]) LastAnswer() time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.heardAt
@@ -225,7 +225,7 @@
 	var t *tail[S, C]
 	cut := false
 	for ctx.Err() == nil {
-		if g.clock.Now().Sub(g.Heard()) > sleepBound {
+		if g.clock.Now().Sub(g.LastAnswer()) > sleepBound {
 			// What this node waits for may have come and gone meanwhile.
 			t = nil
 		}
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -74,7 +74,7 @@
 	c.mu.Unlock()
 	c.setStoreFate(func(string, string) memory.Fault {
 		if strings.HasPrefix(asked, evacuationPrefix) {
-			return memory.FaultBefore
+			return memory.FaultDown
 		}
 		return memory.FaultNone
 	})
--- a/node/handon_test.go
+++ b/node/handon_test.go
@@ -31,7 +31,7 @@
 // that come to it (tippijako-prod inc-f050: 75 jobs were refused by three nodes
 // while six others could have kept them).
 func TestNodeWithoutStoreHandsJobsOn(t *testing.T) {
-	for name, fault := range map[string]memory.Fault{"refused": memory.FaultBefore, "no answer": memory.FaultLostCall, "late": memory.FaultLate} {
+	for name, fault := range map[string]memory.Fault{"refused": memory.FaultDown, "no answer": memory.FaultLostCall, "late": memory.FaultLate} {
 		t.Run(name, func(t *testing.T) {
 			bubble(t, 4, func(c *cluster) {
 				n := c.nodes["n0"].node
@@ -84,7 +84,7 @@
 		trouble func(c *cluster)
 	}{
 		"store away for all": {100 * time.Millisecond, func(c *cluster) {
-			c.setStoreFate(func(string, string) memory.Fault { return memory.FaultBefore })
+			c.setStoreFate(func(string, string) memory.Fault { return memory.FaultDown })
 		}},
 		"cut off from all": {100 * time.Millisecond, func(c *cluster) {
 			c.setStoreFate(turnedAway(memory.FaultLostCall, "n0"))
--- a/node/handover_random_test.go
+++ b/node/handover_random_test.go
@@ -204,7 +204,7 @@
 		}})
 	case "wander":
 		for end := time.Now().Add(tr.lasts); time.Now().Before(end); time.Sleep(700 * time.Millisecond) {
-			c.store.Take(member.OwnerKey(pool))
+			c.store.ExpireKey(member.OwnerKey(pool))
 		}
 	case "lateStarts":
 		p.mishaps.during(tr.lasts, mishap{order: func(op string, _ pointport.InstanceID) (testbed.Fate, bool) {
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -150,11 +150,11 @@
 		owner := c.owner("shift")
 		n := c.another(owner)
 		time.Sleep(100 * time.Millisecond) // until long before the member reads the key again
-		c.store.SetDeaf(true)
-		c.store.Take(member.OwnerKey("shift"))
+		c.store.DropWatchEvents(true)
+		c.store.ExpireKey(member.OwnerKey("shift"))
 		submit(t, n, queue(t, n, "shift-close"), "00000000000000cc", twoSteps(time.Second))
 		time.Sleep(700 * time.Millisecond) // until the member has looked after its pools
-		c.store.SetDeaf(false)
+		c.store.DropWatchEvents(false)
 		lost := c.logs.about("pool lost")
 		if !strings.Contains(lost, "pool=shift") || !strings.Contains(lost, member.ErrNotOwner.Error()) {
 			t.Errorf("want the pool lost because %q, have:\n%s", member.ErrNotOwner, c.logs.about("pool=shift"))
--- a/node/random_test.go
+++ b/node/random_test.go
@@ -354,13 +354,13 @@
 		time.Sleep(tr.lasts)
 		c.fleet.SetUnwell(id, false)
 	case "storeForgets":
-		c.store.SetDeaf(true)
+		c.store.DropWatchEvents(true)
 		time.Sleep(time.Second)
-		c.store.Forget()
-		c.store.SetDeaf(false)
+		c.store.Compact()
+		c.store.DropWatchEvents(false)
 	case "revoke":
 		for _, key := range []string{"roster/owner/shift", "roster/owner/payout", "roster/owner//steward"} {
-			c.store.Take(key)
+			c.store.ExpireKey(key)
 		}
 	case "storeDown", "storeLoses", "storeLate":
 		fault := map[string]memory.Fault{"storeDown": memory.FaultLostCall, "storeLoses": memory.FaultLostAnswer, "storeLate": memory.FaultLate}[tr.kind]
--- a/node/rest_test.go
+++ b/node/rest_test.go
@@ -121,7 +121,7 @@
 				return memory.FaultNone
 			}
 			silenced[node]++
-			return memory.FaultSilentWatch
+			return memory.FaultWatchTimeout
 		})
 		c.configure(&workload.Catalog{Version: 2})
 		time.Sleep(within)
--- a/node/store_test.go
+++ b/node/store_test.go
@@ -83,7 +83,7 @@
 // (tippijako-prod scale-2: a route was unknown after four seconds).
 func TestConfigurationWhileWatchesAreDeaf(t *testing.T) {
 	bubble(t, 2, func(c *cluster) {
-		c.store.SetDeaf(true)
+		c.store.DropWatchEvents(true)
 		c.configure(&workload.Catalog{Version: 2})
 		time.Sleep(2 * time.Second)
 		for name, r := range c.nodes {
@@ -91,8 +91,8 @@
 				t.Errorf("node %s has version %d in force after two seconds, want 2", name, got)
 			}
 		}
-		c.store.SetDeaf(false)
-		c.store.Forget()
+		c.store.DropWatchEvents(false)
+		c.store.Compact()
 		c.configure(&workload.Catalog{Version: 1})
 		time.Sleep(3 * time.Second)
 		for name, r := range c.nodes {
