--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -330,7 +330,7 @@
 		}
 		return c.storeFate(name, op)
 	}
-	network := func(op string, to pointport.InstanceID) testbed.Fate {
+	network := func(op string, to pointport.InstanceID) testbed.Delivery {
 		machine.gate()
 		c.mu.Lock()
 		defer c.mu.Unlock()
--- a/node/deaf_test.go
+++ b/node/deaf_test.go
@@ -64,10 +64,10 @@
 			t.Fatalf("%d instances run nothing, want %d at least", idle, heardStill)
 		}
 		until := time.Now().Add(lasts)
-		c.setNetwork(func(op string, to pointport.InstanceID) testbed.Fate {
+		c.setNetwork(func(op string, to pointport.InstanceID) testbed.Delivery {
 			node, _, _ := strings.Cut(op, " ")
 			if time.Now().Before(until) && slices.Contains(busy, to) && deaf(node, owner) {
-				return testbed.Fate{Mute: true}
+				return testbed.Delivery{AnswerLost: true}
 			}
 			return testbed.Reliable(op, to)
 		})
--- a/node/failure_test.go
+++ b/node/failure_test.go
@@ -290,11 +290,11 @@
 		spec := &workload.Spec{Steps: []workload.Step{{
 			Count: 5, Need: pointport.Shape{CPUMilli: 1500}, Estimate: 500 * time.Millisecond, Gang: true,
 		}}}
-		c.setNetwork(func(op string, to pointport.InstanceID) testbed.Fate {
+		c.setNetwork(func(op string, to pointport.InstanceID) testbed.Delivery {
 			if to == "m-02" && strings.HasSuffix(op, "start") {
-				return testbed.Fate{Lost: true}
+				return testbed.Delivery{OrderLost: true}
 			}
-			return testbed.Fate{Latency: time.Millisecond}
+			return testbed.Delivery{Latency: time.Millisecond}
 		})
 		submit(t, n, q, "00000000000000aa", spec)
 		time.Sleep(3 * time.Second)
--- a/node/random_test.go
+++ b/node/random_test.go
@@ -327,7 +327,9 @@
 	c := p.cluster
 	name := fmt.Sprintf("n%d", tr.index%3)
 	id := c.fleet.IDs()[tr.index]
-	none := func(string, pointport.InstanceID) testbed.Fate { return testbed.Fate{Latency: time.Millisecond} }
+	none := func(string, pointport.InstanceID) testbed.Delivery {
+		return testbed.Delivery{Latency: time.Millisecond}
+	}
 	switch tr.kind {
 	case "kill", "stop":
 		if !p.busy[tr.index%3].CompareAndSwap(false, true) {
@@ -378,22 +380,22 @@
 		time.Sleep(tr.lasts)
 		c.setStoreFate(storeWorks)
 	case "cutInstance":
-		c.setNetwork(func(_ string, to pointport.InstanceID) testbed.Fate {
-			return testbed.Fate{Latency: time.Millisecond, Lost: to == id}
+		c.setNetwork(func(_ string, to pointport.InstanceID) testbed.Delivery {
+			return testbed.Delivery{Latency: time.Millisecond, OrderLost: to == id}
 		})
 		time.Sleep(tr.lasts)
 		c.setNetwork(none)
 	case "lateOrders", "muteOrders":
 		calls := 0
-		c.setNetwork(func(string, pointport.InstanceID) testbed.Fate {
+		c.setNetwork(func(string, pointport.InstanceID) testbed.Delivery {
 			calls++
 			switch {
 			case calls%7 != 0:
-				return testbed.Fate{Latency: time.Millisecond}
+				return testbed.Delivery{Latency: time.Millisecond}
 			case tr.kind == "muteOrders":
-				return testbed.Fate{Mute: true}
+				return testbed.Delivery{AnswerLost: true}
 			}
-			return testbed.Fate{Late: time.Duration(2+tr.index) * time.Second}
+			return testbed.Delivery{LateBy: time.Duration(2+tr.index) * time.Second}
 		})
 		time.Sleep(tr.lasts)
 		c.setNetwork(none)
--- a/node/suspend_test.go
+++ b/node/suspend_test.go
@@ -267,8 +267,8 @@
 	const id = "00000000000000cc"
 	owner, cut := c.owner("shift"), c.fleet.IDs()[0]
 	n := c.another(owner)
-	c.setNetwork(func(op string, to pointport.InstanceID) testbed.Fate {
-		return testbed.Fate{Latency: time.Millisecond, Lost: to == cut && !strings.HasPrefix(op, owner+" ")}
+	c.setNetwork(func(op string, to pointport.InstanceID) testbed.Delivery {
+		return testbed.Delivery{Latency: time.Millisecond, OrderLost: to == cut && !strings.HasPrefix(op, owner+" ")}
 	})
 	machine, once := c.nodes[owner].clock, sync.Once{}
 	c.mu.Lock()
--- a/standin/grid/grid.go
+++ b/standin/grid/grid.go
@@ -164,7 +164,7 @@
 }
 
 // fate decides what becomes of an order that has reached its instance.
-func (g *Grid) fate(_ string, to pointport.InstanceID) testbed.Fate {
+func (g *Grid) fate(_ string, to pointport.InstanceID) testbed.Delivery {
 	const whole = 100 // percent
 	g.mu.Lock()
 	defer g.mu.Unlock()
