--- a/node/deaf_test.go
+++ b/node/deaf_test.go
@@ -83,7 +83,7 @@
 		time.Sleep(lasts)
 		c.wantStartedOnce(ids)
 	}, withoutSteward(), withWork(func(pointport.StartOrder) testbed.Work {
-		return testbed.Work{Room: room, Duration: time.Second}
+		return testbed.Work{Reservation: room, Duration: time.Second}
 	}))
 }
 
--- a/node/failure_test.go
+++ b/node/failure_test.go
@@ -208,7 +208,7 @@
 // days: a new steward did not know what its predecessor had taken down).
 func TestWaveWhileStewardsChange(t *testing.T) {
 	work := func(pointport.StartOrder) testbed.Work {
-		return testbed.Work{Room: pointport.Shape{CPUMilli: 500}, Serves: true, MayMiss: 1}
+		return testbed.Work{Reservation: pointport.Shape{CPUMilli: 500}, Service: true, MayMiss: 1}
 	}
 	bubble(t, 3, func(c *cluster) {
 		q := queue(t, c.nodes["n0"].node, "shift-close")
@@ -282,7 +282,7 @@
 
 func TestGangGathersOrGivesUp(t *testing.T) {
 	work := func(pointport.StartOrder) testbed.Work {
-		return testbed.Work{Room: pointport.Shape{CPUMilli: 1500}, Duration: 500 * time.Millisecond, Gang: 5}
+		return testbed.Work{Reservation: pointport.Shape{CPUMilli: 1500}, Duration: 500 * time.Millisecond, Gang: 5}
 	}
 	bubble(t, 2, func(c *cluster) {
 		n := c.nodes["n0"].node
--- a/node/pressed_test.go
+++ b/node/pressed_test.go
@@ -154,7 +154,7 @@
 		}
 		t.Logf("%s", c.logs.about("orders delegated"))
 	}, withoutSteward(), withWork(func(pointport.StartOrder) testbed.Work {
-		return testbed.Work{Room: room, Duration: 500 * time.Millisecond}
+		return testbed.Work{Reservation: room, Duration: 500 * time.Millisecond}
 	}))
 }
 
--- a/node/random_test.go
+++ b/node/random_test.go
@@ -127,7 +127,7 @@
 		return testbed.Work{}
 	}
 	step := s.jobs[n].Steps[ref.Step]
-	w := testbed.Work{Room: step.Reservation(), Duration: step.Estimate * time.Duration(2+(ref.Index+n)%3) / 3, Serves: step.Service, Copies: step.Copies, MayMiss: step.MayMiss}
+	w := testbed.Work{Reservation: step.Reservation(), Duration: step.Estimate * time.Duration(2+(ref.Index+n)%3) / 3, Service: step.Service, Copies: step.Copies, MayMiss: step.MayMiss}
 	if _, cancelled := s.cancels[n]; cancelled {
 		w.MayMiss = 0 // all its tasks are stopped at once
 	}
@@ -135,9 +135,9 @@
 		w.Gang, w.Duration = step.Count, step.Estimate
 	}
 	first := ref == workload.TaskRef{} || step.Gang && ref.Step == 0 // a gang fails as one
-	w.Fails, w.Attempts = n == s.hopeless && first, 3
+	w.Fails, w.MaxAttempts = n == s.hopeless && first, 3
 	if step.Service {
-		w.Attempts = 0 // it may fail as often as it does
+		w.MaxAttempts = 0 // it may fail as often as it does
 	}
 	w.Crashes = n == s.poison && ref == workload.TaskRef{}
 	for _, before := range step.After {
--- a/node/suspend_test.go
+++ b/node/suspend_test.go
@@ -232,7 +232,7 @@
 					c.eventually(c.nodes[other].node, q, id, workload.Completed, 30*time.Second)
 				}
 			}, withWork(func(pointport.StartOrder) testbed.Work {
-				return testbed.Work{Room: room, Duration: time.Second}
+				return testbed.Work{Reservation: room, Duration: time.Second}
 			}))
 		})
 	}
--- a/testbed/machines.go
+++ b/testbed/machines.go
@@ -88,7 +88,7 @@
 		x.life.advance(f.clock.Now())
 		f.noteDestroyed(f.clock.Now(), x.life)
 		for _, r := range x.life.runs {
-			if r.work.Serves {
+			if r.work.Service {
 				f.violate(f.clock.Now(), r.Task, fmt.Sprintf("is ended by an order about machine %s", id))
 			}
 		}
