--- a/standin/grid/grid.go
+++ b/standin/grid/grid.go
@@ -93,7 +93,7 @@
 func Start(clock pointport.Clock, s Settings, logger *slog.Logger) (*Grid, error) {
 	g := &Grid{clock: clock, settings: s, logger: logger, store: memory.New(clock), addresses: make(map[pointport.InstanceID]string), refusing: make(map[pointport.InstanceID]int), random: rand.New(rand.NewPCG(1, 2))}
 	g.kv = g.store.KV()
-	options := []testbed.Option{testbed.WithSpare(SparePool), testbed.WithRegister(g.register), testbed.WithAddresses(g.addressOf), testbed.WithReturns(returns)}
+	options := []testbed.Option{testbed.WithSparePool(SparePool), testbed.WithRegistrationObserver(g.register), testbed.WithAddresses(g.addressOf), testbed.WithAddresseeReuse(returns)}
 	if s.Work != nil {
 		options = append(options, testbed.WithWork(s.Work))
 	}
@@ -294,8 +294,8 @@
 		Name: name, Zone: zone, Store: g.storeAt, Machines: g.machineAt, MachineCalls: 64,
 		Clients: at(2), Readiness: at(3), Peers: at(0), Metrics: at(1),
 		MemoryBytes: 284 << 20, CPU: 0.4, Bandwidth: 1000,
-		MaxHold: testbed.MaxHold, StopTime: testbed.DefaultStopTime, GangTime: testbed.DefaultGangTime,
-		StatusTime: 2 * time.Minute, Grace: 6 * time.Second, MoveTime: testbed.DefaultMoveTime, UpkeepTime: testbed.DefaultUpkeep,
+		MaxHold: testbed.MaxHold, StopTime: testbed.DefaultStopTime, GangTime: testbed.DefaultGangTimeout,
+		StatusTime: 2 * time.Minute, Grace: 6 * time.Second, MoveTime: testbed.DefaultMoveTime, UpkeepTime: testbed.DefaultUpkeepTime,
 		Notice: 4500 * time.Millisecond, HolderTime: g.settings.HolderTime, MinLeaseTTL: time.Second, FarFactor: 2,
 		EvacuationTime: testbed.EvacuationTime,
 	}
