--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -452,7 +452,7 @@
 	if err != nil {
 		c.t.Error(err)
 	}
-	c.fleet.SetBound(id, bound)
+	c.fleet.SetWaveBound(id, bound)
 	c.put(fmt.Sprintf("%s%d", wavePrefix, id), value)
 }
 
@@ -464,7 +464,7 @@
 
 // open takes that back.
 func (c *cluster) open(zone pointport.ZoneID) {
-	c.fleet.Open(zone)
+	c.fleet.EndEvacuation(zone)
 	if _, err := c.kv.Commit(context.Background(), pointport.Txn{Delete: []string{evacuationPrefix + string(zone)}}); err != nil {
 		c.t.Error(err)
 	}
--- a/node/cut_test.go
+++ b/node/cut_test.go
@@ -32,7 +32,7 @@
 		if got := c.fleet.Running(); got != 3 {
 			t.Fatalf("%d tasks run, want 3", got)
 		}
-		cut := c.fleet.Holding()
+		cut := c.fleet.BusyMachines()
 		c.setNetwork(func(_ string, to pointport.InstanceID) testbed.Delivery {
 			return testbed.Delivery{Latency: time.Millisecond, OrderLost: slices.Contains(cut, to)}
 		})
@@ -64,7 +64,7 @@
 	submit(t, c.nodes["n0"].node, q, kept, twoSteps(8*time.Second))
 	submit(t, c.nodes["n0"].node, q, cancelled, twoSteps(8*time.Second))
 	time.Sleep(time.Second)
-	owner, cut := c.owner("shift"), c.fleet.Holding()
+	owner, cut := c.owner("shift"), c.fleet.BusyMachines()
 	heals := time.Now().Add(lasts)
 	const looksLag = 700 * time.Millisecond
 	c.setNetwork(func(op string, to pointport.InstanceID) testbed.Delivery {
@@ -115,7 +115,7 @@
 				q := queue(t, n, "shift-close")
 				submit(t, n, q, "00000000000000cc", twoSteps(30*time.Second))
 				time.Sleep(time.Second)
-				for _, id := range k.fleet.Holding() {
+				for _, id := range k.fleet.BusyMachines() {
 					k.fleet.Crash(id, 0)
 				}
 				time.Sleep(3 * time.Second)
--- a/node/deaf_test.go
+++ b/node/deaf_test.go
@@ -59,7 +59,7 @@
 			submit(t, asked, q, ids[n], spec)
 		}
 		time.Sleep(300 * time.Millisecond)
-		busy := c.fleet.Holding()
+		busy := c.fleet.BusyMachines()
 		if idle := 4 + deafMore - len(busy); idle < heardStill {
 			t.Fatalf("%d instances run nothing, want %d at least", idle, heardStill)
 		}
@@ -139,7 +139,7 @@
 			}
 			return memory.FaultNone
 		})
-		entries := c.registrationsOf(c.fleet.Holding())
+		entries := c.registrationsOf(c.fleet.BusyMachines())
 		time.AfterFunc(lapse, func() {
 			for _, e := range entries {
 				c.commit(pointport.Txn{Delete: []string{e.Key()}})
--- a/node/failure_test.go
+++ b/node/failure_test.go
@@ -254,27 +254,27 @@
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
 		time.Sleep(4 * time.Second)
-		if got := c.fleet.Size("shift") + c.fleet.Size("payout"); got != 8 {
+		if got := c.fleet.PoolSize("shift") + c.fleet.PoolSize("payout"); got != 8 {
 			t.Errorf("pools of which nothing is known have %d instances, want their 8", got)
 		}
 		submit(t, n, q, "00000000000000aa", twoSteps(100*time.Millisecond))
 		submit(t, n, queue(t, n, "payout-close"), "00000000000000bb", twoSteps(100*time.Millisecond))
 		time.Sleep(6 * time.Second)
-		if got := c.fleet.Size("shift") + c.fleet.Size("payout"); got > 4 {
+		if got := c.fleet.PoolSize("shift") + c.fleet.PoolSize("payout"); got > 4 {
 			t.Errorf("idle pools have %d instances", got)
 		}
 		for i := range 60 {
 			submit(t, n, q, fmt.Sprintf("%016x", i), twoSteps(900*time.Millisecond))
 			time.Sleep(60 * time.Millisecond)
 		}
-		if got := c.fleet.Size("shift"); got < 5 {
+		if got := c.fleet.PoolSize("shift"); got < 5 {
 			t.Errorf("pool at its peak has %d instances", got)
 		}
 		for i := range 60 {
 			c.eventually(n, q, fmt.Sprintf("%016x", i), workload.Completed, 20*time.Second)
 		}
 		time.Sleep(6 * time.Second)
-		if got := c.fleet.Size("shift"); got > 2 {
+		if got := c.fleet.PoolSize("shift"); got > 2 {
 			t.Errorf("pool has %d instances after its peak", got)
 		}
 	})
--- a/node/random_test.go
+++ b/node/random_test.go
@@ -352,9 +352,9 @@
 		time.Sleep(tr.lasts)
 		c.fleet.SetFailing(id, false)
 	case "unwell":
-		c.fleet.SetUnwell(id, true)
+		c.fleet.SetUnhealthy(id, true)
 		time.Sleep(tr.lasts)
-		c.fleet.SetUnwell(id, false)
+		c.fleet.SetUnhealthy(id, false)
 	case "storeForgets":
 		c.store.DropWatchEvents(true)
 		time.Sleep(time.Second)
@@ -447,7 +447,7 @@
 // by itself. From the second crash on the platform allows that, and nothing tells the two
 // apart where the task was alone on the last one.
 func (p *play) givenUpByChance(n int) bool {
-	return p.script.poison >= 0 && n != p.script.poison && p.cluster.fleet.HitByChance(jobID(n))
+	return p.script.poison >= 0 && n != p.script.poison && p.cluster.fleet.LostRunToInjectedCrash(jobID(n))
 }
 
 // unsettled says which job is not as it should be in the end, empty if all are.
--- a/node/unstored_test.go
+++ b/node/unstored_test.go
@@ -35,7 +35,7 @@
 			Steps:   []workload.Step{{Count: 3, Need: room, Estimate: time.Second, MaxPerInstance: 1}},
 		})
 		time.Sleep(300 * time.Millisecond)
-		held := c.fleet.Holding()
+		held := c.fleet.BusyMachines()
 		// From now on the owner reads and renews, but its changes get nowhere.
 		c.setStoreFate(func(node, op string) memory.Fault {
 			if node == owner && op == "commit" {
--- a/soak/strain_test.go
+++ b/soak/strain_test.go
@@ -63,11 +63,11 @@
 		}
 	}},
 	{"registration goes", func(s *soak, _ *testing.T, r *rand.Rand, d time.Duration) {
-		s.grid.Fleet().Unlist(s.instance(r), d)
+		s.grid.Fleet().DropRegistration(s.instance(r), d)
 	}},
 	{"some registrations go", func(s *soak, _ *testing.T, r *rand.Rand, d time.Duration) {
 		for _, id := range s.instances(r) {
-			s.grid.Fleet().Unlist(id, d)
+			s.grid.Fleet().DropRegistration(id, d)
 		}
 	}},
 	{"list of machines lags otherwise", func(s *soak, _ *testing.T, r *rand.Rand, _ time.Duration) {
@@ -165,11 +165,11 @@
 // treatWay sets what becomes of connections to an instance.
 func (s *soak) treatWay(id pointport.InstanceID, t treatment) {
 	if t != pass {
-		s.grid.Fleet().SetUnheard(id, true)
+		s.grid.Fleet().SetAnswersMayBeLost(id, true)
 	}
 	s.ways[id].set(t)
 	if t == pass {
-		s.grid.Fleet().SetUnheard(id, false)
+		s.grid.Fleet().SetAnswersMayBeLost(id, false)
 	}
 }
 
--- a/standin/grid/grid.go
+++ b/standin/grid/grid.go
@@ -250,7 +250,7 @@
 
 // StartWave asks for a wave of maintenance.
 func (g *Grid) StartWave(w capacity.Wave) {
-	g.fleet.SetBound(w.ID, w.Bound)
+	g.fleet.SetWaveBound(w.ID, w.Bound)
 	g.commit(pointport.Txn{Put: []pointport.Put{platform.EncodeWave(w)}})
 }
 
@@ -262,7 +262,7 @@
 
 // Open takes that back.
 func (g *Grid) Open(zone pointport.ZoneID) {
-	g.fleet.Open(zone)
+	g.fleet.EndEvacuation(zone)
 	g.commit(pointport.Txn{Delete: []string{platform.EncodeEvacuation(zone).Key}})
 }
 
--- a/testbed/fleet.go
+++ b/testbed/fleet.go
@@ -266,9 +266,9 @@
 	}
 }
 
-// HitByChance reports whether a run of a job's tasks has died with an instance that no task
+// LostRunToInjectedCrash reports whether a run of a job's tasks has died with an instance that no task
 // has crashed.
-func (f *Fleet) HitByChance(job string) bool {
+func (f *Fleet) LostRunToInjectedCrash(job string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for task := range f.chance {
@@ -332,9 +332,9 @@
 	}
 }
 
-// SetUnwell makes a machine refuse what it is told to start or to stop, or heal. It does
+// SetUnhealthy makes a machine refuse what it is told to start or to stop, or heal. It does
 // nothing of what it refuses: what it had stopped or started goes on as before.
-func (f *Fleet) SetUnwell(id pointport.InstanceID, unwell bool) {
+func (f *Fleet) SetUnhealthy(id pointport.InstanceID, unwell bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m := f.machines[id]; m != nil {
@@ -461,8 +461,8 @@
 	return out
 }
 
-// Size returns how many machines of a pool are on.
-func (f *Fleet) Size(pool string) int {
+// PoolSize returns how many machines of a pool are on.
+func (f *Fleet) PoolSize(pool string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
@@ -474,8 +474,8 @@
 	return n
 }
 
-// Holding returns the machines on which something runs, sorted.
-func (f *Fleet) Holding() []pointport.InstanceID {
+// BusyMachines returns the machines on which something runs, sorted.
+func (f *Fleet) BusyMachines() []pointport.InstanceID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []pointport.InstanceID
--- a/testbed/machines.go
+++ b/testbed/machines.go
@@ -114,8 +114,8 @@
 	x.holder, x.ordered = by, now
 }
 
-// SetBound sets how many machines may be away for a wave at once.
-func (f *Fleet) SetBound(wave int64, bound int) {
+// SetWaveBound sets how many machines may be away for a wave at once.
+func (f *Fleet) SetWaveBound(wave int64, bound int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.bounds[wave] = bound
