--- a/standin/grid/grid.go
+++ b/standin/grid/grid.go
@@ -64,9 +64,9 @@
 	Keys      map[string][]string
 	// Work is what tasks do; nil reads that from their payload.
 	Work testbed.WorkSource
-	// Front returns the address that an instance registers in place of its own, where
+	// AdvertisedAddress returns the address that an instance registers in place of its own, where
 	// something stands in front of it; nil leaves its own.
-	Front func(id pointport.InstanceID, address string) (string, error)
+	AdvertisedAddress func(id pointport.InstanceID, address string) (string, error)
 }
 
 // A Grid is a running stand-in. It is safe for concurrent use.
@@ -128,8 +128,8 @@
 		if err != nil {
 			return err
 		}
-		if g.settings.Front != nil {
-			if at, err = g.settings.Front(id, at); err != nil {
+		if g.settings.AdvertisedAddress != nil {
+			if at, err = g.settings.AdvertisedAddress(id, at); err != nil {
 				return err
 			}
 		}
@@ -173,16 +173,16 @@
 	return fate
 }
 
-// SetRefusing has an instance answer to so many percent of all orders that it is not well,
+// SetRefusalPercent has an instance answer to so many percent of all orders that it is not well,
 // having done nothing.
-func (g *Grid) SetRefusing(id pointport.InstanceID, percent int) {
+func (g *Grid) SetRefusalPercent(id pointport.InstanceID, percent int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.refusing[id] = percent
 }
 
-// SetList has the list of machines show how they were so long ago, and take so long.
-func (g *Grid) SetList(lag, takes time.Duration) { g.list.set(lag, takes) }
+// SetListFaults has the list of machines show how they were so long ago, and take so long.
+func (g *Grid) SetListFaults(lag, takes time.Duration) { g.list.set(lag, takes) }
 
 // Close ends the grid.
 func (g *Grid) Close() {
@@ -260,8 +260,8 @@
 	g.fleet.Evacuate(zone)
 }
 
-// Open takes that back.
-func (g *Grid) Open(zone pointport.ZoneID) {
+// EndEvacuation takes that back.
+func (g *Grid) EndEvacuation(zone pointport.ZoneID) {
 	g.fleet.EndEvacuation(zone)
 	g.commit(pointport.Txn{Delete: []string{platform.EncodeEvacuation(zone).Key}})
 }
