--- a/node/cap_test.go
+++ b/node/cap_test.go
@@ -19,8 +19,8 @@
 
 // What has to run at once and is beyond its customer's cap is refused with the reason, before
 // anything is stored; what may run bit by bit is not.
-func TestBeyondTheCapAtOnce(t *testing.T) {
-	bubble(t, 1, func(c *cluster) {
+func TestConcurrentNeedBeyondCapIsRefused(t *testing.T) {
+	simulate(t, 1, func(c *cluster) {
 		c.configure(&workload.Catalog{Version: 2, Customers: customers(capOf(3), "bistro")})
 		time.Sleep(2 * time.Second)
 		n := c.nodes["n0"].node
@@ -36,7 +36,7 @@
 			"00000000000000a4": {workload.Step{Count: 8, Need: core}, true},
 		}
 		for id, k := range cases {
-			err := as(n, "bistro").Submit(context.Background(), q, id, &workload.Spec{Steps: []workload.Step{k.step}})
+			err := asCustomer(n, "bistro").Submit(context.Background(), q, id, &workload.Spec{Steps: []workload.Step{k.step}})
 			var field *workload.SpecError
 			if k.taken && err != nil || !k.taken && (!errors.As(err, &field) || field.Field != "steps[0].need") {
 				t.Errorf("job %s with %+v: %v", id, k.step, err)
@@ -45,31 +45,31 @@
 	})
 }
 
-// A capWatch is the reference for caps: one sum of what a customer has running, by what
+// A capMonitor is the reference for caps: one sum of what a customer has running, by what
 // instances were told, held against the highest cap that counts.
-type capWatch struct {
-	c      *cluster
-	ids    map[string]bool
-	mu     sync.Mutex
-	limits []countingCap // guarded by mu, as worst is
-	worst  int64
+type capMonitor struct {
+	c          *cluster
+	ids        map[string]bool
+	mu         sync.Mutex
+	limits     []capPeriod // guarded by mu, as worst is
+	maxRunning int64
 }
 
-type countingCap struct {
+type capPeriod struct {
 	cores int64
 	until time.Time // zero while it is in force
 }
 
-// formerCapCounts is for how long a cap counts after a lower one was put into force: the
+// loweredCapGrace is for how long a cap counts after a lower one was put into force: the
 // least that the users' pages give.
-const formerCapCounts = 2 * time.Second
+const loweredCapGrace = 2 * time.Second
 
-// lower puts another cap into force.
-func (w *capWatch) lower(version, cores int64) {
+// setCap puts another cap into force.
+func (w *capMonitor) setCap(version, cores int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.limits[len(w.limits)-1].until = time.Now().Add(formerCapCounts)
-	w.limits = append(w.limits, countingCap{cores: cores})
+	w.limits[len(w.limits)-1].until = time.Now().Add(loweredCapGrace)
+	w.limits = append(w.limits, capPeriod{cores: cores})
 	w.c.configure(&workload.Catalog{Version: version, Customers: customers(capOf(cores), "bistro", "cafe")})
 }
 
@@ -77,8 +77,8 @@
 	return map[string]pointport.Shape{"bistro": {CPUMilli: cores * 1000}}
 }
 
-// watch holds what runs against the cap until stop is closed.
-func (w *capWatch) watch(stop <-chan struct{}) {
+// run holds what runs against the cap until stop is closed.
+func (w *capMonitor) run(stop <-chan struct{}) {
 	before := int64(0)
 	for {
 		select {
@@ -99,7 +99,7 @@
 				most = max(most, l.cores)
 			}
 		}
-		w.worst = max(w.worst, running)
+		w.maxRunning = max(w.maxRunning, running)
 		w.mu.Unlock()
 		if running > most && running > before {
 			w.c.t.Errorf("%d cores run of a cap of %d", running, most)
@@ -111,7 +111,7 @@
 // What a customer has running in both pools stays within its cap while owners are killed,
 // the cap is lowered and raised, and a node is cut off from the store; another customer is
 // served beside it, and what was held back runs in the end.
-func TestCaps(t *testing.T) {
+func TestCustomerStaysWithinCap(t *testing.T) {
 	cases := map[string]func(c *cluster){
 		"no trouble": func(*cluster) {},
 		"owners killed": func(c *cluster) {
@@ -126,27 +126,27 @@
 		},
 		"an owner cut off from the store": func(c *cluster) {
 			name := c.owner("shift")
-			c.setStoreFate(turnedAway(memory.FaultLostCall, name))
+			c.setStoreFault(storeFaultFor(memory.FaultLostCall, name))
 			time.Sleep(6 * time.Second)
-			c.setStoreFate(storeWorks)
+			c.setStoreFault(noStoreFault)
 		},
 		"answers of the store lost": func(c *cluster) {
 			calls := 0
-			c.setStoreFate(func(_, op string) memory.Fault {
+			c.setStoreFault(func(_, op string) memory.Fault {
 				if calls++; op == "commit" && calls%3 == 0 {
 					return memory.FaultLostAnswer
 				}
 				return memory.FaultNone
 			})
 			time.Sleep(6 * time.Second)
-			c.setStoreFate(storeWorks)
+			c.setStoreFault(noStoreFault)
 		},
 	}
 	const task = 700 * time.Millisecond
 	for name, trouble := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, 3, func(c *cluster) {
-				w := &capWatch{c: c, ids: make(map[string]bool), limits: []countingCap{{cores: 12}}}
+			simulate(t, 3, func(c *cluster) {
+				w := &capMonitor{c: c, ids: make(map[string]bool), limits: []capPeriod{{cores: 12}}}
 				c.configure(&workload.Catalog{Version: 2, Customers: customers(capOf(12), "bistro", "cafe")})
 				time.Sleep(2 * time.Second)
 				n := c.nodes["n0"].node
@@ -158,13 +158,13 @@
 				}
 				for i := range jobs {
 					for k, pool := range []string{"shift", "payout"} {
-						if err := as(n, "bistro").Submit(context.Background(), q[pool], fmt.Sprintf("%016x", 2*i+k), spec); err != nil {
+						if err := asCustomer(n, "bistro").Submit(context.Background(), q[pool], fmt.Sprintf("%016x", 2*i+k), spec); err != nil {
 							t.Fatal(err)
 						}
 					}
 				}
 				stop := make(chan struct{})
-				go w.watch(stop)
+				go w.run(stop)
 				time.Sleep(time.Second)
 				done := make(chan struct{})
 				go func() {
@@ -172,42 +172,42 @@
 					trouble(c)
 				}()
 				time.Sleep(time.Second)
-				w.lower(3, 5)
+				w.setCap(3, 5)
 				time.Sleep(5 * time.Second)
-				w.lower(4, 9)
+				w.setCap(4, 9)
 				time.Sleep(2 * time.Second)
-				w.lower(5, 3)
+				w.setCap(5, 3)
 				<-done
 				time.Sleep(8 * time.Second)
 				n = c.nodes["n0"].node
-				if err := as(n, "cafe").Submit(context.Background(), q["shift"], "00000000000000ff", spec); err != nil {
+				if err := asCustomer(n, "cafe").Submit(context.Background(), q["shift"], "00000000000000ff", spec); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(3 * time.Second)
-				if s, err := as(n, "cafe").Status(context.Background(), q["shift"], "00000000000000ff"); s != workload.Completed {
+				if s, err := asCustomer(n, "cafe").Status(context.Background(), q["shift"], "00000000000000ff"); s != workload.Completed {
 					t.Errorf("beside a customer at its cap, another's job is %q, %v", s, err)
 				}
-				w.lower(6, 40)
+				w.setCap(6, 40)
 				for id := range w.ids {
 					pool := q["shift"]
 					if strings.ContainsAny(id[15:], "13579bdf") {
 						pool = q["payout"]
 					}
 					for end := time.Now().Add(time.Minute); ; time.Sleep(50 * time.Millisecond) {
-						s, _ := as(n, "bistro").Status(context.Background(), pool, id)
+						s, _ := asCustomer(n, "bistro").Status(context.Background(), pool, id)
 						if s == workload.Completed {
 							break
 						}
 						if time.Now().After(end) {
-							t.Fatalf("job %s is %q\n%s", id, s, c.logs.about(id))
+							t.Fatalf("job %s is %q\n%s", id, s, c.logs.containing(id))
 						}
 					}
 				}
 				close(stop)
 				w.mu.Lock()
 				defer w.mu.Unlock()
-				if w.worst < 10 {
-					t.Errorf("at most %d cores ran of a cap of 12", w.worst)
+				if w.maxRunning < 10 {
+					t.Errorf("at most %d cores ran of a cap of 12", w.maxRunning)
 				}
 			}, withWork(func(pointport.StartOrder) testbed.Work {
 				return testbed.Work{Room: pointport.Shape{CPUMilli: 1000, MemoryMiB: 16}, Duration: task}
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -38,7 +38,7 @@
 	registrationPrefix = "registration/"
 	wavePrefix         = "wave-request/"
 	evacuationPrefix   = "evacuation/"
-	spareName          = "spare"
+	sparePool          = "spare"
 )
 
 // A cluster is some nodes and what they stand on.
@@ -48,33 +48,33 @@
 	kv    pointport.KV // without faults
 	fleet *testbed.Fleet
 	// Holds who is cut off from what; guarded by mu.
-	mu        sync.Mutex
-	storeFate func(node, op string) memory.Fault
-	onStore   func(node, op, key string) // sees each call to the store as it is carried out
-	network   testbed.Network
-	peersCut  map[string]bool
-	silent    bool // whether questions between nodes get no answer
-	nodes     map[string]*running
-	logs      *logs
-	written   *logs // the same lines as nodes write them
-	// still says that nobody moves or maintains instances.
-	still bool
-	// full names the nodes that are near the limit of their memory; guarded by mu.
-	full map[string]bool
-	// latency is how long each call to the store takes.
-	latency time.Duration
+	mu          sync.Mutex
+	storeFault  func(node, op string) memory.Fault
+	onStoreCall func(node, op, key string) // sees each call to the store as it is carried out
+	network     testbed.Network
+	peersCut    map[string]bool
+	peersSilent bool // whether questions between nodes get no answer
+	nodes       map[string]*running
+	logs        *logs
+	jsonLogs    *logs // the same lines as nodes write them
+	// noSteward says that nobody moves or maintains instances.
+	noSteward bool
+	// lowMemory names the nodes that are near the limit of their memory; guarded by mu.
+	lowMemory map[string]bool
+	// storeLatency is how long each call to the store takes.
+	storeLatency time.Duration
 	// listLag is how far the list of machines is behind, listBack by how much every second
 	// reading of it is further behind.
-	listLag, listBack time.Duration
-	keys              node.KeyPolicy
-	// perSecond is how many orders about instances the platform says that it takes, counts
+	listLag, listExtraLag time.Duration
+	keyPolicy             node.KeyPolicy
+	// machineOrdersPerSecond is how many orders about instances the platform says that it takes, counts
 	// counts them.
-	perSecond float64
-	counts    *counted
-	// configTime is within which time a change of the configuration must be in force.
-	configTime time.Duration
-	// loose says that nodes stand still as a loose machineClock does.
-	loose bool
+	machineOrdersPerSecond float64
+	machineCounter         *countingMachines
+	// configApplyTime is within which time a change of the configuration must be in force.
+	configApplyTime time.Duration
+	// looseClocks says that nodes stand still as a loose machineClock does.
+	looseClocks bool
 }
 
 type running struct {
@@ -97,8 +97,8 @@
 	return len(p), nil
 }
 
-// about returns the lines that name something.
-func (l *logs) about(what string) string {
+// containing returns the lines that name something.
+func (l *logs) containing(what string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var b strings.Builder
@@ -118,37 +118,37 @@
 
 // withoutSteward keeps instances where they are.
 func withoutSteward() clusterOption {
-	return func(c *cluster, _ *[]testbed.Option) { c.still = true }
+	return func(c *cluster, _ *[]testbed.Option) { c.noSteward = true }
 }
 
 // withSlowStore has each call to the store take so long.
 func withSlowStore(d time.Duration) clusterOption {
-	return func(c *cluster, _ *[]testbed.Option) { c.latency = d }
+	return func(c *cluster, _ *[]testbed.Option) { c.storeLatency = d }
 }
 
-// withKeys sets how nodes judge keys while they do not know the newest configuration.
-func withKeys(p node.KeyPolicy) clusterOption {
-	return func(c *cluster, _ *[]testbed.Option) { c.keys = p }
+// withKeyPolicy sets how nodes judge keys while they do not know the newest configuration.
+func withKeyPolicy(p node.KeyPolicy) clusterOption {
+	return func(c *cluster, _ *[]testbed.Option) { c.keyPolicy = p }
 }
 
-// withConfigTime sets within which time a change of the configuration must be in force.
-func withConfigTime(d time.Duration) clusterOption {
-	return func(c *cluster, _ *[]testbed.Option) { c.configTime = d }
+// withConfigApplyTime sets within which time a change of the configuration must be in force.
+func withConfigApplyTime(d time.Duration) clusterOption {
+	return func(c *cluster, _ *[]testbed.Option) { c.configApplyTime = d }
 }
 
-// withOrders has the platform say how many orders about instances it takes in a second, and a
+// withMachineOrderRate has the platform say how many orders about instances it takes in a second, and a
 // service count them.
-func withOrders(perSecond float64, counts *counted) clusterOption {
-	return func(c *cluster, _ *[]testbed.Option) { c.perSecond, c.counts = perSecond, counts }
+func withMachineOrderRate(perSecond float64, counts *countingMachines) clusterOption {
+	return func(c *cluster, _ *[]testbed.Option) { c.machineOrdersPerSecond, c.machineCounter = perSecond, counts }
 }
 
-// returns is in how many percent of their returns instances come back under the addressee that they
+// defaultAddresseeReuse is in how many percent of their returns instances come back under the addressee that they
 // had, unless a test says otherwise.
-const returns = 50
+const defaultAddresseeReuse = 50
 
-// withReturns has instances come back under the addressee that they had, in so many percent of
+// withAddresseeReuse has instances come back under the addressee that they had, in so many percent of
 // their returns.
-func withReturns(percent int) clusterOption {
+func withAddresseeReuse(percent int) clusterOption {
 	return func(_ *cluster, o *[]testbed.Option) { *o = append(*o, testbed.WithReturns(percent)) }
 }
 
@@ -157,7 +157,7 @@
 	return func(_ *cluster, o *[]testbed.Option) { *o = append(*o, testbed.WithLinger(d)) }
 }
 
-func withoutGuards() clusterOption {
+func withoutCapacityEnforcement() clusterOption {
 	return func(_ *cluster, o *[]testbed.Option) { *o = append(*o, testbed.WithGuards(false)) }
 }
 
@@ -166,18 +166,18 @@
 func newCluster(t *testing.T, options ...clusterOption) *cluster {
 	c := &cluster{
 		t: t, store: memory.New(clock.System{}), network: testbed.Reliable,
-		storeFate: func(string, string) memory.Fault { return memory.FaultNone },
-		peersCut:  make(map[string]bool), full: make(map[string]bool), nodes: make(map[string]*running), logs: &logs{}, written: &logs{}, latency: time.Millisecond,
+		storeFault: func(string, string) memory.Fault { return memory.FaultNone },
+		peersCut:   make(map[string]bool), lowMemory: make(map[string]bool), nodes: make(map[string]*running), logs: &logs{}, jsonLogs: &logs{}, storeLatency: time.Millisecond,
 	}
 	c.kv = c.store.KV()
-	fleetOptions := []testbed.Option{testbed.WithSpare(spareName), testbed.WithRegister(c.register), testbed.WithReturns(returns)}
+	fleetOptions := []testbed.Option{testbed.WithSpare(sparePool), testbed.WithRegister(c.register), testbed.WithReturns(defaultAddresseeReuse)}
 	for _, o := range options {
 		o(c, &fleetOptions)
 	}
 	c.fleet = testbed.New(clock.System{}, fleetOptions...)
 	size := pointport.Shape{CPUMilli: 4000, MemoryMiB: 8192}
 	for n := range 10 {
-		pool := []string{"shift", "payout", "shift", "payout", spareName}[n%5]
+		pool := []string{"shift", "payout", "shift", "payout", sparePool}[n%5]
 		zone := pointport.ZoneID([]string{"north", "south"}[n%2])
 		c.fleet.Add(pointport.InstanceID(fmt.Sprintf("m-%02d", n)), pool, zone, fmt.Sprintf("r-%d", n/4), size)
 	}
@@ -188,7 +188,7 @@
 // configure puts a configuration with the cluster's pools and queues into the
 // store.
 func (c *cluster) configure(k *workload.Catalog) {
-	k.Pools = []workload.PoolInfo{{Name: "shift", EnforcesCapacity: true}, {Name: "payout", EnforcesCapacity: true}, {Name: spareName, Spare: true}}
+	k.Pools = []workload.PoolInfo{{Name: "shift", EnforcesCapacity: true}, {Name: "payout", EnforcesCapacity: true}, {Name: sparePool, Spare: true}}
 	for _, pool := range []string{"shift", "payout"} {
 		k.Queues = append(k.Queues, workload.Queue{
 			Name: pool + "-close", Host: "example", Path: "/" + pool + "/", Pool: pool,
@@ -258,7 +258,7 @@
 func (c *cluster) RoundTrip(r *http.Request) (*http.Response, error) {
 	name := r.URL.Host
 	c.mu.Lock()
-	to, cut, silent := c.nodes[name], c.peersCut[name], c.silent
+	to, cut, silent := c.nodes[name], c.peersCut[name], c.peersSilent
 	c.mu.Unlock()
 	if to != nil && !to.clock.gateUntil(r.Context().Done()) {
 		return nil, r.Context().Err()
@@ -320,15 +320,15 @@
 func (c *cluster) start(name string) *node.Node {
 	c.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	machine := &machineClock{loose: c.loose}
+	machine := &machineClock{ownersOnly: c.looseClocks}
 	inject := func(op, key string) memory.Fault {
 		machine.gate()
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.onStore != nil {
-			c.onStore(name, op, key)
+		if c.onStoreCall != nil {
+			c.onStoreCall(name, op, key)
 		}
-		return c.storeFate(name, op)
+		return c.storeFault(name, op)
 	}
 	network := func(op string, to pointport.InstanceID) testbed.Fate {
 		machine.gate()
@@ -337,7 +337,7 @@
 		return c.network(name+" "+op, to)
 	}
 	services := node.Services{
-		KV:       c.store.KV(memory.WithFaults(inject), memory.WithLatency(c.latency)),
+		KV:       c.store.KV(memory.WithFaults(inject), memory.WithLatency(c.storeLatency)),
 		Executor: c.fleet.Executor(network), Clock: machine,
 		Config: node.Source[*workload.Catalog]{Prefix: configKey, Decode: func(e pointport.Entry) (*workload.Catalog, error) {
 			var k workload.Catalog
@@ -359,21 +359,21 @@
 		}},
 		PeerTransport: c,
 	}
-	if c.still {
+	if c.noSteward {
 		services.Machines = nil
 	}
 	n, err := node.Start(ctx, services, node.Parameters{
 		Name: name, Zone: "north", Addresses: node.Addresses{Peers: ""}, LeaseTTL: member.DefaultTTL,
-		TaskLease: 4 * time.Second, Grace: 6 * time.Second, HolderTime: holderTime, PeerName: name, MachineOrdersPerSecond: c.perSecond,
+		TaskLease: 4 * time.Second, Grace: 6 * time.Second, HolderTime: holderTime, PeerName: name, MachineOrdersPerSecond: c.machineOrdersPerSecond,
 		GangTimeout: testbed.DefaultGangTime, RemoteDataSlowdown: 2,
-		ConfigApplyTime: c.configTime,
-		Capacity:        capacity.Settings{MoveTime: testbed.DefaultMoveTime, UpkeepTime: testbed.DefaultUpkeep}, Keys: c.keys,
+		ConfigApplyTime: c.configApplyTime,
+		Capacity:        capacity.Settings{MoveTime: testbed.DefaultMoveTime, UpkeepTime: testbed.DefaultUpkeep}, Keys: c.keyPolicy,
 		LowMemory: func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			return c.full[name]
+			return c.lowMemory[name]
 		},
-	}, slog.New(slog.NewMultiHandler(slog.NewTextHandler(c.logs, nil), slog.NewJSONHandler(c.written, nil))).With(slog.String("node", name)))
+	}, slog.New(slog.NewMultiHandler(slog.NewTextHandler(c.logs, nil), slog.NewJSONHandler(c.jsonLogs, nil))).With(slog.String("node", name)))
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -387,14 +387,14 @@
 // it is to be.
 func (c *cluster) machines(ctx context.Context) pointport.Machines {
 	exact := c.fleet.Machines(holderTime)
-	if c.counts != nil {
-		c.counts.Machines = exact
-		return c.counts
+	if c.machineCounter != nil {
+		c.machineCounter.Machines = exact
+		return c.machineCounter
 	}
 	if c.listLag == 0 {
 		return exact
 	}
-	l := &laggingList{Machines: exact, lag: c.listLag, back: c.listBack}
+	l := &laggingList{Machines: exact, lag: c.listLag, extraLag: c.listExtraLag}
 	go l.record(ctx)
 	return l
 }
@@ -402,11 +402,11 @@
 // holderTime must lie between two holders' orders about a machine.
 const holderTime = 3 * time.Second
 
-// setStoreFate sets what becomes of the calls of nodes to the store.
-func (c *cluster) setStoreFate(fate func(node, op string) memory.Fault) {
+// setStoreFault sets what becomes of the calls of nodes to the store.
+func (c *cluster) setStoreFault(fate func(node, op string) memory.Fault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.storeFate = fate
+	c.storeFault = fate
 }
 
 // setNetwork sets what becomes of orders; their names begin with the node's.
@@ -426,13 +426,13 @@
 	}
 }
 
-// fill has the nodes named, and no other, be near the limit of their memory.
-func (c *cluster) fill(names ...string) {
+// setLowMemory has the nodes named, and no other, be near the limit of their memory.
+func (c *cluster) setLowMemory(names ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	clear(c.full)
+	clear(c.lowMemory)
 	for _, name := range names {
-		c.full[name] = true
+		c.lowMemory[name] = true
 	}
 }
 
@@ -440,14 +440,14 @@
 func (c *cluster) silencePeers(silent bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.silent = silent
+	c.peersSilent = silent
 }
 
-// storeWorks is the fate of calls to a store without faults.
-func storeWorks(string, string) memory.Fault { return memory.FaultNone }
+// noStoreFault is the fate of calls to a store without faults.
+func noStoreFault(string, string) memory.Fault { return memory.FaultNone }
 
-// wave asks for the maintenance of machines, so many at once.
-func (c *cluster) wave(id int64, machines []pointport.InstanceID, bound int) {
+// requestWave asks for the maintenance of machines, so many at once.
+func (c *cluster) requestWave(id int64, machines []pointport.InstanceID, bound int) {
 	value, err := json.Marshal(capacity.Wave{ID: id, Machines: machines, Bound: bound, Duration: 20 * time.Second})
 	if err != nil {
 		c.t.Error(err)
@@ -462,8 +462,8 @@
 	c.fleet.Evacuate(zone)
 }
 
-// open takes that back.
-func (c *cluster) open(zone pointport.ZoneID) {
+// reopen takes that back.
+func (c *cluster) reopen(zone pointport.ZoneID) {
 	c.fleet.Open(zone)
 	if _, err := c.kv.Commit(context.Background(), pointport.Txn{Delete: []string{evacuationPrefix + string(zone)}}); err != nil {
 		c.t.Error(err)
@@ -504,9 +504,9 @@
 	}
 }
 
-// another returns a node that is not the one named. One that has just been started has no
+// otherNode returns a node that is not the one named. One that has just been started has no
 // lease yet, and rightly tells customers to come back.
-func (c *cluster) another(name string) *node.Node {
+func (c *cluster) otherNode(name string) *node.Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for other, r := range c.nodes {
@@ -518,8 +518,8 @@
 	return nil
 }
 
-// any returns one of the nodes that run.
-func (c *cluster) any(n int) *node.Node {
+// anyNode returns one of the nodes that run.
+func (c *cluster) anyNode(n int) *node.Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	names := slices.Sorted(maps.Keys(c.nodes))
@@ -551,11 +551,11 @@
 	time.Sleep(time.Minute)
 }
 
-// check fails the test if the fleet was treated wrongly.
-func (c *cluster) check() {
+// checkViolations fails the test if the fleet was treated wrongly.
+func (c *cluster) checkViolations() {
 	c.t.Helper()
 	for _, v := range c.fleet.Violations() {
-		c.t.Errorf("%v\n%s", v, c.logs.about(v.Task))
+		c.t.Errorf("%v\n%s", v, c.logs.containing(v.Task))
 	}
 }
 
@@ -576,8 +576,8 @@
 	return nil
 }
 
-// eventually waits until a job is in a state, at most for some time.
-func (c *cluster) eventually(n *node.Node, q *workload.Queue, id string, want workload.Status, within time.Duration) {
+// waitForStatus waits until a job is in a state, at most for some time.
+func (c *cluster) waitForStatus(n *node.Node, q *workload.Queue, id string, want workload.Status, within time.Duration) {
 	c.t.Helper()
 	var last workload.Status
 	var lastErr error
@@ -589,7 +589,7 @@
 			return
 		}
 	}
-	c.t.Errorf("job %s is %q (%v) after %v, want %q\n%s", id, last, lastErr, within, want, c.logs.about(id))
+	c.t.Errorf("job %s is %q (%v) after %v, want %q\n%s", id, last, lastErr, within, want, c.logs.containing(id))
 }
 
 func submit(t *testing.T, n *node.Node, q *workload.Queue, id string, spec *workload.Spec) {
--- a/node/thinlink_test.go
+++ b/node/config_link_test.go
@@ -36,27 +36,27 @@
 // links of twenty times the width had every version after 0.3 s.
 
 const (
-	// thinLink is what the link carries, in bytes a second, and thinQueues how many
+	// slowLinkBytesPerSecond is what the link carries, in bytes a second, and thinQueues how many
 	// queues it takes for a configuration that fills it for some 0.9 s.
-	thinLink   = 200_000
-	thinQueues = 800
-	// inForceWithin is by when a confirmed change must be in force everywhere.
-	inForceWithin = 4 * time.Second
+	slowLinkBytesPerSecond = 200_000
+	largeConfigQueues      = 800
+	// appliedWithin is by when a confirmed change must be in force everywhere.
+	appliedWithin = 4 * time.Second
 )
 
-// A thinNode is a node that reaches its store over a thin link.
-type thinNode struct {
+// A slowLinkNode is a node that reaches its store over a thin link.
+type slowLinkNode struct {
 	t        testing.TB
 	kv       pointport.KV // of the store, beside the link
 	node     *node.Node
 	received atomic.Int64 // bytes that came over the link
 }
 
-// startThinNode starts a node that has version 1 in force, on a link of so many bytes a
+// startSlowLinkNode starts a node that has version 1 in force, on a link of so many bytes a
 // second.
-func startThinNode(t testing.TB, width int) *thinNode {
+func startSlowLinkNode(t testing.TB, width int) *slowLinkNode {
 	t.Helper()
-	n := &thinNode{t: t, kv: memory.New(clock.System{}).KV()}
+	n := &slowLinkNode{t: t, kv: memory.New(clock.System{}).KV()}
 	server := httptest.NewServer(platform.ServeStore(n.kv))
 	t.Cleanup(server.Close)
 	address := n.link(width, strings.TrimPrefix(server.URL, "http://"))
@@ -74,12 +74,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.wantInForce(1)
+	n.waitForVersion(1)
 	return n
 }
 
 // configure puts a version with so many queues into the store.
-func (n *thinNode) configure(version int64, queues int) {
+func (n *slowLinkNode) configure(version int64, queues int) {
 	n.t.Helper()
 	c := &workload.Catalog{Version: version}
 	for i := range queues {
@@ -90,18 +90,18 @@
 	}
 }
 
-// wantInForce waits until a version is in force.
-func (n *thinNode) wantInForce(version int64) {
+// waitForVersion waits until a version is in force.
+func (n *slowLinkNode) waitForVersion(version int64) {
 	n.t.Helper()
 	for from := time.Now(); n.node.ConfigVersion() != version; time.Sleep(10 * time.Millisecond) {
-		if time.Since(from) > inForceWithin {
-			n.t.Fatalf("version %d is not in force after %v but version %d; %d bytes came", version, inForceWithin, n.node.ConfigVersion(), n.received.Load())
+		if time.Since(from) > appliedWithin {
+			n.t.Fatalf("version %d is not in force after %v but version %d; %d bytes came", version, appliedWithin, n.node.ConfigVersion(), n.received.Load())
 		}
 	}
 }
 
 // link returns the address of a thin link to another address.
-func (n *thinNode) link(bytes int, to string) string {
+func (n *slowLinkNode) link(bytes int, to string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		n.t.Fatal(err)
@@ -115,15 +115,15 @@
 			if err != nil {
 				return // the test is over
 			}
-			go n.carry(near, to, width, piece)
+			go n.forward(near, to, width, piece)
 		}
 	}()
 	return l.Addr().String()
 }
 
-// carry carries one connection: what the node sends at once, what it receives at the
+// forward carries one connection: what the node sends at once, what it receives at the
 // width of the link, which all connections share.
-func (n *thinNode) carry(near net.Conn, to string, width *rate.Limiter, piece int) {
+func (n *slowLinkNode) forward(near net.Conn, to string, width *rate.Limiter, piece int) {
 	defer near.Close()
 	far, err := net.Dial("tcp", to)
 	if err != nil {
@@ -152,41 +152,41 @@
 	}
 }
 
-func TestLargeConfigurationReachesNodeOnThinLink(t *testing.T) {
+func TestLargeConfigurationReachesNodeOnSlowLink(t *testing.T) {
 	t.Parallel()
-	n := startThinNode(t, thinLink)
+	n := startSlowLinkNode(t, slowLinkBytesPerSecond)
 	for version := int64(2); version <= 4; version++ {
-		n.configure(version, thinQueues)
-		n.wantInForce(version)
+		n.configure(version, largeConfigQueues)
+		n.waitForVersion(version)
 		time.Sleep(1200 * time.Millisecond) // until the node makes sure of it
 	}
 }
 
 // An unchanged configuration is not carried again: at rest, three seconds of it would
 // otherwise fill the link.
-func TestUnchangedConfigurationLeavesLinkAlone(t *testing.T) {
+func TestUnchangedConfigurationIsNotTransferredAgain(t *testing.T) {
 	t.Parallel()
-	n := startThinNode(t, thinLink)
-	n.configure(2, thinQueues)
-	n.wantInForce(2)
+	n := startSlowLinkNode(t, slowLinkBytesPerSecond)
+	n.configure(2, largeConfigQueues)
+	n.waitForVersion(2)
 	time.Sleep(time.Second) // until what is on its way has come
 	before := n.received.Load()
 	time.Sleep(3 * time.Second)
-	if got := n.received.Load() - before; got > thinLink/10 {
+	if got := n.received.Load() - before; got > slowLinkBytesPerSecond/10 {
 		t.Errorf("%d bytes came in three seconds at rest, want less than a tenth of a second's", got)
 	}
 }
 
-// BenchmarkConfigurationAtRest states what an unchanged configuration costs a node, its
+// BenchmarkUnchangedConfiguration states what an unchanged configuration costs a node, its
 // lease and the roster among it: 1.0 KB a second whatever its size, where reading it
 // anew each second cost 12 KB at 50 queues, 44 KB at 250 and 1.0 MB at 4,000.
-func BenchmarkConfigurationAtRest(b *testing.B) {
+func BenchmarkUnchangedConfiguration(b *testing.B) {
 	for _, queues := range []int{50, 250, 1000, 4000} {
 		b.Run(fmt.Sprint(queues), func(b *testing.B) {
 			const wide = 100 << 20
-			n := startThinNode(b, wide)
+			n := startSlowLinkNode(b, wide)
 			n.configure(2, queues)
-			n.wantInForce(2)
+			n.waitForVersion(2)
 			time.Sleep(time.Second)
 			before, from := n.received.Load(), time.Now()
 			time.Sleep(4 * time.Second)
--- a/node/config_test.go
+++ b/node/config_test.go
@@ -12,18 +12,18 @@
 
 // A node that cannot read the configuration says so once, and once that it can again.
 func TestUnconfirmedConfigurationIsLogged(t *testing.T) {
-	bubble(t, 1, func(c *cluster) {
-		c.setStoreFate(func(_, op string) memory.Fault {
+	simulate(t, 1, func(c *cluster) {
+		c.setStoreFault(func(_, op string) memory.Fault {
 			if op == "renew" {
 				return memory.FaultNone
 			}
 			return memory.FaultLostCall
 		})
 		time.Sleep(10 * time.Second)
-		c.setStoreFate(func(string, string) memory.Fault { return memory.FaultNone })
+		c.setStoreFault(func(string, string) memory.Fault { return memory.FaultNone })
 		time.Sleep(3 * time.Second)
 		for _, line := range []string{"configuration unconfirmed", "configuration confirmed"} {
-			if n := strings.Count(c.logs.about(line), line); n != 1 {
+			if n := strings.Count(c.logs.containing(line), line); n != 1 {
 				t.Errorf("%q is logged %d times, want once", line, n)
 			}
 		}
--- a/node/crash_test.go
+++ b/node/crash_test.go
@@ -26,15 +26,15 @@
 // poison names the job whose first task crashes its instance, besideServing a job beside it
 // whose tasks serve.
 const (
-	poison        = "00000000000000dd"
-	besideServing = "00000000000000ee"
+	crashingJob      = "00000000000000dd"
+	servingNeighbour = "00000000000000ee"
 )
 
-// crashing is what tasks do where the first one of the poison job crashes its instance.
-func crashing(change func(*testbed.Work)) testbed.WorkSource {
+// crashingWork is what tasks do where the first one of the poison job crashes its instance.
+func crashingWork(change func(*testbed.Work)) testbed.WorkSource {
 	return func(o pointport.StartOrder) testbed.Work {
-		w := testbed.Work{Room: crashRoom, Duration: 800 * time.Millisecond, Serves: strings.HasPrefix(o.Task, besideServing)}
-		if strings.HasPrefix(o.Task, poison) {
+		w := testbed.Work{Room: crashNeed, Duration: 800 * time.Millisecond, Serves: strings.HasPrefix(o.Task, servingNeighbour)}
+		if strings.HasPrefix(o.Task, crashingJob) {
 			w.Crashes = strings.HasSuffix(o.Task, ".0")
 			change(&w)
 		}
@@ -42,7 +42,7 @@
 	}
 }
 
-var crashRoom = pointport.Shape{CPUMilli: 500, MemoryMiB: 128}
+var crashNeed = pointport.Shape{CPUMilli: 500, MemoryMiB: 128}
 
 // A task that crashes each instance on which it starts is given up after a few of them:
 // its job is shown as failed, or goes on without it if it serves, and the jobs beside it
@@ -61,9 +61,9 @@
 		{name: "of which copies may run",
 			step: func(s *workload.Step) { s.Copies = true }, work: func(w *testbed.Work) { w.Copies = true }},
 		{name: "of a gang",
-			step: func(s *workload.Step) { s.Gang = true }, work: func(w *testbed.Work) { w.Gang = crashTasks }},
+			step: func(s *workload.Step) { s.Gang = true }, work: func(w *testbed.Work) { w.Gang = crashingJobTasks }},
 		{name: "that serves",
-			step: func(s *workload.Step) { s.Service = true }, work: func(w *testbed.Work) { w.Serves = true }, left: crashTasks - 1},
+			step: func(s *workload.Step) { s.Service = true }, work: func(w *testbed.Work) { w.Serves = true }, left: crashingJobTasks - 1},
 		{name: "where nobody says that an instance is over",
 			options: []clusterOption{withoutSteward()}},
 		{name: "whose owners die in turn",
@@ -89,34 +89,34 @@
 	}
 	for _, k := range cases {
 		t.Run(k.name, func(t *testing.T) {
-			step := workload.Step{Count: crashTasks, Need: crashRoom, Estimate: 800 * time.Millisecond}
+			step := workload.Step{Count: crashingJobTasks, Need: crashNeed, Estimate: 800 * time.Millisecond}
 			if k.step != nil {
 				k.step(&step)
 			}
 			if k.work == nil {
 				k.work = func(*testbed.Work) {}
 			}
-			options := append([]clusterOption{withWork(crashing(k.work))}, k.options...)
-			bubble(t, 4, func(c *cluster) { giveUp(c, &step, k.trouble, k.left) }, options...)
+			options := append([]clusterOption{withWork(crashingWork(k.work))}, k.options...)
+			simulate(t, 4, func(c *cluster) { checkCrashingJobGivenUp(c, &step, k.trouble, k.left) }, options...)
 		})
 	}
 }
 
-// crashTasks is how many tasks the poison job has.
-const crashTasks = 5
+// crashingJobTasks is how many tasks the poison job has.
+const crashingJobTasks = 5
 
-// giveUp submits the poison job and others beside it, and checks what becomes of them.
-func giveUp(c *cluster, step *workload.Step, trouble func(*cluster), left int) {
+// checkCrashingJobGivenUp submits the poison job and others beside it, and checks what becomes of them.
+func checkCrashingJobGivenUp(c *cluster, step *workload.Step, trouble func(*cluster), left int) {
 	c.t.Helper()
 	n := c.nodes["n0"].node
 	q := queue(c.t, n, "shift-close")
-	beside := &workload.Spec{Steps: []workload.Step{{Count: 3, Need: crashRoom, Estimate: 800 * time.Millisecond}}}
-	serving := &workload.Spec{Steps: []workload.Step{{Count: 2, Need: crashRoom, Service: true, MaxPerInstance: 1}}}
-	submit(c.t, n, q, besideServing, serving)
+	beside := &workload.Spec{Steps: []workload.Step{{Count: 3, Need: crashNeed, Estimate: 800 * time.Millisecond}}}
+	serving := &workload.Spec{Steps: []workload.Step{{Count: 2, Need: crashNeed, Service: true, MaxPerInstance: 1}}}
+	submit(c.t, n, q, servingNeighbour, serving)
 	for i := range 3 {
 		submit(c.t, n, q, fmt.Sprintf("%016x", i), beside)
 	}
-	submit(c.t, n, q, poison, &workload.Spec{Steps: []workload.Step{*step}})
+	submit(c.t, n, q, crashingJob, &workload.Spec{Steps: []workload.Step{*step}})
 	for i := range 3 {
 		submit(c.t, n, q, fmt.Sprintf("%016x", 3+i), beside)
 	}
@@ -125,21 +125,21 @@
 	}
 	n = c.nodes["n0"].node
 	if left == 0 {
-		c.eventually(n, q, poison, workload.Failed, 40*time.Second)
+		c.waitForStatus(n, q, crashingJob, workload.Failed, 40*time.Second)
 	}
 	for i := range 6 {
-		c.eventually(n, q, fmt.Sprintf("%016x", i), workload.Completed, 30*time.Second)
+		c.waitForStatus(n, q, fmt.Sprintf("%016x", i), workload.Completed, 30*time.Second)
 	}
 	time.Sleep(10 * time.Second)
-	c.eventually(n, q, besideServing, workload.Running, time.Second)
-	if got := c.fleet.RunsOf(besideServing); got != 2 {
+	c.waitForStatus(n, q, servingNeighbour, workload.Running, time.Second)
+	if got := c.fleet.RunsOf(servingNeighbour); got != 2 {
 		c.t.Errorf("%d serving tasks run beside it at the end, want 2", got)
 	}
-	if got := c.fleet.RunsOf(poison); got != left {
+	if got := c.fleet.RunsOf(crashingJob); got != left {
 		c.t.Errorf("%d tasks of its job run at the end, want %d", got, left)
 	}
-	task := poison + ".0.0.0"
+	task := crashingJob + ".0.0.0"
 	if got := c.fleet.Crashes(task); got < 2 || got > 4 {
-		c.t.Errorf("the task has crashed %d instances, want 2 to 4\n%s", got, c.logs.about(task))
+		c.t.Errorf("the task has crashed %d instances, want 2 to 4\n%s", got, c.logs.containing(task))
 	}
 }
--- a/node/storm_test.go
+++ b/node/customer_overload_test.go
@@ -22,11 +22,11 @@
 // sends twenty-five times its usual for eight seconds, in which the owner of its pool is killed.
 // The others must have nine of ten jobs in time; of the storm what is refused never runs, and
 // what was accepted ends.
-func TestStormOfACustomerWhileItsOwnerIsKilled(t *testing.T) {
+func TestOverloadByOneCustomerWhileOwnerIsKilled(t *testing.T) {
 	t.Parallel()
 	const work = 700 * time.Millisecond
 	room := pointport.Shape{CPUMilli: 1000, MemoryMiB: 16}
-	bubble(t, 4, func(c *cluster) {
+	simulate(t, 4, func(c *cluster) {
 		names := []string{"bistro", "cafe", "diner", "grill"}
 		c.configure(&workload.Catalog{Version: 2, Customers: customers(nil, names...)})
 		time.Sleep(2 * time.Second)
@@ -46,9 +46,9 @@
 			tickets[id] = k
 			wg.Go(func() {
 				for try := 0; ; try++ {
-					at := c.any(n + try)
+					at := c.anyNode(n + try)
 					ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-					err := as(at, customer).Submit(ctx, q, id, spec)
+					err := asCustomer(at, customer).Submit(ctx, q, id, spec)
 					cancel()
 					var excess *intake.ExcessError
 					if errors.As(err, &excess) {
@@ -68,7 +68,7 @@
 					time.Sleep(100 * time.Millisecond)
 				}
 				for time.Since(k.asked) < time.Minute {
-					if s, err := as(c.any(n), customer).Status(context.Background(), q, id); err == nil && s.Ended() {
+					if s, err := asCustomer(c.anyNode(n), customer).Status(context.Background(), q, id); err == nil && s.Ended() {
 						mu.Lock()
 						k.ended = time.Now()
 						mu.Unlock()
@@ -110,7 +110,7 @@
 			switch {
 			case k.refused:
 				refused++
-				if started := c.logs.about("task placed"); strings.Contains(started, id) {
+				if started := c.logs.containing("task placed"); strings.Contains(started, id) {
 					t.Errorf("job %s was refused and runs", id)
 				}
 				continue
--- a/node/customer_test.go
+++ b/node/customer_test.go
@@ -32,27 +32,27 @@
 	return customer.NewDirectory(all)
 }
 
-// as returns a node's desk as a customer sees it.
-func as(n *node.Node, name string) *intake.Service {
+// asCustomer returns a node's desk as a customer sees it.
+func asCustomer(n *node.Node, name string) *intake.Service {
 	return n.Intake().ForCaller(customer.Caller{Name: name, Key: keyOf(name), Version: n.ConfigVersion()})
 }
 
 // A customer sees and cancels its own jobs at every node, while they run and once they are
 // over; for anybody else there is no such job, and its identity cannot be taken.
-func TestJobsAreTheirCustomers(t *testing.T) {
-	bubble(t, 3, func(c *cluster) {
+func TestOnlyItsCustomerCanAccessJob(t *testing.T) {
+	simulate(t, 3, func(c *cluster) {
 		c.configure(&workload.Catalog{Version: 2, Customers: customers(nil, "bistro", "cafe")})
 		time.Sleep(2 * time.Second)
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
 		const id = "00000000000000aa"
 		ctx := context.Background()
-		if err := as(n, "bistro").Submit(ctx, q, id, twoSteps(3*time.Second)); err != nil {
+		if err := asCustomer(n, "bistro").Submit(ctx, q, id, twoSteps(3*time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		hidden := func(when string) {
 			for name, r := range c.nodes {
-				for _, desk := range []*intake.Service{as(r.node, "cafe"), r.node.Intake()} {
+				for _, desk := range []*intake.Service{asCustomer(r.node, "cafe"), r.node.Intake()} {
 					var unknown *intake.UnknownJobError
 					var taken *intake.TakenError
 					if s, err := desk.Status(ctx, q, id); !errors.As(err, &unknown) {
@@ -65,10 +65,10 @@
 						t.Errorf("%s, at %s, others' submission under its identity: %v", when, name, err)
 					}
 				}
-				if _, err := as(r.node, "bistro").Status(ctx, q, id); err != nil {
+				if _, err := asCustomer(r.node, "bistro").Status(ctx, q, id); err != nil {
 					t.Errorf("%s, at %s, its customer is told %v", when, name, err)
 				}
-				if err := as(r.node, "bistro").Submit(ctx, q, id, twoSteps(3*time.Second)); err != nil {
+				if err := asCustomer(r.node, "bistro").Submit(ctx, q, id, twoSteps(3*time.Second)); err != nil {
 					t.Errorf("%s, at %s, its customer's second submission: %v", when, name, err)
 				}
 				if _, err := r.node.Intake().ForCaller(customer.Operator()).Status(ctx, q, id); err != nil {
@@ -79,7 +79,7 @@
 		time.Sleep(500 * time.Millisecond)
 		hidden("while it runs")
 		time.Sleep(10 * time.Second)
-		if s, err := as(n, "bistro").Status(ctx, q, id); s != workload.Completed {
+		if s, err := asCustomer(n, "bistro").Status(ctx, q, id); s != workload.Completed {
 			t.Fatalf("others have stopped it: %q, %v", s, err)
 		}
 		hidden("once it is over")
@@ -91,19 +91,19 @@
 
 // A cancellation by another customer that comes before the job does not keep its customer
 // from it for good: the identity is the other's, and the job is refused, not lost.
-func TestIdentityBuriedByAnother(t *testing.T) {
-	bubble(t, 1, func(c *cluster) {
+func TestJobIDCancelledByAnotherCustomerIsTaken(t *testing.T) {
+	simulate(t, 1, func(c *cluster) {
 		c.configure(&workload.Catalog{Version: 2, Customers: customers(nil, "bistro", "cafe")})
 		time.Sleep(2 * time.Second)
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
 		const id = "00000000000000aa"
 		var unknown *intake.UnknownJobError
-		if err := as(n, "cafe").Cancel(context.Background(), q, id); !errors.As(err, &unknown) {
+		if err := asCustomer(n, "cafe").Cancel(context.Background(), q, id); !errors.As(err, &unknown) {
 			t.Fatal(err)
 		}
 		var taken *intake.TakenError
-		if err := as(n, "bistro").Submit(context.Background(), q, id, twoSteps(time.Second)); !errors.As(err, &taken) {
+		if err := asCustomer(n, "bistro").Submit(context.Background(), q, id, twoSteps(time.Second)); !errors.As(err, &taken) {
 			t.Errorf("answer %v, want a refusal", err)
 		}
 		time.Sleep(3 * time.Second)
@@ -115,13 +115,13 @@
 
 // A member that the store does not serve hands a job on under a key that was taken away
 // meanwhile: the peer, which knows the newer configuration, refuses it.
-func TestPeerJudgesByNewerConfiguration(t *testing.T) {
-	bubble(t, 2, func(c *cluster) {
+func TestPeerWithNewerConfigurationRefusesRevokedKey(t *testing.T) {
+	simulate(t, 2, func(c *cluster) {
 		c.configure(&workload.Catalog{Version: 2, Customers: customers(nil, "bistro", "cafe")})
 		time.Sleep(2 * time.Second)
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
-		c.setStoreFate(turnedAway(memory.FaultLostCall, "n0"))
+		c.setStoreFault(storeFaultFor(memory.FaultLostCall, "n0"))
 		time.Sleep(2 * time.Second)
 		c.configure(&workload.Catalog{Version: 3, Customers: customers(nil, "cafe")})
 		time.Sleep(2 * time.Second)
@@ -129,17 +129,17 @@
 			t.Fatalf("the node that is turned away knows version %d", got)
 		}
 		var revoked *intake.RevokedError
-		if err := as(n, "bistro").Submit(context.Background(), q, "00000000000000aa", twoSteps(time.Second)); !errors.As(err, &revoked) {
+		if err := asCustomer(n, "bistro").Submit(context.Background(), q, "00000000000000aa", twoSteps(time.Second)); !errors.As(err, &revoked) {
 			t.Errorf("answer %v, want a refusal of the key", err)
 		}
-		if err := as(n, "cafe").Submit(context.Background(), q, "00000000000000bb", twoSteps(time.Second)); err != nil {
+		if err := asCustomer(n, "cafe").Submit(context.Background(), q, "00000000000000bb", twoSteps(time.Second)); err != nil {
 			t.Errorf("a key that is in force: %v", err)
 		}
 		time.Sleep(5 * time.Second)
-		if log := c.logs.about("key-of"); log != "" {
+		if log := c.logs.containing("key-of"); log != "" {
 			t.Errorf("a key is logged: %s", log)
 		}
-		if starts := c.logs.about("task placed"); strings.Contains(starts, "00000000000000aa") {
+		if starts := c.logs.containing("task placed"); strings.Contains(starts, "00000000000000aa") {
 			t.Error("the job of a key that was taken away runs")
 		}
 	})
@@ -150,11 +150,11 @@
 // node that is cut off goes on with the keys that it knows, or tells callers to come back where
 // operators are strict; it never says that a key is nobody's that is good. Within two seconds of
 // its return it knows the newest.
-func TestKeysTakenAwayAndPutIn(t *testing.T) {
+func TestRevokedAndAddedKeys(t *testing.T) {
 	const inForce = 2 * time.Second
 	for name, policy := range map[string]node.KeyPolicy{"strict": {Strict: true, MaxConfigAge: 3 * time.Second}, "not strict": {}} {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, 4, func(c *cluster) {
+			simulate(t, 4, func(c *cluster) {
 				ask := func(n *node.Node, key string) int {
 					desk := func(by customer.Caller) platform.Desk { return n.Intake().ForCaller(by) }
 					keys := platform.KeyState{Trusted: n.KeysTrusted, Newest: n.KeysNewest}
@@ -183,7 +183,7 @@
 				if owner == cut {
 					cut = "n1"
 				}
-				c.setStoreFate(turnedAway(memory.FaultLostCall, cut))
+				c.setStoreFault(storeFaultFor(memory.FaultLostCall, cut))
 				c.kill(owner)
 				c.configure(&workload.Catalog{Version: 3, Customers: customers(nil, "cafe", "diner")})
 				c.start(owner)
@@ -198,11 +198,11 @@
 						t.Errorf("the node that is cut off answers %d to the key of %s", got, key)
 					}
 				}
-				c.setStoreFate(storeWorks)
+				c.setStoreFault(noStoreFault)
 				time.Sleep(inForce)
 				expect("once it is back", "bistro", bad, "")
 				expect("once it is back", "diner", good, "")
-			}, withKeys(policy))
+			}, withKeyPolicy(policy))
 		})
 	}
 }
@@ -210,7 +210,7 @@
 // Whether a member goes on with the keys that it knows while it cannot read the
 // configuration is the operators' to say: strict, it stops after the time that they set,
 // and begins again once it knows the newest.
-func TestKeysWhileTheStoreIsAway(t *testing.T) {
+func TestKeysWhileStoreIsUnreachable(t *testing.T) {
 	cases := map[string]struct {
 		policy         node.KeyPolicy
 		before, beyond bool // whether keys are trusted after 3 s and after 8 s
@@ -220,12 +220,12 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, 1, func(c *cluster) {
+			simulate(t, 1, func(c *cluster) {
 				n := c.nodes["n0"].node
 				if !n.KeysTrusted() {
 					t.Error("keys are not trusted while all is well")
 				}
-				c.setStoreFate(func(string, string) memory.Fault { return memory.FaultLostCall })
+				c.setStoreFault(func(string, string) memory.Fault { return memory.FaultLostCall })
 				time.Sleep(3 * time.Second)
 				if got := n.KeysTrusted(); got != test.before {
 					t.Errorf("after 3 s, keys are trusted: %v", got)
@@ -234,12 +234,12 @@
 				if got := n.KeysTrusted(); got != test.beyond {
 					t.Errorf("after 8 s, keys are trusted: %v", got)
 				}
-				c.setStoreFate(storeWorks)
+				c.setStoreFault(noStoreFault)
 				time.Sleep(3 * time.Second)
 				if !n.KeysTrusted() {
 					t.Error("keys are not trusted although the store is back")
 				}
-			}, withKeys(test.policy))
+			}, withKeyPolicy(test.policy))
 		})
 	}
 }
--- a/node/entries.go
+++ b/node/entries.go
@@ -18,26 +18,26 @@
 	unreadable event.Event
 	logger     *slog.Logger
 	byKey      map[string]T
-	// refused holds the revisions of entries that cannot be decoded, each of which is
+	// unreadableAt holds the revisions of entries that cannot be decoded, each of which is
 	// logged once: all entries are read again now and then.
-	refused map[string]pointport.Revision
+	unreadableAt map[string]pointport.Revision
 }
 
 func newEntries[T any](decode func(pointport.Entry) (T, error), unreadable event.Event, logger *slog.Logger) *entries[T] {
 	return &entries[T]{
 		decode: decode, unreadable: unreadable, logger: logger,
-		byKey: make(map[string]T), refused: make(map[string]pointport.Revision),
+		byKey: make(map[string]T), unreadableAt: make(map[string]pointport.Revision),
 	}
 }
 
 // reset replaces everything by what the entries stand for.
 func (s *entries[T]) reset(all []pointport.Entry) {
 	clear(s.byKey)
-	before := s.refused
-	s.refused = make(map[string]pointport.Revision)
+	before := s.unreadableAt
+	s.unreadableAt = make(map[string]pointport.Revision)
 	for _, e := range all {
 		if revision, ok := before[e.Key()]; ok {
-			s.refused[e.Key()] = revision
+			s.unreadableAt[e.Key()] = revision
 		}
 	}
 	s.apply(all)
@@ -48,25 +48,25 @@
 	for _, e := range changes {
 		if !e.Exists() {
 			delete(s.byKey, e.Key())
-			delete(s.refused, e.Key())
+			delete(s.unreadableAt, e.Key())
 			continue
 		}
 		value, err := s.decode(e)
 		if err != nil {
-			s.refuse(e, err)
+			s.dropUnreadable(e, err)
 			continue
 		}
 		s.byKey[e.Key()] = value
-		delete(s.refused, e.Key())
+		delete(s.unreadableAt, e.Key())
 	}
 }
 
-func (s *entries[T]) refuse(e pointport.Entry, err error) {
+func (s *entries[T]) dropUnreadable(e pointport.Entry, err error) {
 	delete(s.byKey, e.Key())
-	if s.refused[e.Key()] == e.Revision() {
+	if s.unreadableAt[e.Key()] == e.Revision() {
 		return
 	}
-	s.refused[e.Key()] = e.Revision()
+	s.unreadableAt[e.Key()] = e.Revision()
 	s.unreadable.Log(s.logger, slog.String("key", e.Key()), slog.Int64("revision", int64(e.Revision())),
 		slog.Int("bytes", len(e.Value())), slog.Any("error", err))
 }
--- a/node/entries_test.go
+++ b/node/entries_test.go
@@ -15,8 +15,8 @@
 // not used, by the member that has followed it no more than by one that reads all entries
 // for the first time; the other instances are used on, and this one again once its
 // registration can be read. Each life of a member says so once.
-func TestUnreadableRegistrationNamesNoInstance(t *testing.T) {
-	bubble(t, 3, func(c *cluster) {
+func TestInstanceWithUndecodableRegistrationIsNotUsed(t *testing.T) {
+	simulate(t, 3, func(c *cluster) {
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
 		jobs := 0
@@ -65,7 +65,7 @@
 		if held := load(); !held[odd] {
 			t.Errorf("%v are used once the registration can be read again, want %s among them", held, odd)
 		}
-		lines := strings.Split(strings.TrimSpace(c.logs.about("registration unreadable")), "\n")
+		lines := strings.Split(strings.TrimSpace(c.logs.containing("registration unreadable")), "\n")
 		said := make(map[string]int)
 		for _, line := range lines {
 			fields := strings.Fields(line)
--- a/node/evacuation.go
+++ b/node/evacuation.go
@@ -26,48 +26,48 @@
 	// DefaultEvacuationTime is the time within which a request must be in force where the
 	// platform does not tell.
 	DefaultEvacuationTime = 5 * time.Second
-	// evacuationKnownShare is the share of that time for which a reading is believed. The
+	// evacuationValidFraction is the share of that time for which a reading is believed. The
 	// rest is for starts that are on their way: they are refused once the lease that they
 	// bring is over.
-	evacuationKnownShare = 0.6
-	// evacuationReadShare is the share of it from one reading to the next.
-	evacuationReadShare = 0.2
-	// evacuationRetry is how soon the requests are read again after the store gave no answer.
-	evacuationRetry = 200 * time.Millisecond
-	// evacuationIdle is for how long after the last question the requests are still read:
+	evacuationValidFraction = 0.6
+	// evacuationReadFraction is the share of it from one reading to the next.
+	evacuationReadFraction = 0.2
+	// evacuationRetryInterval is how soon the requests are read again after the store gave no answer.
+	evacuationRetryInterval = 200 * time.Millisecond
+	// evacuationIdleTimeout is for how long after the last question the requests are still read:
 	// most nodes own nothing and start nothing.
-	evacuationIdle = 5 * time.Second
+	evacuationIdleTimeout = 5 * time.Second
 )
 
 // evacuations keeps the requests that availability zones be left empty, while anybody asks.
 type evacuations struct {
-	source Source[evacuation.Request]
-	kv     pointport.KV
-	clock  pointport.Clock
-	within time.Duration // the time within which a request must be in force
-	logger *slog.Logger
-	start  func()
-	once   sync.Once
-	wanted chan struct{} // wakes the reader
+	source    Source[evacuation.Request]
+	kv        pointport.KV
+	clock     pointport.Clock
+	applyTime time.Duration // the time within which a request must be in force
+	logger    *slog.Logger
+	start     func()
+	once      sync.Once
+	wake      chan struct{} // wakes the reader
 
-	mu      sync.Mutex
-	entries *entries[evacuation.Request]
-	zones   evacuation.Zones
-	read    clocks.Interval // since what is known was asked for, or the first question
-	asked   time.Time       // when it was last wanted
-	failure error           // of the last reading, nil if it was answered
-	unsure  bool            // whether the log says that nothing is known
+	mu            sync.Mutex
+	entries       *entries[evacuation.Request]
+	zones         evacuation.Zones
+	readAt        clocks.Interval // since what is known was asked for, or the first question
+	lastUsed      time.Time       // when it was last wanted
+	lastErr       error           // of the last reading, nil if it was answered
+	unknownLogged bool            // whether the log says that nothing is known
 }
 
 // newEvacuations returns evacuations that are read from the first question until ctx ends.
 // A source without a prefix says that nobody evacuates availability zones.
 func newEvacuations(ctx context.Context, kv pointport.KV, clock pointport.Clock, source Source[evacuation.Request], within time.Duration, logger *slog.Logger) *evacuations {
 	e := &evacuations{
-		source: source, kv: kv, clock: clock, within: within, logger: logger, wanted: make(chan struct{}, 1),
+		source: source, kv: kv, clock: clock, applyTime: within, logger: logger, wake: make(chan struct{}, 1),
 		entries: newEntries(source.Decode, event.EvacuationUnreadable, logger),
 	}
 	e.start = func() {
-		e.read = clocks.NewInterval(clock)
+		e.readAt = clocks.NewInterval(clock)
 		go e.run(ctx)
 	}
 	return e
@@ -81,24 +81,24 @@
 	e.once.Do(e.start)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.asked = e.clock.Now()
+	e.lastUsed = e.clock.Now()
 	select {
-	case e.wanted <- struct{}{}:
+	case e.wake <- struct{}{}:
 	default:
 	}
-	if age := e.read.Age(); age > e.share(evacuationKnownShare) {
-		e.lost(age)
+	if age := e.readAt.Age(); age > e.fractionOfApplyTime(evacuationValidFraction) {
+		e.logUnknown(age)
 		return evacuation.Zones{}
 	}
 	return e.zones
 }
 
-func (e *evacuations) share(part float64) time.Duration {
-	return time.Duration(part * float64(e.within))
+func (e *evacuations) fractionOfApplyTime(part float64) time.Duration {
+	return time.Duration(part * float64(e.applyTime))
 }
 
-// Evacuated returns how many availability zones are evacuated, as far as is known.
-func (e *evacuations) Evacuated() int {
+// Count returns how many availability zones are evacuated, as far as is known.
+func (e *evacuations) Count() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.zones.Requests())
@@ -107,29 +107,29 @@
 // run reads the requests until ctx ends.
 func (e *evacuations) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		rest := e.share(evacuationReadShare)
+		rest := e.fractionOfApplyTime(evacuationReadFraction)
 		if err := e.readAll(ctx); err != nil && ctx.Err() == nil {
-			rest = evacuationRetry
+			rest = evacuationRetryInterval
 		}
 		select {
 		case <-e.clock.After(rest):
 		case <-ctx.Done():
 		}
-		e.awaitQuestion(ctx)
+		e.awaitUse(ctx)
 	}
 }
 
-// awaitQuestion waits until the requests have been asked for lately.
-func (e *evacuations) awaitQuestion(ctx context.Context) {
+// awaitUse waits until the requests have been asked for lately.
+func (e *evacuations) awaitUse(ctx context.Context) {
 	for {
 		e.mu.Lock()
-		idle := e.clock.Now().Sub(e.asked) > evacuationIdle
+		idle := e.clock.Now().Sub(e.lastUsed) > evacuationIdleTimeout
 		e.mu.Unlock()
 		if !idle {
 			return
 		}
 		select {
-		case <-e.wanted:
+		case <-e.wake:
 		case <-ctx.Done():
 			return
 		}
@@ -142,7 +142,7 @@
 	all, _, err := member.ReadAll(ctx, e.kv, e.source.Prefix)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.failure = err
+	e.lastErr = err
 	if err != nil {
 		return err
 	}
@@ -151,12 +151,12 @@
 	for _, r := range e.entries.byKey {
 		requests = append(requests, r)
 	}
-	e.take(evacuation.NewZones(requests), asked)
+	e.apply(evacuation.NewZones(requests), asked)
 	return nil
 }
 
-// take puts what was read in force, and logs what differs. The lock is held.
-func (e *evacuations) take(now evacuation.Zones, asked clocks.Interval) {
+// apply puts what was read in force, and logs what differs. The lock is held.
+func (e *evacuations) apply(now evacuation.Zones, asked clocks.Interval) {
 	for _, r := range now.Requests() {
 		if !slices.Contains(e.zones.Requests(), r) {
 			event.ZoneEvacuated.Log(e.logger, slog.String("zone", string(r.Zone)), slog.Int64("revision", int64(r.Revision)), slog.Duration("age", asked.Age()))
@@ -167,17 +167,17 @@
 			event.ZoneOpened.Log(e.logger, slog.String("zone", string(r.Zone)), slog.Int64("revision", int64(r.Revision)), slog.Duration("age", asked.Age()))
 		}
 	}
-	if e.unsure {
-		event.EvacuationsKnown.Log(e.logger, slog.Int("evacuated", len(now.Requests())), slog.Duration("after", e.read.Age()))
+	if e.unknownLogged {
+		event.EvacuationsKnown.Log(e.logger, slog.Int("evacuated", len(now.Requests())), slog.Duration("after", e.readAt.Age()))
 	}
-	e.zones, e.read, e.unsure = now, asked, false
+	e.zones, e.readAt, e.unknownLogged = now, asked, false
 }
 
-// lost logs once that what is known has become too old. The lock is held.
-func (e *evacuations) lost(age time.Duration) {
-	if e.unsure {
+// logUnknown logs once that what is known has become too old. The lock is held.
+func (e *evacuations) logUnknown(age time.Duration) {
+	if e.unknownLogged {
 		return
 	}
-	e.unsure = true
-	event.EvacuationsUnknown.Log(e.logger, slog.Duration("age", age), slog.Int("evacuated", len(e.zones.Requests())), slog.Any("error", e.failure))
+	e.unknownLogged = true
+	event.EvacuationsUnknown.Log(e.logger, slog.Duration("age", age), slog.Int("evacuated", len(e.zones.Requests())), slog.Any("error", e.lastErr))
 }
--- a/node/evacuations_test.go
+++ b/node/evacuation_internal_test.go
@@ -16,7 +16,7 @@
 
 // Which availability zones are evacuated is read while somebody asks, not any more once nobody
 // has for a while, and anew as soon as somebody does again: what was known before is not told.
-func TestEvacuationsAreReadWhileAskedFor(t *testing.T) {
+func TestEvacuationsAreReadOnlyWhileUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		store := memory.New(clock.System{})
@@ -42,7 +42,7 @@
 		if got := reads.Load(); got < 9 || got > 11 {
 			t.Errorf("%d readings in 10 s, want one a second", got)
 		}
-		time.Sleep(evacuationIdle + time.Second)
+		time.Sleep(evacuationIdleTimeout + time.Second)
 		before := reads.Load()
 		if _, err := store.KV().Commit(ctx, pointport.Txn{Put: []pointport.Put{{Key: "evacuate/north"}}}); err != nil {
 			t.Fatal(err)
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -43,7 +43,7 @@
 	c := l.cluster
 	id := jobID(l.jobs)
 	for try := range 100 {
-		n := c.any(l.jobs + try)
+		n := c.anyNode(l.jobs + try)
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		err := n.Intake().Submit(ctx, queue(c.t, n, "shift-close"), id, spec)
 		cancel()
@@ -59,20 +59,20 @@
 // finish waits until all jobs are done.
 func (l *zoneLoad) finish(within time.Duration) {
 	c := l.cluster
-	n := c.any(0)
+	n := c.anyNode(0)
 	for i := range l.jobs {
-		c.eventually(n, queue(c.t, n, "shift-close"), jobID(i), workload.Completed, within)
+		c.waitForStatus(n, queue(c.t, n, "shift-close"), jobID(i), workload.Completed, within)
 	}
 }
 
-// hideEvacuations has the store refuse to tell which availability zones are evacuated, and
+// failEvacuationReads has the store refuse to tell which availability zones are evacuated, and
 // nothing else, until its fate is set anew.
-func (c *cluster) hideEvacuations() {
+func (c *cluster) failEvacuationReads() {
 	asked := ""
 	c.mu.Lock()
-	c.onStore = func(_, _, key string) { asked = key }
+	c.onStoreCall = func(_, _, key string) { asked = key }
 	c.mu.Unlock()
-	c.setStoreFate(func(string, string) memory.Fault {
+	c.setStoreFault(func(string, string) memory.Fault {
 		if strings.HasPrefix(asked, evacuationPrefix) {
 			return memory.FaultBefore
 		}
@@ -86,7 +86,7 @@
 func TestEvacuatedZoneIsLeftEmpty(t *testing.T) {
 	for _, owners := range []string{"stay", "are killed", "stop"} {
 		t.Run("owners "+owners, func(t *testing.T) {
-			bubble(t, 3, func(c *cluster) {
+			simulate(t, 3, func(c *cluster) {
 				l := &zoneLoad{cluster: c, tasks: 2}
 				l.run(2 * time.Second)
 				if c.fleet.StartsIn("north") == 0 || c.fleet.StartsIn("south") == 0 {
@@ -109,7 +109,7 @@
 						t.Errorf("%d runs have begun in the evacuated availability zone", got)
 					}
 				}
-				c.open("north")
+				c.reopen("north")
 				l.tasks = 8 // more than the other availability zone holds
 				before := c.fleet.StartsIn("north")
 				l.run(4 * time.Second)
@@ -124,8 +124,8 @@
 
 // Instances of other availability zones come to a pool as soon as one is evacuated, before
 // those that are left are full, and idle ones leave the evacuated one.
-func TestOtherZonesGetInstancesAtOnce(t *testing.T) {
-	bubble(t, 3, func(c *cluster) {
+func TestPoolGetsInstancesOfOtherZonesDuringEvacuation(t *testing.T) {
+	simulate(t, 3, func(c *cluster) {
 		l := &zoneLoad{cluster: c, tasks: 2}
 		l.run(4 * time.Second)
 		c.evacuate("north")
@@ -153,21 +153,21 @@
 // nothing is started once what is known is too old, in any of them; jobs go on as soon as it
 // is known. A release that was not heard is heard then.
 func TestNothingStartsWhileEvacuationsAreUnknown(t *testing.T) {
-	bubble(t, 3, func(c *cluster) {
+	simulate(t, 3, func(c *cluster) {
 		l := &zoneLoad{cluster: c, tasks: 2}
 		l.run(2 * time.Second)
 		c.evacuate("north")
 		l.run(2 * time.Second)
-		c.hideEvacuations()
-		c.open("north")
+		c.failEvacuationReads()
+		c.reopen("north")
 		time.Sleep(4 * time.Second)
 		before := c.fleet.Starts()
 		l.run(time.Second)
 		if got := c.fleet.Starts() - before; got != 0 {
 			t.Errorf("%d runs have begun while it is not known which availability zones are evacuated", got)
 		}
-		c.checkSaysWhyUnknown(t)
-		c.setStoreFate(storeWorks)
+		c.checkUnknownReasonLogged(t)
+		c.setStoreFault(noStoreFault)
 		inNorth := c.fleet.StartsIn("north")
 		l.tasks = 8
 		l.run(4 * time.Second)
@@ -180,11 +180,11 @@
 
 // An owner that is new, and has not been told yet which availability zones are evacuated,
 // starts nothing, although it knows its jobs and its instances: some may be.
-func TestNewOwnerStartsNothingBeforeItKnowsEvacuations(t *testing.T) {
-	bubble(t, 2, func(c *cluster) {
+func TestNewOwnerStartsNothingWhileEvacuationsAreUnknown(t *testing.T) {
+	simulate(t, 2, func(c *cluster) {
 		c.evacuate("north")
 		time.Sleep(6 * time.Second)
-		c.hideEvacuations()
+		c.failEvacuationReads()
 		for n := range 2 {
 			c.kill(fmt.Sprintf("n%d", n))
 			c.start(fmt.Sprintf("n%d", n))
@@ -195,17 +195,17 @@
 		if got := c.fleet.Starts(); got != 0 {
 			t.Errorf("%d runs have begun", got)
 		}
-		c.checkSaysWhyUnknown(t)
-		c.setStoreFate(storeWorks)
+		c.checkUnknownReasonLogged(t)
+		c.setStoreFault(noStoreFault)
 		l.finish(10 * time.Second)
 	}, withWork(shortWork))
 }
 
-// checkSaysWhyUnknown reports it if the log does not say that nothing is started because the
+// checkUnknownReasonLogged reports it if the log does not say that nothing is started because the
 // store does not tell which availability zones are evacuated, and what it answers.
-func (c *cluster) checkSaysWhyUnknown(t *testing.T) {
+func (c *cluster) checkUnknownReasonLogged(t *testing.T) {
 	t.Helper()
-	lines := c.logs.about("evacuations unknown")
+	lines := c.logs.containing("evacuations unknown")
 	if lines == "" {
 		t.Error("the log does not say that it is not known which availability zones are evacuated")
 	}
@@ -229,7 +229,7 @@
 
 // Whatever else goes wrong, nothing starts in an evacuated availability zone, and all jobs
 // end as they should once it is open.
-func TestZonesAreLeftEmptyUnderRandomTroubles(t *testing.T) {
+func TestEvacuationsUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	checkScripts(t, func(t *rapid.T) script {
 		s := drawScript(t)
@@ -239,22 +239,22 @@
 }
 
 // The same while pools change hands between members that stand still and are cut off.
-func TestZonesAreLeftEmptyWhilePoolsChangeHands(t *testing.T) {
+func TestEvacuationsDuringRandomHandovers(t *testing.T) {
 	t.Parallel()
 	checkScripts(t, func(t *rapid.T) script {
-		s := drawHandOverScript(t)
+		s := drawHandoverScript(t)
 		drawEvacuations(t, &s)
 		return s
 	})
 }
 
 // A node that owns nothing does not ask which availability zones are evacuated.
-func TestOnlyOwnersAskForEvacuations(t *testing.T) {
-	bubble(t, 3, func(c *cluster) {
+func TestOnlyOwnersReadEvacuations(t *testing.T) {
+	simulate(t, 3, func(c *cluster) {
 		time.Sleep(10 * time.Second)
 		asked := make(map[string]int)
 		c.mu.Lock()
-		c.onStore = func(node, _, key string) {
+		c.onStoreCall = func(node, _, key string) {
 			if strings.HasPrefix(key, evacuationPrefix) {
 				asked[node]++
 			}
--- a/node/failure_test.go
+++ b/node/failure_test.go
@@ -20,8 +20,8 @@
 
 // This file brings about the failures that nodes are meant for, one by one.
 
-// bubble runs a test on a cluster in simulated time.
-func bubble(t *testing.T, nodes int, test func(c *cluster), options ...clusterOption) {
+// simulate runs a test on a cluster in simulated time.
+func simulate(t *testing.T, nodes int, test func(c *cluster), options ...clusterOption) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, options...)
@@ -30,33 +30,33 @@
 		}
 		time.Sleep(2 * time.Second)
 		test(c)
-		c.check()
+		c.checkViolations()
 		c.close()
 	})
 }
 
-func TestJobRunsToItsEnd(t *testing.T) {
-	bubble(t, 3, func(c *cluster) {
+func TestJobsComplete(t *testing.T) {
+	simulate(t, 3, func(c *cluster) {
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
 		for i := range 5 {
 			submit(t, n, q, fmt.Sprintf("%016x", i), twoSteps(200*time.Millisecond))
 		}
 		for i := range 5 {
-			c.eventually(c.nodes["n2"].node, q, fmt.Sprintf("%016x", i), workload.Completed, 5*time.Second)
+			c.waitForStatus(c.nodes["n2"].node, q, fmt.Sprintf("%016x", i), workload.Completed, 5*time.Second)
 		}
 	})
 }
 
-func TestIdentityIsOneJobEverywhere(t *testing.T) {
-	bubble(t, 3, func(c *cluster) {
+func TestJobIDRunsOnceAcrossNodes(t *testing.T) {
+	simulate(t, 3, func(c *cluster) {
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
 		spec := twoSteps(100 * time.Millisecond)
 		for _, r := range c.nodes {
 			submit(t, r.node, q, "00000000000000aa", spec)
 		}
-		c.eventually(n, q, "00000000000000aa", workload.Completed, 5*time.Second)
+		c.waitForStatus(n, q, "00000000000000aa", workload.Completed, 5*time.Second)
 		submit(t, n, q, "00000000000000aa", spec)
 		time.Sleep(2 * time.Second)
 		if got := c.fleet.Starts(); got != 7 {
@@ -68,10 +68,10 @@
 // A submission that is repeated while the store is away, after its job has ended,
 // must not bring the job to life at a new owner (jlpa-grid scale-2).
 func TestRepeatedSubmissionAfterOwnerChange(t *testing.T) {
-	bubble(t, 3, func(c *cluster) {
+	simulate(t, 3, func(c *cluster) {
 		q := queue(t, c.nodes["n0"].node, "shift-close")
 		submit(t, c.nodes["n0"].node, q, "00000000000000bb", twoSteps(100*time.Millisecond))
-		c.eventually(c.nodes["n0"].node, q, "00000000000000bb", workload.Completed, 5*time.Second)
+		c.waitForStatus(c.nodes["n0"].node, q, "00000000000000bb", workload.Completed, 5*time.Second)
 		starts := c.fleet.Starts()
 		c.kill("n1")
 		c.kill("n2")
@@ -79,7 +79,7 @@
 		time.Sleep(3 * time.Second)
 		c.kill("n0")
 		lost := true
-		c.setStoreFate(func(_, op string) memory.Fault {
+		c.setStoreFault(func(_, op string) memory.Fault {
 			if lost && op == "commit" {
 				lost = false
 				return memory.FaultLostAnswer
@@ -95,8 +95,8 @@
 	})
 }
 
-func TestOwnerDiesMidway(t *testing.T) {
-	bubble(t, 4, func(c *cluster) {
+func TestOwnersAreKilledDuringJobs(t *testing.T) {
+	simulate(t, 4, func(c *cluster) {
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
 		for i := range 12 {
@@ -108,13 +108,13 @@
 		}
 		c.start("n4")
 		for i := range 12 {
-			c.eventually(n, q, fmt.Sprintf("%016x", i), workload.Completed, 20*time.Second)
+			c.waitForStatus(n, q, fmt.Sprintf("%016x", i), workload.Completed, 20*time.Second)
 		}
 	})
 }
 
-func TestPlannedStopsInTurn(t *testing.T) {
-	bubble(t, 3, func(c *cluster) {
+func TestRollingPlannedStops(t *testing.T) {
+	simulate(t, 3, func(c *cluster) {
 		c.start("n9")
 		n := c.nodes["n9"].node
 		q := queue(t, n, "shift-close")
@@ -129,7 +129,7 @@
 			}
 		}
 		for i := range 10 {
-			c.eventually(n, q, fmt.Sprintf("%016x", i), workload.Completed, 20*time.Second)
+			c.waitForStatus(n, q, fmt.Sprintf("%016x", i), workload.Completed, 20*time.Second)
 		}
 	})
 }
@@ -137,10 +137,10 @@
 // A member that the store turns away, and whose key is taken while its lease
 // lives on, gives no order beside its successor's (tippijako-prod trouble-1
 // --seed 732555647969).
-func TestOwnerKeyIsTaken(t *testing.T) {
-	bubble(t, 3, func(c *cluster) {
+func TestStewardLosesItsOwnerKey(t *testing.T) {
+	simulate(t, 3, func(c *cluster) {
 		old := c.owner("/steward")
-		c.setStoreFate(func(node, op string) memory.Fault {
+		c.setStoreFault(func(node, op string) memory.Fault {
 			if node == old && op != "renew" {
 				return memory.FaultBefore
 			}
@@ -160,12 +160,12 @@
 			time.Sleep(250 * time.Millisecond)
 		}
 		time.Sleep(10 * time.Second)
-		c.setStoreFate(storeWorks)
+		c.setStoreFault(noStoreFault)
 	})
 }
 
-func TestCancelStopsEverything(t *testing.T) {
-	bubble(t, 3, func(c *cluster) {
+func TestCancelStopsAllTasks(t *testing.T) {
+	simulate(t, 3, func(c *cluster) {
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
 		submit(t, n, q, "00000000000000ee", twoSteps(20*time.Second))
@@ -180,14 +180,14 @@
 		if got := c.fleet.Running(); got != 0 {
 			t.Errorf("%d tasks run a second after their job was cancelled", got)
 		}
-		c.eventually(n, q, "00000000000000ee", workload.Cancelled, time.Second)
+		c.waitForStatus(n, q, "00000000000000ee", workload.Cancelled, time.Second)
 	})
 }
 
 // Who is told that a job does not exist can count on it: a submission that is
 // still under way takes no effect any more.
 func TestCancelBeforeSubmission(t *testing.T) {
-	bubble(t, 1, func(c *cluster) {
+	simulate(t, 1, func(c *cluster) {
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
 		err := n.Intake().Cancel(context.Background(), q, "00000000000000ff")
@@ -210,14 +210,14 @@
 	work := func(pointport.StartOrder) testbed.Work {
 		return testbed.Work{Room: pointport.Shape{CPUMilli: 500}, Serves: true, MayMiss: 1}
 	}
-	bubble(t, 3, func(c *cluster) {
+	simulate(t, 3, func(c *cluster) {
 		q := queue(t, c.nodes["n0"].node, "shift-close")
 		serving := &workload.Spec{Payload: "serves=true cpu=500", Steps: []workload.Step{{
 			Count: 3, Need: pointport.Shape{CPUMilli: 500}, Service: true, MaxPerInstance: 1, MayMiss: 1,
 		}}}
 		submit(t, c.nodes["n0"].node, q, "00000000000000cc", serving)
 		time.Sleep(time.Second)
-		c.wave(1, c.fleet.IDs(), 2)
+		c.requestWave(1, c.fleet.IDs(), 2)
 		for i := range 4 {
 			time.Sleep(2500 * time.Millisecond)
 			old := c.owner("/steward")
@@ -243,14 +243,14 @@
 				return
 			}
 		}
-		t.Errorf("the wave is not completed: %d machines maintained, status %s\n%s", c.fleet.Maintained(1), status, c.logs.about("event=42"))
+		t.Errorf("the wave is not completed: %d machines maintained, status %s\n%s", c.fleet.Maintained(1), status, c.logs.containing("event=42"))
 	}, withWork(work))
 }
 
 // Pools keep their instances until something is known of their load. A peak of one
 // pool draws instances from the spare pool, and gives them back.
-func TestInstancesFollowThePeak(t *testing.T) {
-	bubble(t, 2, func(c *cluster) {
+func TestPoolSizeFollowsLoad(t *testing.T) {
+	simulate(t, 2, func(c *cluster) {
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
 		time.Sleep(4 * time.Second)
@@ -271,7 +271,7 @@
 			t.Errorf("pool at its peak has %d instances", got)
 		}
 		for i := range 60 {
-			c.eventually(n, q, fmt.Sprintf("%016x", i), workload.Completed, 20*time.Second)
+			c.waitForStatus(n, q, fmt.Sprintf("%016x", i), workload.Completed, 20*time.Second)
 		}
 		time.Sleep(6 * time.Second)
 		if got := c.fleet.Size("shift"); got > 2 {
@@ -280,11 +280,11 @@
 	})
 }
 
-func TestGangGathersOrGivesUp(t *testing.T) {
+func TestGangCompletesAfterLostStarts(t *testing.T) {
 	work := func(pointport.StartOrder) testbed.Work {
 		return testbed.Work{Room: pointport.Shape{CPUMilli: 1500}, Duration: 500 * time.Millisecond, Gang: 5}
 	}
-	bubble(t, 2, func(c *cluster) {
+	simulate(t, 2, func(c *cluster) {
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
 		spec := &workload.Spec{Steps: []workload.Step{{
@@ -299,6 +299,6 @@
 		submit(t, n, q, "00000000000000aa", spec)
 		time.Sleep(3 * time.Second)
 		c.setNetwork(testbed.Reliable)
-		c.eventually(n, q, "00000000000000aa", workload.Completed, 20*time.Second)
+		c.waitForStatus(n, q, "00000000000000aa", workload.Completed, 20*time.Second)
 	}, withWork(work))
 }
--- a/node/follow.go
+++ b/node/follow.go
@@ -22,41 +22,41 @@
 // configuration and the registrations of instances.
 
 const (
-	// fleetRest is how long to wait between two changes of registrations, which
+	// registrationChangePause is how long to wait between two changes of registrations, which
 	// change with every heartbeat of every instance.
-	fleetRest = 100 * time.Millisecond
+	registrationChangePause = 100 * time.Millisecond
 	// DefaultConfigTime is the time within which a change must be in force where the platform
 	// does not tell.
 	DefaultConfigTime = 2 * time.Second
-	// configWaitShare is for each member how long a watch of the configuration may wait, so
+	// configWatchTimePerMember is for each member how long a watch of the configuration may wait, so
 	// that all watches together end a hundred times a second. configWaitLeast is the least,
 	// and the most is configWaitPart of the time within which a change must be in force: a
 	// connection that has gone silent is noticed when the wait is over and configAnswer later,
 	// and the change has to be read after that.
-	configWaitShare = 10 * time.Millisecond
-	configWaitLeast = time.Second
-	configWaitPart  = 0.6
-	// configAnswer is within which time after its wait a watch ends. A node that has not
+	configWatchTimePerMember = 10 * time.Millisecond
+	minConfigWatchTimeout    = time.Second
+	maxConfigWatchFraction   = 0.6
+	// configAnswerTimeout is within which time after its wait a watch ends. A node that has not
 	// been told so says that it does not know whether its version is the newest.
-	configAnswer = time.Second
-	// configRecheckShare is for each member the time between two conditional reads of the
+	configAnswerTimeout = time.Second
+	// configRecheckPerMember is for each member the time between two conditional reads of the
 	// configuration, so that all together make 20 of them a second, a twentieth of the
 	// least that a store takes of writing calls; configRecheckMost keeps it within the
 	// time for which the store remembers changes.
-	configRecheckShare = 50 * time.Millisecond
-	configRecheckMost  = 15 * time.Second
+	configRecheckPerMember   = 50 * time.Millisecond
+	maxConfigRecheckInterval = 15 * time.Second
 )
 
-// configWait returns how long a watch of the configuration of one of so many members may wait
+// configWatchTimeout returns how long a watch of the configuration of one of so many members may wait
 // if a change must be in force within a time.
-func configWait(members int, within time.Duration) time.Duration {
-	most := max(time.Duration(configWaitPart*float64(within)), configWaitLeast)
-	return min(max(time.Duration(members)*configWaitShare, configWaitLeast), most)
+func configWatchTimeout(members int, within time.Duration) time.Duration {
+	most := max(time.Duration(maxConfigWatchFraction*float64(within)), minConfigWatchTimeout)
+	return min(max(time.Duration(members)*configWatchTimePerMember, minConfigWatchTimeout), most)
 }
 
-// configRecheck returns how often one of so many members makes sure of the configuration.
-func configRecheck(members int) time.Duration {
-	return min(max(time.Duration(members)*configRecheckShare, member.DefaultRecheckInterval), configRecheckMost)
+// configRecheckInterval returns how often one of so many members makes sure of the configuration.
+func configRecheckInterval(members int) time.Duration {
+	return min(max(time.Duration(members)*configRecheckPerMember, member.DefaultRecheckInterval), maxConfigRecheckInterval)
 }
 
 // A Source says where a kind of thing is in the store and how to read it.
@@ -72,46 +72,46 @@
 	logger  *slog.Logger
 	current atomic.Pointer[workload.Catalog]
 	quotas  atomic.Pointer[quota.Policy]
-	// wait returns how long a watch of it may wait.
-	wait func() time.Duration
+	// watchTimeout returns how long a watch of it may wait.
+	watchTimeout func() time.Duration
 
-	mu        sync.Mutex
-	confirmed clocks.Interval // since the version in force was last known to be the newest
-	late      bool            // whether the log says that it is not known
+	mu                sync.Mutex
+	confirmed         clocks.Interval // since the version in force was last known to be the newest
+	unconfirmedLogged bool            // whether the log says that it is not known
 }
 
 // startConfigs follows the configuration until ctx ends. size tells how many members there are,
 // within is the time within which a change must be in force.
 func startConfigs(ctx context.Context, kv pointport.KV, clock pointport.Clock, source Source[*workload.Catalog], size func() int, within time.Duration, logger *slog.Logger) *configs {
 	c := &configs{source: source, clock: clock, logger: logger, confirmed: clocks.NewInterval(clock)}
-	c.wait = func() time.Duration { return configWait(size(), within) }
-	recheck := func() time.Duration { return configRecheck(size()) }
-	go member.FollowKey(ctx, kv, clock, source.Prefix, c.take, c.heard, member.RecheckInterval(recheck), member.KeyWatchTimeout(c.wait))
+	c.watchTimeout = func() time.Duration { return configWatchTimeout(size(), within) }
+	recheck := func() time.Duration { return configRecheckInterval(size()) }
+	go member.FollowKey(ctx, kv, clock, source.Prefix, c.apply, c.onResult, member.RecheckInterval(recheck), member.KeyWatchTimeout(c.watchTimeout))
 	return c
 }
 
-// known reports whether the version in force was known to be the newest so lately that another
+// confirmedRecently reports whether the version in force was known to be the newest so lately that another
 // one cannot have come into force since.
-func (c *configs) known() bool { return c.age() < c.lateAfter() }
+func (c *configs) confirmedRecently() bool { return c.age() < c.unconfirmedAfter() }
 
-// lateAfter returns after which time without an answer the newest version is not known.
-func (c *configs) lateAfter() time.Duration { return c.wait() + configAnswer }
+// unconfirmedAfter returns after which time without an answer the newest version is not known.
+func (c *configs) unconfirmedAfter() time.Duration { return c.watchTimeout() + configAnswerTimeout }
 
-// heard takes in whether the newest version is known, and logs once when that is lost
+// onResult takes in whether the newest version is known, and logs once when that is lost
 // and once when it is regained.
-func (c *configs) heard(err error) {
+func (c *configs) onResult(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	age := c.confirmed.Age()
 	switch {
-	case err == nil && c.late:
+	case err == nil && c.unconfirmedLogged:
 		event.ConfigConfirmed.Log(c.logger, slog.Int64("version", c.version()), slog.Duration("after", age))
-	case err != nil && !c.late && age >= c.lateAfter():
+	case err != nil && !c.unconfirmedLogged && age >= c.unconfirmedAfter():
 		event.ConfigUnconfirmed.Log(c.logger, slog.Int64("version", c.version()), slog.Duration("age", age), slog.Any("error", err))
 	case err != nil:
 		return
 	}
-	c.late = err != nil
+	c.unconfirmedLogged = err != nil
 	if err == nil {
 		c.confirmed = clocks.NewInterval(c.clock)
 	}
@@ -132,8 +132,8 @@
 	return 0
 }
 
-// take puts a version in force, unless a newer one is.
-func (c *configs) take(e pointport.Entry) {
+// apply puts a version in force, unless a newer one is.
+func (c *configs) apply(e pointport.Entry) {
 	if !e.Exists() {
 		return
 	}
@@ -179,7 +179,7 @@
 // caps returns what the configuration in force says of customers' caps, and whether it was
 // known to be the newest so lately that a lowered cap cannot have come into force since.
 func (c *configs) caps() (policy *quota.Policy, fresh bool) {
-	return c.quotas.Load(), c.known()
+	return c.quotas.Load(), c.confirmedRecently()
 }
 
 // workPools returns the pools that need an owner.
@@ -205,54 +205,54 @@
 	return l
 }
 
-// A fleet keeps the registrations of instances, while anybody asks for them.
-type fleet struct {
+// A registrations keeps the registrations of instances, while anybody asks for them.
+type registrations struct {
 	start func() // follows the registrations from the first question on
 	once  sync.Once
 
-	mu      sync.Mutex
-	entries *entries[pointport.Incarnation]
-	changed chan struct{} // closed and replaced at every change
-	sight   schedule.RegistryCoverage
+	mu       sync.Mutex
+	entries  *entries[pointport.Incarnation]
+	changed  chan struct{} // closed and replaced at every change
+	coverage schedule.RegistryCoverage
 }
 
-// newFleet returns a fleet that follows the registrations from the first
+// newRegistrations returns a fleet that follows the registrations from the first
 // question until ctx ends. Most nodes own no pool and need not know them.
-func newFleet(ctx context.Context, kv pointport.KV, clock pointport.Clock, source Source[pointport.Incarnation], logger *slog.Logger) *fleet {
-	f := &fleet{entries: newEntries(source.Decode, event.RegistrationUnreadable, logger), changed: make(chan struct{})}
-	heard := func(err error) { f.heard(clock.Now(), err) }
+func newRegistrations(ctx context.Context, kv pointport.KV, clock pointport.Clock, source Source[pointport.Incarnation], logger *slog.Logger) *registrations {
+	f := &registrations{entries: newEntries(source.Decode, event.RegistrationUnreadable, logger), changed: make(chan struct{})}
+	heard := func(err error) { f.onResult(clock.Now(), err) }
 	f.start = func() {
-		go member.Follow(ctx, kv, clock, source.Prefix, f.reset, f.apply, member.PauseAfterChange(fleetRest), member.OnResult(heard))
+		go member.Follow(ctx, kv, clock, source.Prefix, f.reset, f.apply, member.PauseAfterChange(registrationChangePause), member.OnResult(heard))
 	}
 	return f
 }
 
-// heard takes in what became of a question about the registrations.
-func (f *fleet) heard(now time.Time, err error) {
+// onResult takes in what became of a question about the registrations.
+func (f *registrations) onResult(now time.Time, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
 	case err != nil:
-		f.sight = schedule.RegistryCoverage{}
+		f.coverage = schedule.RegistryCoverage{}
 		return
-	case f.sight.Since.IsZero():
-		f.sight.Since = now
+	case f.coverage.Since.IsZero():
+		f.coverage.Since = now
 	}
-	f.sight.Until = now
+	f.coverage.Until = now
 }
 
 // Coverage returns how well the registrations are known.
-func (f *fleet) Coverage() schedule.RegistryCoverage {
+func (f *registrations) Coverage() schedule.RegistryCoverage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.sight
+	return f.coverage
 }
 
-func (f *fleet) reset(all []pointport.Entry) { f.take(f.entries.reset, all) }
+func (f *registrations) reset(all []pointport.Entry) { f.update(f.entries.reset, all) }
 
-func (f *fleet) apply(changes []pointport.Entry) { f.take(f.entries.apply, changes) }
+func (f *registrations) apply(changes []pointport.Entry) { f.update(f.entries.apply, changes) }
 
-func (f *fleet) take(how func([]pointport.Entry), entries []pointport.Entry) {
+func (f *registrations) update(how func([]pointport.Entry), entries []pointport.Entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	how(entries)
@@ -262,7 +262,7 @@
 
 // InPool returns the registrations of a pool's instances, and a channel that is
 // closed when any registration changes.
-func (f *fleet) InPool(pool string) ([]pointport.Incarnation, <-chan struct{}) {
+func (f *registrations) InPool(pool string) ([]pointport.Incarnation, <-chan struct{}) {
 	f.once.Do(f.start)
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/node/handon_test.go
+++ b/node/forward_test.go
@@ -15,8 +15,8 @@
 // This file tests what becomes of jobs that come to a node that the store does not
 // serve.
 
-// turnedAway has calls of some nodes to the store fail in a way.
-func turnedAway(fault memory.Fault, names ...string) func(node, op string) memory.Fault {
+// storeFaultFor has calls of some nodes to the store fail in a way.
+func storeFaultFor(fault memory.Fault, names ...string) func(node, op string) memory.Fault {
 	return func(node, _ string) memory.Fault {
 		for _, name := range names {
 			if node == name {
@@ -30,20 +30,20 @@
 // A node that the store turns away, or gives no answer, has a peer keep the jobs
 // that come to it (tippijako-prod inc-f050: 75 jobs were refused by three nodes
 // while six others could have kept them).
-func TestNodeWithoutStoreHandsJobsOn(t *testing.T) {
+func TestNodeWithoutStoreForwardsJobsToPeers(t *testing.T) {
 	for name, fault := range map[string]memory.Fault{"refused": memory.FaultBefore, "no answer": memory.FaultLostCall, "late": memory.FaultLate} {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, 4, func(c *cluster) {
+			simulate(t, 4, func(c *cluster) {
 				n := c.nodes["n0"].node
 				q := queue(t, n, "shift-close")
-				c.setStoreFate(turnedAway(fault, "n0", "n1"))
+				c.setStoreFault(storeFaultFor(fault, "n0", "n1"))
 				for i := range 12 {
 					submit(t, n, q, fmt.Sprintf("%016x", i), twoSteps(100*time.Millisecond))
 					time.Sleep(200 * time.Millisecond)
 				}
-				c.setStoreFate(storeWorks)
+				c.setStoreFault(noStoreFault)
 				for i := range 12 {
-					c.eventually(c.nodes["n2"].node, q, fmt.Sprintf("%016x", i), workload.Completed, 10*time.Second)
+					c.waitForStatus(c.nodes["n2"].node, q, fmt.Sprintf("%016x", i), workload.Completed, 10*time.Second)
 				}
 				if got := c.fleet.Starts(); got != 12*7 {
 					t.Errorf("%d tasks have started, want %d", got, 12*7)
@@ -55,15 +55,15 @@
 
 // A node that is near the limit of its memory has peers keep the jobs that come to it, and
 // refuses them at once, with a time to come back, where all are.
-func TestFullNodeHandsJobsOn(t *testing.T) {
-	bubble(t, 3, func(c *cluster) {
+func TestNodeLowOnMemoryForwardsJobsToPeers(t *testing.T) {
+	simulate(t, 3, func(c *cluster) {
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
-		c.fill("n0", "n1")
+		c.setLowMemory("n0", "n1")
 		const kept, refused = "00000000000000a1", "00000000000000a2"
 		submit(t, n, q, kept, twoSteps(100*time.Millisecond))
-		c.eventually(n, q, kept, workload.Completed, 10*time.Second)
-		c.fill("n0", "n1", "n2")
+		c.waitForStatus(n, q, kept, workload.Completed, 10*time.Second)
+		c.setLowMemory("n0", "n1", "n2")
 		time.Sleep(time.Second) // until the peer that has stored a job is asked again
 		from := time.Now()
 		err := n.Intake().Submit(context.Background(), q, refused, twoSteps(100*time.Millisecond))
@@ -71,35 +71,35 @@
 		if !errors.As(err, &no) || no.RetryAfter <= 0 || time.Since(from) > 300*time.Millisecond {
 			t.Errorf("%v after %v, want a refusal at once with a time to come back", err, time.Since(from))
 		}
-		c.fill()
+		c.setLowMemory()
 		submit(t, n, q, refused, twoSteps(100*time.Millisecond))
-		c.eventually(n, q, refused, workload.Completed, 10*time.Second)
+		c.waitForStatus(n, q, refused, workload.Completed, 10*time.Second)
 	})
 }
 
 // With no peer to help, a job is refused at once, and truly never runs.
-func TestRefusedAtOnceWhereNobodyHelps(t *testing.T) {
+func TestJobIsRefusedWithoutPeerToStoreIt(t *testing.T) {
 	cases := map[string]struct {
 		within  time.Duration
 		trouble func(c *cluster)
 	}{
 		"store away for all": {100 * time.Millisecond, func(c *cluster) {
-			c.setStoreFate(func(string, string) memory.Fault { return memory.FaultBefore })
+			c.setStoreFault(func(string, string) memory.Fault { return memory.FaultBefore })
 		}},
 		"cut off from all": {100 * time.Millisecond, func(c *cluster) {
-			c.setStoreFate(turnedAway(memory.FaultLostCall, "n0"))
+			c.setStoreFault(storeFaultFor(memory.FaultLostCall, "n0"))
 			c.cutPeers("n1", "n2", "n3")
 		}},
 		// Peers that give no answer may hold a job that was sent to them, so the customer
 		// could not be told for sure; only the question whether they can may be lost.
 		"cut off from all in silence": {200 * time.Millisecond, func(c *cluster) {
-			c.setStoreFate(turnedAway(memory.FaultLostCall, "n0"))
+			c.setStoreFault(storeFaultFor(memory.FaultLostCall, "n0"))
 			c.silencePeers(true)
 		}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, 4, func(c *cluster) {
+			simulate(t, 4, func(c *cluster) {
 				n := c.nodes["n0"].node
 				q := queue(t, n, "shift-close")
 				test.trouble(c)
@@ -113,7 +113,7 @@
 				if took := time.Since(from); took > test.within {
 					t.Errorf("the refusal took %v", took)
 				}
-				c.setStoreFate(storeWorks)
+				c.setStoreFault(noStoreFault)
 				c.cutPeers()
 				c.silencePeers(false)
 				time.Sleep(10 * time.Second)
--- a/node/handover_random_test.go
+++ b/node/handover_random_test.go
@@ -19,18 +19,18 @@
 // that stand still, whose changes are lost or late, and of which instances hear one and not
 // another.
 
-// handOverKinds are what happens to members and between them and instances.
+// handoverKinds are what happens to members and between them and instances.
 //
 // Some stand there more than once: a pool that is given away in vain harms only if starts
 // are late and their instances take nothing else.
-var handOverKinds = []string{
+var handoverKinds = []string{
 	"freeze", "freezeOwner", "suspend", "suspendOwner", "oneSided", "ownerAlone", "wander",
 	"loseReleases", "loseReleases", "loseReleases", "lateStarts", "lateStarts", "lateStarts", "drain", "drain",
 	"storeLosesAnswers", "storeIsLate", "kill", "stop", "revoke", "aloneAndFrozen", "aloneAndFrozen",
 }
 
-func drawHandOverScript(t *rapid.T) script {
-	s := script{handOver: true, cancels: make(map[int]time.Duration), poison: -1, hopeless: -1, guards: rapid.Bool().Draw(t, "guards")}
+func drawHandoverScript(t *rapid.T) script {
+	s := script{handover: true, cancels: make(map[int]time.Duration), crashingJob: -1, failingJob: -1, enforceCapacity: rapid.Bool().Draw(t, "guards")}
 	// Tasks outlast the time in which a pool changes hands, and are small enough for pools
 	// that nobody enlarges.
 	const longer, smaller = 3, 3
@@ -54,7 +54,7 @@
 		s.troubles = append(s.troubles, trouble{
 			at:    drawTime(t, "trouble"),
 			lasts: time.Duration(rapid.IntRange(100, 5000).Draw(t, "lasts")) * time.Millisecond,
-			kind:  rapid.SampledFrom(handOverKinds).Draw(t, "kind"),
+			kind:  rapid.SampledFrom(handoverKinds).Draw(t, "kind"),
 			index: rapid.IntRange(0, 9).Draw(t, "index"),
 		})
 	}
@@ -70,34 +70,34 @@
 
 // Whatever happens while pools change hands, no task has two runs at once, none that is
 // done starts again, and all jobs end as they should.
-func TestRulesHoldWhilePoolsChangeHands(t *testing.T) {
+func TestInvariantsDuringRandomHandovers(t *testing.T) {
 	t.Parallel()
-	checkScripts(t, drawHandOverScript)
+	checkScripts(t, drawHandoverScript)
 }
 
-// A mishap decides the fate of orders and of calls to the store while it lasts.
-type mishap struct {
+// A faultRule decides the fate of orders and of calls to the store while it lasts.
+type faultRule struct {
 	order func(op string, to pointport.InstanceID) (testbed.Fate, bool)
 	call  func(node, op, key string) (memory.Fault, bool)
 }
 
-// mishaps are those that last at present; the first that has to do with a call decides.
-type mishaps struct {
+// faultRules are those that last at present; the first that has to do with a call decides.
+type faultRules struct {
 	mu  sync.Mutex
-	all []*mishap
+	all []*faultRule
 	key string // of the call to the store that is under way
 }
 
-// watch has the mishaps decide the fates of a cluster's calls.
-func (m *mishaps) watch(c *cluster) {
+// install has the mishaps decide the fates of a cluster's calls.
+func (m *faultRules) install(c *cluster) {
 	c.mu.Lock()
-	c.onStore = func(_, _, key string) { m.key = key }
+	c.onStoreCall = func(_, _, key string) { m.key = key }
 	c.mu.Unlock()
 	c.setNetwork(m.order)
-	c.setStoreFate(m.call)
+	c.setStoreFault(m.call)
 }
 
-func (m *mishaps) order(op string, to pointport.InstanceID) testbed.Fate {
+func (m *faultRules) order(op string, to pointport.InstanceID) testbed.Fate {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, x := range m.all {
@@ -111,7 +111,7 @@
 	return testbed.Reliable(op, to)
 }
 
-func (m *mishaps) call(node, op string) memory.Fault {
+func (m *faultRules) call(node, op string) memory.Fault {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, x := range m.all {
@@ -125,8 +125,8 @@
 	return memory.FaultNone
 }
 
-// during has a mishap last for a time.
-func (m *mishaps) during(lasts time.Duration, x mishap) {
+// applyFor has a mishap last for a time.
+func (m *faultRules) applyFor(lasts time.Duration, x faultRule) {
 	m.mu.Lock()
 	m.all = append(m.all, &x)
 	m.mu.Unlock()
@@ -141,8 +141,8 @@
 	}
 }
 
-// standStill has a node's process, or its machine, stand still for a time.
-func (c *cluster) standStill(name string, frozen bool, lasts time.Duration) {
+// pause has a node's process, or its machine, stand still for a time.
+func (c *cluster) pause(name string, frozen bool, lasts time.Duration) {
 	c.mu.Lock()
 	r := c.nodes[name]
 	c.mu.Unlock()
@@ -158,20 +158,20 @@
 	r.clock.wake()
 }
 
-// aloneAfter is for how long an instance goes on hearing nobody but a member that stood
+// isolatedAfterPause is for how long an instance goes on hearing nobody but a member that stood
 // still: until others have let go of what that member may have extended.
-const aloneAfter = 7 * time.Second
+const isolatedAfterPause = 7 * time.Second
 
-// hearsOnly has an instance hear nobody but one node.
-func hearsOnly(id pointport.InstanceID, node string) mishap {
-	return mishap{order: func(op string, to pointport.InstanceID) (testbed.Fate, bool) {
+// reachableOnlyFrom has an instance hear nobody but one node.
+func reachableOnlyFrom(id pointport.InstanceID, node string) faultRule {
+	return faultRule{order: func(op string, to pointport.InstanceID) (testbed.Fate, bool) {
 		cut := to == id && !strings.HasPrefix(op, node+" ")
 		return testbed.Fate{Latency: time.Millisecond, Lost: true}, cut
 	}}
 }
 
-// bringHandOver brings a trouble of hand-overs about; false if it is none.
-func (p *play) bringHandOver(tr trouble) bool {
+// injectHandOver brings a trouble of hand-overs about; false if it is none.
+func (p *play) injectHandOver(tr trouble) bool {
 	c := p.cluster
 	name := fmt.Sprintf("n%d", tr.index%3)
 	pool := []string{"shift", "payout"}[tr.index%2]
@@ -180,25 +180,25 @@
 	calls := 0
 	switch tr.kind {
 	case "freeze", "suspend":
-		c.standStill(name, tr.kind == "freeze", tr.lasts)
+		c.pause(name, tr.kind == "freeze", tr.lasts)
 	case "freezeOwner", "suspendOwner":
 		if owned {
-			c.standStill(owner, tr.kind == "freezeOwner", tr.lasts)
+			c.pause(owner, tr.kind == "freezeOwner", tr.lasts)
 		}
 	case "oneSided":
-		p.mishaps.during(tr.lasts, hearsOnly(id, name))
+		p.faults.applyFor(tr.lasts, reachableOnlyFrom(id, name))
 	case "ownerAlone":
-		p.mishaps.during(tr.lasts, hearsOnly(id, owner))
+		p.faults.applyFor(tr.lasts, reachableOnlyFrom(id, owner))
 	case "aloneAndFrozen":
 		c.mu.Lock()
 		r := c.nodes[owner]
 		c.mu.Unlock()
 		if r != nil {
 			r.clock.freezeAtRead(1+tr.index, tr.lasts)
-			p.mishaps.during(tr.lasts+aloneAfter, hearsOnly(id, owner))
+			p.faults.applyFor(tr.lasts+isolatedAfterPause, reachableOnlyFrom(id, owner))
 		}
 	case "loseReleases":
-		p.mishaps.during(tr.lasts, mishap{call: func(_, op, key string) (memory.Fault, bool) {
+		p.faults.applyFor(tr.lasts, faultRule{call: func(_, op, key string) (memory.Fault, bool) {
 			// A release puts no key; nor does a read under conditions.
 			return []memory.Fault{memory.FaultLostCall, memory.FaultLate, memory.FaultLostAnswer}[tr.index%3], op == "commit" && key == ""
 		}})
@@ -207,13 +207,13 @@
 			c.store.Take(member.OwnerKey(pool))
 		}
 	case "lateStarts":
-		p.mishaps.during(tr.lasts, mishap{order: func(op string, _ pointport.InstanceID) (testbed.Fate, bool) {
+		p.faults.applyFor(tr.lasts, faultRule{order: func(op string, _ pointport.InstanceID) (testbed.Fate, bool) {
 			calls++
 			return testbed.Fate{Late: time.Duration(500+400*tr.index) * time.Millisecond}, strings.HasSuffix(op, " start") && calls%2 == 0
 		}})
 	case "storeLosesAnswers", "storeIsLate":
 		fault := map[string]memory.Fault{"storeLosesAnswers": memory.FaultLostAnswer, "storeIsLate": memory.FaultLate}[tr.kind]
-		p.mishaps.during(tr.lasts, mishap{call: func(_, op, _ string) (memory.Fault, bool) {
+		p.faults.applyFor(tr.lasts, faultRule{call: func(_, op, _ string) (memory.Fault, bool) {
 			calls++
 			return fault, op == "commit" && calls%3 == 0
 		}})
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -22,7 +22,7 @@
 func TestStoppingNodeTakesNoPool(t *testing.T) {
 	for _, pool := range []string{"shift", "payout", steward.OwnershipName} {
 		t.Run(pool, func(t *testing.T) {
-			bubble(t, 4, func(c *cluster) {
+			simulate(t, 4, func(c *cluster) {
 				owner := c.owner(pool)
 				stopping := map[string]bool{owner: true}
 				for name := range c.nodes {
@@ -36,7 +36,7 @@
 				for range 14 {
 					time.Sleep(100 * time.Millisecond)
 					if name := c.owner(pool); stopping[name] {
-						t.Errorf("%s owns %s although it stops\n%s", name, pool, c.logs.about("event=226"))
+						t.Errorf("%s owns %s although it stops\n%s", name, pool, c.logs.containing("event=226"))
 						break
 					}
 				}
@@ -47,10 +47,10 @@
 
 // A pool whose owner is cut off from the store has another one within 1.3 s, while
 // its jobs can still end in time.
-func TestPoolOfCutOffOwnerIsTaken(t *testing.T) {
-	bubble(t, 4, func(c *cluster) {
+func TestPoolOfOwnerWithoutStoreIsTakenOver(t *testing.T) {
+	simulate(t, 4, func(c *cluster) {
 		owner := c.owner("shift")
-		c.setStoreFate(func(node, _ string) memory.Fault {
+		c.setStoreFault(func(node, _ string) memory.Fault {
 			if node == owner {
 				return memory.FaultLostCall
 			}
@@ -60,7 +60,7 @@
 		if got := c.owner("shift"); got == owner {
 			t.Errorf("%s still owns the pool, 1.3 s after the store heard of it last", owner)
 		}
-		c.setStoreFate(storeWorks)
+		c.setStoreFault(noStoreFault)
 	})
 }
 
@@ -76,10 +76,10 @@
 //
 // The cause: an instance refuses the starts of an earlier ownership by its lower fence, and
 // this one had the same.
-func TestPoolGivenAwayInVainIsOwnedUnderAnotherFence(t *testing.T) {
+func TestPoolKeptAfterLostReleaseGetsNewFence(t *testing.T) {
 	const late, away = 3 * time.Second, 1500 * time.Millisecond
 	const id = "00000000000000cc"
-	bubble(t, 1, func(c *cluster) {
+	simulate(t, 1, func(c *cluster) {
 		time.Sleep(4 * time.Second) // until its pools may be given away
 		n := c.nodes["n0"].node
 		c.setNetwork(func(op string, _ pointport.InstanceID) testbed.Fate {
@@ -95,7 +95,7 @@
 		time.Sleep(100 * time.Millisecond)
 		c.setNetwork(testbed.Reliable)
 		c.fleet.Drain(c.fleet.IDs()[0], 20*time.Second, time.Second) // where the tasks are; it gets no others
-		c.eventually(n, queue(t, n, "shift-close"), id, workload.Completed, time.Minute)
+		c.waitForStatus(n, queue(t, n, "shift-close"), id, workload.Completed, time.Minute)
 		c.checkFences("shift")
 	}, withoutSteward())
 }
@@ -105,9 +105,9 @@
 	end, releases := time.Now().Add(lasts), false
 	c.mu.Lock()
 	// A release puts no key; nor does a read under conditions.
-	c.onStore = func(node, op, key string) { releases = node == name && op == "commit" && key == "" }
+	c.onStoreCall = func(node, op, key string) { releases = node == name && op == "commit" && key == "" }
 	c.mu.Unlock()
-	c.setStoreFate(func(string, string) memory.Fault {
+	c.setStoreFault(func(string, string) memory.Fault {
 		if releases && time.Now().Before(end) {
 			return memory.FaultLostCall
 		}
@@ -119,7 +119,7 @@
 func (c *cluster) checkFences(pool string) {
 	c.t.Helper()
 	for _, fence := range c.fencesTakenTwice(pool) {
-		c.t.Errorf("%s is taken twice with %s\n%s", pool, fence, c.logs.about("pool="+pool))
+		c.t.Errorf("%s is taken twice with %s\n%s", pool, fence, c.logs.containing("pool="+pool))
 	}
 }
 
@@ -127,7 +127,7 @@
 func (c *cluster) fencesTakenTwice(pool string) []string {
 	var twice []string
 	taken := make(map[string]int)
-	for _, line := range strings.Split(c.logs.about("pool taken"), "\n") {
+	for _, line := range strings.Split(c.logs.containing("pool taken"), "\n") {
 		_, rest, ok := strings.Cut(line, "pool="+pool+" ")
 		if !ok {
 			continue
@@ -145,20 +145,20 @@
 // watch tells so; the owner ends itself and with that its context. The cause: the end of the
 // context was told in place of what had ended it, so the member also went on believing its
 // roster, which still named it.
-func TestOwnerWhoseWriteIsRefusedSaysSo(t *testing.T) {
-	bubble(t, 3, func(c *cluster) {
+func TestRefusedWriteIsLoggedAsReasonForLostPool(t *testing.T) {
+	simulate(t, 3, func(c *cluster) {
 		owner := c.owner("shift")
-		n := c.another(owner)
+		n := c.otherNode(owner)
 		time.Sleep(100 * time.Millisecond) // until long before the member reads the key again
 		c.store.SetDeaf(true)
 		c.store.Take(member.OwnerKey("shift"))
 		submit(t, n, queue(t, n, "shift-close"), "00000000000000cc", twoSteps(time.Second))
 		time.Sleep(700 * time.Millisecond) // until the member has looked after its pools
 		c.store.SetDeaf(false)
-		lost := c.logs.about("pool lost")
+		lost := c.logs.containing("pool lost")
 		if !strings.Contains(lost, "pool=shift") || !strings.Contains(lost, member.ErrNotOwner.Error()) {
-			t.Errorf("want the pool lost because %q, have:\n%s", member.ErrNotOwner, c.logs.about("pool=shift"))
+			t.Errorf("want the pool lost because %q, have:\n%s", member.ErrNotOwner, c.logs.containing("pool=shift"))
 		}
-		c.eventually(n, queue(t, n, "shift-close"), "00000000000000cc", workload.Completed, 20*time.Second)
+		c.waitForStatus(n, queue(t, n, "shift-close"), "00000000000000cc", workload.Completed, 20*time.Second)
 	})
 }
--- a/node/inherit_test.go
+++ b/node/inherited_job_test.go
@@ -20,11 +20,11 @@
 // which it has not heard: none of its tasks has begun, so all start again, done or not.
 //
 // The cause: what is read again are the jobs as they were accepted, without their progress.
-func TestJobWithUnreadableProgressIsLeftAlone(t *testing.T) {
+func TestJobWithUnreadableProgressIsNotRestarted(t *testing.T) {
 	const id = "00000000000000cc"
-	bubble(t, 3, func(c *cluster) {
+	simulate(t, 3, func(c *cluster) {
 		owner := c.owner("shift")
-		n := c.another(owner)
+		n := c.otherNode(owner)
 		submit(t, n, queue(t, n, "shift-close"), id, twoSteps(time.Second))
 		time.Sleep(1500 * time.Millisecond) // the first step is done
 		c.kill(owner)
@@ -47,9 +47,9 @@
 //
 // The cause: the owner that was told was the one by the configuration, not the one by the
 // job's record.
-func TestJobHandedInAgainAfterItsQueueMovedRunsOnce(t *testing.T) {
+func TestResubmittedJobRunsOnceAfterItsQueueMoved(t *testing.T) {
 	const id = "00000000000000cc"
-	bubble(t, 3, func(c *cluster) {
+	simulate(t, 3, func(c *cluster) {
 		n := c.nodes["n0"].node
 		submit(t, n, queue(t, n, "shift-close"), id, twoSteps(2*time.Second))
 		k := workload.Catalog{Version: 2}
@@ -65,7 +65,7 @@
 			n := c.nodes[name].node
 			submit(t, n, queue(t, n, "shift-close"), id, twoSteps(2*time.Second))
 		}
-		c.eventually(n, queue(t, n, "shift-close"), id, workload.Completed, 20*time.Second)
+		c.waitForStatus(n, queue(t, n, "shift-close"), id, workload.Completed, 20*time.Second)
 		for task := range 4 {
 			name := workload.TaskName(id, workload.TaskRef{Index: task})
 			if got := c.fleet.Started(name); got != 1 {
--- a/node/hearsay_test.go
+++ b/node/machine_list_test.go
@@ -19,16 +19,16 @@
 type laggingList struct {
 	pointport.Machines
 	lag time.Duration
-	// back is by how much every second reading is further behind.
-	back time.Duration
+	// extraLag is by how much every second reading is further behind.
+	extraLag time.Duration
 
-	mu       sync.Mutex
-	shown    []listing
-	readings int
+	mu        sync.Mutex
+	snapshots []machineSnapshot
+	reads     int
 }
 
-// A listing is a list of machines as it was at a time.
-type listing struct {
+// A machineSnapshot is a list of machines as it was at a time.
+type machineSnapshot struct {
 	at   time.Time
 	list []pointport.Machine
 }
@@ -41,7 +41,7 @@
 			continue // the fleet's own list does not fail
 		}
 		l.mu.Lock()
-		l.shown = append(l.shown, listing{time.Now(), list})
+		l.snapshots = append(l.snapshots, machineSnapshot{time.Now(), list})
 		l.mu.Unlock()
 	}
 }
@@ -51,11 +51,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	lag := l.lag
-	if l.readings++; l.readings%2 == 0 {
-		lag += l.back
+	if l.reads++; l.reads%2 == 0 {
+		lag += l.extraLag
 	}
 	var out []pointport.Machine
-	for _, s := range l.shown {
+	for _, s := range l.snapshots {
 		if time.Since(s.at) >= lag {
 			out = s.list
 		}
@@ -74,10 +74,10 @@
 //
 // The evidence: 427 with the life of before and a list that lags, 514 "the platform says so",
 // then both runs of the tasks, then 511 or 549 of the instance that lives.
-func TestBusyInstanceIsNotOverBecauseTheListLags(t *testing.T) {
+func TestLaggingMachineListEndsNoRunningIncarnation(t *testing.T) {
 	for _, lag := range []time.Duration{500 * time.Millisecond, 3 * time.Second, 6 * time.Second} {
 		t.Run(lag.String(), func(t *testing.T) {
-			bubble(t, 2, func(c *cluster) { c.busyAfterItsArrival(t, lag) }, withLaggingList(lag))
+			simulate(t, 2, func(c *cluster) { c.unansweredPollsAfterReplacement(t, lag) }, withLaggingList(lag))
 		})
 	}
 }
@@ -87,11 +87,11 @@
 // before them. The instances are busy for a moment and answer too late to count. They counted
 // as over, as lives that the list had shown and showed no more, and what ran there was started
 // elsewhere while it ran on.
-func TestBusyInstanceIsNotOverBecauseTheListGoesBack(t *testing.T) {
+func TestMachineListGoingBackEndsNoRunningIncarnation(t *testing.T) {
 	for _, back := range []time.Duration{2 * time.Second, 4 * time.Second, 6 * time.Second} {
 		t.Run(back.String(), func(t *testing.T) {
-			goesBack := func(c *cluster, _ *[]testbed.Option) { c.listLag, c.listBack = 200*time.Millisecond, back }
-			bubble(t, 2, func(c *cluster) { c.busyAfterItsArrival(t, back+time.Second) }, goesBack)
+			goesBack := func(c *cluster, _ *[]testbed.Option) { c.listLag, c.listExtraLag = 200*time.Millisecond, back }
+			simulate(t, 2, func(c *cluster) { c.unansweredPollsAfterReplacement(t, back+time.Second) }, goesBack)
 		})
 	}
 }
@@ -101,9 +101,9 @@
 	return func(c *cluster, _ *[]testbed.Option) { c.listLag = lag }
 }
 
-// busyAfterItsArrival brings all instances of a pool back as new lives, has them run a job,
+// unansweredPollsAfterReplacement brings all instances of a pool back as new lives, has them run a job,
 // and answer nothing for a moment while the list shows their former lives.
-func (c *cluster) busyAfterItsArrival(t *testing.T, lag time.Duration) {
+func (c *cluster) unansweredPollsAfterReplacement(t *testing.T, lag time.Duration) {
 	const job = "00000000000000cc"
 	n := c.nodes["n0"].node
 	q := queue(t, n, "shift-close")
--- a/node/node.go
+++ b/node/node.go
@@ -35,12 +35,12 @@
 	headerTimeout = 3 * time.Second
 	// idleTimeout is how long a client's unused connection is kept.
 	idleTimeout = 15 * time.Second
-	// peerConns is how many idle connections are kept to each peer.
-	peerConns = 4
-	// leaveTime is how long a stopping node goes on answering, so that the
+	// maxIdlePeerConns is how many idle connections are kept to each peer.
+	maxIdlePeerConns = 4
+	// drainTime is how long a stopping node goes on answering, so that the
 	// balancer, which asks every second and believes the second miss, has
 	// noticed.
-	leaveTime = 2500 * time.Millisecond
+	drainTime = 2500 * time.Millisecond
 	// stopReserve is kept of the time until a node is killed.
 	stopReserve = 700 * time.Millisecond
 )
@@ -130,22 +130,22 @@
 	params   Parameters
 	logger   *slog.Logger
 
-	session  *member.Session
-	roster   *member.Roster
-	configs  *configs
-	fleet    *fleet
-	emptied  *evacuations
-	keeper   *member.PoolManager[*shard.Owner]
-	stewards *member.PoolManager[*steward.Steward]
-	desk     *intake.Service
-	owners   *peer.Owners
-	peers    *http.Client // by which questions and orders go to peers
-	servers  []*http.Server
-	clients  *http.Server
-	leaving  atomic.Bool
-	// toldReady is what the balancer was told last.
-	toldReady atomic.Bool
-	stopOnce  sync.Once
+	session        *member.Session
+	roster         *member.Roster
+	configs        *configs
+	registrations  *registrations
+	evacuations    *evacuations
+	poolManager    *member.PoolManager[*shard.Owner]
+	stewardManager *member.PoolManager[*steward.Steward]
+	intake         *intake.Service
+	owners         *peer.Owners
+	peerClient     *http.Client // by which questions and orders go to peers
+	servers        []*http.Server
+	clientServer   *http.Server
+	leaving        atomic.Bool
+	// reportedReady is what the balancer was told last.
+	reportedReady atomic.Bool
+	stopOnce      sync.Once
 }
 
 // Start starts a node whose background work ends with ctx.
@@ -154,21 +154,21 @@
 	n := &Node{services: s, params: p, logger: logger}
 	transport := s.PeerTransport
 	if transport == nil {
-		transport = &http.Transport{MaxIdleConnsPerHost: peerConns, IdleConnTimeout: idleTimeout}
+		transport = &http.Transport{MaxIdleConnsPerHost: maxIdlePeerConns, IdleConnTimeout: idleTimeout}
 	}
-	n.peers = &http.Client{Transport: transport}
+	n.peerClient = &http.Client{Transport: transport}
 	n.session = member.StartSession(ctx, s.KV, s.Clock, p.LeaseTTL, logger)
 	self := member.Member{Name: p.Name, Peer: cmp.Or(p.PeerName, p.Addresses.Peers), Zone: p.Zone, Strength: p.Strength}
 	n.roster = member.StartRoster(ctx, s.KV, s.Clock, n.session, self, logger)
 	n.configs = startConfigs(ctx, s.KV, s.Clock, s.Config, n.roster.Size, cmp.Or(p.ConfigApplyTime, DefaultConfigTime), logger)
-	n.fleet = newFleet(ctx, s.KV, s.Clock, s.Registrations, logger)
-	n.emptied = newEvacuations(ctx, s.KV, s.Clock, s.Evacuations, cmp.Or(p.EvacuationTime, DefaultEvacuationTime), logger)
-	n.keeper = member.StartPoolManager(ctx, s.Clock, n.session, n.roster, n.configs.workPools, n.startOwner(ctx), logger)
-	n.owners = peer.NewOwners(n.keeper, n.roster, n.peers, s.Clock, logger)
+	n.registrations = newRegistrations(ctx, s.KV, s.Clock, s.Registrations, logger)
+	n.evacuations = newEvacuations(ctx, s.KV, s.Clock, s.Evacuations, cmp.Or(p.EvacuationTime, DefaultEvacuationTime), logger)
+	n.poolManager = member.StartPoolManager(ctx, s.Clock, n.session, n.roster, n.configs.workPools, n.startOwner(ctx), logger)
+	n.owners = peer.NewOwners(n.poolManager, n.roster, n.peerClient, s.Clock, logger)
 	if s.Machines != nil {
 		n.startSteward(ctx, n.owners)
 	}
-	n.desk = intake.NewService(s.KV, n.owners, s.Clock, n.session.Reachable, logger, n.deskOptions()...)
+	n.intake = intake.NewService(s.KV, n.owners, s.Clock, n.session.Reachable, logger, n.intakeOptions()...)
 	if err := n.listen(); err != nil {
 		return nil, err
 	}
@@ -176,8 +176,8 @@
 	return n, nil
 }
 
-// deskOptions returns what varies of the desk.
-func (n *Node) deskOptions() []intake.Option {
+// intakeOptions returns what varies of the desk.
+func (n *Node) intakeOptions() []intake.Option {
 	options := []intake.Option{intake.WithCustomers(n.configs.customers)}
 	if n.params.LowMemory != nil {
 		options = append(options, intake.WithLowMemory(n.params.LowMemory))
@@ -194,18 +194,18 @@
 
 // KeysNewest reports whether the newest keys are known: whether the configuration was known
 // to be the newest so lately that another one is not in force yet.
-func (n *Node) KeysNewest() bool { return n.configs.known() }
+func (n *Node) KeysNewest() bool { return n.configs.confirmedRecently() }
 
 // startSteward lets the node be the one that moves and maintains instances.
 func (n *Node) startSteward(ctx context.Context, pools steward.Pools) {
 	s := n.services
 	services := steward.Services{
 		KV: s.KV, Machines: s.Machines, Clock: s.Clock, Session: n.session, Pools: pools,
-		Waves: newWaves(ctx, s.KV, s.Clock, s.Waves, n.logger), Layout: n.configs.layout, Evacuations: n.emptied.Zones,
+		Waves: newWaves(ctx, s.KV, s.Clock, s.Waves, n.logger), Layout: n.configs.layout, Evacuations: n.evacuations.Zones,
 	}
 	settings := steward.Settings{Name: n.params.Name, HolderTime: n.params.HolderTime, OrdersPerSecond: n.params.MachineOrdersPerSecond, Planner: n.params.Capacity}
 	posts := func() []string { return []string{steward.OwnershipName} }
-	n.stewards = member.StartPoolManager(ctx, s.Clock, n.session, n.roster, posts, func(own member.Ownership) *steward.Steward {
+	n.stewardManager = member.StartPoolManager(ctx, s.Clock, n.session, n.roster, posts, func(own member.Ownership) *steward.Steward {
 		return steward.Start(ctx, services, settings, own, n.logger)
 	}, n.logger)
 }
@@ -213,8 +213,8 @@
 func (n *Node) startOwner(ctx context.Context) func(member.Ownership) *shard.Owner {
 	s := n.services
 	services := shard.Services{
-		KV: s.KV, Executor: s.Executor, Advisor: s.Advisor, Clock: s.Clock, Session: n.session, Fleet: n.fleet,
-		Delegates: n.delegates, Quotas: n.configs.caps, Evacuations: n.emptied.Zones,
+		KV: s.KV, Executor: s.Executor, Advisor: s.Advisor, Clock: s.Clock, Session: n.session, Fleet: n.registrations,
+		Delegates: n.delegates, Quotas: n.configs.caps, Evacuations: n.evacuations.Zones,
 	}
 	return func(own member.Ownership) *shard.Owner {
 		return shard.Start(ctx, services, own, n.logger, shard.WithLease(n.params.TaskLease),
@@ -225,18 +225,18 @@
 // listen opens the node's listeners and serves on them.
 func (n *Node) listen() error {
 	a := n.params.Addresses
-	n.clients = &http.Server{ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
+	n.clientServer = &http.Server{ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	if n.services.Ingress != nil {
-		n.clients.Handler = n.dismissing(n.services.Ingress(n))
+		n.clientServer.Handler = n.closingConnections(n.services.Ingress(n))
 	}
 	serve := []struct {
 		address string
 		server  *http.Server
 	}{
-		{a.Clients, n.clients},
+		{a.Clients, n.clientServer},
 		{a.Readiness, &http.Server{Handler: http.HandlerFunc(n.readiness), ReadHeaderTimeout: headerTimeout}},
 		{a.Peers, &http.Server{Handler: n.PeerHandler(), ReadHeaderTimeout: headerTimeout}},
-		{a.Metrics, &http.Server{Handler: n.operators(), ReadHeaderTimeout: headerTimeout}},
+		{a.Metrics, &http.Server{Handler: n.metricsHandler(), ReadHeaderTimeout: headerTimeout}},
 	}
 	for _, s := range serve {
 		if s.server.Handler == nil || s.address == "" {
@@ -256,10 +256,10 @@
 	return nil
 }
 
-// dismissing has every answer of a stopping node ask its caller to open another
+// closingConnections has every answer of a stopping node ask its caller to open another
 // connection, so that hardly any is left in use when the rest are closed. A request
 // that is under way while its idle connection is closed gets no answer.
-func (n *Node) dismissing(next http.Handler) http.Handler {
+func (n *Node) closingConnections(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if n.leaving.Load() {
 			w.Header().Set("Connection", "close")
@@ -268,8 +268,8 @@
 	})
 }
 
-// operators returns the handler of the figures and of the operators' API.
-func (n *Node) operators() http.Handler {
+// metricsHandler returns the handler of the figures and of the operators' API.
+func (n *Node) metricsHandler() http.Handler {
 	s := n.services
 	if s.OperatorAPI == nil || s.Metrics == nil {
 		return s.Metrics
@@ -279,12 +279,12 @@
 	if s.BriefMetrics != nil {
 		mux.Handle("/metrics/brief", s.BriefMetrics)
 	}
-	mux.Handle("/v1/", s.OperatorAPI(n.desk, n.owners, n.configs.Catalog))
+	mux.Handle("/v1/", s.OperatorAPI(n.intake, n.owners, n.configs.Catalog))
 	return mux
 }
 
 // Intake returns what takes jobs.
-func (n *Node) Intake() *intake.Service { return n.desk }
+func (n *Node) Intake() *intake.Service { return n.intake }
 
 // Catalog returns the configuration in force, nil while there is none.
 func (n *Node) Catalog() *workload.Catalog { return n.configs.Trusted() }
@@ -292,7 +292,7 @@
 // PeerHandler answers the questions of peers and carries out orders for them.
 func (n *Node) PeerHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("/", peer.Handler(n.keeper, n.desk, n.logger))
+	mux.Handle("/", peer.Handler(n.poolManager, n.intake, n.logger))
 	mux.Handle("POST "+delegate.Path, delegate.Handler(n.services.Executor, n.logger))
 	return mux
 }
@@ -300,7 +300,7 @@
 // delegates returns a way to the instances of a pool through peers that own nothing.
 func (n *Node) delegates(ctx context.Context, pool string) shard.Delegates {
 	helpers := func(most int) []member.Member { return n.roster.Idle(pool, most) }
-	return delegate.New(ctx, n.services.Executor, helpers, n.peers, n.services.Clock, n.logger)
+	return delegate.New(ctx, n.services.Executor, helpers, n.peerClient, n.services.Clock, n.logger)
 }
 
 // Logger returns where the node logs.
@@ -313,7 +313,7 @@
 
 func (n *Node) readiness(w http.ResponseWriter, _ *http.Request) {
 	ready := n.Ready()
-	if n.toldReady.Swap(ready) != ready {
+	if n.reportedReady.Swap(ready) != ready {
 		event.ReadyChanged.Log(n.logger, slog.Bool("ready", ready), slog.Int64("version", n.ConfigVersion()),
 			slog.Bool("store", n.session.Reachable()), slog.Bool("leaving", n.leaving.Load()))
 	}
@@ -337,22 +337,22 @@
 
 // Owned returns how many pools the node owns, and the steward's post as one.
 func (n *Node) Owned() int {
-	owned := n.keeper.Count()
-	if n.stewards != nil {
-		owned += n.stewards.Count()
+	owned := n.poolManager.Count()
+	if n.stewardManager != nil {
+		owned += n.stewardManager.Count()
 	}
 	return owned
 }
 
 // EvacuatedZones returns how many availability zones are evacuated, as far as the node knows; it
 // reads that while it owns something.
-func (n *Node) EvacuatedZones() int { return n.emptied.Evacuated() }
+func (n *Node) EvacuatedZones() int { return n.evacuations.Count() }
 
 // Load returns what the owners of this node's pools carry: the worst lag, the smallest
 // window of starts, and whether any sends its orders through peers; zero if there is none.
 func (n *Node) Load() shard.Load {
 	var sum shard.Load
-	for i, o := range n.keeper.Controllers() {
+	for i, o := range n.poolManager.Controllers() {
 		l := o.Load()
 		sum.Lag = max(sum.Lag, l.Lag)
 		sum.Delegating = sum.Delegating || l.Delegating
@@ -367,7 +367,7 @@
 // them.
 func (n *Node) CustomerUses() []schedule.CustomerUse {
 	sum := make(map[string]schedule.CustomerUse)
-	for _, o := range n.keeper.Controllers() {
+	for _, o := range n.poolManager.Controllers() {
 		for _, u := range o.Uses() {
 			was := sum[u.Customer]
 			sum[u.Customer] = schedule.CustomerUse{Customer: u.Customer, Used: was.Used.Plus(u.Used), HeldBack: was.HeldBack.Plus(u.HeldBack)}
@@ -387,10 +387,10 @@
 	event.Stopping.Log(n.logger)
 	ctx, cancel := context.WithTimeout(context.Background(), n.params.Grace-stopReserve)
 	defer cancel()
-	if n.stewards != nil {
-		n.stewards.Stop()
+	if n.stewardManager != nil {
+		n.stewardManager.Stop()
 	}
-	n.keeper.Stop()
+	n.poolManager.Stop()
 	n.roster.Leave()
 	// The session has a new lease granted, which tells that the store can be
 	// reached while the node still answers; no key goes with it.
@@ -398,10 +398,10 @@
 		event.Failed.Log(n.logger, slog.String("part", "lease"), slog.Any("error", err))
 	}
 	select {
-	case <-n.services.Clock.After(min(leaveTime, n.params.Grace/2)):
+	case <-n.services.Clock.After(min(drainTime, n.params.Grace/2)):
 	case <-ctx.Done():
 	}
-	if err := n.clients.Shutdown(ctx); err != nil {
+	if err := n.clientServer.Shutdown(ctx); err != nil {
 		event.Failed.Log(n.logger, slog.String("part", "clients"), slog.Any("error", err))
 	}
 	for _, s := range n.servers {
--- a/node/outage_test.go
+++ b/node/outage_test.go
@@ -20,10 +20,10 @@
 // handed the pools on 4 to 15 s later. The evidence: 'pool taken' five times by one
 // member within 0.4 s of the store's return, and everything silent or unanswered after it
 // logged by that member alone.
-func TestFirstMemberBackDoesNotTakeEverything(t *testing.T) {
+func TestFirstMemberAfterOutageDoesNotTakeAllPools(t *testing.T) {
 	for _, early := range []time.Duration{100 * time.Millisecond, 600 * time.Millisecond, time.Second} {
 		t.Run(fmt.Sprint(early), func(t *testing.T) {
-			bubble(t, 6, func(c *cluster) {
+			simulate(t, 6, func(c *cluster) {
 				posts := []string{"shift", "payout", "/steward"}
 				before := make(map[string]string)
 				first := ""
@@ -36,7 +36,7 @@
 					}
 				}
 				away, back := time.Now(), time.Now().Add(4*time.Second)
-				c.setStoreFate(func(node, _ string) memory.Fault {
+				c.setStoreFault(func(node, _ string) memory.Fault {
 					end := back
 					if node == first {
 						end = back.Add(-early)
@@ -49,7 +49,7 @@
 				time.Sleep(7 * time.Second)
 				for _, p := range posts {
 					if now := c.owner(p); now != before[p] {
-						t.Errorf("%s is owned by %s, want %s as before the outage; the first member back is %s\n%s%s", p, now, before[p], first, c.logs.about("pool"), c.logs.about("store"))
+						t.Errorf("%s is owned by %s, want %s as before the outage; the first member back is %s\n%s%s", p, now, before[p], first, c.logs.containing("pool"), c.logs.containing("store"))
 					}
 				}
 			})
@@ -59,11 +59,11 @@
 
 // A pool whose owner does not come back is taken by another member, and not by one that
 // has another pool already.
-func TestPoolOfLostMemberIsTaken(t *testing.T) {
-	bubble(t, 6, func(c *cluster) {
+func TestPoolOfLostMemberIsTakenOver(t *testing.T) {
+	simulate(t, 6, func(c *cluster) {
 		lost, kept := c.owner("shift"), c.owner("payout")
 		away, back := time.Now(), time.Now().Add(4*time.Second)
-		c.setStoreFate(func(string, string) memory.Fault {
+		c.setStoreFault(func(string, string) memory.Fault {
 			if now := time.Now(); now.After(away) && now.Before(back) {
 				return memory.FaultLostCall
 			}
@@ -79,8 +79,8 @@
 }
 
 // Members that start together share the pools although none of them knows the others.
-func TestMembersThatStartTogetherShare(t *testing.T) {
-	bubble(t, 0, func(c *cluster) {
+func TestMembersStartedTogetherSharePools(t *testing.T) {
+	simulate(t, 0, func(c *cluster) {
 		for n := range 6 {
 			c.start(fmt.Sprintf("n%d", n))
 			time.Sleep(50 * time.Millisecond)
@@ -95,8 +95,8 @@
 
 // A member whose pool was taken away does not take itself for its owner again because its
 // roster has not heard of it: the former fence is another's past.
-func TestLostPoolIsNotTakenWithItsFormerFence(t *testing.T) {
-	bubble(t, 3, func(c *cluster) {
+func TestLostPoolIsNotTakenAgainWithItsOldFence(t *testing.T) {
+	simulate(t, 3, func(c *cluster) {
 		owner := c.owner("shift")
 		c.store.SetDeaf(true)
 		c.store.Take(member.OwnerKey("shift"))
@@ -104,7 +104,7 @@
 		c.store.SetDeaf(false)
 		time.Sleep(3 * time.Second)
 		taken := make(map[string]int)
-		for _, line := range strings.Split(c.logs.about("pool taken"), "\n") {
+		for _, line := range strings.Split(c.logs.containing("pool taken"), "\n") {
 			if _, rest, ok := strings.Cut(line, "pool=shift "); ok {
 				fence, _, _ := strings.Cut(rest, " ")
 				taken[fence]++
--- a/node/overload_test.go
+++ b/node/overload_test.go
@@ -25,7 +25,7 @@
 // its third second on a steady load in the other that four of ten instances hold. Two
 // thirds of the second pool's customers must have their jobs in time, and all of both
 // pools must be served.
-func TestLateBacklogLeavesRoomForOthers(t *testing.T) {
+func TestLateBacklogDoesNotStarveOtherPool(t *testing.T) {
 	t.Parallel()
 	const (
 		burst     = 200 // jobs of four tasks of half a second on a core
@@ -34,7 +34,7 @@
 		work      = 500 * time.Millisecond
 	)
 	room := pointport.Shape{CPUMilli: 1000, MemoryMiB: 64}
-	bubble(t, 3, func(c *cluster) {
+	simulate(t, 3, func(c *cluster) {
 		n := c.nodes["n0"].node
 		shift, payout := queue(t, n, "shift-close"), queue(t, n, "payout-close")
 		spec := &workload.Spec{Payload: "x", Steps: []workload.Step{{Count: 4, Need: room, Estimate: work}}}
--- a/node/cut_test.go
+++ b/node/partition_test.go
@@ -20,8 +20,8 @@
 // time there is over, a serving task too (tippijako-prod scale-2 --seed
 // 904690371623: each look asked to extend the tasks of a silent instance, so that
 // they never expired).
-func TestInstancesAreCutOff(t *testing.T) {
-	bubble(t, 2, func(c *cluster) {
+func TestTasksOfUnreachableInstancesRestart(t *testing.T) {
+	simulate(t, 2, func(c *cluster) {
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
 		serving := &workload.Spec{Payload: "serves=true cpu=500", Steps: []workload.Step{{
@@ -38,7 +38,7 @@
 		})
 		time.Sleep(12 * time.Second)
 		if got := c.fleet.Running(); got != 3 {
-			t.Errorf("%d tasks run, want 3\n%s", got, c.logs.about("00000000000000cc"))
+			t.Errorf("%d tasks run, want 3\n%s", got, c.logs.containing("00000000000000cc"))
 		}
 	})
 }
@@ -48,17 +48,17 @@
 // owner has extended goes on, so it must not start again beside that (tsogt-transit
 // scale-1 --seed 976056705912: an order's answer was taken for news of how long the
 // tasks may go on).
-func TestCutZoneHealsWithAnOrderFirst(t *testing.T) {
+func TestOrderArrivesBeforePollsAfterPartition(t *testing.T) {
 	for _, healed := range []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second} {
 		t.Run(healed.String(), func(t *testing.T) {
-			bubble(t, 3, func(c *cluster) { c.cutOwnerOff(t, healed) })
+			simulate(t, 3, func(c *cluster) { c.partitionOwner(t, healed) })
 		})
 	}
 }
 
-// cutOwnerOff cuts the owner of a pool off with the instances that run two jobs,
+// partitionOwner cuts the owner of a pool off with the instances that run two jobs,
 // one of which is cancelled meanwhile, and heals the cut after some time.
-func (c *cluster) cutOwnerOff(t *testing.T, lasts time.Duration) {
+func (c *cluster) partitionOwner(t *testing.T, lasts time.Duration) {
 	const kept, cancelled = "00000000000000cc", "00000000000000dd"
 	q := queue(t, c.nodes["n0"].node, "shift-close")
 	submit(t, c.nodes["n0"].node, q, kept, twoSteps(8*time.Second))
@@ -75,7 +75,7 @@
 		}
 		return testbed.Fate{Latency: time.Millisecond, Lost: lost}
 	})
-	c.setStoreFate(func(node, _ string) memory.Fault {
+	c.setStoreFault(func(node, _ string) memory.Fault {
 		if node == owner && time.Now().Before(heals) {
 			return memory.FaultLostCall
 		}
@@ -93,13 +93,13 @@
 	}
 	time.Sleep(time.Until(heals))
 	c.cutPeers()
-	c.eventually(c.nodes[owner].node, q, kept, workload.Completed, time.Minute)
+	c.waitForStatus(c.nodes[owner].node, q, kept, workload.Completed, time.Minute)
 }
 
 // An instance that is lost for good is found out by the platform's list before its time is over:
 // at once where no other life can have its addressee, else once it has been there for longer than
 // the list can be behind.
-func TestInstancesAreLostForGood(t *testing.T) {
+func TestLostInstancesAreDetectedFromMachineList(t *testing.T) {
 	for name, c := range map[string]struct {
 		returns int
 		there   time.Duration
@@ -109,7 +109,7 @@
 		"where all come back under theirs": {100, 20 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, 2, func(k *cluster) {
+			simulate(t, 2, func(k *cluster) {
 				time.Sleep(c.there)
 				n := k.nodes["n0"].node
 				q := queue(t, n, "shift-close")
@@ -120,9 +120,9 @@
 				}
 				time.Sleep(3 * time.Second)
 				if got := k.fleet.Running(); got != 4 {
-					t.Errorf("%d tasks run three seconds later, want 4\n%s", got, k.logs.about("00000000000000cc"))
+					t.Errorf("%d tasks run three seconds later, want 4\n%s", got, k.logs.containing("00000000000000cc"))
 				}
-			}, withReturns(c.returns))
+			}, withAddresseeReuse(c.returns))
 		})
 	}
 }
@@ -130,7 +130,7 @@
 func TestOrdersWithoutAnswers(t *testing.T) {
 	for _, fate := range []testbed.Fate{{Lost: true}, {Mute: true}, {Late: 3 * time.Second}} {
 		t.Run(fmt.Sprintf("%+v", fate), func(t *testing.T) {
-			bubble(t, 3, func(c *cluster) {
+			simulate(t, 3, func(c *cluster) {
 				calls := 0
 				c.setNetwork(func(string, pointport.InstanceID) testbed.Fate {
 					calls++
@@ -145,7 +145,7 @@
 					submit(t, n, q, fmt.Sprintf("%016x", i), twoSteps(300*time.Millisecond))
 				}
 				for i := range 8 {
-					c.eventually(n, q, fmt.Sprintf("%016x", i), workload.Completed, 40*time.Second)
+					c.waitForStatus(n, q, fmt.Sprintf("%016x", i), workload.Completed, 40*time.Second)
 				}
 			})
 		})
@@ -156,7 +156,7 @@
 // beside another run, although the instance's time is extended again (trial site
 // trouble-2 --seed 847015516993).
 func TestLateStartAfterExpiry(t *testing.T) {
-	bubble(t, 1, func(c *cluster) {
+	simulate(t, 1, func(c *cluster) {
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
 		const cutFor = 8 * time.Second
@@ -172,6 +172,6 @@
 			return testbed.Fate{Lost: true}
 		})
 		submit(t, n, q, "00000000000000cc", twoSteps(10*time.Second))
-		c.eventually(n, q, "00000000000000cc", workload.Completed, 60*time.Second)
+		c.waitForStatus(n, q, "00000000000000cc", workload.Completed, 60*time.Second)
 	}, withoutSteward())
 }
--- a/node/random_test.go
+++ b/node/random_test.go
@@ -36,29 +36,29 @@
 
 // A script is what happens to a cluster.
 type script struct {
-	jobs     []*workload.Spec
-	starts   []time.Duration
-	cancels  map[int]time.Duration
-	troubles []trouble
-	guards   bool
-	// poison is the job whose first task crashes its instances, -1 for none.
-	poison int
-	// hopeless is the job whose first task fails each time, -1 for none.
-	hopeless int
+	jobs            []*workload.Spec
+	starts          []time.Duration
+	cancels         map[int]time.Duration
+	troubles        []trouble
+	enforceCapacity bool
+	// crashingJob is the job whose first task crashes its instances, -1 for none.
+	crashingJob int
+	// failingJob is the job whose first task fails each time, -1 for none.
+	failingJob int
 	// listLag is how far the list of machines is behind, listBack by how much every second
 	// reading of it is further behind.
-	listLag, listBack time.Duration
-	// handOver says that the troubles are those of pools that change hands, and joins when
+	listLag, listExtraLag time.Duration
+	// handover says that the troubles are those of pools that change hands, and joins when
 	// the second and the third node join the first one, which has all pools by then.
-	handOver bool
+	handover bool
 	joins    [2]time.Duration
 }
 
-// span is how long jobs and troubles go on to begin.
-const span = 14 * time.Second
+// scriptTime is how long jobs and troubles go on to begin.
+const scriptTime = 14 * time.Second
 
 func drawScript(t *rapid.T) script {
-	s := script{cancels: make(map[int]time.Duration), poison: -1, hopeless: -1, guards: rapid.Bool().Draw(t, "guards")}
+	s := script{cancels: make(map[int]time.Duration), crashingJob: -1, failingJob: -1, enforceCapacity: rapid.Bool().Draw(t, "guards")}
 	for range rapid.IntRange(1, 12).Draw(t, "jobs") {
 		s.jobs = append(s.jobs, drawSpec(t))
 		s.starts = append(s.starts, drawTime(t, "start"))
@@ -79,7 +79,7 @@
 }
 
 func drawTime(t *rapid.T, label string) time.Duration {
-	return time.Duration(rapid.IntRange(0, int(span/time.Millisecond)).Draw(t, label)) * time.Millisecond
+	return time.Duration(rapid.IntRange(0, int(scriptTime/time.Millisecond)).Draw(t, label)) * time.Millisecond
 }
 
 func drawSpec(t *rapid.T) *workload.Spec {
@@ -135,11 +135,11 @@
 		w.Gang, w.Duration = step.Count, step.Estimate
 	}
 	first := ref == workload.TaskRef{} || step.Gang && ref.Step == 0 // a gang fails as one
-	w.Fails, w.Attempts = n == s.hopeless && first, 3
+	w.Fails, w.Attempts = n == s.failingJob && first, 3
 	if step.Service {
 		w.Attempts = 0 // it may fail as often as it does
 	}
-	w.Crashes = n == s.poison && ref == workload.TaskRef{}
+	w.Crashes = n == s.crashingJob && ref == workload.TaskRef{}
 	for _, before := range step.After {
 		for i := range s.jobs[n].Steps[before].Count {
 			w.After = append(w.After, workload.TaskName(id, workload.TaskRef{Occurrence: ref.Occurrence, Step: before, Index: i}))
@@ -148,41 +148,41 @@
 	return w
 }
 
-func TestRulesHoldUnderRandomTroubles(t *testing.T) {
+func TestInvariantsUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	checkScripts(t, drawScript)
 }
 
 // One job's first task crashes each instance on which it starts, whatever else goes wrong:
 // it is given up in time, and no other job is; one that serves goes on without it.
-func TestTaskThatCrashesInstancesUnderRandomTroubles(t *testing.T) {
+func TestCrashingTaskUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	checkScripts(t, func(t *rapid.T) script {
 		s := drawScript(t)
-		s.poison = rapid.IntRange(0, len(s.jobs)-1).Draw(t, "poison")
+		s.crashingJob = rapid.IntRange(0, len(s.jobs)-1).Draw(t, "poison")
 		return s
 	})
 }
 
 // One job's first task fails each time: it is not started again after as many failed runs
 // as it may have, whatever else goes wrong.
-func TestTaskThatFailsUnderRandomTroubles(t *testing.T) {
+func TestFailingTaskUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	checkScripts(t, func(t *rapid.T) script {
 		s := drawScript(t)
-		s.hopeless = rapid.IntRange(0, len(s.jobs)-1).Draw(t, "hopeless")
+		s.failingJob = rapid.IntRange(0, len(s.jobs)-1).Draw(t, "hopeless")
 		return s
 	})
 }
 
 // The list of machines is behind, and goes back in time.
-func TestRulesHoldWhileTheListOfMachinesIsOld(t *testing.T) {
+func TestInvariantsWithLaggingMachineList(t *testing.T) {
 	t.Parallel()
 	checkScripts(t, func(t *rapid.T) script {
 		s := drawScript(t)
 		s.listLag = time.Duration(rapid.IntRange(1, 6000).Draw(t, "lag")) * time.Millisecond
 		if rapid.Bool().Draw(t, "goes back") {
-			s.listBack = time.Duration(rapid.IntRange(0, 5000).Draw(t, "back")) * time.Millisecond
+			s.listExtraLag = time.Duration(rapid.IntRange(0, 5000).Draw(t, "back")) * time.Millisecond
 		}
 		return s
 	})
@@ -197,14 +197,14 @@
 		var failures []string
 		synctest.Test(t, func(t *testing.T) {
 			options := append([]clusterOption{withWork(s.workOf)}, kind...)
-			if !s.guards {
-				options = append(options, withoutGuards())
+			if !s.enforceCapacity {
+				options = append(options, withoutCapacityEnforcement())
 			}
 			c := newCluster(t, options...)
-			c.listLag, c.listBack = s.listLag, s.listBack
+			c.listLag, c.listExtraLag = s.listLag, s.listExtraLag
 			// Whoever moves instances is tested elsewhere. It goes by the times of day of other
 			// members, and that of a machine that was suspended is wrong for good here.
-			c.loose, c.still = s.handOver, s.handOver
+			c.looseClocks, c.noSteward = s.handover, s.handover
 			failures = s.play(c)
 			c.close()
 		})
@@ -217,7 +217,7 @@
 // play runs a script on a cluster and returns what was wrong.
 func (s *script) play(c *cluster) []string {
 	names := []string{"n0", "n1", "n2"}
-	if s.handOver {
+	if s.handover {
 		names = names[:1]
 	}
 	for _, name := range names {
@@ -226,9 +226,9 @@
 	time.Sleep(2 * time.Second)
 	begun := time.Now()
 	p := &play{cluster: c, script: s, accepted: make([]atomic.Bool, len(s.jobs)), cancelled: make([]atomic.Bool, len(s.jobs))}
-	if s.handOver {
-		p.mishaps = &mishaps{}
-		p.mishaps.watch(c)
+	if s.handover {
+		p.faults = &faultRules{}
+		p.faults.install(c)
 	}
 	var all sync.WaitGroup
 	for n := len(names); n < len(p.busy); n++ {
@@ -242,16 +242,16 @@
 		all.Go(func() { p.cancelLater(n, at) })
 	}
 	for _, tr := range s.troubles {
-		all.Go(func() { p.bring(tr) })
+		all.Go(func() { p.inject(tr) })
 	}
-	time.Sleep(span + 7*time.Second - time.Since(begun))
+	time.Sleep(scriptTime + 7*time.Second - time.Since(begun))
 	all.Wait()
-	c.setStoreFate(storeWorks)
+	c.setStoreFault(noStoreFault)
 	c.setNetwork(testbed.Reliable)
 	for _, id := range c.fleet.IDs() {
 		c.fleet.SetFailing(id, false)
 	}
-	return p.settle()
+	return p.waitUntilSettled()
 }
 
 // A play is a script under way.
@@ -260,13 +260,13 @@
 	script              *script
 	accepted, cancelled []atomic.Bool
 	busy                [3]atomic.Bool // nodes that are down or about to be
-	mishaps             *mishaps       // nil if the troubles are not those of hand-overs
+	faults              *faultRules    // nil if the troubles are not those of hand-overs
 }
 
 func jobID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// any returns a node that is up.
-func (p *play) any(n int) *running {
+// anyNode returns a node that is up.
+func (p *play) anyNode(n int) *running {
 	c := p.cluster
 	for i := range 3 {
 		c.mu.Lock()
@@ -284,7 +284,7 @@
 func (p *play) submit(n int) {
 	time.Sleep(p.script.starts[n])
 	for try := range 400 {
-		if r := p.any(n + try); r != nil {
+		if r := p.anyNode(n + try); r != nil {
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 			err := r.node.Intake().Submit(ctx, p.queue(r, n), jobID(n), p.script.jobs[n])
 			cancel()
@@ -305,7 +305,7 @@
 func (p *play) cancelLater(n int, at time.Duration) {
 	time.Sleep(at)
 	for try := range 400 {
-		if r := p.any(n + try); r != nil && p.accepted[n].Load() {
+		if r := p.anyNode(n + try); r != nil && p.accepted[n].Load() {
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 			err := r.node.Intake().Cancel(ctx, p.queue(r, n), jobID(n))
 			cancel()
@@ -318,10 +318,10 @@
 	}
 }
 
-// bring brings a trouble about and ends it after its time.
-func (p *play) bring(tr trouble) {
+// inject brings a trouble about and ends it after its time.
+func (p *play) inject(tr trouble) {
 	time.Sleep(tr.at)
-	if p.mishaps != nil && p.bringHandOver(tr) {
+	if p.faults != nil && p.injectHandOver(tr) {
 		return
 	}
 	c := p.cluster
@@ -365,7 +365,7 @@
 	case "storeDown", "storeLoses", "storeLate":
 		fault := map[string]memory.Fault{"storeDown": memory.FaultLostCall, "storeLoses": memory.FaultLostAnswer, "storeLate": memory.FaultLate}[tr.kind]
 		calls := 0
-		c.setStoreFate(func(node, op string) memory.Fault {
+		c.setStoreFault(func(node, op string) memory.Fault {
 			calls++
 			switch {
 			case tr.kind == "storeDown" && (tr.index < 5 || node == name):
@@ -376,7 +376,7 @@
 			return memory.FaultNone
 		})
 		time.Sleep(tr.lasts)
-		c.setStoreFate(storeWorks)
+		c.setStoreFault(noStoreFault)
 	case "cutInstance":
 		c.setNetwork(func(_ string, to pointport.InstanceID) testbed.Fate {
 			return testbed.Fate{Latency: time.Millisecond, Lost: to == id}
@@ -409,14 +409,14 @@
 		zone := pointport.ZoneID([]string{"north", "south"}[tr.index%2])
 		c.evacuate(zone)
 		time.Sleep(tr.lasts + testbed.EvacuationTime)
-		c.open(zone)
+		c.reopen(zone)
 	case "wave":
-		c.wave(int64(tr.index+1), c.fleet.IDs()[:tr.index+1], 2)
+		c.requestWave(int64(tr.index+1), c.fleet.IDs()[:tr.index+1], 2)
 	}
 }
 
-// settle waits until everything has calmed down and returns what is wrong.
-func (p *play) settle() []string {
+// waitUntilSettled waits until everything has calmed down and returns what is wrong.
+func (p *play) waitUntilSettled() []string {
 	c := p.cluster
 	var wrong []string
 	var last string
@@ -430,7 +430,7 @@
 		wrong = append(wrong, "a minute after the troubles: "+last)
 	}
 	for _, v := range c.fleet.Violations() {
-		wrong = append(wrong, v.String()+"\n"+c.logs.about(v.Task)+c.logs.about("event=421")+c.logs.about("event=51"))
+		wrong = append(wrong, v.String()+"\n"+c.logs.containing(v.Task)+c.logs.containing("event=421")+c.logs.containing("event=51"))
 	}
 	for _, pool := range []string{"shift", "payout", "/steward"} {
 		for _, fence := range c.fencesTakenTwice(pool) {
@@ -440,17 +440,17 @@
 	return wrong
 }
 
-// givenUpByChance reports whether a job may have been given up for what was not its doing:
+// mayBeGivenUpByChance reports whether a job may have been given up for what was not its doing:
 // a task of it was beside the one that crashes its instances, and then on one that crashed
 // by itself. From the second crash on the platform allows that, and nothing tells the two
 // apart where the task was alone on the last one.
-func (p *play) givenUpByChance(n int) bool {
-	return p.script.poison >= 0 && n != p.script.poison && p.cluster.fleet.HitByChance(jobID(n))
+func (p *play) mayBeGivenUpByChance(n int) bool {
+	return p.script.crashingJob >= 0 && n != p.script.crashingJob && p.cluster.fleet.HitByChance(jobID(n))
 }
 
 // unsettled says which job is not as it should be in the end, empty if all are.
 func (p *play) unsettled() string {
-	r := p.any(0)
+	r := p.anyNode(0)
 	if r == nil {
 		return "no node is up"
 	}
@@ -465,22 +465,22 @@
 			return fmt.Sprintf("job %d was not accepted", n)
 		case p.cancelled[n].Load() && status == workload.Completed && !spec.RunsUntilCancelled():
 			continue // it was done before
-		case p.cancelled[n].Load() && status == workload.Failed && (n == p.script.poison || n == p.script.hopeless):
+		case p.cancelled[n].Load() && status == workload.Failed && (n == p.script.crashingJob || n == p.script.failingJob):
 			continue // it had failed before
 		case p.cancelled[n].Load():
 			want = workload.Cancelled
-		case n == p.script.hopeless && !spec.RunsUntilCancelled():
+		case n == p.script.failingJob && !spec.RunsUntilCancelled():
 			want = workload.Failed
-		case n == p.script.poison && !(spec.RunsUntilCancelled() && spec.Steps[0].Count > 1):
+		case n == p.script.crashingJob && !(spec.RunsUntilCancelled() && spec.Steps[0].Count > 1):
 			want = workload.Failed
 		case spec.RunsUntilCancelled():
 			want = workload.Running
 		}
-		if status == workload.Failed && p.givenUpByChance(n) {
+		if status == workload.Failed && p.mayBeGivenUpByChance(n) {
 			continue
 		}
 		if errors.As(err, &unknown) || err != nil || status != want {
-			return fmt.Sprintf("job %d is %q (%v), want %q\n%s", n, status, err, want, p.cluster.logs.about(jobID(n)))
+			return fmt.Sprintf("job %d is %q (%v), want %q\n%s", n, status, err, want, p.cluster.logs.containing(jobID(n)))
 		}
 	}
 	return ""
--- a/node/reborn_test.go
+++ b/node/reused_addressee_test.go
@@ -22,13 +22,13 @@
 // clock had not been taken in since the crash, and no answer in which the ends were listed.
 
 // Tasks run once each on an instance that comes back under the addressee that it had.
-func TestTasksOnAnInstanceThatComesBackRunOnce(t *testing.T) {
+func TestTasksRunOnceOnInstanceWithReusedAddressee(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		work := func(pointport.StartOrder) testbed.Work {
-			return testbed.Work{Room: crashRoom, Duration: 300 * time.Millisecond}
+			return testbed.Work{Room: crashNeed, Duration: 300 * time.Millisecond}
 		}
-		c := newCluster(t, withWork(work), withoutSteward(), withReturns(100))
+		c := newCluster(t, withWork(work), withoutSteward(), withAddresseeReuse(100))
 		defer c.close()
 		r := c.start("n0")
 		time.Sleep(2 * time.Second)
@@ -45,7 +45,7 @@
 		for n := range 8 {
 			task := workload.TaskName(jobID(3), workload.TaskRef{Index: n})
 			if got := c.fleet.Started(task); got != 1 {
-				t.Errorf("task %s started %d times, want once\n%s", task, got, c.logs.about(task))
+				t.Errorf("task %s started %d times, want once\n%s", task, got, c.logs.containing(task))
 			}
 		}
 		for _, v := range c.fleet.Violations() {
@@ -58,14 +58,14 @@
 func submitTasks(t *testing.T, submit func(context.Context, *workload.Queue, string, *workload.Spec) error, c *cluster, id string, tasks int) {
 	t.Helper()
 	queue := &c.nodes["n0"].node.Catalog().Queues[0]
-	spec := &workload.Spec{Steps: []workload.Step{{Count: tasks, Need: crashRoom, Estimate: 300 * time.Millisecond}}}
+	spec := &workload.Spec{Steps: []workload.Step{{Count: tasks, Need: crashNeed, Estimate: 300 * time.Millisecond}}}
 	if err := submit(context.Background(), queue, id, spec); err != nil {
 		t.Fatal(fmt.Errorf("job %s: %w", id, err))
 	}
 }
 
 // Random troubles, of instances that mostly come back under the addressee that they had.
-func TestRulesHoldWhileInstancesComeBack(t *testing.T) {
+func TestInvariantsWithReusedAddressees(t *testing.T) {
 	t.Parallel()
-	checkScriptsWith(t, drawScript, withReturns(80))
+	checkScriptsWith(t, drawScript, withAddresseeReuse(80))
 }
--- a/node/store_test.go
+++ b/node/store_test.go
@@ -16,15 +16,15 @@
 
 // This file tests what nodes do while the store is away, slow or loses answers.
 
-func TestStoreIsAway(t *testing.T) {
-	bubble(t, 3, func(c *cluster) {
+func TestStoreOutage(t *testing.T) {
+	simulate(t, 3, func(c *cluster) {
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
 		for i := range 4 {
 			submit(t, n, q, fmt.Sprintf("%016x", i), twoSteps(2*time.Second))
 		}
 		time.Sleep(500 * time.Millisecond)
-		c.setStoreFate(func(string, string) memory.Fault { return memory.FaultLostCall })
+		c.setStoreFault(func(string, string) memory.Fault { return memory.FaultLostCall })
 		time.Sleep(4 * time.Second)
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		err := n.Intake().Submit(ctx, q, "00000000000000dd", twoSteps(time.Second))
@@ -33,9 +33,9 @@
 		if !errors.As(err, &refused) || refused.RetryAfter <= 0 {
 			t.Errorf("submission while the store is away: %v, want a refusal with a time to come back", err)
 		}
-		c.setStoreFate(storeWorks)
+		c.setStoreFault(noStoreFault)
 		for i := range 4 {
-			c.eventually(n, q, fmt.Sprintf("%016x", i), workload.Completed, 30*time.Second)
+			c.waitForStatus(n, q, fmt.Sprintf("%016x", i), workload.Completed, 30*time.Second)
 		}
 		if s, err := n.Intake().Status(context.Background(), q, "00000000000000dd"); err == nil {
 			t.Errorf("the refused job is %q", s)
@@ -43,12 +43,12 @@
 	})
 }
 
-func TestAnswersOfTheStoreAreLost(t *testing.T) {
+func TestStoreAnswersAreLost(t *testing.T) {
 	for _, fault := range []memory.Fault{memory.FaultLostAnswer, memory.FaultLostCall, memory.FaultLate} {
 		t.Run(fmt.Sprint(fault), func(t *testing.T) {
-			bubble(t, 3, func(c *cluster) {
+			simulate(t, 3, func(c *cluster) {
 				calls := 0
-				c.setStoreFate(func(_, op string) memory.Fault {
+				c.setStoreFault(func(_, op string) memory.Fault {
 					if op != "commit" {
 						return memory.FaultNone
 					}
@@ -72,7 +72,7 @@
 					}
 				}
 				for i := range 6 {
-					c.eventually(n, q, fmt.Sprintf("%016x", i), workload.Completed, 60*time.Second)
+					c.waitForStatus(n, q, fmt.Sprintf("%016x", i), workload.Completed, 60*time.Second)
 				}
 			})
 		})
@@ -81,8 +81,8 @@
 
 // A watch that hears nothing must not keep a configuration from coming into force
 // (tippijako-prod scale-2: a route was unknown after four seconds).
-func TestConfigurationWhileWatchesAreDeaf(t *testing.T) {
-	bubble(t, 2, func(c *cluster) {
+func TestConfigurationWithoutWatchEvents(t *testing.T) {
+	simulate(t, 2, func(c *cluster) {
 		c.store.SetDeaf(true)
 		c.configure(&workload.Catalog{Version: 2})
 		time.Sleep(2 * time.Second)
@@ -106,10 +106,10 @@
 // While the store loses the answers to two in five changes, jobs end nearly as soon as
 // otherwise: a lost answer is noticed after a few times the usual wait, and not when
 // the call is given up after a second.
-func TestLostAnswersHoldNothingUp(t *testing.T) {
-	bubble(t, 3, func(c *cluster) {
+func TestLostStoreAnswersDelayJobsLittle(t *testing.T) {
+	simulate(t, 3, func(c *cluster) {
 		r := rand.New(rand.NewPCG(1, 2))
-		c.setStoreFate(func(_, op string) memory.Fault {
+		c.setStoreFault(func(_, op string) memory.Fault {
 			if op == "commit" && r.IntN(5) < 2 {
 				return memory.FaultLostAnswer
 			}
@@ -122,7 +122,7 @@
 			submit(t, n, q, fmt.Sprintf("%016x", i), twoSteps(300*time.Millisecond))
 		}
 		for i := range 6 {
-			c.eventually(n, q, fmt.Sprintf("%016x", i), workload.Completed, 5*time.Second)
+			c.waitForStatus(n, q, fmt.Sprintf("%016x", i), workload.Completed, 5*time.Second)
 		}
 		if took := time.Since(from); took > 5*time.Second {
 			t.Errorf("two steps of 0.3 s took %v", took)
@@ -133,8 +133,8 @@
 // While the store takes 0.3 s for an answer, jobs begin: a batch takes one call, not
 // one for each nine jobs, and no more is placed than a batch takes. It takes 2.15 s, and
 // took 2.75 s or more with calls for nine jobs each.
-func TestSlowStoreHoldsLittleUp(t *testing.T) {
-	bubble(t, 3, func(c *cluster) {
+func TestSlowStoreDelaysStartsLittle(t *testing.T) {
+	simulate(t, 3, func(c *cluster) {
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
 		time.Sleep(10 * time.Second)      // until pools have owners and have settled
--- a/node/suspend_test.go
+++ b/node/suspend_test.go
@@ -20,19 +20,19 @@
 // A machineClock is the clock of a member's machine, which may be suspended. Its process
 // may also be frozen alone: it gets no time on the machine's cores.
 type machineClock struct {
-	mu     sync.Mutex
-	woken  chan struct{} // while it is suspended or frozen, closed when that ends
-	frozen bool
-	since  time.Time
-	lost   time.Duration // what Now has not counted
-	// asked is called when owners of pools have read the steady time so many times more,
+	mu            sync.Mutex
+	woken         chan struct{} // while it is suspended or frozen, closed when that ends
+	frozen        bool
+	since         time.Time
+	suspendedTime time.Duration // what Now has not counted
+	// onOwnerReads is called when owners of pools have read the steady time so many times more,
 	// which they do to see whether they own them.
-	asked func()
-	reads int
-	// loose says that only owners of pools stand still when they read a time; all others do
+	onOwnerReads   func()
+	ownerReadsLeft int
+	// ownersOnly says that only owners of pools stand still when they read a time; all others do
 	// when they next wait, or reach for anything outside. Some read it under a lock, and in
 	// a bubble no time passes while another waits for that.
-	loose bool
+	ownersOnly bool
 }
 
 var _ pointport.Clock = (*machineClock)(nil)
@@ -57,13 +57,13 @@
 	}
 }
 
-func (m *machineClock) suspend() { m.stand(false) }
+func (m *machineClock) suspend() { m.stop(false) }
 
 // freeze has the process stand still while the machine's clocks go on.
-func (m *machineClock) freeze() { m.stand(true) }
+func (m *machineClock) freeze() { m.stop(true) }
 
-// stand has the machine or its process stand still, unless it does.
-func (m *machineClock) stand(frozen bool) {
+// stop has the machine or its process stand still, unless it does.
+func (m *machineClock) stop(frozen bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.woken == nil {
@@ -78,7 +78,7 @@
 		return
 	}
 	if !m.frozen {
-		m.lost += time.Since(m.since)
+		m.suspendedTime += time.Since(m.since)
 	}
 	close(m.woken)
 	m.woken, m.frozen = nil, false
@@ -89,8 +89,8 @@
 func (m *machineClock) freezeAtRead(reads int, lasts time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.reads = reads
-	m.asked = func() {
+	m.ownerReadsLeft = reads
+	m.onOwnerReads = func() {
 		m.freeze()
 		time.AfterFunc(lasts, m.wake)
 	}
@@ -98,7 +98,7 @@
 
 // Now returns the time of day with a steady reading, which lacks what was lost.
 func (m *machineClock) Now() time.Time {
-	m.pass()
+	m.awaitRunning()
 	return m.now()
 }
 
@@ -109,31 +109,31 @@
 	if m.woken != nil && !m.frozen {
 		now = m.since
 	}
-	return now.Add(-m.lost)
+	return now.Add(-m.suspendedTime)
 }
 
-// pass returns once whoever reads a time may go on.
-func (m *machineClock) pass() {
+// awaitRunning returns once whoever reads a time may go on.
+func (m *machineClock) awaitRunning() {
 	m.mu.Lock()
-	loose := m.loose
+	loose := m.ownersOnly
 	m.mu.Unlock()
-	if !loose || byOwner() {
+	if !loose || calledByOwner() {
 		m.gate()
 	}
 }
 
 // Steady returns a time that lacks nothing.
 func (m *machineClock) Steady() time.Time {
-	m.pass()
+	m.awaitRunning()
 	now := time.Now()
 	m.mu.Lock()
-	asked := m.asked
-	if asked != nil && byOwner() {
-		m.reads--
+	asked := m.onOwnerReads
+	if asked != nil && calledByOwner() {
+		m.ownerReadsLeft--
 	}
-	due := asked != nil && m.reads == 0
+	due := asked != nil && m.ownerReadsLeft == 0
 	if due {
-		m.asked = nil
+		m.onOwnerReads = nil
 	}
 	m.mu.Unlock()
 	if due {
@@ -142,9 +142,9 @@
 	return now
 }
 
-// byOwner reports whether the owner of a pool reads a time, itself or to see whether it owns
+// calledByOwner reports whether the owner of a pool reads a time, itself or to see whether it owns
 // the pool.
-func byOwner() bool {
+func calledByOwner() bool {
 	var callers [8]uintptr
 	frames := runtime.CallersFrames(callers[:runtime.Callers(1, callers[:])])
 	for {
@@ -211,7 +211,7 @@
 	room := pointport.Shape{CPUMilli: 500, MemoryMiB: 64}
 	for _, lasts := range suspensions {
 		t.Run(lasts.String(), func(t *testing.T) {
-			bubble(t, 3, func(c *cluster) {
+			simulate(t, 3, func(c *cluster) {
 				owner := c.owner("shift")
 				var other string
 				for _, name := range []string{"n0", "n1", "n2"} {
@@ -229,7 +229,7 @@
 				time.Sleep(500 * time.Millisecond)
 				c.suspend(owner, lasts)
 				for _, id := range ids {
-					c.eventually(c.nodes[other].node, q, id, workload.Completed, 30*time.Second)
+					c.waitForStatus(c.nodes[other].node, q, id, workload.Completed, 30*time.Second)
 				}
 			}, withWork(func(pointport.StartOrder) testbed.Work {
 				return testbed.Work{Room: room, Duration: time.Second}
@@ -250,29 +250,29 @@
 // while it owned the pool, and starts them elsewhere beside that.
 //
 // The cause: how long tasks may run was reckoned from a time after the ownership was proven.
-func TestOwnerIsFrozenBeforeItsStarts(t *testing.T) {
+func TestOwnerIsFrozenBeforeSendingStarts(t *testing.T) {
 	const mostReads = 12 // by the owner, from when starts are stored until they are sent
 	for _, lasts := range []time.Duration{time.Second, 2 * time.Second, 3 * time.Second, 5 * time.Second} {
 		for reads := range mostReads {
 			t.Run(fmt.Sprint(lasts, " at read ", 1+reads), func(t *testing.T) {
-				bubble(t, 3, func(c *cluster) { c.freezeBeforeStarts(1+reads, lasts) }, withoutSteward())
+				simulate(t, 3, func(c *cluster) { c.freezeOwnerBeforeStarts(1+reads, lasts) }, withoutSteward())
 			})
 		}
 	}
 }
 
-// freezeBeforeStarts has the owner of a pool stand still when it has stored starts and read
+// freezeOwnerBeforeStarts has the owner of a pool stand still when it has stored starts and read
 // the steady time so many times since. It alone reaches the instance where the tasks are.
-func (c *cluster) freezeBeforeStarts(reads int, lasts time.Duration) {
+func (c *cluster) freezeOwnerBeforeStarts(reads int, lasts time.Duration) {
 	const id = "00000000000000cc"
 	owner, cut := c.owner("shift"), c.fleet.IDs()[0]
-	n := c.another(owner)
+	n := c.otherNode(owner)
 	c.setNetwork(func(op string, to pointport.InstanceID) testbed.Fate {
 		return testbed.Fate{Latency: time.Millisecond, Lost: to == cut && !strings.HasPrefix(op, owner+" ")}
 	})
 	machine, once := c.nodes[owner].clock, sync.Once{}
 	c.mu.Lock()
-	c.onStore = func(node, op, key string) {
+	c.onStoreCall = func(node, op, key string) {
 		if node == owner && op == "commit" && strings.HasPrefix(key, workload.ProgressPrefix("shift")) {
 			once.Do(func() { machine.freezeAtRead(reads, lasts) })
 		}
@@ -283,7 +283,7 @@
 	}})
 	time.Sleep(20 * time.Second)
 	if got := c.fleet.RunsOf(id); got != 4 {
-		c.t.Errorf("%d tasks run, want 4\n%s", got, c.logs.about(id))
+		c.t.Errorf("%d tasks run, want 4\n%s", got, c.logs.containing(id))
 	}
 }
 
@@ -294,11 +294,11 @@
 func TestStewardIsSuspendedBeforeAnOrder(t *testing.T) {
 	for _, lasts := range suspensions {
 		t.Run(lasts.String(), func(t *testing.T) {
-			bubble(t, 3, func(c *cluster) {
+			simulate(t, 3, func(c *cluster) {
 				steward := c.owner("/steward")
 				c.mu.Lock()
 				machine, once := c.nodes[steward].clock, sync.Once{}
-				c.onStore = func(node, op, key string) {
+				c.onStoreCall = func(node, op, key string) {
 					if node != steward || op != "commit" || !strings.Contains(key, "steward") {
 						return
 					}
@@ -308,7 +308,7 @@
 					})
 				}
 				c.mu.Unlock()
-				c.wave(1, c.fleet.IDs()[:8], 8)
+				c.requestWave(1, c.fleet.IDs()[:8], 8)
 				time.Sleep(lasts + 10*time.Second)
 				for range 100 {
 					if c.fleet.Maintained(1) == 8 {
@@ -316,7 +316,7 @@
 					}
 					time.Sleep(500 * time.Millisecond)
 				}
-				t.Errorf("%d of 8 instances are maintained\n%s", c.fleet.Maintained(1), c.logs.about("event=42"))
+				t.Errorf("%d of 8 instances are maintained\n%s", c.fleet.Maintained(1), c.logs.containing("event=42"))
 			})
 		})
 	}
@@ -324,10 +324,10 @@
 
 // A member wakes up and is asked at once, before it has heard from the store. The queue
 // that it knew is gone since. It must not take a job by the old configuration.
-func TestWokenMemberDoesNotTrustItsConfiguration(t *testing.T) {
+func TestResumedMemberDoesNotUseStaleConfiguration(t *testing.T) {
 	for _, lasts := range suspensions {
 		t.Run(lasts.String(), func(t *testing.T) {
-			bubble(t, 2, func(c *cluster) {
+			simulate(t, 2, func(c *cluster) {
 				n := c.nodes["n0"].node
 				queue(t, n, "shift-close")
 				go c.suspend("n0", lasts)
@@ -344,7 +344,7 @@
 				if k := n.Catalog(); k == nil || k.Version != 2 {
 					t.Errorf("the catalog is %v two seconds after waking, want version 2", k)
 				}
-				if !strings.Contains(c.logs.about("configuration applied"), "version=2") {
+				if !strings.Contains(c.logs.containing("configuration applied"), "version=2") {
 					t.Errorf("version 2 was not applied")
 				}
 			})
--- a/node/trace_test.go
+++ b/node/trace_test.go
@@ -17,11 +17,11 @@
 // This file tests that the cause of a failed request is found from its identity
 // and the logs alone. docs/OPERATIONS.md shows the same by example.
 
-// story returns what the logs of all nodes tell of a job.
-func (c *cluster) story(id string) string {
+// jobTrace returns what the logs of all nodes tell of a job.
+func (c *cluster) jobTrace(id string) string {
 	c.t.Helper()
 	log := &trace.Log{}
-	if err := log.Read(strings.NewReader(c.written.about(""))); err != nil {
+	if err := log.Read(strings.NewReader(c.jsonLogs.containing(""))); err != nil {
 		c.t.Fatal(err)
 	}
 	story := log.Of(id)
@@ -32,10 +32,10 @@
 	return out.String()
 }
 
-// wantStory makes sure that a story has lines with these words, in their order.
-func (c *cluster) wantStory(id string, lines ...[]string) {
+// wantTrace makes sure that a story has lines with these words, in their order.
+func (c *cluster) wantTrace(id string, lines ...[]string) {
 	c.t.Helper()
-	story := c.story(id)
+	story := c.jobTrace(id)
 	rest := strings.Split(story, "\n")
 	for _, words := range lines {
 		found := false
@@ -60,17 +60,17 @@
 }
 
 func TestTraceRefused(t *testing.T) {
-	bubble(t, 3, func(c *cluster) {
+	simulate(t, 3, func(c *cluster) {
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
-		c.setStoreFate(func(string, string) memory.Fault { return memory.FaultBefore })
+		c.setStoreFault(func(string, string) memory.Fault { return memory.FaultBefore })
 		time.Sleep(2 * time.Second)
 		if err := n.Intake().Submit(context.Background(), q, "00000000000000aa", twoSteps(time.Second)); err == nil {
 			t.Fatal("a job is accepted without the store")
 		}
-		c.setStoreFate(storeWorks)
+		c.setStoreFault(noStoreFault)
 		time.Sleep(3 * time.Second)
-		c.wantStory("00000000000000aa",
+		c.wantTrace("00000000000000aa",
 			[]string{"n0", "store lost"},
 			[]string{"n0", "job refused", "queue=shift-close", "sure=true", "the store gives no answer", "nor does a peer store it"},
 			[]string{"n0", "store back"})
@@ -78,15 +78,15 @@
 }
 
 func TestTraceLate(t *testing.T) {
-	bubble(t, 3, func(c *cluster) {
+	simulate(t, 3, func(c *cluster) {
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
 		for i := range 40 {
 			submit(t, n, q, fmt.Sprintf("%016x", i), twoSteps(2*time.Second))
 		}
 		submit(t, n, q, "00000000000000aa", twoSteps(200*time.Millisecond))
-		c.eventually(n, q, "00000000000000aa", workload.Completed, time.Minute)
-		c.wantStory("00000000000000aa",
+		c.waitForStatus(n, q, "00000000000000aa", workload.Completed, time.Minute)
+		c.wantTrace("00000000000000aa",
 			[]string{"job accepted", "known=false"},
 			[]string{"job waits", "each needs 500 thousandths of a core"},
 			[]string{"task placed"},
@@ -97,7 +97,7 @@
 }
 
 func TestTraceOwnerLost(t *testing.T) {
-	bubble(t, 4, func(c *cluster) {
+	simulate(t, 4, func(c *cluster) {
 		owner := c.owner("shift")
 		other := ""
 		for name := range c.nodes {
@@ -112,8 +112,8 @@
 		})
 		time.Sleep(time.Second)
 		c.kill(owner)
-		c.eventually(n, q, "00000000000000aa", workload.Completed, 30*time.Second)
-		c.wantStory("00000000000000aa",
+		c.waitForStatus(n, q, "00000000000000aa", workload.Completed, 30*time.Second)
+		c.wantTrace("00000000000000aa",
 			[]string{other, "job accepted"},
 			[]string{owner, "job begun"},
 			[]string{other, "status read", "state=running", "no route to " + owner},
@@ -127,17 +127,17 @@
 // A job fails because a task of it crashes its instances: the story names each crash, and
 // that the last one hit that task alone.
 func TestTraceGivenUp(t *testing.T) {
-	bubble(t, 3, func(c *cluster) {
+	simulate(t, 3, func(c *cluster) {
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
-		submit(t, n, q, poison, &workload.Spec{Steps: []workload.Step{{Count: crashTasks, Need: crashRoom, Estimate: 800 * time.Millisecond}}})
-		c.eventually(n, q, poison, workload.Failed, 20*time.Second)
-		c.wantStory(poison,
+		submit(t, n, q, crashingJob, &workload.Spec{Steps: []workload.Step{{Count: crashingJobTasks, Need: crashNeed, Estimate: 800 * time.Millisecond}}})
+		c.waitForStatus(n, q, crashingJob, workload.Failed, 20*time.Second)
+		c.wantTrace(crashingJob,
 			[]string{"task placed", "task=.0.0.0", "run=1"},
 			[]string{"run lost", "task=.0.0.0", "cause=crashed", "crashes=1"},
 			[]string{"run lost", "task=.0.0.0", "cause=crashed", "crashes=2"},
 			[]string{"run lost", "task=.0.0.0", "cause=crashed", "beside=0", "crashes="},
 			[]string{"task given up", "task=.0.0.0", "alone=true", "jobFails=true"},
 			[]string{"job ended", "state=failed"})
-	}, withWork(crashing(func(*testbed.Work) {})))
+	}, withWork(crashingWork(func(*testbed.Work) {})))
 }
--- a/node/deaf_test.go
+++ b/node/unanswered_test.go
@@ -27,41 +27,41 @@
 // a run ended was concluded from silence, and a longer silence only concluded it later.
 
 const (
-	// deafFor is how long nothing is heard: longer than a task's time and any wait of some
+	// unansweredFor is how long nothing is heard: longer than a task's time and any wait of some
 	// seconds after it.
-	deafFor = 15 * time.Second
-	// deafMore is how many instances the pool has beside the cluster's four, heardStill how
+	unansweredFor = 15 * time.Second
+	// extraInstances is how many instances the pool has beside the cluster's four, heardStill how
 	// many of all are heard throughout: those that run nothing when the silence begins.
-	deafMore, heardStill = 8, 2
-	// deafJobs of deafTasks tasks each keep some of the instances busy.
-	deafJobs, deafTasks = 8, 4
-	// caughtUpWithin is by when the jobs have ended once their instances are heard again.
-	caughtUpWithin = 5 * time.Second
+	extraInstances, minAnswering = 8, 2
+	// unansweredJobs of deafTasks tasks each keep some of the instances busy.
+	unansweredJobs, tasksPerUnansweredJob = 8, 4
+	// completedWithin is by when the jobs have ended once their instances are heard again.
+	completedWithin = 5 * time.Second
 )
 
-// deafen submits jobs, and has nobody of whom deaf says so hear the instances that run their
+// muteBusyInstances submits jobs, and has nobody of whom deaf says so hear the instances that run their
 // tasks for a while. It checks that no task starts twice, and that the jobs have ended so
 // long after the silence has begun.
-func deafen(t *testing.T, lasts time.Duration, deaf func(node, owner string) bool, endedWithin time.Duration, troubles ...func(c *cluster)) {
+func muteBusyInstances(t *testing.T, lasts time.Duration, deaf func(node, owner string) bool, endedWithin time.Duration, troubles ...func(c *cluster)) {
 	room := pointport.Shape{CPUMilli: 1000, MemoryMiB: 64}
-	bubble(t, 4, func(c *cluster) {
-		for n := range deafMore {
+	simulate(t, 4, func(c *cluster) {
+		for n := range extraInstances {
 			c.fleet.Add(pointport.InstanceID(fmt.Sprintf("more-%02d", n)), "shift", "north", "rack-9", pointport.Shape{CPUMilli: 4000, MemoryMiB: 8192})
 		}
 		time.Sleep(time.Second)
 		owner := c.owner("shift")
-		asked := c.another(owner)
+		asked := c.otherNode(owner)
 		q := queue(t, asked, "shift-close")
-		spec := &workload.Spec{Payload: "x", Steps: []workload.Step{{Count: deafTasks, Need: room, Estimate: time.Second}}}
+		spec := &workload.Spec{Payload: "x", Steps: []workload.Step{{Count: tasksPerUnansweredJob, Need: room, Estimate: time.Second}}}
 		var ids []string
-		for n := range deafJobs {
+		for n := range unansweredJobs {
 			ids = append(ids, fmt.Sprintf("%016x", n+1))
 			submit(t, asked, q, ids[n], spec)
 		}
 		time.Sleep(300 * time.Millisecond)
 		busy := c.fleet.Holding()
-		if idle := 4 + deafMore - len(busy); idle < heardStill {
-			t.Fatalf("%d instances run nothing, want %d at least", idle, heardStill)
+		if idle := 4 + extraInstances - len(busy); idle < minAnswering {
+			t.Fatalf("%d instances run nothing, want %d at least", idle, minAnswering)
 		}
 		until := time.Now().Add(lasts)
 		c.setNetwork(func(op string, to pointport.InstanceID) testbed.Fate {
@@ -74,10 +74,10 @@
 		for _, trouble := range troubles {
 			trouble(c)
 		}
-		for end := time.Now().Add(endedWithin); countEnded(asked, q, ids) < len(ids) && time.Now().Before(end); {
+		for end := time.Now().Add(endedWithin); countCompleted(asked, q, ids) < len(ids) && time.Now().Before(end); {
 			time.Sleep(100 * time.Millisecond)
 		}
-		if ended := countEnded(asked, q, ids); ended < len(ids) {
+		if ended := countCompleted(asked, q, ids); ended < len(ids) {
 			t.Errorf("%d of %d jobs have ended after %v", ended, len(ids), endedWithin)
 		}
 		time.Sleep(lasts)
@@ -93,7 +93,7 @@
 	c.t.Helper()
 	again, first := 0, ""
 	for _, id := range ids {
-		for n := range deafTasks {
+		for n := range tasksPerUnansweredJob {
 			task := fmt.Sprintf("%s.0.0.%d", id, n)
 			if c.fleet.Started(task) == 1 {
 				continue
@@ -104,35 +104,35 @@
 		}
 	}
 	if again > 0 {
-		c.t.Errorf("%d tasks were not started once; of %s, started %d times:\n%s", again, first, c.fleet.Started(first), c.logs.about(first))
+		c.t.Errorf("%d tasks were not started once; of %s, started %d times:\n%s", again, first, c.fleet.Started(first), c.logs.containing(first))
 	}
 }
 
 // Nobody hears the instances. What they run waits for them to say how it ended.
-func TestNothingIsStartedAgainWhileInstancesAreUnheard(t *testing.T) {
-	deafen(t, deafFor, func(string, string) bool { return true }, deafFor+caughtUpWithin)
+func TestNoTaskRestartsWhileInstancesDoNotAnswer(t *testing.T) {
+	muteBusyInstances(t, unansweredFor, func(string, string) bool { return true }, unansweredFor+completedWithin)
 }
 
 // The owner alone does not hear them. Its peers do, so the jobs end at once.
-func TestDeafOwnerHearsThroughPeers(t *testing.T) {
-	deafen(t, deafFor, func(node, owner string) bool { return node == owner }, caughtUpWithin)
+func TestOwnerReachesInstancesThroughPeers(t *testing.T) {
+	muteBusyInstances(t, unansweredFor, func(node, owner string) bool { return node == owner }, completedWithin)
 }
 
 // The owner alone does not hear them, and no peer carries its orders: it gives the pool away,
 // to a member that hears them. It may first make sure that this is no cut that heals.
-func TestDeafOwnerGivesItsPoolAway(t *testing.T) {
+func TestOwnerWithoutAnswersHandsItsPoolOver(t *testing.T) {
 	const forGood, takenOverWithin = time.Minute, 20 * time.Second
-	deafen(t, forGood, func(node, owner string) bool { return node == owner }, takenOverWithin, func(c *cluster) { c.silencePeers(true) })
+	muteBusyInstances(t, forGood, func(node, owner string) bool { return node == owner }, takenOverWithin, func(c *cluster) { c.silencePeers(true) })
 }
 
 // The registrations of instances that nobody hears lapse, and before that counts for anything
 // the owner cannot read them any more. They are back 1.5 s after it can: for all that it
 // knows, they were missing for 12 s. No task starts again.
-func TestRegistrationsThatCannotBeReadEndNothing(t *testing.T) {
+func TestUnreadableRegistrationsRestartNoTask(t *testing.T) {
 	const lapse, unread, readAgain, back = 1800 * time.Millisecond, 2200 * time.Millisecond, 12 * time.Second, 13500 * time.Millisecond
-	deafen(t, deafFor, func(string, string) bool { return true }, deafFor+caughtUpWithin, func(c *cluster) {
+	muteBusyInstances(t, unansweredFor, func(string, string) bool { return true }, unansweredFor+completedWithin, func(c *cluster) {
 		owner, from := c.owner("shift"), time.Now()
-		c.setStoreFate(func(node, op string) memory.Fault {
+		c.setStoreFault(func(node, op string) memory.Fault {
 			at := time.Since(from)
 			if node == owner && (op == "watch" || op == "range") && at >= unread && at < readAgain {
 				return memory.FaultLostCall
--- a/node/unstored_test.go
+++ b/node/unstored_end_test.go
@@ -20,7 +20,7 @@
 // 'task returned' of one task, in this order, with nothing stored between the first two.
 func TestEndsAreStoredBeforeInstanceIsMaintained(t *testing.T) {
 	room := pointport.Shape{CPUMilli: 500, MemoryMiB: 128}
-	bubble(t, 4, func(c *cluster) {
+	simulate(t, 4, func(c *cluster) {
 		owner := c.owner("shift")
 		if c.owner("/steward") == owner {
 			c.stop(owner)
@@ -37,22 +37,22 @@
 		time.Sleep(300 * time.Millisecond)
 		held := c.fleet.Holding()
 		// From now on the owner reads and renews, but its changes get nowhere.
-		c.setStoreFate(func(node, op string) memory.Fault {
+		c.setStoreFault(func(node, op string) memory.Fault {
 			if node == owner && op == "commit" {
 				return memory.FaultLostCall
 			}
 			return memory.FaultNone
 		})
 		time.Sleep(400 * time.Millisecond)
-		c.wave(1, held, len(held))
+		c.requestWave(1, held, len(held))
 		time.Sleep(2 * time.Second)
 		if n := c.fleet.Maintained(1); n > 0 {
 			t.Errorf("%d instances are maintained although what has ended there is not stored", n)
 		}
-		c.setStoreFate(storeWorks)
+		c.setStoreFault(noStoreFault)
 		c.kill(owner)
 		for _, r := range c.nodes {
-			c.eventually(r.node, q, id, workload.Completed, 30*time.Second)
+			c.waitForStatus(r.node, q, id, workload.Completed, 30*time.Second)
 			break
 		}
 		for range 50 {
--- a/node/wave.go
+++ b/node/wave.go
@@ -39,12 +39,12 @@
 // ends.
 func newWaves(ctx context.Context, kv pointport.KV, clock pointport.Clock, source WaveSource, logger *slog.Logger) *waves {
 	w := &waves{source: source, entries: newEntries(source.Decode, event.WaveUnreadable, logger)}
-	w.start = func() { go member.Follow(ctx, kv, clock, source.Prefix, w.take, w.take) }
+	w.start = func() { go member.Follow(ctx, kv, clock, source.Prefix, w.apply, w.apply) }
 	return w
 }
 
-// take takes in waves. A wave that was removed is left to end by itself.
-func (w *waves) take(entries []pointport.Entry) {
+// apply takes in waves. A wave that was removed is left to end by itself.
+func (w *waves) apply(entries []pointport.Entry) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.entries.apply(slices.DeleteFunc(entries, func(e pointport.Entry) bool { return !e.Exists() }))
