--- a/node/doc.go
+++ b/node/doc.go
@@ -1,11 +1,11 @@
-// Package node puts together an entry instance that takes jobs: its membership,
-// the configuration and the registrations that it follows, the pools that it
-// owns, and what it answers to customers and peers.
+// Package node assembles an entry instance, which accepts jobs: its membership in the cluster,
+// the configuration and the registrations that it follows in the store, the pools that it owns,
+// and its handlers for customers and peers.
 //
-// The model: a Node is given the services that it stands on as interfaces, so it
-// runs alike on the users' platform and on stand-ins.
+// A Node gets the services that it depends on as interfaces, so the same code runs on the
+// users' platform and on test implementations.
 //
-// Invariants: a configuration is never replaced by a lower version; a planned
-// stop gives the pools away first, goes on answering until the balancer has
-// noticed, and cuts off nothing in flight.
+// Invariants: a configuration is never replaced by a lower version; a planned stop first hands
+// the node's pools over, keeps answering until the load balancer has noticed, and interrupts no
+// request in flight.
 package node
--- a/node/entries.go
+++ b/node/entries.go
@@ -7,19 +7,19 @@
 	"github.com/pointport/pointport/event"
 )
 
-// This file defines what a node keeps of the entries that it follows.
+// This file defines the decoded store entries that a node keeps of each prefix that it follows.
 
-// entries holds what the entries under a prefix stand for, by key. An entry that cannot be
-// decoded stands for nothing, and what stood under its key before is gone: else a member
-// that has followed the key would believe in something that one that reads it for the
-// first time does not.
+// entries holds the decoded values of the entries under a prefix, by key. An entry that cannot
+// be decoded has no value, and the value that its key had before is removed: otherwise a member
+// that has followed the key would use a value that a member reading it for the first time does
+// not have.
 type entries[T any] struct {
 	decode     func(pointport.Entry) (T, error)
 	unreadable event.Event
 	logger     *slog.Logger
 	byKey      map[string]T
-	// unreadableAt holds the revisions of entries that cannot be decoded, each of which is
-	// logged once: all entries are read again now and then.
+	// unreadableAt holds, by key, the revision of an entry that cannot be decoded. It keeps
+	// each such revision from being logged again whenever all entries are read again.
 	unreadableAt map[string]pointport.Revision
 }
 
@@ -30,7 +30,7 @@
 	}
 }
 
-// reset replaces everything by what the entries stand for.
+// reset replaces all values by those of the given entries.
 func (s *entries[T]) reset(all []pointport.Entry) {
 	clear(s.byKey)
 	before := s.unreadableAt
@@ -43,7 +43,7 @@
 	s.apply(all)
 }
 
-// apply takes in changed entries.
+// apply applies changed entries: it decodes those that exist and removes the deleted ones.
 func (s *entries[T]) apply(changes []pointport.Entry) {
 	for _, e := range changes {
 		if !e.Exists() {
--- a/node/evacuation.go
+++ b/node/evacuation.go
@@ -14,66 +14,69 @@
 	"github.com/pointport/pointport/member"
 )
 
-// This file defines how a node knows which availability zones are evacuated.
+// This file defines how a node learns which availability zones are evacuated.
 //
-// The requests are few and must be known for sure, so they are read again and again while
-// anybody asks for them: a watch may be deaf, and the store may forget its history. What
-// was read is believed for a share of the time within which a request must be in force, so
-// a member that cannot read them starts nothing by then, whether or not it can tell that it
-// is cut off; and a request that was taken back is known at the next reading.
+// The requests are few, and a missed one would start tasks in an evacuated zone. They are
+// therefore polled while they are in use, rather than watched: a watch may miss events, and the
+// store may compact its history. The result of a read is valid for a fraction of the time
+// within which a request must be in force. A member that cannot read the requests thus stops
+// starting tasks in time, even if it does not notice that it is disconnected. A withdrawn
+// request is seen at the next read.
 
 const (
-	// DefaultEvacuationTime is the time within which a request must be in force where the
-	// platform does not tell.
+	// DefaultEvacuationTime is the time within which a request must be in force if the platform
+	// does not specify one.
 	DefaultEvacuationTime = 5 * time.Second
-	// evacuationValidFraction is the share of that time for which a reading is believed. The
-	// rest is for starts that are on their way: they are refused once the lease that they
-	// bring is over.
+	// evacuationValidFraction is the fraction of that time for which a read is valid. The rest
+	// is for starts in flight: an instance refuses them once the lease that they carry has
+	// expired.
 	evacuationValidFraction = 0.6
-	// evacuationReadFraction is the share of it from one reading to the next.
+	// evacuationReadFraction is the fraction of that time between two reads.
 	evacuationReadFraction = 0.2
-	// evacuationRetryInterval is how soon the requests are read again after the store gave no answer.
+	// evacuationRetryInterval is the time until the next read after the store did not answer.
 	evacuationRetryInterval = 200 * time.Millisecond
-	// evacuationIdleTimeout is for how long after the last question the requests are still read:
-	// most nodes own nothing and start nothing.
+	// evacuationIdleTimeout is how long the requests are still read after Zones was last
+	// called: most nodes own no pool and start nothing.
 	evacuationIdleTimeout = 5 * time.Second
 )
 
-// evacuations keeps the requests that availability zones be left empty, while anybody asks.
+// evacuations holds the requests to leave availability zones empty, and reads them while Zones
+// is called.
 type evacuations struct {
 	source    Source[evacuation.Request]
 	kv        pointport.KV
 	clock     pointport.Clock
-	applyTime time.Duration // the time within which a request must be in force
+	applyTime time.Duration // time within which a request must be in force
 	logger    *slog.Logger
 	start     func()
 	once      sync.Once
-	wake      chan struct{} // wakes the reader
+	wake      chan struct{} // wakes run when it has stopped reading
 
 	mu            sync.Mutex
 	entries       *entries[evacuation.Request]
 	zones         evacuation.Zones
-	readAt        clocks.Interval // since what is known was asked for, or the first question
-	lastUsed      time.Time       // when it was last wanted
-	lastErr       error           // of the last reading, nil if it was answered
-	unknownLogged bool            // whether the log says that nothing is known
+	sinceRead     clocks.Interval // since the read that zones comes from was sent; before one, since the first call of Zones
+	lastUsed      time.Time       // when Zones was last called
+	lastErr       error           // of the last read, nil if it succeeded
+	unknownLogged bool            // whether the last log line about it says that the requests are unknown
 }
 
-// newEvacuations returns evacuations that are read from the first question until ctx ends.
-// A source without a prefix says that nobody evacuates availability zones.
+// newEvacuations returns evacuations that are read from the first call of Zones until ctx ends.
+// With a source without a prefix, no availability zone is ever evacuated.
 func newEvacuations(ctx context.Context, kv pointport.KV, clock pointport.Clock, source Source[evacuation.Request], within time.Duration, logger *slog.Logger) *evacuations {
 	e := &evacuations{
 		source: source, kv: kv, clock: clock, applyTime: within, logger: logger, wake: make(chan struct{}, 1),
 		entries: newEntries(source.Decode, event.EvacuationUnreadable, logger),
 	}
 	e.start = func() {
-		e.readAt = clocks.NewInterval(clock)
+		e.sinceRead = clocks.NewInterval(clock)
 		go e.run(ctx)
 	}
 	return e
 }
 
-// Zones returns what is known of evacuated availability zones, nothing if it is too old.
+// Zones returns the state of the availability zones. It is unknown for all of them if the last
+// successful read is too old.
 func (e *evacuations) Zones() evacuation.Zones {
 	if e.source.Prefix == "" {
 		return evacuation.None
@@ -86,40 +89,40 @@
 	case e.wake <- struct{}{}:
 	default:
 	}
-	if age := e.readAt.Age(); age > e.fractionOfApplyTime(evacuationValidFraction) {
+	if age := e.sinceRead.Age(); age > e.fractionOfApplyTime(evacuationValidFraction) {
 		e.logUnknown(age)
 		return evacuation.Zones{}
 	}
 	return e.zones
 }
 
-func (e *evacuations) fractionOfApplyTime(part float64) time.Duration {
-	return time.Duration(part * float64(e.applyTime))
+func (e *evacuations) fractionOfApplyTime(fraction float64) time.Duration {
+	return time.Duration(fraction * float64(e.applyTime))
 }
 
-// Count returns how many availability zones are evacuated, as far as is known.
+// Count returns how many availability zones the last successful read shows as evacuated.
 func (e *evacuations) Count() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.zones.Requests())
 }
 
-// run reads the requests until ctx ends.
+// run reads the requests until ctx ends, and pauses while nobody uses them.
 func (e *evacuations) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		rest := e.fractionOfApplyTime(evacuationReadFraction)
+		pause := e.fractionOfApplyTime(evacuationReadFraction)
 		if err := e.readAll(ctx); err != nil && ctx.Err() == nil {
-			rest = evacuationRetryInterval
+			pause = evacuationRetryInterval
 		}
 		select {
-		case <-e.clock.After(rest):
+		case <-e.clock.After(pause):
 		case <-ctx.Done():
 		}
 		e.awaitUse(ctx)
 	}
 }
 
-// awaitUse waits until the requests have been asked for lately.
+// awaitUse blocks until Zones has been called within evacuationIdleTimeout, or ctx ends.
 func (e *evacuations) awaitUse(ctx context.Context) {
 	for {
 		e.mu.Lock()
@@ -136,9 +139,9 @@
 	}
 }
 
-// readAll reads the requests.
+// readAll reads all requests and applies them. It returns the error of the store.
 func (e *evacuations) readAll(ctx context.Context) error {
-	asked := clocks.NewInterval(e.clock)
+	sinceSent := clocks.NewInterval(e.clock)
 	all, _, err := member.ReadAll(ctx, e.kv, e.source.Prefix)
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -151,29 +154,31 @@
 	for _, r := range e.entries.byKey {
 		requests = append(requests, r)
 	}
-	e.apply(evacuation.NewZones(requests), asked)
+	e.apply(evacuation.NewZones(requests), sinceSent)
 	return nil
 }
 
-// apply puts what was read in force, and logs what differs. The lock is held.
-func (e *evacuations) apply(now evacuation.Zones, asked clocks.Interval) {
-	for _, r := range now.Requests() {
+// apply puts the result of a read into force and logs the differences. It must be called with
+// the lock held.
+func (e *evacuations) apply(zones evacuation.Zones, sinceSent clocks.Interval) {
+	for _, r := range zones.Requests() {
 		if !slices.Contains(e.zones.Requests(), r) {
-			event.ZoneEvacuated.Log(e.logger, slog.String("zone", string(r.Zone)), slog.Int64("revision", int64(r.Revision)), slog.Duration("age", asked.Age()))
+			event.ZoneEvacuated.Log(e.logger, slog.String("zone", string(r.Zone)), slog.Int64("revision", int64(r.Revision)), slog.Duration("age", sinceSent.Age()))
 		}
 	}
 	for _, r := range e.zones.Requests() {
-		if now.State(r.Zone) == evacuation.Open {
-			event.ZoneOpened.Log(e.logger, slog.String("zone", string(r.Zone)), slog.Int64("revision", int64(r.Revision)), slog.Duration("age", asked.Age()))
+		if zones.State(r.Zone) == evacuation.Open {
+			event.ZoneOpened.Log(e.logger, slog.String("zone", string(r.Zone)), slog.Int64("revision", int64(r.Revision)), slog.Duration("age", sinceSent.Age()))
 		}
 	}
 	if e.unknownLogged {
-		event.EvacuationsKnown.Log(e.logger, slog.Int("evacuated", len(now.Requests())), slog.Duration("after", e.readAt.Age()))
+		event.EvacuationsKnown.Log(e.logger, slog.Int("evacuated", len(zones.Requests())), slog.Duration("after", e.sinceRead.Age()))
 	}
-	e.zones, e.readAt, e.unknownLogged = now, asked, false
+	e.zones, e.sinceRead, e.unknownLogged = zones, sinceSent, false
 }
 
-// logUnknown logs once that what is known has become too old. The lock is held.
+// logUnknown logs, once until the next successful read, that the last result is too old. It
+// must be called with the lock held.
 func (e *evacuations) logUnknown(age time.Duration) {
 	if e.unknownLogged {
 		return
--- a/node/follow.go
+++ b/node/follow.go
@@ -18,91 +18,93 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file defines what a node follows in the store: the operators'
-// configuration and the registrations of instances.
+// This file defines what a node follows in the store: the operators' configuration and the
+// registrations of instances.
 
 const (
-	// registrationChangePause is how long to wait between two changes of registrations, which
+	// registrationChangePause is the pause after each batch of changed registrations. They
 	// change with every heartbeat of every instance.
 	registrationChangePause = 100 * time.Millisecond
-	// DefaultConfigTime is the time within which a change must be in force where the platform
-	// does not tell.
-	DefaultConfigTime = 2 * time.Second
-	// configWatchTimePerMember is for each member how long a watch of the configuration may wait, so
-	// that all watches together end a hundred times a second. configWaitLeast is the least,
-	// and the most is configWaitPart of the time within which a change must be in force: a
-	// connection that has gone silent is noticed when the wait is over and configAnswer later,
-	// and the change has to be read after that.
+	// DefaultConfigApplyTime is the time within which a change must be in force if the platform
+	// does not specify one.
+	DefaultConfigApplyTime = 2 * time.Second
+	// The watch timeout of the configuration is configWatchTimePerMember times the number of
+	// members, so that the watches of all members together end a hundred times a second. It is
+	// at least minConfigWatchTimeout, and at most maxConfigWatchFraction of the time within
+	// which a change must be in force: a connection that has gone silent is noticed only after
+	// the watch timeout and configAnswerTimeout, and the change must still be read after that.
 	configWatchTimePerMember = 10 * time.Millisecond
 	minConfigWatchTimeout    = time.Second
 	maxConfigWatchFraction   = 0.6
-	// configAnswerTimeout is within which time after its wait a watch ends. A node that has not
-	// been told so says that it does not know whether its version is the newest.
+	// configAnswerTimeout is how long after its timeout a watch may take to return. A node
+	// whose watch has not returned by then reports that its version may not be the newest.
 	configAnswerTimeout = time.Second
-	// configRecheckPerMember is for each member the time between two conditional reads of the
-	// configuration, so that all together make 20 of them a second, a twentieth of the
-	// least that a store takes of writing calls; configRecheckMost keeps it within the
-	// time for which the store remembers changes.
+	// The time between two conditional reads of the configuration is configRecheckPerMember
+	// times the number of members, so that all members together make 20 of them a second. That
+	// is a twentieth of the smallest rate of writing calls that a store accepts.
+	// maxConfigRecheckInterval keeps the time shorter than the store's history of changes.
 	configRecheckPerMember   = 50 * time.Millisecond
 	maxConfigRecheckInterval = 15 * time.Second
 )
 
-// configWatchTimeout returns how long a watch of the configuration of one of so many members may wait
-// if a change must be in force within a time.
+// configWatchTimeout returns the timeout of a configuration watch in a cluster of the given
+// number of members, if a change must be in force within the given time.
 func configWatchTimeout(members int, within time.Duration) time.Duration {
-	most := max(time.Duration(maxConfigWatchFraction*float64(within)), minConfigWatchTimeout)
-	return min(max(time.Duration(members)*configWatchTimePerMember, minConfigWatchTimeout), most)
+	longest := max(time.Duration(maxConfigWatchFraction*float64(within)), minConfigWatchTimeout)
+	return min(max(time.Duration(members)*configWatchTimePerMember, minConfigWatchTimeout), longest)
 }
 
-// configRecheckInterval returns how often one of so many members makes sure of the configuration.
+// configRecheckInterval returns the time between two conditional reads of the configuration by
+// one member, in a cluster of the given number of members.
 func configRecheckInterval(members int) time.Duration {
 	return min(max(time.Duration(members)*configRecheckPerMember, member.DefaultRecheckInterval), maxConfigRecheckInterval)
 }
 
-// A Source says where a kind of thing is in the store and how to read it.
+// A Source defines where entries of one kind are in the store and how to decode them.
 type Source[T any] struct {
-	Prefix string // of its keys; the configuration is the one key of that name
+	Prefix string // prefix of the keys; for the configuration, its only key
 	Decode func(pointport.Entry) (T, error)
 }
 
-// A configs keeps the newest configuration.
+// configs holds the newest known configuration.
 type configs struct {
 	source  Source[*workload.Catalog]
 	clock   pointport.Clock
 	logger  *slog.Logger
 	current atomic.Pointer[workload.Catalog]
 	quotas  atomic.Pointer[quota.Policy]
-	// watchTimeout returns how long a watch of it may wait.
+	// watchTimeout returns the timeout of a watch of the configuration.
 	watchTimeout func() time.Duration
 
 	mu                sync.Mutex
-	confirmed         clocks.Interval // since the version in force was last known to be the newest
-	unconfirmedLogged bool            // whether the log says that it is not known
+	sinceConfirmed    clocks.Interval // since the version in force was last known to be the newest
+	unconfirmedLogged bool            // whether the last log line about it says that the version is unconfirmed
 }
 
-// startConfigs follows the configuration until ctx ends. size tells how many members there are,
-// within is the time within which a change must be in force.
+// startConfigs follows the configuration until ctx ends. size returns the number of members,
+// and within is the time within which a change must be in force.
 func startConfigs(ctx context.Context, kv pointport.KV, clock pointport.Clock, source Source[*workload.Catalog], size func() int, within time.Duration, logger *slog.Logger) *configs {
-	c := &configs{source: source, clock: clock, logger: logger, confirmed: clocks.NewInterval(clock)}
+	c := &configs{source: source, clock: clock, logger: logger, sinceConfirmed: clocks.NewInterval(clock)}
 	c.watchTimeout = func() time.Duration { return configWatchTimeout(size(), within) }
 	recheck := func() time.Duration { return configRecheckInterval(size()) }
 	go member.FollowKey(ctx, kv, clock, source.Prefix, c.apply, c.onResult, member.RecheckInterval(recheck), member.KeyWatchTimeout(c.watchTimeout))
 	return c
 }
 
-// confirmedRecently reports whether the version in force was known to be the newest so lately that another
-// one cannot have come into force since.
+// confirmedRecently reports whether the version in force was known to be the newest so recently
+// that no other version can have come into force since.
 func (c *configs) confirmedRecently() bool { return c.age() < c.unconfirmedAfter() }
 
-// unconfirmedAfter returns after which time without an answer the newest version is not known.
+// unconfirmedAfter returns how long after the last confirmation the version in force counts as
+// unconfirmed.
 func (c *configs) unconfirmedAfter() time.Duration { return c.watchTimeout() + configAnswerTimeout }
 
-// onResult takes in whether the newest version is known, and logs once when that is lost
-// and once when it is regained.
+// onResult records the result of a watch or read of the configuration. It logs once when the
+// version in force becomes unconfirmed, and once when it is confirmed again.
 func (c *configs) onResult(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	age := c.confirmed.Age()
+	age := c.sinceConfirmed.Age()
 	switch {
 	case err == nil && c.unconfirmedLogged:
 		event.ConfigConfirmed.Log(c.logger, slog.Int64("version", c.version()), slog.Duration("after", age))
@@ -113,18 +115,18 @@
 	}
 	c.unconfirmedLogged = err != nil
 	if err == nil {
-		c.confirmed = clocks.NewInterval(c.clock)
+		c.sinceConfirmed = clocks.NewInterval(c.clock)
 	}
 }
 
-// age returns for how long the newest version has not been known.
+// age returns the time since the version in force was last known to be the newest.
 func (c *configs) age() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.confirmed.Age()
+	return c.sinceConfirmed.Age()
 }
 
-// version returns the version in force, zero while there is none.
+// version returns the version in force, or zero if there is none.
 func (c *configs) version() int64 {
 	if k := c.Catalog(); k != nil {
 		return k.Version
@@ -132,7 +134,7 @@
 	return 0
 }
 
-// apply puts a version in force, unless a newer one is.
+// apply puts the version in an entry into force if it is newer than the one in force.
 func (c *configs) apply(e pointport.Entry) {
 	if !e.Exists() {
 		return
@@ -151,16 +153,17 @@
 		slog.Int("queues", len(next.Queues)), slog.Int("pools", len(next.Pools)))
 }
 
-// Catalog returns the configuration in force, nil while there is none.
+// Catalog returns the configuration in force, or nil if there is none.
 func (c *configs) Catalog() *workload.Catalog { return c.current.Load() }
 
-// Trusted returns the configuration in force, nil while there is none or it is not known
-// to be the newest because the machine was suspended since that was last made sure of.
-// While the store is away the last one is used on; but a woken member would go on as if
-// no time had passed, and take jobs for queues that are gone for long.
+// Trusted returns the configuration in force. It returns nil if there is none, or if the
+// machine has been suspended since the configuration was last confirmed. While the store is
+// unavailable, the last configuration stays in use; but a member that resumes after a
+// suspension would continue as if no time had passed, and accept jobs for queues that were
+// removed long ago.
 func (c *configs) Trusted() *workload.Catalog {
 	c.mu.Lock()
-	suspended := c.confirmed.Suspended()
+	suspended := c.sinceConfirmed.Suspended()
 	c.mu.Unlock()
 	if suspended > 0 {
 		return nil
@@ -168,7 +171,8 @@
 	return c.Catalog()
 }
 
-// customers returns the customers in force and the version that lists them.
+// customers returns the customers in force and the version of the configuration that lists
+// them.
 func (c *configs) customers() (*customer.Directory, int64) {
 	if k := c.Catalog(); k != nil {
 		return k.Customers, k.Version
@@ -176,13 +180,13 @@
 	return nil, 0
 }
 
-// caps returns what the configuration in force says of customers' caps, and whether it was
-// known to be the newest so lately that a lowered cap cannot have come into force since.
-func (c *configs) caps() (policy *quota.Policy, fresh bool) {
+// caps returns the customers' caps in force, and whether they were known to be the newest so
+// recently that no lower cap can have come into force since.
+func (c *configs) caps() (policy *quota.Policy, newest bool) {
 	return c.quotas.Load(), c.confirmedRecently()
 }
 
-// workPools returns the pools that need an owner.
+// workPools returns the names of the pools that need an owner.
 func (c *configs) workPools() []string {
 	if k := c.Catalog(); k != nil {
 		return k.WorkPools()
@@ -190,7 +194,7 @@
 	return nil
 }
 
-// layout returns which pools there are.
+// layout returns the work pools and the spare pool.
 func (c *configs) layout() steward.Layout {
 	k := c.Catalog()
 	if k == nil {
@@ -205,9 +209,10 @@
 	return l
 }
 
-// A registrations keeps the registrations of instances, while anybody asks for them.
+// registrations holds the registrations of instances. It follows them from the first call of
+// InPool.
 type registrations struct {
-	start func() // follows the registrations from the first question on
+	start func() // starts following the registrations
 	once  sync.Once
 
 	mu       sync.Mutex
@@ -216,18 +221,19 @@
 	coverage schedule.RegistryCoverage
 }
 
-// newRegistrations returns a fleet that follows the registrations from the first
-// question until ctx ends. Most nodes own no pool and need not know them.
+// newRegistrations returns registrations that are followed from the first call of InPool until
+// ctx ends. Most nodes own no pool and do not need them.
 func newRegistrations(ctx context.Context, kv pointport.KV, clock pointport.Clock, source Source[pointport.Incarnation], logger *slog.Logger) *registrations {
 	f := &registrations{entries: newEntries(source.Decode, event.RegistrationUnreadable, logger), changed: make(chan struct{})}
-	heard := func(err error) { f.onResult(clock.Now(), err) }
+	onResult := func(err error) { f.onResult(clock.Now(), err) }
 	f.start = func() {
-		go member.Follow(ctx, kv, clock, source.Prefix, f.reset, f.apply, member.PauseAfterChange(registrationChangePause), member.OnResult(heard))
+		go member.Follow(ctx, kv, clock, source.Prefix, f.reset, f.apply, member.PauseAfterChange(registrationChangePause), member.OnResult(onResult))
 	}
 	return f
 }
 
-// onResult takes in what became of a question about the registrations.
+// onResult records whether a read or watch of the registrations, which ended at the given time,
+// succeeded.
 func (f *registrations) onResult(now time.Time, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -241,7 +247,7 @@
 	f.coverage.Until = now
 }
 
-// Coverage returns how well the registrations are known.
+// Coverage returns the interval for which the registrations have been readable.
 func (f *registrations) Coverage() schedule.RegistryCoverage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -252,16 +258,16 @@
 
 func (f *registrations) apply(changes []pointport.Entry) { f.update(f.entries.apply, changes) }
 
-func (f *registrations) update(how func([]pointport.Entry), entries []pointport.Entry) {
+func (f *registrations) update(apply func([]pointport.Entry), entries []pointport.Entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	how(entries)
+	apply(entries)
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// InPool returns the registrations of a pool's instances, and a channel that is
-// closed when any registration changes.
+// InPool returns the registrations of a pool's instances, and a channel that is closed when any
+// registration changes.
 func (f *registrations) InPool(pool string) ([]pointport.Incarnation, <-chan struct{}) {
 	f.once.Do(f.start)
 	f.mu.Lock()
--- a/node/node.go
+++ b/node/node.go
@@ -31,27 +31,26 @@
 // This file defines the node, its start and its planned stop.
 
 const (
-	// headerTimeout bounds how long a client may take to send its headers.
+	// headerTimeout is how long a client may take to send its request headers.
 	headerTimeout = 3 * time.Second
-	// idleTimeout is how long a client's unused connection is kept.
+	// idleTimeout is how long an unused connection of a client is kept open.
 	idleTimeout = 15 * time.Second
-	// maxIdlePeerConns is how many idle connections are kept to each peer.
+	// maxIdlePeerConns is the number of idle connections that are kept to each peer.
 	maxIdlePeerConns = 4
-	// drainTime is how long a stopping node goes on answering, so that the
-	// balancer, which asks every second and believes the second miss, has
-	// noticed.
+	// drainTime is how long a stopping node keeps answering. The load balancer probes readiness
+	// every second and stops sending after the second failure, which this time covers.
 	drainTime = 2500 * time.Millisecond
-	// stopReserve is kept of the time until a node is killed.
+	// stopReserve is the part of the grace period that Stop does not use.
 	stopReserve = 700 * time.Millisecond
 )
 
-// Addresses are where a node listens, host:port each. It does not listen where
-// there is none.
+// Addresses are the addresses, host:port each, on which a node listens. It has no listener for
+// an empty address.
 type Addresses struct {
 	Clients, Readiness, Peers, Metrics string
 }
 
-// Services are what a node stands on.
+// Services are the services that a node depends on.
 type Services struct {
 	KV            pointport.KV
 	Executor      pointport.Executor
@@ -59,20 +58,21 @@
 	Clock         pointport.Clock
 	Config        Source[*workload.Catalog]
 	Registrations Source[pointport.Incarnation]
-	// Machines moves and maintains instances; nil if nobody does.
+	// Machines moves and maintains instances; nil if the node must not do so.
 	Machines pointport.Machines
 	Waves    WaveSource
-	// Evacuations are the operators' requests that availability zones be left empty; without
-	// a prefix nobody makes any.
+	// Evacuations are the operators' requests to leave availability zones empty. Without a
+	// prefix there are none.
 	Evacuations Source[evacuation.Request]
-	// Ingress makes the handler of the calls of a node's clients.
+	// Ingress returns the handler of clients' requests.
 	Ingress func(n *Node) http.Handler
-	// Metrics serves the node's figures, Brief the most telling of them; nil for none.
+	// Metrics serves the node's metrics, and BriefMetrics the most important of them; nil if
+	// they are not served.
 	Metrics, BriefMetrics http.Handler
-	// OperatorAPI makes the handler of the operators' API, which is served beside the
-	// figures; nil for none.
+	// OperatorAPI returns the handler of the operators' API, which is served on the address of
+	// the metrics; nil if it is not served.
 	OperatorAPI func(*intake.Service, *peer.Owners, func() *workload.Catalog) http.Handler
-	// PeerTransport carries questions to peers; nil for the network.
+	// PeerTransport sends requests to peers; nil for a default HTTP transport.
 	PeerTransport http.RoundTripper
 }
 
@@ -81,46 +81,48 @@
 	Name      string
 	Zone      pointport.ZoneID
 	Addresses Addresses
-	// PeerName is the address by which peers reach the node, if it is not where
-	// the node listens for them.
+	// PeerName is the address that peers use to reach the node, if it differs from
+	// Addresses.Peers.
 	PeerName string
-	// Strength says how much work the node can do, beside others.
+	// Strength is how much work the node can do relative to other members.
 	Strength float64
-	// LeaseTTL is how long the node's lease lasts unrenewed.
+	// LeaseTTL is the time to live of the node's lease in the store.
 	LeaseTTL time.Duration
-	// TaskLease is how far ahead tasks are extended.
+	// TaskLease is how far into the future the leases of running tasks are extended.
 	TaskLease time.Duration
-	// MaxHold is for how long an instance runs anything without a further order.
+	// MaxHold is how long an instance runs tasks without receiving another order.
 	MaxHold time.Duration
-	// GangTimeout is how long an instance waits for the others of a gang.
+	// GangTimeout is how long an instance waits for the other tasks of a gang to start.
 	GangTimeout time.Duration
-	// RemoteDataSlowdown is how many times as long a task takes away from its data.
+	// RemoteDataSlowdown is the factor by which a task takes longer in another rack than its
+	// data.
 	RemoteDataSlowdown float64
-	// Grace is the time between the signal to stop and the end by force.
+	// Grace is the time between the signal to stop and the forced end of the process.
 	Grace time.Duration
-	// HolderTime must lie between the orders of two holders of an instance.
+	// HolderTime is the least time between the orders of two different holders of an instance.
 	HolderTime time.Duration
-	// ConfigApplyTime is within which time a change of the configuration must be in force.
+	// ConfigApplyTime is the time within which a change of the configuration must be in force.
 	ConfigApplyTime time.Duration
-	// EvacuationTime is within which time nothing more may be started in an availability
-	// zone that operators ask to be left empty.
+	// EvacuationTime is the time after which nothing may start in an availability zone whose
+	// evacuation operators have requested.
 	EvacuationTime time.Duration
-	// MachineOrdersPerSecond is how many orders about instances the platform takes in a second from all
-	// members, zero if it does not say.
+	// MachineOrdersPerSecond is how many orders about instances the platform accepts per second
+	// from all members together; zero if it specifies no limit.
 	MachineOrdersPerSecond float64
 	Capacity               capacity.Settings
 	Keys                   KeyPolicy
-	// LowMemory reports whether the node can hold no more, so that new jobs are better kept
-	// by a peer; nil if it always can.
+	// LowMemory reports whether the node is too short of memory to store more jobs, so that a
+	// peer should store new ones; nil if that never happens.
 	LowMemory func() bool
 }
 
-// A KeyPolicy says how customers' keys are judged while the newest configuration is not
+// A KeyPolicy defines how customers' keys are checked while the newest configuration is not
 // known.
 type KeyPolicy struct {
-	// Strict says that a key that may have been taken away is refused rather than let in.
+	// Strict means that keys which may have been revoked are refused rather than accepted.
 	Strict bool
-	// MaxConfigAge is for how long a configuration may be out of date before that begins.
+	// MaxConfigAge is how long the configuration may have been unconfirmed before Strict
+	// applies.
 	MaxConfigAge time.Duration
 }
 
@@ -139,16 +141,17 @@
 	stewardManager *member.PoolManager[*steward.Steward]
 	intake         *intake.Service
 	owners         *peer.Owners
-	peerClient     *http.Client // by which questions and orders go to peers
+	peerClient     *http.Client // for requests and orders to peers
 	servers        []*http.Server
 	clientServer   *http.Server
 	leaving        atomic.Bool
-	// reportedReady is what the balancer was told last.
+	// reportedReady is the last readiness that a probe was answered with.
 	reportedReady atomic.Bool
 	stopOnce      sync.Once
 }
 
-// Start starts a node whose background work ends with ctx.
+// Start starts a node whose background work ends with ctx. It returns an error if the node
+// cannot listen on one of its addresses.
 func Start(ctx context.Context, s Services, p Parameters, logger *slog.Logger) (*Node, error) {
 	s.KV = hedge.New(s.KV, s.Clock)
 	n := &Node{services: s, params: p, logger: logger}
@@ -160,7 +163,7 @@
 	n.session = member.StartSession(ctx, s.KV, s.Clock, p.LeaseTTL, logger)
 	self := member.Member{Name: p.Name, Peer: cmp.Or(p.PeerName, p.Addresses.Peers), Zone: p.Zone, Strength: p.Strength}
 	n.roster = member.StartRoster(ctx, s.KV, s.Clock, n.session, self, logger)
-	n.configs = startConfigs(ctx, s.KV, s.Clock, s.Config, n.roster.Size, cmp.Or(p.ConfigApplyTime, DefaultConfigTime), logger)
+	n.configs = startConfigs(ctx, s.KV, s.Clock, s.Config, n.roster.Size, cmp.Or(p.ConfigApplyTime, DefaultConfigApplyTime), logger)
 	n.registrations = newRegistrations(ctx, s.KV, s.Clock, s.Registrations, logger)
 	n.evacuations = newEvacuations(ctx, s.KV, s.Clock, s.Evacuations, cmp.Or(p.EvacuationTime, DefaultEvacuationTime), logger)
 	n.poolManager = member.StartPoolManager(ctx, s.Clock, n.session, n.roster, n.configs.workPools, n.startOwner(ctx), logger)
@@ -176,7 +179,7 @@
 	return n, nil
 }
 
-// intakeOptions returns what varies of the desk.
+// intakeOptions returns the options of the intake service that depend on the node's parameters.
 func (n *Node) intakeOptions() []intake.Option {
 	options := []intake.Option{intake.WithCustomers(n.configs.customers)}
 	if n.params.LowMemory != nil {
@@ -185,18 +188,18 @@
 	return options
 }
 
-// KeysTrusted reports whether it is known which keys are in force, as far as the operators
-// ask for that: a member that is cut off from the store goes on with the keys that it knows
-// unless they are strict about it.
+// KeysTrusted reports whether customers' keys may be checked against the configuration in
+// force. A member that is disconnected from the store continues with the keys that it knows;
+// under a strict key policy it does so only for the policy's MaxConfigAge.
 func (n *Node) KeysTrusted() bool {
 	return !n.params.Keys.Strict || n.configs.age() <= n.params.Keys.MaxConfigAge
 }
 
-// KeysNewest reports whether the newest keys are known: whether the configuration was known
-// to be the newest so lately that another one is not in force yet.
+// KeysNewest reports whether the newest keys are known: the configuration in force was
+// confirmed so recently that no other version can have come into force since.
 func (n *Node) KeysNewest() bool { return n.configs.confirmedRecently() }
 
-// startSteward lets the node be the one that moves and maintains instances.
+// startSteward makes the node a candidate for the steward, which moves and maintains instances.
 func (n *Node) startSteward(ctx context.Context, pools steward.Pools) {
 	s := n.services
 	services := steward.Services{
@@ -204,8 +207,8 @@
 		Waves: newWaves(ctx, s.KV, s.Clock, s.Waves, n.logger), Layout: n.configs.layout, Evacuations: n.evacuations.Zones,
 	}
 	settings := steward.Settings{Name: n.params.Name, HolderTime: n.params.HolderTime, OrdersPerSecond: n.params.MachineOrdersPerSecond, Planner: n.params.Capacity}
-	posts := func() []string { return []string{steward.OwnershipName} }
-	n.stewardManager = member.StartPoolManager(ctx, s.Clock, n.session, n.roster, posts, func(own member.Ownership) *steward.Steward {
+	ownerships := func() []string { return []string{steward.OwnershipName} }
+	n.stewardManager = member.StartPoolManager(ctx, s.Clock, n.session, n.roster, ownerships, func(own member.Ownership) *steward.Steward {
 		return steward.Start(ctx, services, settings, own, n.logger)
 	}, n.logger)
 }
@@ -256,9 +259,10 @@
 	return nil
 }
 
-// closingConnections has every answer of a stopping node ask its caller to open another
-// connection, so that hardly any is left in use when the rest are closed. A request
-// that is under way while its idle connection is closed gets no answer.
+// closingConnections wraps the clients' handler. While the node is stopping, each response asks
+// the client to open another connection, so that few connections are in use when the servers
+// are closed: a request that arrives while its idle connection is being closed gets no
+// response.
 func (n *Node) closingConnections(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if n.leaving.Load() {
@@ -268,7 +272,7 @@
 	})
 }
 
-// metricsHandler returns the handler of the figures and of the operators' API.
+// metricsHandler returns the handler of the metrics and of the operators' API.
 func (n *Node) metricsHandler() http.Handler {
 	s := n.services
 	if s.OperatorAPI == nil || s.Metrics == nil {
@@ -283,13 +287,15 @@
 	return mux
 }
 
-// Intake returns what takes jobs.
+// Intake returns the service that accepts, cancels and reports on jobs.
 func (n *Node) Intake() *intake.Service { return n.intake }
 
-// Catalog returns the configuration in force, nil while there is none.
+// Catalog returns the configuration in force. It returns nil if there is none, or if the
+// machine has been suspended since the configuration was last confirmed.
 func (n *Node) Catalog() *workload.Catalog { return n.configs.Trusted() }
 
-// PeerHandler answers the questions of peers and carries out orders for them.
+// PeerHandler returns the handler of peers' requests, and of the orders that the node forwards
+// to instances for them.
 func (n *Node) PeerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", peer.Handler(n.poolManager, n.intake, n.logger))
@@ -297,16 +303,17 @@
 	return mux
 }
 
-// delegates returns a way to the instances of a pool through peers that own nothing.
+// delegates returns an executor that sends orders to the instances of a pool through peers that
+// own nothing.
 func (n *Node) delegates(ctx context.Context, pool string) shard.Delegates {
-	helpers := func(most int) []member.Member { return n.roster.Idle(pool, most) }
-	return delegate.New(ctx, n.services.Executor, helpers, n.peerClient, n.services.Clock, n.logger)
+	idlePeers := func(limit int) []member.Member { return n.roster.Idle(pool, limit) }
+	return delegate.New(ctx, n.services.Executor, idlePeers, n.peerClient, n.services.Clock, n.logger)
 }
 
-// Logger returns where the node logs.
+// Logger returns the node's logger.
 func (n *Node) Logger() *slog.Logger { return n.logger }
 
-// Ready reports whether the node should get new connections.
+// Ready reports whether the load balancer should open new connections to the node.
 func (n *Node) Ready() bool {
 	return !n.leaving.Load() && n.configs.Trusted() != nil && n.session.Reachable()
 }
@@ -322,20 +329,19 @@
 	}
 }
 
-// ConfigVersion returns the version of the configuration in force, zero while
-// there is none.
+// ConfigVersion returns the version of the configuration in force, or zero if there is none.
 func (n *Node) ConfigVersion() int64 { return n.configs.version() }
 
-// ConfigAge returns how long ago the version in force was last known to be the newest.
+// ConfigAge returns the time since the version in force was last known to be the newest.
 func (n *Node) ConfigAge() time.Duration { return n.configs.age() }
 
-// LeaseProven reports whether the node's lease at the store has surely not ended.
+// LeaseProven reports whether the node's lease at the store is certain not to have expired.
 func (n *Node) LeaseProven() bool { return n.session.Proven() }
 
-// Members returns how many members the node knows, itself among them.
+// Members returns the number of members that the node knows, including itself.
 func (n *Node) Members() int { return len(n.roster.Peers()) + 1 }
 
-// Owned returns how many pools the node owns, and the steward's post as one.
+// Owned returns how many pools the node owns, with the steward's ownership counted as one.
 func (n *Node) Owned() int {
 	owned := n.poolManager.Count()
 	if n.stewardManager != nil {
@@ -344,12 +350,13 @@
 	return owned
 }
 
-// EvacuatedZones returns how many availability zones are evacuated, as far as the node knows; it
-// reads that while it owns something.
+// EvacuatedZones returns how many availability zones are evacuated according to the last read
+// of the requests. The node reads them only while it owns something.
 func (n *Node) EvacuatedZones() int { return n.evacuations.Count() }
 
-// Load returns what the owners of this node's pools carry: the worst lag, the smallest
-// window of starts, and whether any sends its orders through peers; zero if there is none.
+// Load returns the load of the owners of this node's pools: the largest lag, the smallest
+// window of starts, and whether any owner sends its orders through peers. It is zero if the
+// node owns no pool.
 func (n *Node) Load() shard.Load {
 	var sum shard.Load
 	for i, o := range n.poolManager.Controllers() {
@@ -363,8 +370,7 @@
 	return sum
 }
 
-// CustomerUses returns what customers use of the pools that this node owns, summed up over
-// them.
+// CustomerUses returns each customer's usage, summed over the pools that this node owns.
 func (n *Node) CustomerUses() []schedule.CustomerUse {
 	sum := make(map[string]schedule.CustomerUse)
 	for _, o := range n.poolManager.Controllers() {
@@ -376,8 +382,8 @@
 	return slices.Collect(maps.Values(sum))
 }
 
-// Stop ends the node as planned: its pools go to others at once, and it goes on
-// answering until the balancer has noticed.
+// Stop stops the node as planned: it hands the node's pools to other members at once and keeps
+// answering until the load balancer has noticed. Only the first call has an effect.
 func (n *Node) Stop() {
 	n.stopOnce.Do(n.stop)
 }
@@ -392,8 +398,8 @@
 	}
 	n.poolManager.Stop()
 	n.roster.Leave()
-	// The session has a new lease granted, which tells that the store can be
-	// reached while the node still answers; no key goes with it.
+	// Ending the session grants the node a new lease, which holds no key. It shows that the
+	// store can be reached while the node still answers.
 	if err := n.session.End(ctx); err != nil {
 		event.Failed.Log(n.logger, slog.String("part", "lease"), slog.Any("error", err))
 	}
@@ -405,7 +411,7 @@
 		event.Failed.Log(n.logger, slog.String("part", "clients"), slog.Any("error", err))
 	}
 	for _, s := range n.servers {
-		_ = s.Close() // whoever asks another listener asks again elsewhere
+		_ = s.Close() // a caller of another listener retries at another node
 	}
 	event.Stopped.Log(n.logger)
 }
--- a/node/wave.go
+++ b/node/wave.go
@@ -14,16 +14,17 @@
 	"github.com/pointport/pointport/steward"
 )
 
-// This file defines how a node follows the waves of maintenance.
+// This file defines how a node follows the requests for waves of maintenance.
 
-// A WaveSource says where waves are in the store, how to read them and how to
-// report on them.
+// A WaveSource defines where wave requests are in the store, how to decode them, and the entry
+// that reports their status.
 type WaveSource struct {
 	Source[capacity.Wave]
 	Status func(wave int64, completed bool) pointport.Put
 }
 
-// waves keeps the waves that operators ask for, while anybody asks for them.
+// waves holds the waves that operators have requested. It follows them from the first call of
+// Waves.
 type waves struct {
 	source WaveSource
 	start  func()
@@ -35,22 +36,22 @@
 
 var _ steward.Waves = (*waves)(nil)
 
-// newWaves returns waves that are followed from the first question until ctx
-// ends.
+// newWaves returns waves that are followed from the first call of Waves until ctx ends.
 func newWaves(ctx context.Context, kv pointport.KV, clock pointport.Clock, source WaveSource, logger *slog.Logger) *waves {
 	w := &waves{source: source, entries: newEntries(source.Decode, event.WaveUnreadable, logger)}
 	w.start = func() { go member.Follow(ctx, kv, clock, source.Prefix, w.apply, w.apply) }
 	return w
 }
 
-// apply takes in waves. A wave that was removed is left to end by itself.
+// apply adds or replaces waves. A wave whose request was deleted is kept: the steward ends it
+// by itself.
 func (w *waves) apply(entries []pointport.Entry) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.entries.apply(slices.DeleteFunc(entries, func(e pointport.Entry) bool { return !e.Exists() }))
 }
 
-// Waves returns the waves that are asked for, by number.
+// Waves returns the requested waves, ordered by ID.
 func (w *waves) Waves() []capacity.Wave {
 	w.once.Do(w.start)
 	w.mu.Lock()
@@ -63,7 +64,7 @@
 	return out
 }
 
-// Status returns the key and the value that report on a wave.
+// Status returns the entry that reports whether a wave is completed.
 func (w *waves) Status(wave int64, completed bool) pointport.Put {
 	return w.source.Status(wave, completed)
 }
