--- a/node/bench_test.go
+++ b/node/bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// BenchmarkOwner measures what the owner of a pool of 80 instances spends on each
-// task when 60 jobs of 13 tasks come every second.
+// BenchmarkOwner measures the time that the owner of a pool of 80 instances needs per task when
+// 60 jobs of 13 tasks arrive every second.
 func BenchmarkOwner(b *testing.B) {
 	const instances, jobsPerSecond = 80, 60
 	store := memory.New(clock.System{})
--- a/node/cap_test.go
+++ b/node/cap_test.go
@@ -15,10 +15,11 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file tests customers' caps on whole nodes.
+// This file tests customers' caps on complete nodes.
 
-// What has to run at once and is beyond its customer's cap is refused with the reason, before
-// anything is stored; what may run bit by bit is not.
+// A job that needs more resources at the same time than its customer's cap allows is refused
+// with the reason before anything is stored. A job whose tasks can run one after the other is
+// accepted.
 func TestConcurrentNeedBeyondCapIsRefused(t *testing.T) {
 	simulate(t, 1, func(c *cluster) {
 		c.configure(&workload.Catalog{Version: 2, Customers: customers(capOf(3), "bistro")})
@@ -39,29 +40,29 @@
 			err := asCustomer(n, "bistro").Submit(context.Background(), q, id, &workload.Spec{Steps: []workload.Step{k.step}})
 			var field *workload.SpecError
 			if k.taken && err != nil || !k.taken && (!errors.As(err, &field) || field.Field != "steps[0].need") {
-				t.Errorf("job %s with %+v: %v", id, k.step, err)
+				t.Errorf("job %s with step %+v: Submit returned %v", id, k.step, err)
 			}
 		}
 	})
 }
 
-// A capMonitor is the reference for caps: one sum of what a customer has running, by what
-// instances were told, held against the highest cap that counts.
+// A capMonitor checks a customer's cap independently of the nodes: it compares the cores of all
+// tasks that the customer has running on instances with the highest cap that still counts.
 type capMonitor struct {
 	c          *cluster
 	ids        map[string]bool
 	mu         sync.Mutex
-	limits     []capPeriod // guarded by mu, as worst is
+	limits     []capPeriod // guarded by mu, like maxRunning
 	maxRunning int64
 }
 
 type capPeriod struct {
 	cores int64
-	until time.Time // zero while it is in force
+	until time.Time // zero while the cap is in force
 }
 
-// loweredCapGrace is for how long a cap counts after a lower one was put into force: the
-// least that the users' pages give.
+// loweredCapGrace is how long a cap still counts after a lower one was put into force: the
+// least time that the users' documentation grants.
 const loweredCapGrace = 2 * time.Second
 
 // setCap puts another cap into force.
@@ -77,7 +78,7 @@
 	return map[string]pointport.Shape{"bistro": {CPUMilli: cores * 1000}}
 }
 
-// run holds what runs against the cap until stop is closed.
+// run checks the running tasks against the cap until stop is closed.
 func (w *capMonitor) run(stop <-chan struct{}) {
 	before := int64(0)
 	for {
@@ -102,15 +103,15 @@
 		w.maxRunning = max(w.maxRunning, running)
 		w.mu.Unlock()
 		if running > most && running > before {
-			w.c.t.Errorf("%d cores run of a cap of %d", running, most)
+			w.c.t.Errorf("%d cores are in use with a cap of %d", running, most)
 		}
 		before = running
 	}
 }
 
-// What a customer has running in both pools stays within its cap while owners are killed,
-// the cap is lowered and raised, and a node is cut off from the store; another customer is
-// served beside it, and what was held back runs in the end.
+// The tasks that a customer has running in two pools together stay within its cap while owners
+// are killed, the cap is lowered and raised, and a node is disconnected from the store. Another
+// customer's job completes meanwhile, and the tasks that were held back run in the end.
 func TestCustomerStaysWithinCap(t *testing.T) {
 	cases := map[string]func(c *cluster){
 		"no trouble": func(*cluster) {},
@@ -185,7 +186,7 @@
 				}
 				time.Sleep(3 * time.Second)
 				if s, err := asCustomer(n, "cafe").Status(context.Background(), q["shift"], "00000000000000ff"); s != workload.Completed {
-					t.Errorf("beside a customer at its cap, another's job is %q, %v", s, err)
+					t.Errorf("the job of another customer, while the first is at its cap, has status %q, error %v", s, err)
 				}
 				w.setCap(6, 40)
 				for id := range w.ids {
@@ -199,7 +200,7 @@
 							break
 						}
 						if time.Now().After(end) {
-							t.Fatalf("job %s is %q\n%s", id, s, c.logs.containing(id))
+							t.Fatalf("job %s has status %q\n%s", id, s, c.logs.containing(id))
 						}
 					}
 				}
@@ -207,7 +208,7 @@
 				w.mu.Lock()
 				defer w.mu.Unlock()
 				if w.maxRunning < 10 {
-					t.Errorf("at most %d cores ran of a cap of 12", w.maxRunning)
+					t.Errorf("at most %d cores were in use with a cap of 12, want at least 10", w.maxRunning)
 				}
 			}, withWork(func(pointport.StartOrder) testbed.Work {
 				return testbed.Work{Room: pointport.Shape{CPUMilli: 1000, MemoryMiB: 16}, Duration: task}
--- a/node/capacity_test.go
+++ b/node/capacity_test.go
@@ -10,9 +10,9 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// Instances shrink to a quarter while jobs run on them, and grow again. What runs goes on;
-// nothing is started beyond the new room, also where the instances would take it; and the
-// room is used again once it is back.
+// Instances shrink to a quarter of their cores while jobs run on them, and grow again. Running
+// tasks continue. Nothing is started beyond the smaller capacity, even if the instances do not
+// enforce it, and the capacity is used again once it is back.
 func TestInstancesAreResized(t *testing.T) {
 	room := pointport.Shape{CPUMilli: 500, MemoryMiB: 128}
 	large, small := pointport.Shape{CPUMilli: 4000, MemoryMiB: 8192}, pointport.Shape{CPUMilli: 1000, MemoryMiB: 8192}
@@ -26,7 +26,7 @@
 	}
 	for _, k := range cases {
 		owners := k.owners
-		t.Run(fmt.Sprintf("owners %s, guards %v", owners, k.guards == nil), func(t *testing.T) {
+		t.Run(fmt.Sprintf("owners %s, instances enforce capacity %v", owners, k.guards == nil), func(t *testing.T) {
 			simulate(t, 3, func(c *cluster) {
 				n := c.nodes["n0"].node
 				q := queue(t, n, "shift-close")
@@ -52,7 +52,7 @@
 				}
 				time.Sleep(time.Second)
 				if got := c.fleet.Running(); got <= 2*10 {
-					t.Errorf("%d runs a second after the instances have grown, want more than they held while they were small", got)
+					t.Errorf("%d tasks run one second after the instances have grown, want more than the small instances could hold", got)
 				}
 				for i := range jobs {
 					c.waitForStatus(n, q, fmt.Sprintf("%016x", i), workload.Completed, time.Minute)
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -29,8 +29,8 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file defines a cluster of nodes in one process, on a store and a fleet in
-// memory, for tests in a bubble of simulated time.
+// This file defines a cluster of nodes in one process, with a store and a fleet in memory, for
+// tests in simulated time.
 
 // The keys under which the cluster's store holds what nodes follow.
 const (
@@ -41,39 +41,39 @@
 	sparePool          = "spare"
 )
 
-// A cluster is some nodes and what they stand on.
+// A cluster is a set of nodes with the store and the fleet that they share.
 type cluster struct {
 	t     *testing.T
 	store *memory.Store
-	kv    pointport.KV // without faults
+	kv    pointport.KV // injects no faults
 	fleet *testbed.Fleet
-	// Holds who is cut off from what; guarded by mu.
+	// mu guards the injected faults, from storeFault to peersSilent, and nodes.
 	mu          sync.Mutex
 	storeFault  func(node, op string) memory.Fault
-	onStoreCall func(node, op, key string) // sees each call to the store as it is carried out
+	onStoreCall func(node, op, key string) // is called with each store call before it is carried out
 	network     testbed.Network
 	peersCut    map[string]bool
-	peersSilent bool // whether questions between nodes get no answer
+	peersSilent bool // whether requests between nodes get no response
 	nodes       map[string]*running
 	logs        *logs
-	jsonLogs    *logs // the same lines as nodes write them
-	// noSteward says that nobody moves or maintains instances.
+	jsonLogs    *logs // the same lines in JSON, as nodes write them
+	// noSteward means that no node moves or maintains instances.
 	noSteward bool
-	// lowMemory names the nodes that are near the limit of their memory; guarded by mu.
+	// lowMemory holds the nodes that are short of memory; guarded by mu.
 	lowMemory map[string]bool
-	// storeLatency is how long each call to the store takes.
+	// storeLatency is the duration of each call to the store.
 	storeLatency time.Duration
-	// listLag is how far the list of machines is behind, listBack by how much every second
-	// reading of it is further behind.
+	// listLag is the age of the machine list, and listExtraLag the additional age of every
+	// second read of it.
 	listLag, listExtraLag time.Duration
 	keyPolicy             node.KeyPolicy
-	// machineOrdersPerSecond is how many orders about instances the platform says that it takes, counts
-	// counts them.
+	// machineOrdersPerSecond is the rate of orders about instances that the platform accepts;
+	// machineCounter counts them.
 	machineOrdersPerSecond float64
 	machineCounter         *countingMachines
-	// configApplyTime is within which time a change of the configuration must be in force.
+	// configApplyTime is the time within which a change of the configuration must be in force.
 	configApplyTime time.Duration
-	// looseClocks says that nodes stand still as a loose machineClock does.
+	// looseClocks sets machineClock.ownersOnly of all nodes.
 	looseClocks bool
 }
 
@@ -83,13 +83,13 @@
 	clock  *machineClock
 }
 
-// logs keeps what the nodes log, for a test that fails.
+// logs keeps the log lines of the nodes, for the messages of failed tests.
 type logs struct {
 	mu    sync.Mutex
 	lines []string
 }
 
-// Write takes a line.
+// Write appends a line.
 func (l *logs) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,7 +97,7 @@
 	return len(p), nil
 }
 
-// containing returns the lines that name something.
+// containing returns the lines that contain a text.
 func (l *logs) containing(what string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,43 +116,45 @@
 	return func(_ *cluster, o *[]testbed.Option) { *o = append(*o, testbed.WithWork(w)) }
 }
 
-// withoutSteward keeps instances where they are.
+// withoutSteward keeps instances in their pools.
 func withoutSteward() clusterOption {
 	return func(c *cluster, _ *[]testbed.Option) { c.noSteward = true }
 }
 
-// withSlowStore has each call to the store take so long.
+// withSlowStore sets the duration of each call to the store.
 func withSlowStore(d time.Duration) clusterOption {
 	return func(c *cluster, _ *[]testbed.Option) { c.storeLatency = d }
 }
 
-// withKeyPolicy sets how nodes judge keys while they do not know the newest configuration.
+// withKeyPolicy sets how nodes check keys while they do not know the newest configuration.
 func withKeyPolicy(p node.KeyPolicy) clusterOption {
 	return func(c *cluster, _ *[]testbed.Option) { c.keyPolicy = p }
 }
 
-// withConfigApplyTime sets within which time a change of the configuration must be in force.
+// withConfigApplyTime sets the time within which a change of the configuration must be in
+// force.
 func withConfigApplyTime(d time.Duration) clusterOption {
 	return func(c *cluster, _ *[]testbed.Option) { c.configApplyTime = d }
 }
 
-// withMachineOrderRate has the platform say how many orders about instances it takes in a second, and a
-// service count them.
+// withMachineOrderRate sets the rate of orders about instances that the platform accepts, and a
+// service that counts them.
 func withMachineOrderRate(perSecond float64, counts *countingMachines) clusterOption {
 	return func(c *cluster, _ *[]testbed.Option) { c.machineOrdersPerSecond, c.machineCounter = perSecond, counts }
 }
 
-// defaultAddresseeReuse is in how many percent of their returns instances come back under the addressee that they
-// had, unless a test says otherwise.
+// defaultAddresseeReuse is the percentage of restarted instances that come back under their
+// previous addressee, unless a test sets another one.
 const defaultAddresseeReuse = 50
 
-// withAddresseeReuse has instances come back under the addressee that they had, in so many percent of
-// their returns.
+// withAddresseeReuse sets the percentage of restarted instances that come back under their
+// previous addressee.
 func withAddresseeReuse(percent int) clusterOption {
 	return func(_ *cluster, o *[]testbed.Option) { *o = append(*o, testbed.WithReturns(percent)) }
 }
 
-// withLinger has the registration of an instance stay for a while that ends without having said so.
+// withLinger sets how long the registration of an instance stays after the instance has ended
+// without deregistering.
 func withLinger(d time.Duration) clusterOption {
 	return func(_ *cluster, o *[]testbed.Option) { *o = append(*o, testbed.WithLinger(d)) }
 }
@@ -161,8 +163,8 @@
 	return func(_ *cluster, o *[]testbed.Option) { *o = append(*o, testbed.WithGuards(false)) }
 }
 
-// newCluster returns a cluster without nodes: two pools of four instances and
-// two spare ones.
+// newCluster returns a cluster without nodes, with two pools of four instances each and two
+// spare instances.
 func newCluster(t *testing.T, options ...clusterOption) *cluster {
 	c := &cluster{
 		t: t, store: memory.New(clock.System{}), network: testbed.Reliable,
@@ -185,8 +187,7 @@
 	return c
 }
 
-// configure puts a configuration with the cluster's pools and queues into the
-// store.
+// configure writes a configuration with the cluster's pools and queues to the store.
 func (c *cluster) configure(k *workload.Catalog) {
 	k.Pools = []workload.PoolInfo{{Name: "shift", EnforcesCapacity: true}, {Name: "payout", EnforcesCapacity: true}, {Name: sparePool, Spare: true}}
 	for _, pool := range []string{"shift", "payout"} {
@@ -209,7 +210,7 @@
 	}
 }
 
-// registrationDocument is how the cluster's store holds a registration.
+// registrationDocument is a registration as encoded in the cluster's store.
 type registrationDocument struct {
 	ID       pointport.IncarnationID
 	Instance pointport.InstanceID
@@ -223,7 +224,7 @@
 	Left     time.Duration
 }
 
-// register keeps the store's registrations in step with the fleet.
+// register adds an instance's registration to the store, or deletes it.
 func (c *cluster) register(inc pointport.Incarnation, there bool) {
 	key := registrationPrefix + string(inc.ID().Addressee())
 	if !there {
@@ -254,7 +255,7 @@
 	return pointport.NewIncarnation(d.ID, d.Pool, d.Address, options...), nil
 }
 
-// RoundTrip carries a question from one node to another without a network.
+// RoundTrip passes a request from one node to another without a network.
 func (c *cluster) RoundTrip(r *http.Request) (*http.Response, error) {
 	name := r.URL.Host
 	c.mu.Lock()
@@ -279,44 +280,44 @@
 	return recorder.Result(), nil
 }
 
-// stream has a handler answer a request while both bodies are still being written.
+// stream serves a request with a handler while both bodies are still being written.
 func stream(h http.Handler, r *http.Request) *http.Response {
 	body, out := io.Pipe()
 	w := &streamWriter{out: out, begun: make(chan struct{})}
 	go func() {
 		h.ServeHTTP(w, r)
-		_ = out.Close() // it never fails
+		_ = out.Close() // closing the writer of a pipe never fails
 	}()
 	<-w.begun
 	return &http.Response{StatusCode: http.StatusOK, Header: make(http.Header), Body: body, Request: r}
 }
 
-// A streamWriter is a response whose body is read while it is written.
+// A streamWriter is a response whose body can be read while it is written.
 type streamWriter struct {
 	out   *io.PipeWriter
 	once  sync.Once
 	begun chan struct{}
 }
 
-// Header returns headers that nobody reads.
+// Header returns a header that is discarded.
 func (w *streamWriter) Header() http.Header { return make(http.Header) }
 
-// WriteHeader begins the answer.
+// WriteHeader starts the response.
 func (w *streamWriter) WriteHeader(int) { w.once.Do(func() { close(w.begun) }) }
 
 // Write writes to the body.
 func (w *streamWriter) Write(p []byte) (int, error) { return w.out.Write(p) }
 
-// FlushError begins the answer; nothing is held back.
+// FlushError starts the response; nothing is buffered.
 func (w *streamWriter) FlushError() error {
 	w.WriteHeader(http.StatusOK)
 	return nil
 }
 
-// EnableFullDuplex changes nothing: the bodies are independent.
+// EnableFullDuplex does nothing: the bodies are independent of each other.
 func (w *streamWriter) EnableFullDuplex() error { return nil }
 
-// start starts a node. A node of that name that ran before must have ended.
+// start starts a node. An earlier node of that name must have ended.
 func (c *cluster) start(name string) *node.Node {
 	c.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -383,8 +384,8 @@
 	return n
 }
 
-// machines returns the service for machines until ctx ends, with a list that is as far behind as
-// it is to be.
+// machines returns the service for machines, with a machine list of the configured age, until
+// ctx ends.
 func (c *cluster) machines(ctx context.Context) pointport.Machines {
 	exact := c.fleet.Machines(holderTime)
 	if c.machineCounter != nil {
@@ -399,24 +400,25 @@
 	return l
 }
 
-// holderTime must lie between two holders' orders about a machine.
+// holderTime is the least time between the orders of two holders of a machine.
 const holderTime = 3 * time.Second
 
-// setStoreFault sets what becomes of the calls of nodes to the store.
+// setStoreFault sets the function that decides the fault of each store call by a node.
 func (c *cluster) setStoreFault(fate func(node, op string) memory.Fault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.storeFault = fate
 }
 
-// setNetwork sets what becomes of orders; their names begin with the node's.
+// setNetwork sets the network that decides the fate of orders. The name of an order begins with
+// the name of the node that sends it.
 func (c *cluster) setNetwork(n testbed.Network) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.network = n
 }
 
-// cutPeers has questions to the nodes named, and to no other, go astray.
+// cutPeers makes requests to the named nodes, and to no others, fail.
 func (c *cluster) cutPeers(names ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -426,7 +428,7 @@
 	}
 }
 
-// setLowMemory has the nodes named, and no other, be near the limit of their memory.
+// setLowMemory makes the named nodes, and no others, short of memory.
 func (c *cluster) setLowMemory(names ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -436,17 +438,17 @@
 	}
 }
 
-// silencePeers has no question between nodes get an answer, or all again.
+// silencePeers sets whether requests between nodes get no response.
 func (c *cluster) silencePeers(silent bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.peersSilent = silent
 }
 
-// noStoreFault is the fate of calls to a store without faults.
+// noStoreFault lets all calls to the store succeed.
 func noStoreFault(string, string) memory.Fault { return memory.FaultNone }
 
-// requestWave asks for the maintenance of machines, so many at once.
+// requestWave requests the maintenance of machines, at most bound of them at the same time.
 func (c *cluster) requestWave(id int64, machines []pointport.InstanceID, bound int) {
 	value, err := json.Marshal(capacity.Wave{ID: id, Machines: machines, Bound: bound, Duration: 20 * time.Second})
 	if err != nil {
@@ -456,13 +458,13 @@
 	c.put(fmt.Sprintf("%s%d", wavePrefix, id), value)
 }
 
-// evacuate asks that an availability zone be left empty.
+// evacuate requests the evacuation of an availability zone.
 func (c *cluster) evacuate(zone pointport.ZoneID) {
 	c.put(evacuationPrefix+string(zone), []byte("{}"))
 	c.fleet.Evacuate(zone)
 }
 
-// reopen takes that back.
+// reopen withdraws the request to evacuate an availability zone.
 func (c *cluster) reopen(zone pointport.ZoneID) {
 	c.fleet.Open(zone)
 	if _, err := c.kv.Commit(context.Background(), pointport.Txn{Delete: []string{evacuationPrefix + string(zone)}}); err != nil {
@@ -470,17 +472,18 @@
 	}
 }
 
-// owner returns the node that owns a pool, or the steward's post.
+// owner returns the name of the node that owns a pool or is the steward.
 func (c *cluster) owner(pool string) string {
 	c.t.Helper()
 	name, owned := c.ownerIfAny(pool)
 	if !owned {
-		c.t.Fatalf("nobody owns %s", pool)
+		c.t.Fatalf("no node owns %s", pool)
 	}
 	return name
 }
 
-// ownerIfAny returns the node that owns a pool, or the steward's post; false if none does.
+// ownerIfAny returns the name of the node that owns a pool or is the steward, and false if
+// there is none.
 func (c *cluster) ownerIfAny(pool string) (string, bool) {
 	e, err := c.kv.Get(context.Background(), member.OwnerKey(pool))
 	if err != nil || !e.Exists() {
@@ -493,7 +496,7 @@
 	return m.Name, true
 }
 
-// kill ends a node without notice.
+// kill ends a node without a planned stop.
 func (c *cluster) kill(name string) {
 	c.mu.Lock()
 	r := c.nodes[name]
@@ -504,8 +507,8 @@
 	}
 }
 
-// otherNode returns a node that is not the one named. One that has just been started has no
-// lease yet, and rightly tells customers to come back.
+// otherNode returns a node that is not the one named. Tests use it after a node was started
+// anew: that node has no lease yet and refuses jobs for now.
 func (c *cluster) otherNode(name string) *node.Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -514,11 +517,11 @@
 			return r.node
 		}
 	}
-	c.t.Fatalf("there is no node but %s", name)
+	c.t.Fatalf("there is no node except %s", name)
 	return nil
 }
 
-// anyNode returns one of the nodes that run.
+// anyNode returns one of the running nodes; different n select different nodes.
 func (c *cluster) anyNode(n int) *node.Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -526,7 +529,7 @@
 	return c.nodes[names[n%len(names)]].node
 }
 
-// stop ends a node as planned.
+// stop ends a node with a planned stop.
 func (c *cluster) stop(name string) {
 	c.mu.Lock()
 	r := c.nodes[name]
@@ -537,7 +540,7 @@
 	}
 }
 
-// close ends all nodes and lets what they began run out.
+// close kills all nodes and waits until everything that they started has ended.
 func (c *cluster) close() {
 	c.mu.Lock()
 	var names []string
@@ -551,7 +554,7 @@
 	time.Sleep(time.Minute)
 }
 
-// checkViolations fails the test if the fleet was treated wrongly.
+// checkViolations fails the test for each violation that the fleet has recorded.
 func (c *cluster) checkViolations() {
 	c.t.Helper()
 	for _, v := range c.fleet.Violations() {
@@ -559,7 +562,7 @@
 	}
 }
 
-// queue returns a queue as a node knows it.
+// queue returns a queue from a node's configuration, and waits until the node has it.
 func queue(t *testing.T, n *node.Node, name string) *workload.Queue {
 	t.Helper()
 	for range 100 {
@@ -572,11 +575,12 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	t.Fatalf("node has no queue %s", name)
+	t.Fatalf("the node has no queue %s", name)
 	return nil
 }
 
-// waitForStatus waits until a job is in a state, at most for some time.
+// waitForStatus waits until a job has a status, and fails the test if that takes longer than
+// within.
 func (c *cluster) waitForStatus(n *node.Node, q *workload.Queue, id string, want workload.Status, within time.Duration) {
 	c.t.Helper()
 	var last workload.Status
@@ -589,7 +593,7 @@
 			return
 		}
 	}
-	c.t.Errorf("job %s is %q (%v) after %v, want %q\n%s", id, last, lastErr, within, want, c.logs.containing(id))
+	c.t.Errorf("job %s has status %q (error %v) after %v, want %q\n%s", id, last, lastErr, within, want, c.logs.containing(id))
 }
 
 func submit(t *testing.T, n *node.Node, q *workload.Queue, id string, spec *workload.Spec) {
@@ -601,7 +605,7 @@
 	}
 }
 
-// twoSteps is a job of two steps whose tasks take d each.
+// twoSteps returns a job of two steps whose tasks take d each.
 func twoSteps(d time.Duration) *workload.Spec {
 	need := pointport.Shape{CPUMilli: 500, MemoryMiB: 128}
 	return &workload.Spec{
--- a/node/config_test.go
+++ b/node/config_test.go
@@ -8,9 +8,10 @@
 	"github.com/pointport/pointport/memory"
 )
 
-// This file tests what nodes log of the operators' configuration.
+// This file tests what nodes log about the operators' configuration.
 
-// A node that cannot read the configuration says so once, and once that it can again.
+// A node that cannot read the configuration logs that once, and logs once that it can read it
+// again.
 func TestUnconfirmedConfigurationIsLogged(t *testing.T) {
 	simulate(t, 1, func(c *cluster) {
 		c.setStoreFault(func(_, op string) memory.Fault {
--- a/node/crash_test.go
+++ b/node/crash_test.go
@@ -11,26 +11,23 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// What users saw: two queues of one pool were not served for seconds, again and again, and
-// a customer's job never ended. The order of events: a task started and its instance was
-// gone 10 ms later with all that ran there; the owner of the pool heard that the instance
-// was over, put all its tasks back to wait and placed them on the next instance, which went
-// the same way; three instances within a second were the whole pool, each new one followed
-// as it came, and a later owner went on like the first. The cause: the budget of a task
-// counted the runs that an instance had listed as failed, and a run that died with its
-// instance was put back without a trace. The evidence: 'incarnation ended' with runs,
-// 'task returned' and 'task placed' of one task, over 200 times in two minutes with rising
-// run numbers, and in the instances' own account each run's start 10 ms before its
-// instance's end.
+// These tests guard against a task whose start crashes its instance, which can take down a
+// whole pool. If the runs that end with their instance are not counted as failures of the task,
+// the owner places the task on the next instance at once, and that one crashes too: with
+// instances that end 10 ms after the start, three in a second, the pool serves no other job,
+// and the job of the task never ends. The log then shows 'incarnation ended' with runs, and
+// 'task returned' and 'task placed' of one task with ever higher run numbers, over 200 times in
+// two minutes. A new owner must not start counting anew either.
 
-// poison names the job whose first task crashes its instance, besideServing a job beside it
-// whose tasks serve.
+// crashingJob is the ID of a job whose first task crashes its instance, servingNeighbour that
+// of a job with serving tasks in the same pool.
 const (
 	crashingJob      = "00000000000000dd"
 	servingNeighbour = "00000000000000ee"
 )
 
-// crashingWork is what tasks do where the first one of the poison job crashes its instance.
+// crashingWork returns the work of tasks where the first task of crashingJob crashes its
+// instance.
 func crashingWork(change func(*testbed.Work)) testbed.WorkSource {
 	return func(o pointport.StartOrder) testbed.Work {
 		w := testbed.Work{Room: crashNeed, Duration: 800 * time.Millisecond, Serves: strings.HasPrefix(o.Task, servingNeighbour)}
@@ -44,9 +41,8 @@
 
 var crashNeed = pointport.Shape{CPUMilli: 500, MemoryMiB: 128}
 
-// A task that crashes each instance on which it starts is given up after a few of them:
-// its job is shown as failed, or goes on without it if it serves, and the jobs beside it
-// end well.
+// A task that crashes each instance on which it starts is given up after a few crashes. Its job
+// fails, or continues without the task if it is a serving job, and the other jobs complete.
 func TestTaskThatCrashesItsInstanceIsGivenUp(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -54,19 +50,19 @@
 		work    func(*testbed.Work)
 		options []clusterOption
 		trouble func(c *cluster)
-		// left is how many of its tasks go on to run; its job fails if that is none.
+		// left is how many tasks of the job keep running; the job fails if it is zero.
 		left int
 	}{
 		{name: "plain"},
-		{name: "of which copies may run",
+		{name: "that may run in copies",
 			step: func(s *workload.Step) { s.Copies = true }, work: func(w *testbed.Work) { w.Copies = true }},
 		{name: "of a gang",
 			step: func(s *workload.Step) { s.Gang = true }, work: func(w *testbed.Work) { w.Gang = crashingJobTasks }},
 		{name: "that serves",
 			step: func(s *workload.Step) { s.Service = true }, work: func(w *testbed.Work) { w.Serves = true }, left: crashingJobTasks - 1},
-		{name: "where nobody says that an instance is over",
+		{name: "without a steward that reports ended incarnations",
 			options: []clusterOption{withoutSteward()}},
-		{name: "whose owners die in turn",
+		{name: "while owners are killed in turn",
 			trouble: func(c *cluster) {
 				for range 3 {
 					time.Sleep(1200 * time.Millisecond)
@@ -76,7 +72,7 @@
 					time.Sleep(time.Second)
 				}
 			}},
-		{name: "whose owners stop in turn",
+		{name: "while owners stop as planned in turn",
 			trouble: func(c *cluster) {
 				for range 3 {
 					time.Sleep(700 * time.Millisecond)
@@ -102,10 +98,10 @@
 	}
 }
 
-// crashingJobTasks is how many tasks the poison job has.
+// crashingJobTasks is how many tasks crashingJob has.
 const crashingJobTasks = 5
 
-// checkCrashingJobGivenUp submits the poison job and others beside it, and checks what becomes of them.
+// checkCrashingJobGivenUp submits crashingJob and other jobs, and checks how they end.
 func checkCrashingJobGivenUp(c *cluster, step *workload.Step, trouble func(*cluster), left int) {
 	c.t.Helper()
 	n := c.nodes["n0"].node
@@ -133,10 +129,10 @@
 	time.Sleep(10 * time.Second)
 	c.waitForStatus(n, q, servingNeighbour, workload.Running, time.Second)
 	if got := c.fleet.RunsOf(servingNeighbour); got != 2 {
-		c.t.Errorf("%d serving tasks run beside it at the end, want 2", got)
+		c.t.Errorf("%d tasks of the other serving job run at the end, want 2", got)
 	}
 	if got := c.fleet.RunsOf(crashingJob); got != left {
-		c.t.Errorf("%d tasks of its job run at the end, want %d", got, left)
+		c.t.Errorf("%d tasks of the crashing job run at the end, want %d", got, left)
 	}
 	task := crashingJob + ".0.0.0"
 	if got := c.fleet.Crashes(task); got < 2 || got > 4 {
--- a/node/customer_test.go
+++ b/node/customer_test.go
@@ -18,12 +18,12 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file tests whose jobs are whose on whole nodes.
+// This file tests on complete nodes that only its own customer can access a job.
 
-// keyOf returns the key of a customer of these tests.
+// keyOf returns the digest of the key that a customer has in these tests.
 func keyOf(name string) customer.Digest { return customer.DigestOf("key-of-" + name) }
 
-// customers returns customers with a key each and the caps given.
+// customers returns customers with one key each and the given caps.
 func customers(caps map[string]pointport.Shape, names ...string) *customer.Directory {
 	var all []customer.Customer
 	for _, name := range names {
@@ -32,13 +32,13 @@
 	return customer.NewDirectory(all)
 }
 
-// asCustomer returns a node's desk as a customer sees it.
+// asCustomer returns a node's intake service for the calls of a customer.
 func asCustomer(n *node.Node, name string) *intake.Service {
 	return n.Intake().ForCaller(customer.Caller{Name: name, Key: keyOf(name), Version: n.ConfigVersion()})
 }
 
-// A customer sees and cancels its own jobs at every node, while they run and once they are
-// over; for anybody else there is no such job, and its identity cannot be taken.
+// A customer can access and cancel its own jobs at every node, while they run and after they
+// have ended. For other customers these jobs do not exist, but their IDs are taken.
 func TestOnlyItsCustomerCanAccessJob(t *testing.T) {
 	simulate(t, 3, func(c *cluster) {
 		c.configure(&workload.Catalog{Version: 2, Customers: customers(nil, "bistro", "cafe")})
@@ -56,23 +56,23 @@
 					var unknown *intake.UnknownJobError
 					var taken *intake.TakenError
 					if s, err := desk.Status(ctx, q, id); !errors.As(err, &unknown) {
-						t.Errorf("%s, at %s, others are told %q, %v", when, name, s, err)
+						t.Errorf("%s, at %s, Status for another customer returns %q, %v", when, name, s, err)
 					}
 					if err := desk.Cancel(ctx, q, id); !errors.As(err, &unknown) {
-						t.Errorf("%s, at %s, others' cancellation: %v", when, name, err)
+						t.Errorf("%s, at %s, Cancel by another customer returns %v", when, name, err)
 					}
 					if err := desk.Submit(ctx, q, id, twoSteps(time.Second)); !errors.As(err, &taken) {
-						t.Errorf("%s, at %s, others' submission under its identity: %v", when, name, err)
+						t.Errorf("%s, at %s, Submit with the same ID by another customer returns %v", when, name, err)
 					}
 				}
 				if _, err := asCustomer(r.node, "bistro").Status(ctx, q, id); err != nil {
-					t.Errorf("%s, at %s, its customer is told %v", when, name, err)
+					t.Errorf("%s, at %s, Status for its customer returns %v", when, name, err)
 				}
 				if err := asCustomer(r.node, "bistro").Submit(ctx, q, id, twoSteps(3*time.Second)); err != nil {
-					t.Errorf("%s, at %s, its customer's second submission: %v", when, name, err)
+					t.Errorf("%s, at %s, the second Submit by its customer returns %v", when, name, err)
 				}
 				if _, err := r.node.Intake().ForCaller(customer.Operator()).Status(ctx, q, id); err != nil {
-					t.Errorf("%s, at %s, operators are told %v", when, name, err)
+					t.Errorf("%s, at %s, Status for operators returns %v", when, name, err)
 				}
 			}
 		}
@@ -80,7 +80,7 @@
 		hidden("while it runs")
 		time.Sleep(10 * time.Second)
 		if s, err := asCustomer(n, "bistro").Status(ctx, q, id); s != workload.Completed {
-			t.Fatalf("others have stopped it: %q, %v", s, err)
+			t.Fatalf("the job has status %q, error %v, after others tried to cancel it", s, err)
 		}
 		hidden("once it is over")
 		c.kill(c.owner("shift"))
@@ -89,8 +89,9 @@
 	})
 }
 
-// A cancellation by another customer that comes before the job does not keep its customer
-// from it for good: the identity is the other's, and the job is refused, not lost.
+// Another customer cancels a job ID before the job is submitted. The ID then belongs to the
+// other customer, so the submission is refused, which tells the caller to use another ID. It
+// must not be accepted and then never run.
 func TestJobIDCancelledByAnotherCustomerIsTaken(t *testing.T) {
 	simulate(t, 1, func(c *cluster) {
 		c.configure(&workload.Catalog{Version: 2, Customers: customers(nil, "bistro", "cafe")})
@@ -104,17 +105,17 @@
 		}
 		var taken *intake.TakenError
 		if err := asCustomer(n, "bistro").Submit(context.Background(), q, id, twoSteps(time.Second)); !errors.As(err, &taken) {
-			t.Errorf("answer %v, want a refusal", err)
+			t.Errorf("Submit returned %v, want a refusal because the ID is taken", err)
 		}
 		time.Sleep(3 * time.Second)
 		if got := c.fleet.Starts(); got != 0 {
-			t.Errorf("%d tasks have started", got)
+			t.Errorf("%d tasks have started, want none", got)
 		}
 	})
 }
 
-// A member that the store does not serve hands a job on under a key that was taken away
-// meanwhile: the peer, which knows the newer configuration, refuses it.
+// A member that is disconnected from the store forwards a job to a peer, and the job's key has
+// been revoked since. The peer, which knows the newer configuration, refuses the job.
 func TestPeerWithNewerConfigurationRefusesRevokedKey(t *testing.T) {
 	simulate(t, 2, func(c *cluster) {
 		c.configure(&workload.Catalog{Version: 2, Customers: customers(nil, "bistro", "cafe")})
@@ -126,30 +127,30 @@
 		c.configure(&workload.Catalog{Version: 3, Customers: customers(nil, "cafe")})
 		time.Sleep(2 * time.Second)
 		if got := n.ConfigVersion(); got != 2 {
-			t.Fatalf("the node that is turned away knows version %d", got)
+			t.Fatalf("the disconnected node knows version %d, want 2", got)
 		}
 		var revoked *intake.RevokedError
 		if err := asCustomer(n, "bistro").Submit(context.Background(), q, "00000000000000aa", twoSteps(time.Second)); !errors.As(err, &revoked) {
-			t.Errorf("answer %v, want a refusal of the key", err)
+			t.Errorf("Submit with a revoked key returned %v, want a refusal of the key", err)
 		}
 		if err := asCustomer(n, "cafe").Submit(context.Background(), q, "00000000000000bb", twoSteps(time.Second)); err != nil {
-			t.Errorf("a key that is in force: %v", err)
+			t.Errorf("Submit with a valid key returned %v", err)
 		}
 		time.Sleep(5 * time.Second)
 		if log := c.logs.containing("key-of"); log != "" {
 			t.Errorf("a key is logged: %s", log)
 		}
 		if starts := c.logs.containing("task placed"); strings.Contains(starts, "00000000000000aa") {
-			t.Error("the job of a key that was taken away runs")
+			t.Error("the job of a revoked key runs")
 		}
 	})
 }
 
-// A key that is taken away stops working at every node that reads the store within two seconds,
-// and one that is put in works, while owners are killed and a node is cut off from the store. A
-// node that is cut off goes on with the keys that it knows, or tells callers to come back where
-// operators are strict; it never says that a key is nobody's that is good. Within two seconds of
-// its return it knows the newest.
+// A revoked key stops working within two seconds at every node that can read the store, and a
+// new key starts working, while owners are killed and a node is disconnected from the store.
+// The disconnected node continues with the keys that it knows; under a strict policy it asks
+// callers to retry instead. It never reports a valid key as unknown. Within two seconds of its
+// reconnection it knows the newest keys.
 func TestRevokedAndAddedKeys(t *testing.T) {
 	const inForce = 2 * time.Second
 	for name, policy := range map[string]node.KeyPolicy{"strict": {Strict: true, MaxConfigAge: 3 * time.Second}, "not strict": {}} {
@@ -165,12 +166,12 @@
 					ingress.ServeHTTP(w, r)
 					return w.Code
 				}
-				// what nodes that are in touch say to a key that is good, and to one that is not
+				// the responses of connected nodes to a valid key and to an unknown one
 				const good, bad = http.StatusGone, http.StatusUnauthorized
 				expect := func(when, key string, want int, except string) {
 					for name, r := range c.nodes {
 						if got := ask(r.node, key); name != except && got != want {
-							t.Errorf("%s, %s answers %d to the key of %s, want %d", when, name, got, key, want)
+							t.Errorf("%s, %s responds with %d to the key of %s, want %d", when, name, got, key, want)
 						}
 					}
 				}
@@ -192,10 +193,10 @@
 				expect("while a node is cut off", "cafe", good, cut)
 				expect("while a node is cut off", "diner", good, cut)
 				time.Sleep(4 * time.Second)
-				// Whether or not it trusts the keys that it knows, it has no store to ask.
+				// Whether or not it accepts the key, it has no store to look the job up in.
 				for _, key := range []string{"bistro", "cafe", "diner"} {
 					if got := ask(c.nodes[cut].node, key); got != http.StatusServiceUnavailable {
-						t.Errorf("the node that is cut off answers %d to the key of %s", got, key)
+						t.Errorf("the disconnected node responds with %d to the key of %s", got, key)
 					}
 				}
 				c.setStoreFault(noStoreFault)
@@ -207,9 +208,9 @@
 	}
 }
 
-// Whether a member goes on with the keys that it knows while it cannot read the
-// configuration is the operators' to say: strict, it stops after the time that they set,
-// and begins again once it knows the newest.
+// The key policy decides whether a member that cannot read the configuration continues with the
+// keys that it knows. Under a strict policy it stops doing so after the policy's time, and
+// starts again once it knows the newest configuration.
 func TestKeysWhileStoreIsUnreachable(t *testing.T) {
 	cases := map[string]struct {
 		policy         node.KeyPolicy
@@ -223,7 +224,7 @@
 			simulate(t, 1, func(c *cluster) {
 				n := c.nodes["n0"].node
 				if !n.KeysTrusted() {
-					t.Error("keys are not trusted while all is well")
+					t.Error("keys are not trusted while the store is available")
 				}
 				c.setStoreFault(func(string, string) memory.Fault { return memory.FaultLostCall })
 				time.Sleep(3 * time.Second)
@@ -237,7 +238,7 @@
 				c.setStoreFault(noStoreFault)
 				time.Sleep(3 * time.Second)
 				if !n.KeysTrusted() {
-					t.Error("keys are not trusted although the store is back")
+					t.Error("keys are not trusted although the store is available again")
 				}
 			}, withKeyPolicy(test.policy))
 		})
--- a/node/entries_test.go
+++ b/node/entries_test.go
@@ -11,16 +11,17 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// Bytes that cannot be read replace the registration of an instance. From then on it is
-// not used, by the member that has followed it no more than by one that reads all entries
-// for the first time; the other instances are used on, and this one again once its
-// registration can be read. Each life of a member says so once.
+// A registration is overwritten with bytes that cannot be decoded. From then on its instance is
+// not used, neither by the member that has followed the key nor by one that reads all entries
+// for the first time. The other instances stay in use, and this one is used again once its
+// registration can be decoded. A node logs the undecodable entry once in its lifetime.
 func TestInstanceWithUndecodableRegistrationIsNotUsed(t *testing.T) {
 	simulate(t, 3, func(c *cluster) {
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
 		jobs := 0
-		// load submits jobs that take most of the pool, and returns where they ran.
+		// load submits jobs that need most of the pool, and returns the instances that ran
+		// them.
 		load := func() map[pointport.InstanceID]bool {
 			held := make(map[pointport.InstanceID]bool)
 			for range 30 {
@@ -52,7 +53,7 @@
 		lives := map[string]int{"n0": 1, "n1": 1, "n2": 1}
 		for _, who := range []string{"the owner that followed it", "an owner that reads it first"} {
 			if held := load(); held[odd] || len(held) < 3 {
-				t.Errorf("%s uses %v, want others than %s", who, held, odd)
+				t.Errorf("%s uses %v, want only instances other than %s", who, held, odd)
 			}
 			name := c.owner("shift")
 			c.kill(name)
@@ -63,7 +64,7 @@
 		c.put(key, whole.Value())
 		time.Sleep(time.Second)
 		if held := load(); !held[odd] {
-			t.Errorf("%v are used once the registration can be read again, want %s among them", held, odd)
+			t.Errorf("%v are used once the registration can be decoded again, want %s among them", held, odd)
 		}
 		lines := strings.Split(strings.TrimSpace(c.logs.containing("registration unreadable")), "\n")
 		said := make(map[string]int)
@@ -76,7 +77,7 @@
 		for what, times := range said {
 			node := strings.TrimPrefix(strings.Fields(what)[0], "node=")
 			if times > lives[node] {
-				t.Errorf("%s is said %d times in %d lives of the node", what, times, lives[node])
+				t.Errorf("%s is logged %d times in %d runs of the node", what, times, lives[node])
 			}
 		}
 	}, withoutSteward())
--- a/node/partition_test.go
+++ b/node/partition_test.go
@@ -14,12 +14,12 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file tests what becomes of tasks on instances that are cut off, lost, or answer late.
+// This file tests what happens to tasks on instances that are unreachable, lost, or answer
+// late.
 
-// Whatever runs on an instance that was cut off starts again elsewhere once its
-// time there is over, a serving task too (tippijako-prod scale-2 --seed
-// 904690371623: each look asked to extend the tasks of a silent instance, so that
-// they never expired).
+// The tasks on an unreachable instance start elsewhere once their lease there has expired,
+// serving tasks too. If each poll asked to extend the leases of an instance that does not
+// answer, its tasks would never expire.
 func TestTasksOfUnreachableInstancesRestart(t *testing.T) {
 	simulate(t, 2, func(c *cluster) {
 		n := c.nodes["n0"].node
@@ -43,11 +43,11 @@
 	})
 }
 
-// A zone is cut off with the owner of a pool and the instances that run its tasks;
-// when the cut heals, orders get through before the first looks do. What the former
-// owner has extended goes on, so it must not start again beside that (tsogt-transit
-// scale-1 --seed 976056705912: an order's answer was taken for news of how long the
-// tasks may go on).
+// A network partition separates the owner of a pool, together with the instances that run its
+// tasks, from the other nodes. When it heals, the new owner's orders reach the instances before
+// its first polls do. The tasks whose leases the former owner has extended continue to run, so
+// they must not be started again. That would happen if the new owner took the answer to an
+// order as information about how long the tasks may run.
 func TestOrderArrivesBeforePollsAfterPartition(t *testing.T) {
 	for _, healed := range []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second} {
 		t.Run(healed.String(), func(t *testing.T) {
@@ -56,8 +56,8 @@
 	}
 }
 
-// partitionOwner cuts the owner of a pool off with the instances that run two jobs,
-// one of which is cancelled meanwhile, and heals the cut after some time.
+// partitionOwner separates the owner of a pool and the instances that run its two jobs from the
+// other nodes, has one of the jobs cancelled meanwhile, and ends the partition after some time.
 func (c *cluster) partitionOwner(t *testing.T, lasts time.Duration) {
 	const kept, cancelled = "00000000000000cc", "00000000000000dd"
 	q := queue(t, c.nodes["n0"].node, "shift-close")
@@ -86,7 +86,7 @@
 	for name, r := range c.nodes {
 		if name != owner {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-			_ = r.node.Intake().Cancel(ctx, q, cancelled) // its answer is not what is tested
+			_ = r.node.Intake().Cancel(ctx, q, cancelled) // its result does not matter here
 			cancel()
 			break
 		}
@@ -96,9 +96,9 @@
 	c.waitForStatus(c.nodes[owner].node, q, kept, workload.Completed, time.Minute)
 }
 
-// An instance that is lost for good is found out by the platform's list before its time is over:
-// at once where no other life can have its addressee, else once it has been there for longer than
-// the list can be behind.
+// The platform's machine list shows that an instance is lost before its leases expire. The loss
+// counts at once if no other incarnation can have the same addressee, and otherwise once the
+// incarnation has existed for longer than the list can lag behind.
 func TestLostInstancesAreDetectedFromMachineList(t *testing.T) {
 	for name, c := range map[string]struct {
 		returns int
@@ -152,9 +152,9 @@
 	}
 }
 
-// A start that is held up until after its run has expired must not be carried out
-// beside another run, although the instance's time is extended again (trial site
-// trouble-2 --seed 847015516993).
+// A start order is delayed until after its run has expired. The instance must not carry it out
+// alongside the run that has replaced it, although the instance's lease has been extended
+// again.
 func TestLateStartAfterExpiry(t *testing.T) {
 	simulate(t, 1, func(c *cluster) {
 		n := c.nodes["n0"].node
@@ -166,7 +166,7 @@
 			case time.Now().After(cut) || to != "m-00":
 				return testbed.Fate{Latency: time.Millisecond}
 			case op == "n0 start":
-				// Held up until just after the first looks that get through.
+				// delayed until just after the first polls that get through
 				return testbed.Fate{Late: time.Until(cut) + 700*time.Millisecond}
 			}
 			return testbed.Fate{Lost: true}
--- a/node/unanswered_test.go
+++ b/node/unanswered_test.go
@@ -15,33 +15,35 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file tests an owner that hears nothing of instances that are registered and well.
+// This file tests an owner that gets no answers from instances that are registered and healthy.
 //
-// What users saw: on entry instances with 2 Mbit/s, tasks that were done ran again, and were
-// billed twice. The order of events: an owner whose link was full heard nothing of an
-// instance for 10 s; a task there was done in the second second and stood in the instance's
-// list; 6 s after the task's time was over the owner took it for lost and started it on one
-// of the instances that it heard; then the first instance answered and listed the end. The
-// evidence: 'instance silent' with no crash and no gap in the registration, 'instance
-// expired' with what was last heard 9.9 s before, 'task placed' 0.4 s later. The cause: how
-// a run ended was concluded from silence, and a longer silence only concluded it later.
+// The tests guard against tasks that run a second time, and are billed twice, because an owner
+// infers from missing answers how a run ended. An owner whose link is saturated, on entry
+// instances with 2 Mbit/s, gets no answer from an instance for 10 s. A task there completes in
+// the second second and is in the instance's list of ends, but 6 s after the task's lease has
+// expired the owner counts it as lost and starts it on an instance that answers. Then the first
+// instance answers and lists the end. Waiting longer only delays the wrong conclusion. The log
+// shows 'instance silent' without a crash or a gap in the registration, 'instance expired' 9.9
+// s after the last answer, and 'task placed' 0.4 s later.
 
 const (
-	// unansweredFor is how long nothing is heard: longer than a task's time and any wait of some
-	// seconds after it.
+	// unansweredFor is how long the busy instances do not answer: longer than a task's lease
+	// and any additional wait of some seconds.
 	unansweredFor = 15 * time.Second
-	// extraInstances is how many instances the pool has beside the cluster's four, heardStill how
-	// many of all are heard throughout: those that run nothing when the silence begins.
+	// extraInstances is how many instances the pool has in addition to the cluster's four.
+	// minAnswering is how many of all must be idle at the start and therefore answer
+	// throughout.
 	extraInstances, minAnswering = 8, 2
-	// unansweredJobs of deafTasks tasks each keep some of the instances busy.
+	// unansweredJobs jobs of tasksPerUnansweredJob tasks each keep some of the instances busy.
 	unansweredJobs, tasksPerUnansweredJob = 8, 4
-	// completedWithin is by when the jobs have ended once their instances are heard again.
+	// completedWithin is how long after their instances answer again the jobs must have
+	// completed.
 	completedWithin = 5 * time.Second
 )
 
-// muteBusyInstances submits jobs, and has nobody of whom deaf says so hear the instances that run their
-// tasks for a while. It checks that no task starts twice, and that the jobs have ended so
-// long after the silence has begun.
+// muteBusyInstances submits jobs, and then makes the instances that run their tasks carry out
+// orders without answering the nodes that deaf selects. It checks that no task starts twice,
+// and that the jobs complete within endedWithin of the start of the silence.
 func muteBusyInstances(t *testing.T, lasts time.Duration, deaf func(node, owner string) bool, endedWithin time.Duration, troubles ...func(c *cluster)) {
 	room := pointport.Shape{CPUMilli: 1000, MemoryMiB: 64}
 	simulate(t, 4, func(c *cluster) {
@@ -61,7 +63,7 @@
 		time.Sleep(300 * time.Millisecond)
 		busy := c.fleet.Holding()
 		if idle := 4 + extraInstances - len(busy); idle < minAnswering {
-			t.Fatalf("%d instances run nothing, want %d at least", idle, minAnswering)
+			t.Fatalf("%d instances are idle, want at least %d", idle, minAnswering)
 		}
 		until := time.Now().Add(lasts)
 		c.setNetwork(func(op string, to pointport.InstanceID) testbed.Fate {
@@ -78,7 +80,7 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		if ended := countCompleted(asked, q, ids); ended < len(ids) {
-			t.Errorf("%d of %d jobs have ended after %v", ended, len(ids), endedWithin)
+			t.Errorf("%d of %d jobs have completed after %v", ended, len(ids), endedWithin)
 		}
 		time.Sleep(lasts)
 		c.wantStartedOnce(ids)
@@ -87,8 +89,8 @@
 	}))
 }
 
-// wantStartedOnce checks that each task of some jobs was started once, and shows what was
-// logged of the first one of which that is not so.
+// wantStartedOnce checks that each task of the jobs was started once. It reports the log of the
+// first task for which that is not so.
 func (c *cluster) wantStartedOnce(ids []string) {
 	c.t.Helper()
 	again, first := 0, ""
@@ -104,30 +106,34 @@
 		}
 	}
 	if again > 0 {
-		c.t.Errorf("%d tasks were not started once; of %s, started %d times:\n%s", again, first, c.fleet.Started(first), c.logs.containing(first))
+		c.t.Errorf("%d tasks were not started exactly once; the log of %s, started %d times:\n%s", again, first, c.fleet.Started(first), c.logs.containing(first))
 	}
 }
 
-// Nobody hears the instances. What they run waits for them to say how it ended.
+// No node gets answers from the instances. Their tasks stay placed there until the instances
+// report how they ended.
 func TestNoTaskRestartsWhileInstancesDoNotAnswer(t *testing.T) {
 	muteBusyInstances(t, unansweredFor, func(string, string) bool { return true }, unansweredFor+completedWithin)
 }
 
-// The owner alone does not hear them. Its peers do, so the jobs end at once.
+// Only the owner gets no answers from the instances. Its peers do and forward them, so the jobs
+// complete at once.
 func TestOwnerReachesInstancesThroughPeers(t *testing.T) {
 	muteBusyInstances(t, unansweredFor, func(node, owner string) bool { return node == owner }, completedWithin)
 }
 
-// The owner alone does not hear them, and no peer carries its orders: it gives the pool away,
-// to a member that hears them. It may first make sure that this is no cut that heals.
+// Only the owner gets no answers from the instances, and no peer forwards its orders. It hands
+// the pool over to a member that reaches them. It may first wait to see whether the partition
+// heals.
 func TestOwnerWithoutAnswersHandsItsPoolOver(t *testing.T) {
 	const forGood, takenOverWithin = time.Minute, 20 * time.Second
 	muteBusyInstances(t, forGood, func(node, owner string) bool { return node == owner }, takenOverWithin, func(c *cluster) { c.silencePeers(true) })
 }
 
-// The registrations of instances that nobody hears lapse, and before that counts for anything
-// the owner cannot read them any more. They are back 1.5 s after it can: for all that it
-// knows, they were missing for 12 s. No task starts again.
+// The registrations of instances that answer no node expire. Before their absence has lasted
+// long enough to count, the owner loses read access to the registrations. They are back 1.5 s
+// after the owner can read again, so as far as it knows they were missing for 12 s. No task is
+// started again.
 func TestUnreadableRegistrationsRestartNoTask(t *testing.T) {
 	const lapse, unread, readAgain, back = 1800 * time.Millisecond, 2200 * time.Millisecond, 12 * time.Second, 13500 * time.Millisecond
 	muteBusyInstances(t, unansweredFor, func(string, string) bool { return true }, unansweredFor+completedWithin, func(c *cluster) {
@@ -153,7 +159,7 @@
 	})
 }
 
-// registrationsOf returns the registrations of some instances.
+// registrationsOf returns the store entries of the instances' registrations.
 func (c *cluster) registrationsOf(instances []pointport.InstanceID) []pointport.Entry {
 	all, _, err := member.ReadAll(context.Background(), c.kv, registrationPrefix)
 	if err != nil {
