--- a/node/evacuation_internal_test.go
+++ b/node/evacuation_internal_test.go
@@ -14,8 +14,9 @@
 	"github.com/pointport/pointport/memory"
 )
 
-// Which availability zones are evacuated is read while somebody asks, not any more once nobody
-// has for a while, and anew as soon as somebody does again: what was known before is not told.
+// The evacuation requests are read only while Zones is called: not before the first call, and
+// not after a while without calls. When it is called again, the requests are read anew, and
+// until then the old result must not be returned.
 func TestEvacuationsAreReadOnlyWhileUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -33,14 +34,14 @@
 		e := newEvacuations(ctx, kv, clock.System{}, source, DefaultEvacuationTime, slog.New(slog.DiscardHandler))
 		time.Sleep(10 * time.Second)
 		if got := reads.Load(); got != 0 {
-			t.Errorf("%d readings before anybody has asked", got)
+			t.Errorf("%d reads before the first call of Zones", got)
 		}
 		for range 100 {
 			e.Zones()
 			time.Sleep(100 * time.Millisecond)
 		}
 		if got := reads.Load(); got < 9 || got > 11 {
-			t.Errorf("%d readings in 10 s, want one a second", got)
+			t.Errorf("%d reads in 10 s, want one a second", got)
 		}
 		time.Sleep(evacuationIdleTimeout + time.Second)
 		before := reads.Load()
@@ -49,14 +50,14 @@
 		}
 		time.Sleep(time.Minute)
 		if got := reads.Load() - before; got != 0 {
-			t.Errorf("%d readings although nobody asks", got)
+			t.Errorf("%d reads without a call of Zones", got)
 		}
 		if got := e.Zones().State("north"); got != evacuation.Unknown {
-			t.Errorf("after a minute without a reading the zone is %v", got)
+			t.Errorf("after a minute without a read the zone is %v, want it unknown", got)
 		}
 		time.Sleep(10 * time.Millisecond)
 		if got := e.Zones().State("north"); got != evacuation.Evacuated {
-			t.Errorf("the zone is %v once it was asked for again", got)
+			t.Errorf("the zone is %v after the next read, want it evacuated", got)
 		}
 		cancel()
 		synctest.Wait()
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -15,16 +15,16 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file tests availability zones that are evacuated. The fleet is the reference: it knows
-// since when which availability zones are to be left empty, and judges each start by when it
-// was sent.
+// This file tests the evacuation of availability zones. The fleet is the reference: it knows
+// since when each availability zone must be left empty, and checks each start by the time at
+// which it was sent.
 
-// shortWork is what tasks of a load do.
+// shortWork is the work of the tasks of a zoneLoad.
 func shortWork(pointport.StartOrder) testbed.Work {
 	return testbed.Work{Room: pointport.Shape{CPUMilli: 500, MemoryMiB: 128}, Duration: 500 * time.Millisecond}
 }
 
-// A zoneLoad hands in a job of so many tasks each tenth of a second.
+// A zoneLoad submits one job with the given number of tasks every tenth of a second.
 type zoneLoad struct {
 	cluster *cluster
 	tasks   int
@@ -38,7 +38,7 @@
 	}
 }
 
-// submit hands a job in, at another node if one gives no answer.
+// submit submits a job, and retries at another node if one does not answer.
 func (l *zoneLoad) submit(spec *workload.Spec) {
 	c := l.cluster
 	id := jobID(l.jobs)
@@ -53,10 +53,10 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	c.t.Errorf("job %s is not taken", id)
+	c.t.Errorf("no node accepts job %s", id)
 }
 
-// finish waits until all jobs are done.
+// finish waits until all submitted jobs have completed.
 func (l *zoneLoad) finish(within time.Duration) {
 	c := l.cluster
 	n := c.anyNode(0)
@@ -65,8 +65,8 @@
 	}
 }
 
-// failEvacuationReads has the store refuse to tell which availability zones are evacuated, and
-// nothing else, until its fate is set anew.
+// failEvacuationReads makes the store refuse reads of the evacuation requests, and no other
+// calls, until setStoreFault is called again.
 func (c *cluster) failEvacuationReads() {
 	asked := ""
 	c.mu.Lock()
@@ -80,9 +80,9 @@
 	})
 }
 
-// Nothing starts in an evacuated availability zone, jobs go on in the other one, and the zone
-// is used again once it is open. Its pools' owners stay, are killed or stop as planned
-// meanwhile: a new owner starts nothing before it knows what is asked.
+// Nothing starts in an evacuated availability zone, jobs continue in the other one, and the
+// zone is used again once it is reopened. Meanwhile the owners of the pools stay, are killed,
+// or stop as planned: a new owner must not start anything before it knows the requests.
 func TestEvacuatedZoneIsLeftEmpty(t *testing.T) {
 	for _, owners := range []string{"stay", "are killed", "stop"} {
 		t.Run("owners "+owners, func(t *testing.T) {
@@ -90,7 +90,7 @@
 				l := &zoneLoad{cluster: c, tasks: 2}
 				l.run(2 * time.Second)
 				if c.fleet.StartsIn("north") == 0 || c.fleet.StartsIn("south") == 0 {
-					t.Fatal("one availability zone is not used to begin with")
+					t.Fatal("one availability zone is not used before the evacuation")
 				}
 				c.evacuate("north")
 				l.run(3 * time.Second)
@@ -106,15 +106,15 @@
 					}
 					l.run(4 * time.Second)
 					if got := c.fleet.StartsIn("north") - before; got != 0 {
-						t.Errorf("%d runs have begun in the evacuated availability zone", got)
+						t.Errorf("%d runs have started in the evacuated availability zone", got)
 					}
 				}
 				c.reopen("north")
-				l.tasks = 8 // more than the other availability zone holds
+				l.tasks = 8 // more than the other availability zone can hold
 				before := c.fleet.StartsIn("north")
 				l.run(4 * time.Second)
 				if c.fleet.StartsIn("north") == before {
-					t.Error("the availability zone is not used again although it is open")
+					t.Error("the availability zone is not used again after it was reopened")
 				}
 				l.finish(10 * time.Second)
 			}, withWork(shortWork))
@@ -122,8 +122,8 @@
 	}
 }
 
-// Instances of other availability zones come to a pool as soon as one is evacuated, before
-// those that are left are full, and idle ones leave the evacuated one.
+// As soon as an availability zone is evacuated, a pool gets instances of other zones, before
+// those that it still has there are full, and its idle instances leave the evacuated zone.
 func TestPoolGetsInstancesOfOtherZonesDuringEvacuation(t *testing.T) {
 	simulate(t, 3, func(c *cluster) {
 		l := &zoneLoad{cluster: c, tasks: 2}
@@ -149,9 +149,9 @@
 	}, withWork(shortWork))
 }
 
-// While the store does not tell which availability zones are evacuated, and all else goes on,
-// nothing is started once what is known is too old, in any of them; jobs go on as soon as it
-// is known. A release that was not heard is heard then.
+// While the evacuation requests cannot be read, and everything else works, nothing starts in
+// any availability zone once the last read is too old. Jobs continue as soon as the requests
+// can be read, and a request that was withdrawn meanwhile is no longer in force then.
 func TestNothingStartsWhileEvacuationsAreUnknown(t *testing.T) {
 	simulate(t, 3, func(c *cluster) {
 		l := &zoneLoad{cluster: c, tasks: 2}
@@ -164,7 +164,7 @@
 		before := c.fleet.Starts()
 		l.run(time.Second)
 		if got := c.fleet.Starts() - before; got != 0 {
-			t.Errorf("%d runs have begun while it is not known which availability zones are evacuated", got)
+			t.Errorf("%d runs have started while the evacuation requests are unknown", got)
 		}
 		c.checkUnknownReasonLogged(t)
 		c.setStoreFault(noStoreFault)
@@ -173,13 +173,13 @@
 		l.run(4 * time.Second)
 		l.finish(10 * time.Second)
 		if c.fleet.StartsIn("north") == inNorth {
-			t.Error("an availability zone whose release was not heard at first is not used again")
+			t.Error("the availability zone whose request was withdrawn during the outage is not used again")
 		}
 	}, withWork(shortWork))
 }
 
-// An owner that is new, and has not been told yet which availability zones are evacuated,
-// starts nothing, although it knows its jobs and its instances: some may be.
+// A new owner that has not read the evacuation requests yet starts nothing, although it knows
+// its jobs and instances: some of the instances may be in an evacuated zone.
 func TestNewOwnerStartsNothingWhileEvacuationsAreUnknown(t *testing.T) {
 	simulate(t, 2, func(c *cluster) {
 		c.evacuate("north")
@@ -193,7 +193,7 @@
 		l := &zoneLoad{cluster: c, tasks: 2}
 		l.run(2 * time.Second)
 		if got := c.fleet.Starts(); got != 0 {
-			t.Errorf("%d runs have begun", got)
+			t.Errorf("%d runs have started, want none", got)
 		}
 		c.checkUnknownReasonLogged(t)
 		c.setStoreFault(noStoreFault)
@@ -201,34 +201,34 @@
 	}, withWork(shortWork))
 }
 
-// checkUnknownReasonLogged reports it if the log does not say that nothing is started because the
-// store does not tell which availability zones are evacuated, and what it answers.
+// checkUnknownReasonLogged fails the test unless the log says that the evacuation requests are
+// unknown, with the error of the store.
 func (c *cluster) checkUnknownReasonLogged(t *testing.T) {
 	t.Helper()
 	lines := c.logs.containing("evacuations unknown")
 	if lines == "" {
-		t.Error("the log does not say that it is not known which availability zones are evacuated")
+		t.Error("the log does not say that the evacuation requests are unknown")
 	}
 	for line := range strings.Lines(lines) {
 		if !strings.Contains(line, "error=") || strings.Contains(line, "error=<nil>") {
-			t.Errorf("the log does not say why: %s", line)
+			t.Errorf("the log line has no error: %s", line)
 		}
 	}
 }
 
-// drawEvacuations adds evacuations to the troubles of a script.
+// drawEvacuations adds evacuations to the faults of a script.
 func drawEvacuations(t *rapid.T, s *script) {
 	for range rapid.IntRange(1, 3).Draw(t, "evacuations") {
-		s.troubles = append(s.troubles, trouble{
-			at:    drawTime(t, "evacuation"),
-			lasts: time.Duration(rapid.IntRange(0, 6000).Draw(t, "lasts")) * time.Millisecond,
-			kind:  "evacuate", index: rapid.IntRange(0, 9).Draw(t, "zone"),
+		s.faults = append(s.faults, scriptedFault{
+			at:       drawTime(t, "evacuation"),
+			duration: time.Duration(rapid.IntRange(0, 6000).Draw(t, "lasts")) * time.Millisecond,
+			kind:     "evacuate", index: rapid.IntRange(0, 9).Draw(t, "zone"),
 		})
 	}
 }
 
-// Whatever else goes wrong, nothing starts in an evacuated availability zone, and all jobs
-// end as they should once it is open.
+// Whatever other faults occur, nothing starts in an evacuated availability zone, and all jobs
+// end as expected once it is reopened.
 func TestEvacuationsUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	checkScripts(t, func(t *rapid.T) script {
@@ -238,7 +238,7 @@
 	})
 }
 
-// The same while pools change hands between members that stand still and are cut off.
+// The same while pools change owners, with members that are paused or isolated.
 func TestEvacuationsDuringRandomHandovers(t *testing.T) {
 	t.Parallel()
 	checkScripts(t, func(t *rapid.T) script {
@@ -248,7 +248,7 @@
 	})
 }
 
-// A node that owns nothing does not ask which availability zones are evacuated.
+// A node that owns nothing does not read the evacuation requests.
 func TestOnlyOwnersReadEvacuations(t *testing.T) {
 	simulate(t, 3, func(c *cluster) {
 		time.Sleep(10 * time.Second)
@@ -265,14 +265,14 @@
 		for _, post := range []string{"shift", "payout", "/steward"} {
 			owners[c.owner(post)] = true
 		}
-		const most = 11 // once a second
+		const most = 11 // one read a second
 		for node, n := range asked {
 			if n > most || !owners[node] {
-				t.Errorf("%s, which owns something: %v, has asked %d times in 10 s", node, owners[node], n)
+				t.Errorf("%s (owns something: %v) has read the requests %d times in 10 s", node, owners[node], n)
 			}
 		}
 		if len(asked) != len(owners) {
-			t.Errorf("%v have asked, owners are %v", asked, owners)
+			t.Errorf("reads by node are %v, owners are %v", asked, owners)
 		}
 	})
 }
--- a/node/failure_test.go
+++ b/node/failure_test.go
@@ -18,7 +18,7 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file brings about the failures that nodes are meant for, one by one.
+// This file tests the failures that nodes must withstand, one by one.
 
 // simulate runs a test on a cluster in simulated time.
 func simulate(t *testing.T, nodes int, test func(c *cluster), options ...clusterOption) {
@@ -65,8 +65,8 @@
 	})
 }
 
-// A submission that is repeated while the store is away, after its job has ended,
-// must not bring the job to life at a new owner (jlpa-grid scale-2).
+// A client repeats a submission during a store fault after its job has ended and the pool has a
+// new owner. The new owner must not run the job again.
 func TestRepeatedSubmissionAfterOwnerChange(t *testing.T) {
 	simulate(t, 3, func(c *cluster) {
 		q := queue(t, c.nodes["n0"].node, "shift-close")
@@ -90,7 +90,7 @@
 		submit(t, n, queue(t, n, "shift-close"), "00000000000000bb", twoSteps(100*time.Millisecond))
 		time.Sleep(5 * time.Second)
 		if got := c.fleet.Starts(); got != starts {
-			t.Errorf("%d tasks have started, want %d as before", got, starts)
+			t.Errorf("%d tasks have started, want still %d", got, starts)
 		}
 	})
 }
@@ -134,9 +134,8 @@
 	})
 }
 
-// A member that the store turns away, and whose key is taken while its lease
-// lives on, gives no order beside its successor's (tippijako-prod trouble-1
-// --seed 732555647969).
+// The steward cannot use the store, and its owner key is removed while its lease is still
+// valid. It must not give orders at the same time as its successor.
 func TestStewardLosesItsOwnerKey(t *testing.T) {
 	simulate(t, 3, func(c *cluster) {
 		old := c.owner("/steward")
@@ -153,7 +152,7 @@
 				n = r.node
 			}
 		}
-		// Peaks in turn have instances moved to and fro.
+		// alternating load peaks cause instances to be moved between the pools
 		for i := range 40 {
 			q := queue(t, n, []string{"shift-close", "payout-close"}[i/10%2])
 			submit(t, n, q, fmt.Sprintf("%016x", i), twoSteps(800*time.Millisecond))
@@ -171,7 +170,7 @@
 		submit(t, n, q, "00000000000000ee", twoSteps(20*time.Second))
 		time.Sleep(time.Second)
 		if c.fleet.Running() == 0 {
-			t.Fatal("nothing runs")
+			t.Fatal("no task runs")
 		}
 		if err := c.nodes["n1"].node.Intake().Cancel(context.Background(), q, "00000000000000ee"); err != nil {
 			t.Fatal(err)
@@ -184,8 +183,8 @@
 	})
 }
 
-// Who is told that a job does not exist can count on it: a submission that is
-// still under way takes no effect any more.
+// A caller that was told that a job does not exist can rely on it: a submission that is still
+// in flight, or arrives later, has no effect.
 func TestCancelBeforeSubmission(t *testing.T) {
 	simulate(t, 1, func(c *cluster) {
 		n := c.nodes["n0"].node
@@ -193,19 +192,20 @@
 		err := n.Intake().Cancel(context.Background(), q, "00000000000000ff")
 		var unknown *intake.UnknownJobError
 		if !errors.As(err, &unknown) {
-			t.Fatalf("cancel of an unknown job: %v, want an unknown job", err)
+			t.Fatalf("Cancel of an unknown job returned %v, want an UnknownJobError", err)
 		}
 		submit(t, n, q, "00000000000000ff", twoSteps(100*time.Millisecond))
 		time.Sleep(2 * time.Second)
 		if got := c.fleet.Starts(); got != 0 {
-			t.Errorf("%d tasks have started", got)
+			t.Errorf("%d tasks have started, want none", got)
 		}
 	})
 }
 
-// A wave is carried out within its bound while serving tasks go on and stewards
-// change, and is said to be completed only when it is (LIMIT and AVAIL on hunted
-// days: a new steward did not know what its predecessor had taken down).
+// A wave is carried out within its bound while serving tasks run and stewards change, and is
+// reported as completed only once it is. A new steward that does not know which machines its
+// predecessor has taken down would exceed the bound and interrupt more serving tasks than may
+// be missing.
 func TestWaveWhileStewardsChange(t *testing.T) {
 	work := func(pointport.StartOrder) testbed.Work {
 		return testbed.Work{Room: pointport.Shape{CPUMilli: 500}, Serves: true, MayMiss: 1}
@@ -238,7 +238,7 @@
 			status = string(e.Value())
 			if n := c.fleet.Maintained(1); status == "true" {
 				if n != len(c.fleet.IDs()) {
-					t.Errorf("the wave is said to be completed with %d machines maintained", n)
+					t.Errorf("the wave is reported as completed with %d machines maintained", n)
 				}
 				return
 			}
@@ -247,35 +247,35 @@
 	}, withWork(work))
 }
 
-// Pools keep their instances until something is known of their load. A peak of one
-// pool draws instances from the spare pool, and gives them back.
+// Pools keep their instances while nothing is known about their load. A pool at its peak gets
+// instances from the spare pool and returns them afterwards.
 func TestPoolSizeFollowsLoad(t *testing.T) {
 	simulate(t, 2, func(c *cluster) {
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
 		time.Sleep(4 * time.Second)
 		if got := c.fleet.Size("shift") + c.fleet.Size("payout"); got != 8 {
-			t.Errorf("pools of which nothing is known have %d instances, want their 8", got)
+			t.Errorf("pools with unknown load have %d instances, want their original 8", got)
 		}
 		submit(t, n, q, "00000000000000aa", twoSteps(100*time.Millisecond))
 		submit(t, n, queue(t, n, "payout-close"), "00000000000000bb", twoSteps(100*time.Millisecond))
 		time.Sleep(6 * time.Second)
 		if got := c.fleet.Size("shift") + c.fleet.Size("payout"); got > 4 {
-			t.Errorf("idle pools have %d instances", got)
+			t.Errorf("idle pools have %d instances, want at most 4", got)
 		}
 		for i := range 60 {
 			submit(t, n, q, fmt.Sprintf("%016x", i), twoSteps(900*time.Millisecond))
 			time.Sleep(60 * time.Millisecond)
 		}
 		if got := c.fleet.Size("shift"); got < 5 {
-			t.Errorf("pool at its peak has %d instances", got)
+			t.Errorf("the pool at its peak has %d instances, want at least 5", got)
 		}
 		for i := range 60 {
 			c.waitForStatus(n, q, fmt.Sprintf("%016x", i), workload.Completed, 20*time.Second)
 		}
 		time.Sleep(6 * time.Second)
 		if got := c.fleet.Size("shift"); got > 2 {
-			t.Errorf("pool has %d instances after its peak", got)
+			t.Errorf("the pool has %d instances after its peak, want at most 2", got)
 		}
 	})
 }
--- a/node/forward_test.go
+++ b/node/forward_test.go
@@ -12,10 +12,9 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file tests what becomes of jobs that come to a node that the store does not
-// serve.
+// This file tests what happens to jobs that arrive at a node that cannot use the store.
 
-// storeFaultFor has calls of some nodes to the store fail in a way.
+// storeFaultFor makes the store calls of the named nodes fail with a fault.
 func storeFaultFor(fault memory.Fault, names ...string) func(node, op string) memory.Fault {
 	return func(node, _ string) memory.Fault {
 		for _, name := range names {
@@ -27,9 +26,9 @@
 	}
 }
 
-// A node that the store turns away, or gives no answer, has a peer keep the jobs
-// that come to it (tippijako-prod inc-f050: 75 jobs were refused by three nodes
-// while six others could have kept them).
+// A node whose store calls are refused or get no answer has a peer store the jobs that arrive
+// at it. Otherwise it would refuse jobs although other members could store them: three of nine
+// nodes once refused 75 jobs while the other six could have stored them.
 func TestNodeWithoutStoreForwardsJobsToPeers(t *testing.T) {
 	for name, fault := range map[string]memory.Fault{"refused": memory.FaultBefore, "no answer": memory.FaultLostCall, "late": memory.FaultLate} {
 		t.Run(name, func(t *testing.T) {
@@ -46,15 +45,15 @@
 					c.waitForStatus(c.nodes["n2"].node, q, fmt.Sprintf("%016x", i), workload.Completed, 10*time.Second)
 				}
 				if got := c.fleet.Starts(); got != 12*7 {
-					t.Errorf("%d tasks have started, want %d", got, 12*7)
+					t.Errorf("%d tasks have started, want %d, one run of each", got, 12*7)
 				}
 			})
 		})
 	}
 }
 
-// A node that is near the limit of its memory has peers keep the jobs that come to it, and
-// refuses them at once, with a time to come back, where all are.
+// A node that is short of memory has peers store the jobs that arrive at it. If all nodes are
+// short of memory, it refuses jobs at once, with a time after which to retry.
 func TestNodeLowOnMemoryForwardsJobsToPeers(t *testing.T) {
 	simulate(t, 3, func(c *cluster) {
 		n := c.nodes["n0"].node
@@ -64,12 +63,12 @@
 		submit(t, n, q, kept, twoSteps(100*time.Millisecond))
 		c.waitForStatus(n, q, kept, workload.Completed, 10*time.Second)
 		c.setLowMemory("n0", "n1", "n2")
-		time.Sleep(time.Second) // until the peer that has stored a job is asked again
+		time.Sleep(time.Second) // until the node asks the peer that stored a job again
 		from := time.Now()
 		err := n.Intake().Submit(context.Background(), q, refused, twoSteps(100*time.Millisecond))
 		var no *intake.RefusedError
 		if !errors.As(err, &no) || no.RetryAfter <= 0 || time.Since(from) > 300*time.Millisecond {
-			t.Errorf("%v after %v, want a refusal at once with a time to come back", err, time.Since(from))
+			t.Errorf("Submit returned %v after %v, want a refusal at once with a time to retry after", err, time.Since(from))
 		}
 		c.setLowMemory()
 		submit(t, n, q, refused, twoSteps(100*time.Millisecond))
@@ -77,7 +76,7 @@
 	})
 }
 
-// With no peer to help, a job is refused at once, and truly never runs.
+// Without a peer that can store it, a job is refused at once, and never runs.
 func TestJobIsRefusedWithoutPeerToStoreIt(t *testing.T) {
 	cases := map[string]struct {
 		within  time.Duration
@@ -90,8 +89,9 @@
 			c.setStoreFault(storeFaultFor(memory.FaultLostCall, "n0"))
 			c.cutPeers("n1", "n2", "n3")
 		}},
-		// Peers that give no answer may hold a job that was sent to them, so the customer
-		// could not be told for sure; only the question whether they can may be lost.
+		// A peer that does not answer may have stored a job that was sent to it, which would
+		// leave the outcome unknown to the customer. So a node asks whether the peer can store
+		// a job before it sends one; only that question may remain unanswered.
 		"cut off from all in silence": {200 * time.Millisecond, func(c *cluster) {
 			c.setStoreFault(storeFaultFor(memory.FaultLostCall, "n0"))
 			c.silencePeers(true)
@@ -103,15 +103,15 @@
 				n := c.nodes["n0"].node
 				q := queue(t, n, "shift-close")
 				test.trouble(c)
-				time.Sleep(2 * time.Second) // the node has noticed
+				time.Sleep(2 * time.Second) // until the node has noticed
 				from := time.Now()
 				err := n.Intake().Submit(context.Background(), q, "00000000000000aa", twoSteps(100*time.Millisecond))
 				var refused *intake.RefusedError
 				if !errors.As(err, &refused) || refused.RetryAfter <= 0 {
-					t.Errorf("answer %v, want a refusal with a time to come back", err)
+					t.Errorf("Submit returned %v, want a refusal with a time to retry after", err)
 				}
 				if took := time.Since(from); took > test.within {
-					t.Errorf("the refusal took %v", took)
+					t.Errorf("the refusal took %v, want it at once", took)
 				}
 				c.setStoreFault(noStoreFault)
 				c.cutPeers()
--- a/node/handover_random_test.go
+++ b/node/handover_random_test.go
@@ -15,14 +15,13 @@
 	"github.com/pointport/pointport/testbed"
 )
 
-// This file draws troubles of hand-overs at random: pools go back and forth between members
-// that stand still, whose changes are lost or late, and of which instances hear one and not
-// another.
+// This file draws random faults of pool handovers: pools move between members that are paused,
+// whose changes are lost or late, and of which only one reaches some instances.
 
-// handoverKinds are what happens to members and between them and instances.
+// handoverKinds are the kinds of faults that happen to members, and between them and instances.
 //
-// Some stand there more than once: a pool that is given away in vain harms only if starts
-// are late and their instances take nothing else.
+// Some are listed several times to make them likelier: a release that fails only does harm if
+// starts are also late, and their instances take no other tasks.
 var handoverKinds = []string{
 	"freeze", "freezeOwner", "suspend", "suspendOwner", "oneSided", "ownerAlone", "wander",
 	"loseReleases", "loseReleases", "loseReleases", "lateStarts", "lateStarts", "lateStarts", "drain", "drain",
@@ -31,8 +30,8 @@
 
 func drawHandoverScript(t *rapid.T) script {
 	s := script{handover: true, cancels: make(map[int]time.Duration), crashingJob: -1, failingJob: -1, enforceCapacity: rapid.Bool().Draw(t, "guards")}
-	// Tasks outlast the time in which a pool changes hands, and are small enough for pools
-	// that nobody enlarges.
+	// Tasks take longer than a handover of a pool, and are small enough for pools that no
+	// steward enlarges.
 	const longer, smaller = 3, 3
 	for range rapid.IntRange(1, 14).Draw(t, "jobs") {
 		spec := drawSpec(t)
@@ -51,44 +50,44 @@
 		s.joins[n] = time.Duration(rapid.IntRange(0, 8000).Draw(t, "join")) * time.Millisecond
 	}
 	for range rapid.IntRange(1, 12).Draw(t, "troubles") {
-		s.troubles = append(s.troubles, trouble{
-			at:    drawTime(t, "trouble"),
-			lasts: time.Duration(rapid.IntRange(100, 5000).Draw(t, "lasts")) * time.Millisecond,
-			kind:  rapid.SampledFrom(handoverKinds).Draw(t, "kind"),
-			index: rapid.IntRange(0, 9).Draw(t, "index"),
+		s.faults = append(s.faults, scriptedFault{
+			at:       drawTime(t, "trouble"),
+			duration: time.Duration(rapid.IntRange(100, 5000).Draw(t, "lasts")) * time.Millisecond,
+			kind:     rapid.SampledFrom(handoverKinds).Draw(t, "kind"),
+			index:    rapid.IntRange(0, 9).Draw(t, "index"),
 		})
 	}
 	return s
 }
 
-// join has a node join after a time.
+// join starts a node after a time.
 func (p *play) join(n int, after time.Duration) {
 	time.Sleep(after)
 	p.cluster.start(fmt.Sprintf("n%d", n))
 	p.busy[n].Store(false)
 }
 
-// Whatever happens while pools change hands, no task has two runs at once, none that is
-// done starts again, and all jobs end as they should.
+// Whatever happens while pools change owners, no task has two runs at once, no completed task
+// starts again, and all jobs end as expected.
 func TestInvariantsDuringRandomHandovers(t *testing.T) {
 	t.Parallel()
 	checkScripts(t, drawHandoverScript)
 }
 
-// A faultRule decides the fate of orders and of calls to the store while it lasts.
+// A faultRule decides the faults of orders and of store calls while it is active.
 type faultRule struct {
 	order func(op string, to pointport.InstanceID) (testbed.Fate, bool)
 	call  func(node, op, key string) (memory.Fault, bool)
 }
 
-// faultRules are those that last at present; the first that has to do with a call decides.
+// faultRules holds the active rules. The first rule that applies to a call decides its fault.
 type faultRules struct {
 	mu  sync.Mutex
 	all []*faultRule
-	key string // of the call to the store that is under way
+	key string // of the store call being made
 }
 
-// install has the mishaps decide the fates of a cluster's calls.
+// install makes the rules decide the faults of a cluster's orders and store calls.
 func (m *faultRules) install(c *cluster) {
 	c.mu.Lock()
 	c.onStoreCall = func(_, _, key string) { m.key = key }
@@ -125,7 +124,7 @@
 	return memory.FaultNone
 }
 
-// applyFor has a mishap last for a time.
+// applyFor activates a rule for a time.
 func (m *faultRules) applyFor(lasts time.Duration, x faultRule) {
 	m.mu.Lock()
 	m.all = append(m.all, &x)
@@ -141,7 +140,7 @@
 	}
 }
 
-// pause has a node's process, or its machine, stand still for a time.
+// pause freezes a node's process, or suspends its machine, for a time.
 func (c *cluster) pause(name string, frozen bool, lasts time.Duration) {
 	c.mu.Lock()
 	r := c.nodes[name]
@@ -158,11 +157,11 @@
 	r.clock.wake()
 }
 
-// isolatedAfterPause is for how long an instance goes on hearing nobody but a member that stood
-// still: until others have let go of what that member may have extended.
+// isolatedAfterPause is how long an instance stays reachable only from a member after that
+// member's pause: until other members no longer wait for task leases that it may have extended.
 const isolatedAfterPause = 7 * time.Second
 
-// reachableOnlyFrom has an instance hear nobody but one node.
+// reachableOnlyFrom returns a rule under which only one node reaches an instance.
 func reachableOnlyFrom(id pointport.InstanceID, node string) faultRule {
 	return faultRule{order: func(op string, to pointport.InstanceID) (testbed.Fate, bool) {
 		cut := to == id && !strings.HasPrefix(op, node+" ")
@@ -170,8 +169,9 @@
 	}}
 }
 
-// injectHandOver brings a trouble of hand-overs about; false if it is none.
-func (p *play) injectHandOver(tr trouble) bool {
+// injectHandOver injects a fault of a handover. It returns false if the fault is of another
+// kind.
+func (p *play) injectHandOver(tr scriptedFault) bool {
 	c := p.cluster
 	name := fmt.Sprintf("n%d", tr.index%3)
 	pool := []string{"shift", "payout"}[tr.index%2]
@@ -180,40 +180,40 @@
 	calls := 0
 	switch tr.kind {
 	case "freeze", "suspend":
-		c.pause(name, tr.kind == "freeze", tr.lasts)
+		c.pause(name, tr.kind == "freeze", tr.duration)
 	case "freezeOwner", "suspendOwner":
 		if owned {
-			c.pause(owner, tr.kind == "freezeOwner", tr.lasts)
+			c.pause(owner, tr.kind == "freezeOwner", tr.duration)
 		}
 	case "oneSided":
-		p.faults.applyFor(tr.lasts, reachableOnlyFrom(id, name))
+		p.faultRules.applyFor(tr.duration, reachableOnlyFrom(id, name))
 	case "ownerAlone":
-		p.faults.applyFor(tr.lasts, reachableOnlyFrom(id, owner))
+		p.faultRules.applyFor(tr.duration, reachableOnlyFrom(id, owner))
 	case "aloneAndFrozen":
 		c.mu.Lock()
 		r := c.nodes[owner]
 		c.mu.Unlock()
 		if r != nil {
-			r.clock.freezeAtRead(1+tr.index, tr.lasts)
-			p.faults.applyFor(tr.lasts+isolatedAfterPause, reachableOnlyFrom(id, owner))
+			r.clock.freezeAtRead(1+tr.index, tr.duration)
+			p.faultRules.applyFor(tr.duration+isolatedAfterPause, reachableOnlyFrom(id, owner))
 		}
 	case "loseReleases":
-		p.faults.applyFor(tr.lasts, faultRule{call: func(_, op, key string) (memory.Fault, bool) {
-			// A release puts no key; nor does a read under conditions.
+		p.faultRules.applyFor(tr.duration, faultRule{call: func(_, op, key string) (memory.Fault, bool) {
+			// A commit without a key is a release, or a read under conditions.
 			return []memory.Fault{memory.FaultLostCall, memory.FaultLate, memory.FaultLostAnswer}[tr.index%3], op == "commit" && key == ""
 		}})
 	case "wander":
-		for end := time.Now().Add(tr.lasts); time.Now().Before(end); time.Sleep(700 * time.Millisecond) {
+		for end := time.Now().Add(tr.duration); time.Now().Before(end); time.Sleep(700 * time.Millisecond) {
 			c.store.Take(member.OwnerKey(pool))
 		}
 	case "lateStarts":
-		p.faults.applyFor(tr.lasts, faultRule{order: func(op string, _ pointport.InstanceID) (testbed.Fate, bool) {
+		p.faultRules.applyFor(tr.duration, faultRule{order: func(op string, _ pointport.InstanceID) (testbed.Fate, bool) {
 			calls++
 			return testbed.Fate{Late: time.Duration(500+400*tr.index) * time.Millisecond}, strings.HasSuffix(op, " start") && calls%2 == 0
 		}})
 	case "storeLosesAnswers", "storeIsLate":
 		fault := map[string]memory.Fault{"storeLosesAnswers": memory.FaultLostAnswer, "storeIsLate": memory.FaultLate}[tr.kind]
-		p.faults.applyFor(tr.lasts, faultRule{call: func(_, op, _ string) (memory.Fault, bool) {
+		p.faultRules.applyFor(tr.duration, faultRule{call: func(_, op, _ string) (memory.Fault, bool) {
 			calls++
 			return fault, op == "commit" && calls%3 == 0
 		}})
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -13,12 +13,11 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file tests how pools change hands at planned stops.
+// This file tests how pools change owners.
 
-// A node that is stopped as planned must take no pool, neither one that it gave
-// away nor one of the next node to stop: it would hold the pool without working
-// on it until its process ends (tippijako-prod trouble-2 --seed 917730157450:
-// pools stood still for 3.3 s of a rolling stop).
+// A node in a planned stop must not take a pool, neither one that it has just handed over nor
+// one of the next node to stop: it would hold the pool without working on it until its process
+// ends. In a rolling stop, pools were without work for 3.3 s because of that.
 func TestStoppingNodeTakesNoPool(t *testing.T) {
 	for _, pool := range []string{"shift", "payout", steward.OwnershipName} {
 		t.Run(pool, func(t *testing.T) {
@@ -36,7 +35,7 @@
 				for range 14 {
 					time.Sleep(100 * time.Millisecond)
 					if name := c.owner(pool); stopping[name] {
-						t.Errorf("%s owns %s although it stops\n%s", name, pool, c.logs.containing("event=226"))
+						t.Errorf("%s owns %s although it is stopping\n%s", name, pool, c.logs.containing("event=226"))
 						break
 					}
 				}
@@ -45,8 +44,8 @@
 	}
 }
 
-// A pool whose owner is cut off from the store has another one within 1.3 s, while
-// its jobs can still end in time.
+// A pool whose owner is disconnected from the store has a new owner within 1.3 s, so its jobs
+// can still complete in time.
 func TestPoolOfOwnerWithoutStoreIsTakenOver(t *testing.T) {
 	simulate(t, 4, func(c *cluster) {
 		owner := c.owner("shift")
@@ -58,29 +57,25 @@
 		})
 		time.Sleep(1300 * time.Millisecond)
 		if got := c.owner("shift"); got == owner {
-			t.Errorf("%s still owns the pool, 1.3 s after the store heard of it last", owner)
+			t.Errorf("%s still owns the pool 1.3 s after its last call reached the store", owner)
 		}
 		c.setStoreFault(noStoreFault)
 	})
 }
 
-// What users saw: a task had two runs at once, both started by one member whose pool had
-// changed hands.
+// A member starts two runs of one task at once after a handover that did not take effect.
 //
-// The order of events: a member gives a pool away to one that has less to do, while starts
-// are under way that have got no answer. The store gives none to the release, so the owner's
-// key stays as it is. The member finds the key under its own lease and begins a second
-// ownership with the fence of the first. Instances do not list the runs that the first one
-// has ordered, so their tasks are started elsewhere; then the starts arrive, and nothing
-// tells them from those of the ownership in force.
-//
-// The cause: an instance refuses the starts of an earlier ownership by its lower fence, and
-// this one had the same.
+// The member releases a pool to a member with less load while starts are unanswered. The
+// release does not reach the store, so the owner's key stays in place. The member finds the key
+// under its own lease and begins a second ownership. Instances do not list the runs that the
+// first ownership has ordered, so their tasks are started elsewhere; then the delayed starts
+// arrive. An instance refuses starts of an earlier ownership by their lower fencing token, so
+// the second ownership needs a new one.
 func TestPoolKeptAfterLostReleaseGetsNewFence(t *testing.T) {
 	const late, away = 3 * time.Second, 1500 * time.Millisecond
 	const id = "00000000000000cc"
 	simulate(t, 1, func(c *cluster) {
-		time.Sleep(4 * time.Second) // until its pools may be given away
+		time.Sleep(4 * time.Second) // until the member may hand its pools over
 		n := c.nodes["n0"].node
 		c.setNetwork(func(op string, _ pointport.InstanceID) testbed.Fate {
 			if op == "n0 start" {
@@ -100,11 +95,11 @@
 	}, withoutSteward())
 }
 
-// loseReleases has a node's releases not reach the store for a time.
+// loseReleases keeps a node's releases from reaching the store for a time.
 func (c *cluster) loseReleases(name string, lasts time.Duration) {
 	end, releases := time.Now().Add(lasts), false
 	c.mu.Lock()
-	// A release puts no key; nor does a read under conditions.
+	// A commit without a key is a release, or a read under conditions.
 	c.onStoreCall = func(node, op, key string) { releases = node == name && op == "commit" && key == "" }
 	c.mu.Unlock()
 	c.setStoreFault(func(string, string) memory.Fault {
@@ -115,15 +110,15 @@
 	})
 }
 
-// checkFences fails the test if a pool was taken twice under one fence.
+// checkFences fails the test if a pool was taken twice with the same fencing token.
 func (c *cluster) checkFences(pool string) {
 	c.t.Helper()
 	for _, fence := range c.fencesTakenTwice(pool) {
-		c.t.Errorf("%s is taken twice with %s\n%s", pool, fence, c.logs.containing("pool="+pool))
+		c.t.Errorf("%s was taken twice with %s\n%s", pool, fence, c.logs.containing("pool="+pool))
 	}
 }
 
-// fencesTakenTwice returns the fences under which a pool was taken more than once.
+// fencesTakenTwice returns the fencing tokens with which a pool was taken more than once.
 func (c *cluster) fencesTakenTwice(pool string) []string {
 	var twice []string
 	taken := make(map[string]int)
@@ -140,24 +135,23 @@
 	return twice
 }
 
-// What users saw: "pool lost" with the reason "context canceled", whatever the reason was.
-// The order of events: the store refuses a write because the owner's key is gone, before any
-// watch tells so; the owner ends itself and with that its context. The cause: the end of the
-// context was told in place of what had ended it, so the member also went on believing its
-// roster, which still named it.
+// The store refuses a write because the owner's key is gone, before any watch reports that. The
+// owner then ends itself and cancels its context. The log must name the refused write as the
+// reason for the lost pool, not "context canceled": that error also hides from the member that
+// its roster, which still names it as the owner, is out of date.
 func TestRefusedWriteIsLoggedAsReasonForLostPool(t *testing.T) {
 	simulate(t, 3, func(c *cluster) {
 		owner := c.owner("shift")
 		n := c.otherNode(owner)
-		time.Sleep(100 * time.Millisecond) // until long before the member reads the key again
+		time.Sleep(100 * time.Millisecond) // so that the member does not read the key again soon
 		c.store.SetDeaf(true)
 		c.store.Take(member.OwnerKey("shift"))
 		submit(t, n, queue(t, n, "shift-close"), "00000000000000cc", twoSteps(time.Second))
-		time.Sleep(700 * time.Millisecond) // until the member has looked after its pools
+		time.Sleep(700 * time.Millisecond) // until the member has checked its pools
 		c.store.SetDeaf(false)
 		lost := c.logs.containing("pool lost")
 		if !strings.Contains(lost, "pool=shift") || !strings.Contains(lost, member.ErrNotOwner.Error()) {
-			t.Errorf("want the pool lost because %q, have:\n%s", member.ErrNotOwner, c.logs.containing("pool=shift"))
+			t.Errorf("want the pool lost with reason %q, got:\n%s", member.ErrNotOwner, c.logs.containing("pool=shift"))
 		}
 		c.waitForStatus(n, queue(t, n, "shift-close"), "00000000000000cc", workload.Completed, 20*time.Second)
 	})
--- a/node/inherited_job_test.go
+++ b/node/inherited_job_test.go
@@ -9,44 +9,33 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file tests what a new owner makes of the jobs that it finds in the store.
+// This file tests what a new owner does with the jobs that it finds in the store.
 
-// What users saw: nothing yet; read from the code while a task with two runs was looked
-// for.
-//
-// The order of events: a job's stored progress cannot be read, because another version has
-// written it. The pool changes hands, and the new owner leaves the job alone, as it says
-// (517). It reads all keys of open jobs again some time later, and takes the job for one of
-// which it has not heard: none of its tasks has begun, so all start again, done or not.
-//
-// The cause: what is read again are the jobs as they were accepted, without their progress.
+// A new owner must not restart a job whose stored progress it cannot decode because another
+// version has written it. It leaves the job alone and logs that (event 517). But later it reads
+// all keys of open jobs again, as they were accepted and without their progress. If it takes
+// the job for a new one then, all of its tasks start again, whether or not they have completed.
 func TestJobWithUnreadableProgressIsNotRestarted(t *testing.T) {
 	const id = "00000000000000cc"
 	simulate(t, 3, func(c *cluster) {
 		owner := c.owner("shift")
 		n := c.otherNode(owner)
 		submit(t, n, queue(t, n, "shift-close"), id, twoSteps(time.Second))
-		time.Sleep(1500 * time.Millisecond) // the first step is done
+		time.Sleep(1500 * time.Millisecond) // until the first step has completed
 		c.kill(owner)
 		time.Sleep(100 * time.Millisecond)
 		c.put(workload.ProgressKey("shift", id), []byte("written by another version"))
 		time.Sleep(member.DefaultRereadInterval + 5*time.Second)
 		if got := c.fleet.Started(id + ".0.0.0"); got != 1 {
-			t.Errorf("a task that is done was started %d times, want once", got)
+			t.Errorf("a completed task was started %d times, want once", got)
 		}
 	})
 }
 
-// What users saw: nothing yet; read from the code while a task with two runs was looked
-// for.
-//
-// The order of events: a job is accepted, and its queue is given to another pool by a new
-// configuration. The customer, who has had no answer, hands the job in again. Its identity
-// is found taken, and the owner of the queue's present pool is told of the job, as if it had
-// been accepted there: it runs all of it beside the owner of the pool that keeps it.
-//
-// The cause: the owner that was told was the one by the configuration, not the one by the
-// job's record.
+// A job is accepted, then a new configuration moves its queue to another pool, and the client,
+// which got no answer, submits the job again. The ID is found taken, and the owner of the job's
+// pool must be notified. That is the pool in the job's record, not the queue's present one,
+// whose owner would run the whole job a second time.
 func TestResubmittedJobRunsOnceAfterItsQueueMoved(t *testing.T) {
 	const id = "00000000000000cc"
 	simulate(t, 3, func(c *cluster) {
--- a/node/machine_list_test.go
+++ b/node/machine_list_test.go
@@ -12,14 +12,14 @@
 	"github.com/pointport/pointport/testbed"
 )
 
-// This file tests what is believed of an instance on the word of the platform's list of
-// machines, which is behind reality.
+// This file tests what an owner concludes about an instance from the platform's machine list,
+// which lags behind.
 
-// A laggingList is a list of machines that shows them as they were some time ago.
+// A laggingList is a machine list that shows the machines as they were some time ago.
 type laggingList struct {
 	pointport.Machines
 	lag time.Duration
-	// extraLag is by how much every second reading is further behind.
+	// extraLag is the additional age of every second read.
 	extraLag time.Duration
 
 	mu        sync.Mutex
@@ -27,18 +27,18 @@
 	reads     int
 }
 
-// A machineSnapshot is a list of machines as it was at a time.
+// A machineSnapshot is the machine list at a time.
 type machineSnapshot struct {
 	at   time.Time
 	list []pointport.Machine
 }
 
-// record notes the list ten times a second until ctx ends.
+// record takes a snapshot ten times a second until ctx ends.
 func (l *laggingList) record(ctx context.Context) {
 	for ; ctx.Err() == nil; time.Sleep(100 * time.Millisecond) {
 		list, err := l.Machines.List(context.Background())
 		if err != nil {
-			continue // the fleet's own list does not fail
+			continue // the fleet's list does not fail
 		}
 		l.mu.Lock()
 		l.snapshots = append(l.snapshots, machineSnapshot{time.Now(), list})
@@ -46,7 +46,8 @@
 	}
 }
 
-// List returns the newest list that is as old as the lag, and before there is one none.
+// List returns the newest snapshot that is at least as old as the lag, or an error if there is
+// none.
 func (l *laggingList) List(context.Context) ([]pointport.Machine, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,19 +62,17 @@
 		}
 	}
 	if out == nil {
-		return nil, &pointport.UnavailableError{Op: "machines", Err: fmt.Errorf("no list is as old as %v", lag)}
+		return nil, &pointport.UnavailableError{Op: "machines", Err: fmt.Errorf("no snapshot is %v old", lag)}
 	}
 	return out, nil
 }
 
-// Users saw tasks with two runs at once, several at a time and all on one instance beside
-// others: an instance has just come to its pool, and the list of machines still shows it
-// without it. It is busy for a moment, carries its starts out and answers too late to count.
-// Then the owner heard from whoever moves instances that the incarnation was over, and
-// started all that ran there elsewhere, at once, while it ran on.
-//
-// The evidence: 427 with the life of before and a list that lags, 514 "the platform says so",
-// then both runs of the tasks, then 511 or 549 of the instance that lives.
+// A machine list that lags behind still shows the previous incarnation of an instance that has
+// just joined its pool. The instance is busy for a moment: it carries out its starts but
+// answers too late. If the owner then counts the new incarnation as ended because of the list,
+// it starts all tasks of the instance elsewhere while they still run there, so several tasks
+// have two runs at once. The log shows event 427 with the earlier incarnation and an old list,
+// event 514, then both runs of the tasks, and events 511 or 549 of the instance.
 func TestLaggingMachineListEndsNoRunningIncarnation(t *testing.T) {
 	for _, lag := range []time.Duration{500 * time.Millisecond, 3 * time.Second, 6 * time.Second} {
 		t.Run(lag.String(), func(t *testing.T) {
@@ -82,11 +81,11 @@
 	}
 }
 
-// Users saw nothing of this yet. The list of machines is read from copies of which some are
-// further behind: it shows the instances that have just come, and then, once more, the lives
-// before them. The instances are busy for a moment and answer too late to count. They counted
-// as over, as lives that the list had shown and showed no more, and what ran there was started
-// elsewhere while it ran on.
+// The machine list is read from replicas, some of which lag further behind: it shows the
+// instances that have just joined, and then their previous incarnations again. The instances
+// are busy for a moment and answer too late. The new incarnations must not count as ended
+// because the list has shown them and no longer does: their tasks would start elsewhere while
+// they still run.
 func TestMachineListGoingBackEndsNoRunningIncarnation(t *testing.T) {
 	for _, back := range []time.Duration{2 * time.Second, 4 * time.Second, 6 * time.Second} {
 		t.Run(back.String(), func(t *testing.T) {
@@ -96,18 +95,19 @@
 	}
 }
 
-// withLaggingList has the list of machines be so far behind.
+// withLaggingList sets how far the machine list lags behind.
 func withLaggingList(lag time.Duration) clusterOption {
 	return func(c *cluster, _ *[]testbed.Option) { c.listLag = lag }
 }
 
-// unansweredPollsAfterReplacement brings all instances of a pool back as new lives, has them run a job,
-// and answer nothing for a moment while the list shows their former lives.
+// unansweredPollsAfterReplacement restarts all instances of a pool as new incarnations, has
+// them run a job, and leaves polls unanswered for a moment while the list shows the previous
+// incarnations.
 func (c *cluster) unansweredPollsAfterReplacement(t *testing.T, lag time.Duration) {
 	const job = "00000000000000cc"
 	n := c.nodes["n0"].node
 	q := queue(t, n, "shift-close")
-	time.Sleep(lag) // until there is a list
+	time.Sleep(lag) // until the list has a snapshot
 	for _, id := range c.fleet.IDs() {
 		c.fleet.Crash(id, 300*time.Millisecond)
 	}
@@ -124,6 +124,6 @@
 	c.setNetwork(testbed.Reliable)
 	time.Sleep(15 * time.Second)
 	if status, err := n.Intake().Status(context.Background(), q, job); err != nil || !status.Ended() {
-		t.Errorf("job is %s (%v)", status, err)
+		t.Errorf("the job has status %s (error %v), want it ended", status, err)
 	}
 }
--- a/node/moved_instance_test.go
+++ b/node/moved_instance_test.go
@@ -12,15 +12,15 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file tests pools whose instances come and go with their peaks, on a platform that shows
-// the registration of an instance until heartbeats were missed.
+// This file tests pools whose instances are moved with the load, on a platform that keeps the
+// registration of an instance until heartbeats have been missed.
 
-// registrationLinger is for how long a registration stays: three heartbeats of 1.5 s.
+// registrationLinger is how long a registration remains: three heartbeats of 1.5 s.
 const registrationLinger = 4500 * time.Millisecond
 
-// Peaks come to two pools by turns, and instances with them. None of those that were moved
-// counts as crashed, none is avoided when it comes back, and their owner does not doubt itself
-// because those that have gone are silent.
+// Two pools have load peaks in turn, and instances move between them. No moved instance may
+// count as crashed or be avoided when it returns, and the owner must not suspect that it is
+// isolated because the instances that have left do not answer.
 func TestMovedInstancesAreNotSuspected(t *testing.T) {
 	room := pointport.Shape{CPUMilli: 2000, MemoryMiB: 128}
 	simulate(t, 3, func(c *cluster) {
@@ -36,7 +36,7 @@
 			time.Sleep(4 * time.Second)
 		}
 		if got := c.logs.containing("machine ordered"); strings.Count(got, "\n") < 20 {
-			t.Fatalf("%d orders about machines, want instances that move", strings.Count(got, "\n"))
+			t.Fatalf("%d orders about machines, want at least 20, so that instances move", strings.Count(got, "\n"))
 		}
 		for _, what := range []string{"cause=crashed", "instance suspected", "owner doubts itself"} {
 			if got := c.logs.containing(what); got != "" {
@@ -48,7 +48,7 @@
 	}))
 }
 
-// Whatever goes wrong beside, rules hold where registrations stay for a while.
+// The invariants of random faults also hold on a platform where registrations linger.
 func TestInvariantsWithLingeringRegistrations(t *testing.T) {
 	t.Parallel()
 	checkScriptsWith(t, func(t *rapid.T) script {
--- a/node/outage_test.go
+++ b/node/outage_test.go
@@ -10,16 +10,14 @@
 	"github.com/pointport/pointport/memory"
 )
 
-// This file tests who owns what after the store was away for so long that all leases
-// have ended.
+// This file tests which members own the pools after a store outage in which all leases have
+// expired.
 
-// What users saw: after an outage of the store one job in three failed, and days never
-// recovered. The order of events: all leases ended; one entry instance reached the store
-// some tenths of a second before its peers, saw no other member and took every pool and
-// the steward's post; it had the calls to all instances to make, did not keep up, and
-// handed the pools on 4 to 15 s later. The evidence: 'pool taken' five times by one
-// member within 0.4 s of the store's return, and everything silent or unanswered after it
-// logged by that member alone.
+// After a store outage in which all leases have expired, one entry instance reaches the store
+// some tenths of a second before its peers. If it sees no other member and takes every pool and
+// the steward's ownership ('pool taken' five times within 0.4 s), it cannot keep up with the
+// calls to all instances, and hands the pools over only 4 to 15 s later. One job in three
+// failed after such an outage.
 func TestFirstMemberAfterOutageDoesNotTakeAllPools(t *testing.T) {
 	for _, early := range []time.Duration{100 * time.Millisecond, 600 * time.Millisecond, time.Second} {
 		t.Run(fmt.Sprint(early), func(t *testing.T) {
@@ -49,7 +47,7 @@
 				time.Sleep(7 * time.Second)
 				for _, p := range posts {
 					if now := c.owner(p); now != before[p] {
-						t.Errorf("%s is owned by %s, want %s as before the outage; the first member back is %s\n%s%s", p, now, before[p], first, c.logs.containing("pool"), c.logs.containing("store"))
+						t.Errorf("%s is owned by %s, want %s as before the outage; the first member to reach the store is %s\n%s%s", p, now, before[p], first, c.logs.containing("pool"), c.logs.containing("store"))
 					}
 				}
 			})
@@ -57,8 +55,8 @@
 	}
 }
 
-// A pool whose owner does not come back is taken by another member, and not by one that
-// has another pool already.
+// A pool whose owner does not return after the outage is taken by another member, one that owns
+// no other pool.
 func TestPoolOfLostMemberIsTakenOver(t *testing.T) {
 	simulate(t, 6, func(c *cluster) {
 		lost, kept := c.owner("shift"), c.owner("payout")
@@ -71,14 +69,15 @@
 		})
 		time.Sleep(time.Second)
 		c.kill(lost)
-		time.Sleep(6500 * time.Millisecond) // until 3.5 s after the store's return
+		time.Sleep(6500 * time.Millisecond) // until 3.5 s after the end of the outage
 		if now := c.owner("shift"); now == lost || now == kept {
-			t.Errorf("the pool of %s is owned by %s, the other one by %s", lost, now, kept)
+			t.Errorf("the pool of the killed member %s is owned by %s, the other pool by %s", lost, now, kept)
 		}
 	})
 }
 
-// Members that start together share the pools although none of them knows the others.
+// Members that start at the same time share the pools, although at first none of them knows the
+// others.
 func TestMembersStartedTogetherSharePools(t *testing.T) {
 	simulate(t, 0, func(c *cluster) {
 		for n := range 6 {
@@ -88,13 +87,14 @@
 		time.Sleep(2 * time.Second)
 		owners := map[string]bool{c.owner("shift"): true, c.owner("payout"): true, c.owner("/steward"): true}
 		if len(owners) != 3 {
-			t.Errorf("three posts are held by %d members", len(owners))
+			t.Errorf("the two pools and the steward's ownership are held by %d members, want 3", len(owners))
 		}
 	})
 }
 
-// A member whose pool was taken away does not take itself for its owner again because its
-// roster has not heard of it: the former fence is another's past.
+// A member whose pool was taken away must not resume the ownership because its roster is out of
+// date. Another member may have owned the pool since, so the old fencing token is no longer
+// valid.
 func TestLostPoolIsNotTakenAgainWithItsOldFence(t *testing.T) {
 	simulate(t, 3, func(c *cluster) {
 		owner := c.owner("shift")
@@ -112,7 +112,7 @@
 		}
 		for fence, n := range taken {
 			if n > 1 {
-				t.Errorf("shift is taken %d times with %s by or after %s", n, fence, owner)
+				t.Errorf("pool shift was taken %d times with %s, by or after owner %s", n, fence, owner)
 			}
 		}
 	})
--- a/node/random_test.go
+++ b/node/random_test.go
@@ -23,15 +23,15 @@
 // This file draws jobs and troubles at random and checks what must hold under
 // all of them.
 
-// A trouble is something that goes wrong at a time.
-type trouble struct {
-	at, lasts time.Duration
-	kind      string
-	index     int
+// A scriptedFault is something that goes wrong at a time.
+type scriptedFault struct {
+	at, duration time.Duration
+	kind         string
+	index        int
 }
 
-func (t trouble) String() string {
-	return fmt.Sprintf("%v for %v: %s %d", t.at, t.lasts, t.kind, t.index)
+func (t scriptedFault) String() string {
+	return fmt.Sprintf("%v for %v: %s %d", t.at, t.duration, t.kind, t.index)
 }
 
 // A script is what happens to a cluster.
@@ -39,7 +39,7 @@
 	jobs            []*workload.Spec
 	starts          []time.Duration
 	cancels         map[int]time.Duration
-	troubles        []trouble
+	faults          []scriptedFault
 	enforceCapacity bool
 	// crashingJob is the job whose first task crashes its instances, -1 for none.
 	crashingJob int
@@ -68,11 +68,11 @@
 	}
 	kinds := []string{"kill", "stop", "crash", "drain", "failing", "storeDown", "storeLoses", "storeLate", "storeForgets", "revoke", "cutInstance", "lateOrders", "muteOrders", "cutPeers", "wave", "unwell"}
 	for range rapid.IntRange(0, 7).Draw(t, "troubles") {
-		s.troubles = append(s.troubles, trouble{
-			at:    drawTime(t, "trouble"),
-			lasts: time.Duration(rapid.IntRange(300, 6000).Draw(t, "lasts")) * time.Millisecond,
-			kind:  rapid.SampledFrom(kinds).Draw(t, "kind"),
-			index: rapid.IntRange(0, 9).Draw(t, "index"),
+		s.faults = append(s.faults, scriptedFault{
+			at:       drawTime(t, "trouble"),
+			duration: time.Duration(rapid.IntRange(300, 6000).Draw(t, "lasts")) * time.Millisecond,
+			kind:     rapid.SampledFrom(kinds).Draw(t, "kind"),
+			index:    rapid.IntRange(0, 9).Draw(t, "index"),
 		})
 	}
 	return s
@@ -227,8 +227,8 @@
 	begun := time.Now()
 	p := &play{cluster: c, script: s, accepted: make([]atomic.Bool, len(s.jobs)), cancelled: make([]atomic.Bool, len(s.jobs))}
 	if s.handover {
-		p.faults = &faultRules{}
-		p.faults.install(c)
+		p.faultRules = &faultRules{}
+		p.faultRules.install(c)
 	}
 	var all sync.WaitGroup
 	for n := len(names); n < len(p.busy); n++ {
@@ -241,7 +241,7 @@
 	for n, at := range s.cancels {
 		all.Go(func() { p.cancelLater(n, at) })
 	}
-	for _, tr := range s.troubles {
+	for _, tr := range s.faults {
 		all.Go(func() { p.inject(tr) })
 	}
 	time.Sleep(scriptTime + 7*time.Second - time.Since(begun))
@@ -260,7 +260,7 @@
 	script              *script
 	accepted, cancelled []atomic.Bool
 	busy                [3]atomic.Bool // nodes that are down or about to be
-	faults              *faultRules    // nil if the troubles are not those of hand-overs
+	faultRules          *faultRules    // nil if the troubles are not those of hand-overs
 }
 
 func jobID(n int) string { return fmt.Sprintf("%016x", n) }
@@ -319,9 +319,9 @@
 }
 
 // inject brings a trouble about and ends it after its time.
-func (p *play) inject(tr trouble) {
+func (p *play) inject(tr scriptedFault) {
 	time.Sleep(tr.at)
-	if p.faults != nil && p.injectHandOver(tr) {
+	if p.faultRules != nil && p.injectHandOver(tr) {
 		return
 	}
 	c := p.cluster
@@ -338,20 +338,20 @@
 		} else {
 			c.stop(name)
 		}
-		time.Sleep(tr.lasts)
+		time.Sleep(tr.duration)
 		c.start(name)
 		p.busy[tr.index%3].Store(false)
 	case "crash":
-		c.fleet.Crash(id, tr.lasts)
+		c.fleet.Crash(id, tr.duration)
 	case "drain":
-		c.fleet.Drain(id, 2*time.Second, tr.lasts)
+		c.fleet.Drain(id, 2*time.Second, tr.duration)
 	case "failing":
 		c.fleet.SetFailing(id, true)
-		time.Sleep(tr.lasts)
+		time.Sleep(tr.duration)
 		c.fleet.SetFailing(id, false)
 	case "unwell":
 		c.fleet.SetUnwell(id, true)
-		time.Sleep(tr.lasts)
+		time.Sleep(tr.duration)
 		c.fleet.SetUnwell(id, false)
 	case "storeForgets":
 		c.store.SetDeaf(true)
@@ -375,13 +375,13 @@
 			}
 			return memory.FaultNone
 		})
-		time.Sleep(tr.lasts)
+		time.Sleep(tr.duration)
 		c.setStoreFault(noStoreFault)
 	case "cutInstance":
 		c.setNetwork(func(_ string, to pointport.InstanceID) testbed.Fate {
 			return testbed.Fate{Latency: time.Millisecond, Lost: to == id}
 		})
-		time.Sleep(tr.lasts)
+		time.Sleep(tr.duration)
 		c.setNetwork(none)
 	case "lateOrders", "muteOrders":
 		calls := 0
@@ -395,20 +395,20 @@
 			}
 			return testbed.Fate{Late: time.Duration(2+tr.index) * time.Second}
 		})
-		time.Sleep(tr.lasts)
+		time.Sleep(tr.duration)
 		c.setNetwork(none)
 	case "cutPeers":
 		c.mu.Lock()
 		c.peersCut[name] = true
 		c.mu.Unlock()
-		time.Sleep(tr.lasts)
+		time.Sleep(tr.duration)
 		c.mu.Lock()
 		delete(c.peersCut, name)
 		c.mu.Unlock()
 	case "evacuate":
 		zone := pointport.ZoneID([]string{"north", "south"}[tr.index%2])
 		c.evacuate(zone)
-		time.Sleep(tr.lasts + testbed.EvacuationTime)
+		time.Sleep(tr.duration + testbed.EvacuationTime)
 		c.reopen(zone)
 	case "wave":
 		c.requestWave(int64(tr.index+1), c.fleet.IDs()[:tr.index+1], 2)
