--- a/node/config_link_test.go
+++ b/node/config_link_test.go
@@ -22,38 +22,37 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file tests a node whose link to the store is thin beside the operators'
-// configuration.
+// This file tests a node whose link to the store is slow compared with the size of the
+// operators' configuration.
 //
-// What users saw: operators added many queues, three times over, and minutes after the
-// last change had been confirmed two entry instances in three still answered by the
-// version before: no such queue, or a queue that was gone. The order of events: a large
-// version arrived by a watch and was put in force; the reading that makes sure of it,
-// once a second, was overdue after 50 ms and sent again, four copies shared a link that
-// needs a second for one, each was given up after a second, and it began anew. No later
-// version ever came whole. The evidence: these instances received 1.0 to 1.25 MB in
-// each second, which is all that their links carry, with idle processors, while those on
-// links of twenty times the width had every version after 0.3 s.
+// A large configuration arrives by a watch and is applied. The read that confirms it, once a
+// second, is retried after 50 ms without an answer. If it transfers the whole configuration,
+// four copies share a link that needs a second for one, each times out after a second, and the
+// next read starts over. No later version ever arrives complete: minutes after the last change
+// was confirmed, two of three entry instances still answered according to an earlier version,
+// with unknown or removed queues. They received 1.0 to 1.25 MB a second, all that their links
+// can transmit, with idle processors, while members on links twenty times as fast applied every
+// version after 0.3 s.
 
 const (
-	// slowLinkBytesPerSecond is what the link carries, in bytes a second, and thinQueues how many
-	// queues it takes for a configuration that fills it for some 0.9 s.
+	// slowLinkBytesPerSecond is the rate of the link. largeConfigQueues is the number of queues
+	// in a configuration that occupies the link for some 0.9 s.
 	slowLinkBytesPerSecond = 200_000
 	largeConfigQueues      = 800
-	// appliedWithin is by when a confirmed change must be in force everywhere.
+	// appliedWithin is the time within which a confirmed change must be applied everywhere.
 	appliedWithin = 4 * time.Second
 )
 
-// A slowLinkNode is a node that reaches its store over a thin link.
+// A slowLinkNode is a node that reaches its store over a slow link.
 type slowLinkNode struct {
 	t        testing.TB
-	kv       pointport.KV // of the store, beside the link
+	kv       pointport.KV // of the store, not over the link
 	node     *node.Node
-	received atomic.Int64 // bytes that came over the link
+	received atomic.Int64 // bytes received over the link
 }
 
-// startSlowLinkNode starts a node that has version 1 in force, on a link of so many bytes a
-// second.
+// startSlowLinkNode starts a node on a link with the given rate in bytes per second, and waits
+// until version 1 is in force.
 func startSlowLinkNode(t testing.TB, width int) *slowLinkNode {
 	t.Helper()
 	n := &slowLinkNode{t: t, kv: memory.New(clock.System{}).KV()}
@@ -78,7 +77,7 @@
 	return n
 }
 
-// configure puts a version with so many queues into the store.
+// configure stores a version with the given number of queues.
 func (n *slowLinkNode) configure(version int64, queues int) {
 	n.t.Helper()
 	c := &workload.Catalog{Version: version}
@@ -95,12 +94,13 @@
 	n.t.Helper()
 	for from := time.Now(); n.node.ConfigVersion() != version; time.Sleep(10 * time.Millisecond) {
 		if time.Since(from) > appliedWithin {
-			n.t.Fatalf("version %d is not in force after %v but version %d; %d bytes came", version, appliedWithin, n.node.ConfigVersion(), n.received.Load())
+			n.t.Fatalf("version %d is not in force after %v, but version %d; %d bytes were received", version, appliedWithin, n.node.ConfigVersion(), n.received.Load())
 		}
 	}
 }
 
-// link returns the address of a thin link to another address.
+// link returns the address of a link to another address, with the given rate in bytes per
+// second.
 func (n *slowLinkNode) link(bytes int, to string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -121,8 +121,8 @@
 	return l.Addr().String()
 }
 
-// forward carries one connection: what the node sends at once, what it receives at the
-// width of the link, which all connections share.
+// forward forwards one connection: without delay what the node sends, and at the rate of the
+// link, which all connections share, what it receives.
 func (n *slowLinkNode) forward(near net.Conn, to string, width *rate.Limiter, piece int) {
 	defer near.Close()
 	far, err := net.Dial("tcp", to)
@@ -130,8 +130,8 @@
 		return // the test is over
 	}
 	defer far.Close()
-	// Few bytes are on their way at a time, so that an answer that is given up ends
-	// soon; with fewer still, acknowledgements that wait 40 ms would be the bound.
+	// A small window keeps few bytes in flight, so that an aborted response ends soon. With a
+	// smaller one, delayed acknowledgements of 40 ms would limit the throughput.
 	const window = 32 << 10
 	_ = near.(*net.TCPConn).SetWriteBuffer(window)
 	_ = far.(*net.TCPConn).SetReadBuffer(window)
@@ -152,34 +152,36 @@
 	}
 }
 
+// Three large versions in a row are applied in time, each after the node has confirmed the one before.
 func TestLargeConfigurationReachesNodeOnSlowLink(t *testing.T) {
 	t.Parallel()
 	n := startSlowLinkNode(t, slowLinkBytesPerSecond)
 	for version := int64(2); version <= 4; version++ {
 		n.configure(version, largeConfigQueues)
 		n.waitForVersion(version)
-		time.Sleep(1200 * time.Millisecond) // until the node makes sure of it
+		time.Sleep(1200 * time.Millisecond) // until the node confirms the version
 	}
 }
 
-// An unchanged configuration is not carried again: at rest, three seconds of it would
-// otherwise fill the link.
+// An unchanged configuration is not transferred again when the node confirms it: that would
+// keep the link busy all the time.
 func TestUnchangedConfigurationIsNotTransferredAgain(t *testing.T) {
 	t.Parallel()
 	n := startSlowLinkNode(t, slowLinkBytesPerSecond)
 	n.configure(2, largeConfigQueues)
 	n.waitForVersion(2)
-	time.Sleep(time.Second) // until what is on its way has come
+	time.Sleep(time.Second) // until everything in flight has arrived
 	before := n.received.Load()
 	time.Sleep(3 * time.Second)
 	if got := n.received.Load() - before; got > slowLinkBytesPerSecond/10 {
-		t.Errorf("%d bytes came in three seconds at rest, want less than a tenth of a second's", got)
+		t.Errorf("%d bytes were received in three seconds without changes, want less than a tenth of a second's", got)
 	}
 }
 
-// BenchmarkUnchangedConfiguration states what an unchanged configuration costs a node, its
-// lease and the roster among it: 1.0 KB a second whatever its size, where reading it
-// anew each second cost 12 KB at 50 queues, 44 KB at 250 and 1.0 MB at 4,000.
+// BenchmarkUnchangedConfiguration measures the bytes per second that a node with an unchanged
+// configuration receives, including those for its lease and the roster: 1.0 KB whatever the
+// size. A full read each second would take 12 KB with 50 queues, 44 KB with 250 and 1.0 MB with
+// 4,000.
 func BenchmarkUnchangedConfiguration(b *testing.B) {
 	for _, queues := range []int{50, 250, 1000, 4000} {
 		b.Run(fmt.Sprint(queues), func(b *testing.B) {
--- a/node/customer_overload_test.go
+++ b/node/customer_overload_test.go
@@ -15,13 +15,13 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file tests what one customer's storm takes from others.
+// This file tests how the overload by one customer affects the others.
 
-// What users saw: while one customer sent ten times its usual, all were served badly. The
-// load here: four customers whose jobs take a third of what the fleet holds, and one of them
-// sends twenty-five times its usual for eight seconds, in which the owner of its pool is killed.
-// The others must have nine of ten jobs in time; of the storm what is refused never runs, and
-// what was accepted ends.
+// One customer that sends many times its usual load must not degrade the service of the others.
+// Four customers have jobs that need a third of the fleet, and one of them sends twenty-five
+// times its usual load for eight seconds, in which the owner of its pool is killed. The others
+// must have nine of ten jobs completed in time. Of the excess, refused jobs never run, and
+// accepted jobs end.
 func TestOverloadByOneCustomerWhileOwnerIsKilled(t *testing.T) {
 	t.Parallel()
 	const work = 700 * time.Millisecond
@@ -111,14 +111,14 @@
 			case k.refused:
 				refused++
 				if started := c.logs.containing("task placed"); strings.Contains(started, id) {
-					t.Errorf("job %s was refused and runs", id)
+					t.Errorf("job %s was refused but runs", id)
 				}
 				continue
 			case k.failed || k.ended.IsZero():
 				t.Errorf("job %s of %s has not ended", id, k.customer)
 			}
 			if killed(k) {
-				continue // its owner had just died; nobody is served for a second or two
+				continue // the owner had just been killed; no customer is served for a second or two
 			}
 			asked[k.customer]++
 			if k.ended.Sub(k.asked) <= objective {
@@ -127,10 +127,10 @@
 		}
 		for _, name := range names[1:] {
 			if inTime[name]*10 < asked[name]*9 {
-				t.Errorf("%d of %d jobs of %s ended in time", inTime[name], asked[name], name)
+				t.Errorf("%d of %d jobs of %s ended in time, want nine of ten", inTime[name], asked[name], name)
 			}
 		}
-		t.Logf("in time %v of %v, %d of the storm refused", inTime, asked, refused)
+		t.Logf("in time %v of %v, %d excess jobs refused", inTime, asked, refused)
 	}, withWork(func(pointport.StartOrder) testbed.Work {
 		return testbed.Work{Room: room, Duration: work}
 	}))
--- a/node/failure_test.go
+++ b/node/failure_test.go
@@ -35,6 +35,7 @@
 	})
 }
 
+// Jobs that are submitted at one node complete, and another node reports that.
 func TestJobsComplete(t *testing.T) {
 	simulate(t, 3, func(c *cluster) {
 		n := c.nodes["n0"].node
@@ -48,6 +49,7 @@
 	})
 }
 
+// A job that is submitted with one ID at every node, and again after it has completed, runs once.
 func TestJobIDRunsOnceAcrossNodes(t *testing.T) {
 	simulate(t, 3, func(c *cluster) {
 		n := c.nodes["n0"].node
@@ -95,6 +97,8 @@
 	})
 }
 
+// Three of four nodes, and with them owners of pools, are killed while jobs run. The jobs still
+// complete.
 func TestOwnersAreKilledDuringJobs(t *testing.T) {
 	simulate(t, 4, func(c *cluster) {
 		n := c.nodes["n0"].node
@@ -113,6 +117,7 @@
 	})
 }
 
+// Nodes stop as planned and restart one after the other while jobs are submitted. All jobs complete.
 func TestRollingPlannedStops(t *testing.T) {
 	simulate(t, 3, func(c *cluster) {
 		c.start("n9")
@@ -163,6 +168,7 @@
 	})
 }
 
+// A job that is cancelled at another node has all of its tasks stopped within a second.
 func TestCancelStopsAllTasks(t *testing.T) {
 	simulate(t, 3, func(c *cluster) {
 		n := c.nodes["n0"].node
@@ -280,6 +286,8 @@
 	})
 }
 
+// The starts of a gang on one instance are lost for a while, so the gang cannot gather. It must not
+// hold its instances forever, and must complete once starts get through.
 func TestGangCompletesAfterLostStarts(t *testing.T) {
 	work := func(pointport.StartOrder) testbed.Work {
 		return testbed.Work{Room: pointport.Shape{CPUMilli: 1500}, Duration: 500 * time.Millisecond, Gang: 5}
--- a/node/idle_test.go
+++ b/node/idle_test.go
@@ -12,22 +12,23 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file tests how many calls to the store nodes make that have nothing to do.
+// This file tests how many store calls idle nodes make.
 
 const (
-	// maxIdleReads is what the members of a large site may make of reading calls a second at
-	// rest, half of what the smallest store takes; restWrites the same of writing calls.
+	// maxIdleReads is the number of reading calls per second that the idle members of a large
+	// site may make, half of what the smallest store accepts; maxIdleWrites is the same for
+	// writing calls.
 	maxIdleReads  = 1000
 	maxIdleWrites = 200
 )
 
-// A callCounter counts the calls to the store, by what they ask.
+// A callCounter counts store calls by operation.
 type callCounter struct {
 	mu    sync.Mutex
 	calls map[string]int
 }
 
-// countStoreCalls has the calls of a cluster counted.
+// countStoreCalls starts counting the store calls of a cluster.
 func countStoreCalls(c *cluster) *callCounter {
 	t := &callCounter{}
 	t.reset()
@@ -47,7 +48,7 @@
 	t.calls = make(map[string]int)
 }
 
-// reads and writes return the calls of each kind. A renewal is a reading call.
+// reads and writes return the number of calls of each kind. A lease renewal is a reading call.
 func (t *callCounter) reads() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -60,7 +61,7 @@
 	return t.calls["commit"] + t.calls["grant"] + t.calls["revoke"]
 }
 
-// At rest 300 members make less than half of the calls that the smallest store takes.
+// 300 idle members make fewer than half of the calls that the smallest store accepts.
 func TestIdleMembersLeaveHalfOfStoreCapacity(t *testing.T) {
 	t.Parallel()
 	const members, seconds = 300, 20
@@ -71,23 +72,23 @@
 		reads, writes := calls.reads()/seconds, calls.writes()/seconds
 		t.Logf("%d reading and %d writing calls a second", reads, writes)
 		if reads >= maxIdleReads {
-			t.Errorf("%d reading calls a second, want less than %d", reads, maxIdleReads)
+			t.Errorf("%d reading calls a second, want fewer than %d", reads, maxIdleReads)
 		}
 		if writes >= maxIdleWrites {
-			t.Errorf("%d writing calls a second, want less than %d", writes, maxIdleWrites)
+			t.Errorf("%d writing calls a second, want fewer than %d", writes, maxIdleWrites)
 		}
 	})
 }
 
-// What a member that owns nothing asks of the store at rest falls as there are more members,
-// but for the renewals of its lease: all watches of all members together end some two hundred
-// times a second, however many members there are.
+// The store calls of a member that owns nothing, apart from the renewals of its lease, become
+// fewer as the cluster grows: the watches of all members together end some two hundred times a
+// second, whatever the number of members.
 func TestStoreCallsPerMemberFallWithClusterSize(t *testing.T) {
 	t.Parallel()
 	const seconds = 30
 	cases := []struct {
 		members int
-		most    float64 // watches and readings a second for each member
+		most    float64 // watches and reads per second and member
 	}{{30, 2.5}, {100, 2.3}, {300, 0.8}}
 	for _, k := range cases {
 		simulate(t, k.members, func(c *cluster) {
@@ -97,16 +98,16 @@
 			calls.mu.Lock()
 			each := float64(calls.calls["watch"]+calls.calls["range"]+calls.calls["get"]) / seconds / float64(k.members)
 			calls.mu.Unlock()
-			t.Logf("%d members: %.2f watches and readings a second for each", k.members, each)
+			t.Logf("%d members: %.2f watches and reads a second for each", k.members, each)
 			if each > k.most {
-				t.Errorf("%d members: %.2f watches and readings a second for each, want %v at most", k.members, each, k.most)
+				t.Errorf("%d members: %.2f watches and reads a second for each, want %v at most", k.members, each, k.most)
 			}
 		}, withConfigApplyTime(5*time.Second), withoutSteward())
 	}
 }
 
-// A change of the configuration is in force in time among many members, also at those whose
-// watches of it hear nothing any more, as on a connection that has gone silent.
+// A change of the configuration is in force in time at all of many members, even if each
+// member's watch gets no more events, as on a connection that has gone silent.
 func TestConfigurationIsAppliedInTimeByManyMembers(t *testing.T) {
 	const members, within = 400, 5 * time.Second
 	simulate(t, members, func(c *cluster) {
@@ -134,8 +135,8 @@
 	}, withConfigApplyTime(within), withoutSteward())
 }
 
-// A pool whose owner dies is taken by another member within the time of a short lease and
-// what those that rank first are left, however many members own nothing.
+// A pool whose owner is killed is taken over within the TTL of a short lease plus the head
+// start of the members that rank first, however many members own nothing.
 func TestPoolOfKilledOwnerIsTakenOverInTime(t *testing.T) {
 	const members, deaths = 60, 5
 	const soon = member.DefaultTTL + 150*time.Millisecond
@@ -154,13 +155,13 @@
 		}
 		t.Logf("taken within %v", longest)
 		if longest > soon {
-			t.Errorf("a pool was taken %v after its owner died, want %v at most", longest, soon)
+			t.Errorf("a pool was taken over %v after its owner was killed, want at most %v", longest, soon)
 		}
 	}, withoutSteward())
 }
 
-// A member that owns nothing and is cut off from the store says so to the balancer within
-// two seconds.
+// A member that owns nothing and is disconnected from the store reports to the load balancer
+// within two seconds that it is not ready.
 func TestIdleMemberWithoutStoreIsNotReady(t *testing.T) {
 	const members = 60
 	simulate(t, members, func(c *cluster) {
@@ -180,21 +181,21 @@
 		time.Sleep(2 * time.Second)
 		for name := range cut {
 			if c.nodes[name].node.Ready() {
-				t.Errorf("%s is ready two seconds after it was cut off", name)
+				t.Errorf("%s is ready two seconds after it was disconnected", name)
 			}
 		}
 		c.setStoreFault(noStoreFault)
 		time.Sleep(3 * time.Second)
 		for name := range cut {
 			if !c.nodes[name].node.Ready() {
-				t.Errorf("%s is not ready three seconds after it was cut off no longer", name)
+				t.Errorf("%s is not ready three seconds after it was reconnected", name)
 			}
 		}
 	}, withoutSteward())
 }
 
-// After an outage of the store owners have their pools again, however long the leases of
-// others have lasted.
+// After a store outage the owners get their pools back, however long the leases of other
+// members are still valid.
 func TestOwnersHaveTheirPoolsAgainAfterOutage(t *testing.T) {
 	for _, lasts := range []time.Duration{1200 * time.Millisecond, 2 * time.Second, 4 * time.Second} {
 		t.Run(lasts.String(), func(t *testing.T) {
@@ -211,7 +212,7 @@
 				time.Sleep(4 * time.Second)
 				for _, p := range posts {
 					if now := c.owner(p); now != before[p] {
-						t.Errorf("%s is owned by %s, and was by %s", p, now, before[p])
+						t.Errorf("%s is owned by %s, want %s as before the outage", p, now, before[p])
 					}
 				}
 			})
@@ -219,7 +220,7 @@
 	}
 }
 
-// ownedByAnother reports whether a pool is owned by another than the one named.
+// ownedByAnother reports whether a pool is owned by a node other than the one named.
 func (c *cluster) ownedByAnother(pool, name string) bool {
 	e, err := c.kv.Get(context.Background(), member.OwnerKey(pool))
 	if err != nil || !e.Exists() {
--- a/node/machine_rate_test.go
+++ b/node/machine_rate_test.go
@@ -9,9 +9,9 @@
 	"github.com/pointport/pointport"
 )
 
-// This file tests how many orders about instances are given in a second.
+// This file tests the rate of orders about instances.
 
-// A countingMachines service for machines counts the orders that it gets.
+// A countingMachines records the times of the maintenance orders that it gets.
 type countingMachines struct {
 	pointport.Machines
 
@@ -19,7 +19,7 @@
 	orders []time.Time
 }
 
-// Maintain maintains a machine.
+// Maintain records the order and carries it out.
 func (c *countingMachines) Maintain(ctx context.Context, by pointport.Holder, id pointport.InstanceID, wave int64) error {
 	c.mu.Lock()
 	c.orders = append(c.orders, time.Now())
@@ -27,7 +27,7 @@
 	return c.Machines.Maintain(ctx, by, id, wave)
 }
 
-// maxWithin returns the most orders that came within a span.
+// maxWithin returns the largest number of orders within any interval of the given length.
 func (c *countingMachines) maxWithin(span time.Duration) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,8 +44,9 @@
 	return most
 }
 
-// The platform takes four orders a second. A wave is for eight instances, all of which may go
-// at once: no more orders are given than it takes, and all instances are maintained.
+// The platform accepts four orders a second, and a wave may maintain its eight instances all at
+// once. The steward must not give orders faster than that, and must still maintain all
+// instances.
 func TestMachineOrdersStayWithinPlatformRate(t *testing.T) {
 	const taken, instances = 4, 8
 	orders := &countingMachines{}
@@ -56,7 +57,7 @@
 			t.Errorf("%d instances are maintained, want %d", got, instances)
 		}
 		if got := orders.maxWithin(time.Second); got > taken {
-			t.Errorf("%d orders within a second, of which the platform takes %d", got, taken)
+			t.Errorf("%d orders within a second, want at most the %d that the platform accepts", got, taken)
 		}
 	}, withMachineOrderRate(taken, orders))
 }
--- a/node/order_link_test.go
+++ b/node/order_link_test.go
@@ -14,25 +14,25 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file tests an owner whose link is thin beside what its pool could start.
+// This file tests an owner whose link is slow compared with the starts that its pool needs.
 
-// An orderLink carries one order after the other. What takes longer than a caller waits
-// for its answer is carried out all the same, late, as on a link with a queue.
+// An orderLink transmits one order after the other. An order that takes longer than its caller
+// waits is still carried out, late, as on a link with a queue.
 type orderLink struct {
-	freeAt time.Time // when it has carried all that was sent
+	freeAt time.Time // when everything sent so far has been transmitted
 	orders int
 }
 
 const (
-	// startLinkTime and holdTakes are for how long an order takes the link: 0.8 KB and
-	// 0.27 KB at 2 Mbit/s.
+	// startLinkTime and pollLinkTime are the times that the link needs for a start of 0.8 KB
+	// and a poll of 0.27 KB at 2 Mbit/s.
 	startLinkTime = 3200 * time.Microsecond
 	pollLinkTime  = 1100 * time.Microsecond
 	// answerTimeout is how long a caller waits for an answer.
 	answerTimeout = 400 * time.Millisecond
 )
 
-// send returns what becomes of an order that is sent now. The caller holds a lock.
+// send returns the fate of an order that is sent now. It must be called with a lock held.
 func (l *orderLink) send(op string) testbed.Fate {
 	now := time.Now()
 	if l.freeAt.Before(now) {
@@ -51,33 +51,35 @@
 	return testbed.Fate{Latency: delay}
 }
 
-// What users saw: on entry instances with 2 Mbit/s, half of the jobs came late and one in
-// three never ended; a task that was done ran again. The order of events: the owner of 90
-// instances placed what fits there and sent the starts as fast as it could; each took
-// longer on the link than the 0.4 s after which it counts as unanswered and is sent
-// again; looks took as long, so that instances counted as silent, were not extended, and
-// what ran there lapsed. The evidence: 'start unanswered' and 'instance silent' of all
-// instances at once by one member, 'instance expired' 4 s later, while the instances
-// answered to everyone; half of the members' link was taken by starts.
+// An owner must not send orders faster than its link can transmit them. The owner of 90
+// instances, on an entry instance with 2 Mbit/s, places all tasks that fit and sends their
+// starts at once. Each start then takes longer than the 0.4 s after which it counts as
+// unanswered and is sent again. Polls take as long, so instances count as silent, their leases
+// are not extended and their tasks expire: half of the jobs are late, one in three never ends,
+// and completed tasks run again. The log of that member shows 'start unanswered' and 'instance
+// silent' for all instances at once and 'instance expired' 4 s later, while the instances
+// answer all other members; starts take half of the link.
 //
-// The load here is nearly twice what the link carries. The callers must get three quarters
-// of what it could carry, no task may lapse or run twice, and every accepted job must end.
+// The load here is nearly twice what the link can transmit. Three quarters of the jobs that it
+// could transmit must complete in time, no task may expire or run twice, and every accepted job
+// must end.
 func TestOwnerPacesOrdersToItsLink(t *testing.T) {
 	t.Parallel()
 	carried := linkLoadTime / (linkLoadTasks * (startLinkTime + pollLinkTime))
 	checkOrdersOverSlowLink(t, 1, int(carried)*3/4)
 }
 
-// With peers that own nothing, the orders go through them, and the callers get all that the
-// pool has room for.
+// With peers that own nothing, the owner sends orders through them, and nine of ten jobs
+// complete in time, as many as the pool has free capacity for.
 func TestOwnerWithSlowLinkSendsOrdersThroughPeers(t *testing.T) {
 	t.Parallel()
 	const all = int(linkLoadTime/time.Second) * linkLoadJobsPerSecond
 	checkOrdersOverSlowLink(t, 5, all*9/10)
 }
 
-// While an owner cannot prove its ownership it sends nothing, and what waited to be sent
-// meanwhile goes on once it can: the answers that would have let it go have come by then.
+// While an owner cannot prove its ownership it sends nothing. Orders that were queued meanwhile
+// must be sent once it can, although the answers that normally trigger sending arrived before
+// that.
 func TestDelayedStartsResumeOnceOwnershipIsProven(t *testing.T) {
 	t.Parallel()
 	checkOrdersOverSlowLink(t, 1, 0, func(c *cluster, owner string) {
@@ -92,16 +94,18 @@
 }
 
 const (
-	// linkLoadInstances, of 4 cores, run 1,280 tasks a second of half a second on half a
-	// core; pressedJobs a second have pressedTasks each, which makes 440.
+	// linkLoadInstances instances of 4 cores can run 1,280 tasks a second that use half a core
+	// for half a second. linkLoadJobsPerSecond jobs of linkLoadTasks tasks are 440 tasks a
+	// second.
 	linkLoadInstances     = 80
 	linkLoadTasks         = 8
 	linkLoadJobsPerSecond = 55
 	linkLoadTime          = 20 * time.Second
 )
 
-// checkOrdersOverSlowLink submits jobs to a cluster of some nodes in which the owner's link is thin, and
-// checks that so many have ended when the last was submitted.
+// checkOrdersOverSlowLink submits jobs to a cluster in which the owner's link is slow. It
+// checks that at least want of them have completed when the last one was submitted, and that
+// all complete later.
 func checkOrdersOverSlowLink(t *testing.T, nodes, want int, troubles ...func(c *cluster, owner string)) {
 	room := pointport.Shape{CPUMilli: 500, MemoryMiB: 64}
 	simulate(t, nodes, func(c *cluster) {
@@ -138,19 +142,19 @@
 			time.Sleep(time.Until(next))
 		}
 		if ended := countCompleted(asked, q, ids); ended < want {
-			t.Errorf("%d of %d jobs have ended after %v, want %d", ended, len(ids), linkLoadTime, want)
+			t.Errorf("%d of %d jobs have completed after %v, want at least %d", ended, len(ids), linkLoadTime, want)
 		}
 		for end := time.Now().Add(2 * time.Minute); countCompleted(asked, q, ids) < len(ids) && time.Now().Before(end); {
 			time.Sleep(time.Second)
 		}
 		if ended := countCompleted(asked, q, ids); ended < len(ids) {
-			t.Errorf("%d of %d accepted jobs have not ended two minutes later", len(ids)-ended, len(ids))
+			t.Errorf("%d of %d accepted jobs have not completed two minutes later", len(ids)-ended, len(ids))
 		}
 		if n := strings.Count(c.logs.containing("instance expired"), "\n"); n > 0 {
-			t.Errorf("%d instances that answer counted as silent until their time was over", n)
+			t.Errorf("%d instances expired although they answer", n)
 		}
 		if n := strings.Count(c.logs.containing("how=lapsed"), "\n"); n > 0 {
-			t.Errorf("%d tasks lapsed on instances that answer", n)
+			t.Errorf("%d tasks expired on instances that answer", n)
 		}
 		t.Logf("%s", c.logs.containing("orders delegated"))
 	}, withoutSteward(), withWork(func(pointport.StartOrder) testbed.Work {
@@ -158,7 +162,7 @@
 	}))
 }
 
-// countCompleted returns how many jobs the node shows as completed.
+// countCompleted returns how many of the jobs a node reports as completed.
 func countCompleted(n *node.Node, q *workload.Queue, ids []string) int {
 	ended := 0
 	for _, id := range ids {
--- a/node/overload_test.go
+++ b/node/overload_test.go
@@ -13,22 +13,21 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// What users saw: at peaks of one pool beyond what the whole fleet holds, customers of the
-// next pool, whose jobs would have been in time, waited behind it for seconds, and 20 s
-// on the weakest site. The order of events: a backlog built up in the first pool and became
-// late; the pool kept its instances, and got each one that fell free, because it missed
-// most; the second pool's jobs became late as well before it had any. The evidence: 'pool
-// sized' of 95 instances with 181 wanted and all of its jobs placed as late, beside 17
-// with 138 wanted and jobs that were fresh when they came.
+// When the load peak of one pool exceeds the whole fleet, a second pool must still get the
+// instances that it needs. If the sizes follow lateness alone, the backlog of the first pool
+// becomes late, so the pool keeps its instances and gets each one that becomes free; then the
+// jobs of the second pool become late before it has any, and its customers wait for seconds, up
+// to 20 s on a small site. The log then shows 'pool sized' with 95 instances of 181 wanted and
+// only late jobs for the first pool, and 17 of 138 for the second, whose jobs were on time when
+// they arrived.
 //
-// The load here: a burst in one pool that takes the whole fleet for ten seconds, and from
-// its third second on a steady load in the other that four of ten instances hold. Two
-// thirds of the second pool's customers must have their jobs in time, and all of both
-// pools must be served.
+// Here a burst in one pool takes the whole fleet for ten seconds. From its third second on, the
+// other pool has a steady load that four of the ten instances can hold. Two thirds of the
+// second pool's jobs must complete in time, and all jobs of both pools must end.
 func TestLateBacklogDoesNotStarveOtherPool(t *testing.T) {
 	t.Parallel()
 	const (
-		burst     = 200 // jobs of four tasks of half a second on a core
+		burst     = 200 // jobs of four tasks that use a core for half a second each
 		perSecond = 5
 		steadyFor = 8 * time.Second
 		work      = 500 * time.Millisecond
@@ -68,7 +67,7 @@
 		}
 		wg.Wait()
 		if got := int(inTime.Load()); got < steady*2/3 {
-			t.Errorf("%d of %d jobs of the pool with a steady load ended in time", got, steady)
+			t.Errorf("%d of %d jobs of the pool with a steady load ended in time, want two thirds", got, steady)
 		}
 		if got := int(ended.Load()); got != burst+steady {
 			t.Errorf("%d of %d jobs have ended", got, burst+steady)
--- a/node/random_test.go
+++ b/node/random_test.go
@@ -20,10 +20,10 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file draws jobs and troubles at random and checks what must hold under
-// all of them.
+// This file draws random jobs and faults, and checks the invariants that must hold under all of
+// them.
 
-// A scriptedFault is something that goes wrong at a time.
+// A scriptedFault is a fault that is injected at a time and for a duration.
 type scriptedFault struct {
 	at, duration time.Duration
 	kind         string
@@ -34,27 +34,27 @@
 	return fmt.Sprintf("%v for %v: %s %d", t.at, t.duration, t.kind, t.index)
 }
 
-// A script is what happens to a cluster.
+// A script is the sequence of jobs and faults that a test runs on a cluster.
 type script struct {
 	jobs            []*workload.Spec
 	starts          []time.Duration
 	cancels         map[int]time.Duration
 	faults          []scriptedFault
 	enforceCapacity bool
-	// crashingJob is the job whose first task crashes its instances, -1 for none.
+	// crashingJob is the index of the job whose first task crashes its instances, -1 for none.
 	crashingJob int
-	// failingJob is the job whose first task fails each time, -1 for none.
+	// failingJob is the index of the job whose first task always fails, -1 for none.
 	failingJob int
-	// listLag is how far the list of machines is behind, listBack by how much every second
-	// reading of it is further behind.
+	// listLag is the age of the machine list, and listExtraLag the additional age of every
+	// second read of it.
 	listLag, listExtraLag time.Duration
-	// handover says that the troubles are those of pools that change hands, and joins when
-	// the second and the third node join the first one, which has all pools by then.
+	// handover means that the faults are those of pool handovers. joins are the times after
+	// which the second and third node join the first one, which owns all pools by then.
 	handover bool
 	joins    [2]time.Duration
 }
 
-// scriptTime is how long jobs and troubles go on to begin.
+// scriptTime is the time within which jobs and faults begin.
 const scriptTime = 14 * time.Second
 
 func drawScript(t *rapid.T) script {
@@ -115,8 +115,8 @@
 	return spec
 }
 
-// workOf returns what the tasks of a script's jobs do: as declared, but that they
-// take longer or shorter.
+// workOf returns the work of the tasks of a script's jobs: as declared, except that they take
+// longer or shorter than estimated.
 func (s *script) workOf(o pointport.StartOrder) testbed.Work {
 	id, ref, err := workload.ParseTaskName(o.Task)
 	if err != nil {
@@ -129,15 +129,15 @@
 	step := s.jobs[n].Steps[ref.Step]
 	w := testbed.Work{Room: step.Reservation(), Duration: step.Estimate * time.Duration(2+(ref.Index+n)%3) / 3, Serves: step.Service, Copies: step.Copies, MayMiss: step.MayMiss}
 	if _, cancelled := s.cancels[n]; cancelled {
-		w.MayMiss = 0 // all its tasks are stopped at once
+		w.MayMiss = 0 // all of its tasks are stopped at the same time
 	}
 	if step.Gang {
 		w.Gang, w.Duration = step.Count, step.Estimate
 	}
-	first := ref == workload.TaskRef{} || step.Gang && ref.Step == 0 // a gang fails as one
+	first := ref == workload.TaskRef{} || step.Gang && ref.Step == 0 // a gang fails as a whole
 	w.Fails, w.Attempts = n == s.failingJob && first, 3
 	if step.Service {
-		w.Attempts = 0 // it may fail as often as it does
+		w.Attempts = 0 // a serving task may fail any number of times
 	}
 	w.Crashes = n == s.crashingJob && ref == workload.TaskRef{}
 	for _, before := range step.After {
@@ -148,13 +148,15 @@
 	return w
 }
 
+// Under random faults, the fleet records no violation and all jobs end as expected.
 func TestInvariantsUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	checkScripts(t, drawScript)
 }
 
-// One job's first task crashes each instance on which it starts, whatever else goes wrong:
-// it is given up in time, and no other job is; one that serves goes on without it.
+// The first task of one job crashes each instance on which it starts, in addition to random
+// faults. The task is given up in time and no task of another job is; a serving job continues
+// without it.
 func TestCrashingTaskUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	checkScripts(t, func(t *rapid.T) script {
@@ -164,8 +166,8 @@
 	})
 }
 
-// One job's first task fails each time: it is not started again after as many failed runs
-// as it may have, whatever else goes wrong.
+// The first task of one job always fails, in addition to random faults. It is not started again
+// once it has as many failed runs as it may have.
 func TestFailingTaskUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	checkScripts(t, func(t *rapid.T) script {
@@ -175,7 +177,7 @@
 	})
 }
 
-// The list of machines is behind, and goes back in time.
+// The invariants hold while the machine list lags behind and goes back in time.
 func TestInvariantsWithLaggingMachineList(t *testing.T) {
 	t.Parallel()
 	checkScripts(t, func(t *rapid.T) script {
@@ -190,7 +192,7 @@
 
 func checkScripts(t *testing.T, draw func(*rapid.T) script) { checkScriptsWith(t, draw) }
 
-// checkScriptsWith plays scripts on clusters of a kind.
+// checkScriptsWith draws scripts and runs each on a cluster with the given options.
 func checkScriptsWith(t *testing.T, draw func(*rapid.T) script, kind ...clusterOption) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := draw(rt)
@@ -202,8 +204,8 @@
 			}
 			c := newCluster(t, options...)
 			c.listLag, c.listExtraLag = s.listLag, s.listExtraLag
-			// Whoever moves instances is tested elsewhere. It goes by the times of day of other
-			// members, and that of a machine that was suspended is wrong for good here.
+			// The steward is tested elsewhere. It compares the times of day of different
+			// members, and here a machine that was suspended keeps a wrong time of day.
 			c.looseClocks, c.noSteward = s.handover, s.handover
 			failures = s.play(c)
 			c.close()
@@ -214,7 +216,7 @@
 	})
 }
 
-// play runs a script on a cluster and returns what was wrong.
+// play runs a script on a cluster and returns the violations.
 func (s *script) play(c *cluster) []string {
 	names := []string{"n0", "n1", "n2"}
 	if s.handover {
@@ -254,25 +256,25 @@
 	return p.waitUntilSettled()
 }
 
-// A play is a script under way.
+// A play is a running script.
 type play struct {
 	cluster             *cluster
 	script              *script
 	accepted, cancelled []atomic.Bool
-	busy                [3]atomic.Bool // nodes that are down or about to be
-	faultRules          *faultRules    // nil if the troubles are not those of hand-overs
+	busy                [3]atomic.Bool // nodes that are down or about to be stopped
+	faultRules          *faultRules    // nil if the faults are not those of handovers
 }
 
 func jobID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// anyNode returns a node that is up.
+// anyNode returns a node that is running and has a configuration.
 func (p *play) anyNode(n int) *running {
 	c := p.cluster
 	for i := range 3 {
 		c.mu.Lock()
 		r := c.nodes[fmt.Sprintf("n%d", (n+i)%3)]
 		c.mu.Unlock()
-		// One that stands still answers once it goes on.
+		// A paused node may be returned; it answers once it resumes.
 		if r != nil && r.node.Catalog() != nil {
 			return r
 		}
@@ -280,7 +282,7 @@
 	return nil
 }
 
-// submit submits a job until it is accepted, as a customer would.
+// submit submits a job and retries until it is accepted, as a customer would.
 func (p *play) submit(n int) {
 	time.Sleep(p.script.starts[n])
 	for try := range 400 {
@@ -318,7 +320,7 @@
 	}
 }
 
-// inject brings a trouble about and ends it after its time.
+// inject injects a fault at its time and ends it after its duration.
 func (p *play) inject(tr scriptedFault) {
 	time.Sleep(tr.at)
 	if p.faultRules != nil && p.injectHandOver(tr) {
@@ -415,7 +417,8 @@
 	}
 }
 
-// waitUntilSettled waits until everything has calmed down and returns what is wrong.
+// waitUntilSettled waits until all jobs have reached their expected status, and returns what is
+// wrong.
 func (p *play) waitUntilSettled() []string {
 	c := p.cluster
 	var wrong []string
@@ -440,15 +443,16 @@
 	return wrong
 }
 
-// mayBeGivenUpByChance reports whether a job may have been given up for what was not its doing:
-// a task of it was beside the one that crashes its instances, and then on one that crashed
-// by itself. From the second crash on the platform allows that, and nothing tells the two
-// apart where the task was alone on the last one.
+// mayBeGivenUpByChance reports whether a task of a job may have been given up for crashes that
+// it did not cause: it ran beside the task that crashes its instances, and then on an instance
+// that crashed for another reason. The platform allows this from the second crash on, because
+// the two cases look the same if the task was alone on the last instance.
 func (p *play) mayBeGivenUpByChance(n int) bool {
 	return p.script.crashingJob >= 0 && n != p.script.crashingJob && p.cluster.fleet.HitByChance(jobID(n))
 }
 
-// unsettled says which job is not as it should be in the end, empty if all are.
+// unsettled describes the first job that does not have its expected status. It returns an empty
+// string if all have.
 func (p *play) unsettled() string {
 	r := p.anyNode(0)
 	if r == nil {
@@ -464,9 +468,9 @@
 		case !p.accepted[n].Load():
 			return fmt.Sprintf("job %d was not accepted", n)
 		case p.cancelled[n].Load() && status == workload.Completed && !spec.RunsUntilCancelled():
-			continue // it was done before
+			continue // it had completed before it was cancelled
 		case p.cancelled[n].Load() && status == workload.Failed && (n == p.script.crashingJob || n == p.script.failingJob):
-			continue // it had failed before
+			continue // it had failed before it was cancelled
 		case p.cancelled[n].Load():
 			want = workload.Cancelled
 		case n == p.script.failingJob && !spec.RunsUntilCancelled():
--- a/node/reused_addressee_test.go
+++ b/node/reused_addressee_test.go
@@ -12,16 +12,14 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// What users saw: two tasks of one job ran again although a run of each had ended as done and
-// those ends had been taken note of. The order of events: an instance crashed and was back half
-// a second later under the addressee that it had; its pool's owner went on with it, placed the
-// tasks there, and they were done; the look that told of it had the owner start both elsewhere.
-// The cause: an incarnation was its addressee. The look acknowledged the highest number of an end
-// of the life before, so the later life, which numbers its ends anew, forgot them at once, and the
-// runs were not there. The evidence: "its instance does not list it" for each, of instances whose
-// clock had not been taken in since the crash, and no answer in which the ends were listed.
+// These tests guard against completed tasks that run again on an instance that restarts under
+// its previous addressee. Such an instance numbers its ends anew. If the owner takes it for the
+// same incarnation, its next poll acknowledges the highest end number of the previous
+// incarnation. The new incarnation then forgets its own ends at once, no answer lists them, and
+// the owner starts the tasks elsewhere because the instance does not list their runs.
 
-// Tasks run once each on an instance that comes back under the addressee that it had.
+// Each task runs once on instances that restart, half a second after a crash, under their
+// previous addressee.
 func TestTasksRunOnceOnInstanceWithReusedAddressee(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -32,7 +30,7 @@
 		defer c.close()
 		r := c.start("n0")
 		time.Sleep(2 * time.Second)
-		for n := range 3 { // several ends on each instance
+		for n := range 3 { // so that each instance has several ends
 			submitTasks(t, r.Intake().Submit, c, jobID(n), 16)
 			time.Sleep(1500 * time.Millisecond)
 		}
@@ -54,7 +52,7 @@
 	})
 }
 
-// submitTasks hands in a job of so many tasks.
+// submitTasks submits a job with the given number of tasks.
 func submitTasks(t *testing.T, submit func(context.Context, *workload.Queue, string, *workload.Spec) error, c *cluster, id string, tasks int) {
 	t.Helper()
 	queue := &c.nodes["n0"].node.Catalog().Queues[0]
@@ -64,7 +62,8 @@
 	}
 }
 
-// Random troubles, of instances that mostly come back under the addressee that they had.
+// The invariants of random faults also hold if most instances restart under their previous
+// addressee.
 func TestInvariantsWithReusedAddressees(t *testing.T) {
 	t.Parallel()
 	checkScriptsWith(t, drawScript, withAddresseeReuse(80))
--- a/node/store_test.go
+++ b/node/store_test.go
@@ -14,8 +14,10 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file tests what nodes do while the store is away, slow or loses answers.
+// This file tests nodes while the store is unavailable, slow, or loses answers.
 
+// Jobs that run during a store outage complete after it. A job that is submitted during the outage is
+// refused, with a time to retry after, and does not exist afterwards.
 func TestStoreOutage(t *testing.T) {
 	simulate(t, 3, func(c *cluster) {
 		n := c.nodes["n0"].node
@@ -31,18 +33,20 @@
 		cancel()
 		var refused *intake.RefusedError
 		if !errors.As(err, &refused) || refused.RetryAfter <= 0 {
-			t.Errorf("submission while the store is away: %v, want a refusal with a time to come back", err)
+			t.Errorf("Submit during the outage returned %v, want a refusal with a time to retry after", err)
 		}
 		c.setStoreFault(noStoreFault)
 		for i := range 4 {
 			c.waitForStatus(n, q, fmt.Sprintf("%016x", i), workload.Completed, 30*time.Second)
 		}
 		if s, err := n.Intake().Status(context.Background(), q, "00000000000000dd"); err == nil {
-			t.Errorf("the refused job is %q", s)
+			t.Errorf("the refused job has status %q, want it unknown", s)
 		}
 	})
 }
 
+// One of three store commits loses its answer, is lost, or takes effect late. Clients retry, and all
+// jobs complete.
 func TestStoreAnswersAreLost(t *testing.T) {
 	for _, fault := range []memory.Fault{memory.FaultLostAnswer, memory.FaultLostCall, memory.FaultLate} {
 		t.Run(fmt.Sprint(fault), func(t *testing.T) {
@@ -79,8 +83,8 @@
 	}
 }
 
-// A watch that hears nothing must not keep a configuration from coming into force
-// (tippijako-prod scale-2: a route was unknown after four seconds).
+// A watch that gets no events must not keep a new configuration from being applied: a new route
+// must not still be unknown after four seconds. Nor may a lower version replace a higher one.
 func TestConfigurationWithoutWatchEvents(t *testing.T) {
 	simulate(t, 2, func(c *cluster) {
 		c.store.SetDeaf(true)
@@ -88,7 +92,7 @@
 		time.Sleep(2 * time.Second)
 		for name, r := range c.nodes {
 			if got := r.node.Catalog().Version; got != 2 {
-				t.Errorf("node %s has version %d in force after two seconds, want 2", name, got)
+				t.Errorf("node %s has version %d in force after two seconds, want version 2", name, got)
 			}
 		}
 		c.store.SetDeaf(false)
@@ -103,9 +107,9 @@
 	})
 }
 
-// While the store loses the answers to two in five changes, jobs end nearly as soon as
-// otherwise: a lost answer is noticed after a few times the usual wait, and not when
-// the call is given up after a second.
+// While the store loses the answers to two of five changes, jobs complete almost as fast as
+// without faults: a call is retried after a few times its usual duration, not only when it
+// times out after a second.
 func TestLostStoreAnswersDelayJobsLittle(t *testing.T) {
 	simulate(t, 3, func(c *cluster) {
 		r := rand.New(rand.NewPCG(1, 2))
@@ -125,26 +129,26 @@
 			c.waitForStatus(n, q, fmt.Sprintf("%016x", i), workload.Completed, 5*time.Second)
 		}
 		if took := time.Since(from); took > 5*time.Second {
-			t.Errorf("two steps of 0.3 s took %v", took)
+			t.Errorf("jobs of two steps of 0.3 s took %v, want at most 5 s", took)
 		}
 	})
 }
 
-// While the store takes 0.3 s for an answer, jobs begin: a batch takes one call, not
-// one for each nine jobs, and no more is placed than a batch takes. It takes 2.15 s, and
-// took 2.75 s or more with calls for nine jobs each.
+// While each store call takes 0.3 s, jobs still start soon: a batch of jobs takes one call, not
+// one for every nine jobs, and no more tasks are placed than fit into a batch. The starts here
+// take 2.15 s, and would take 2.75 s or more with one call for every nine jobs.
 func TestSlowStoreDelaysStartsLittle(t *testing.T) {
 	simulate(t, 3, func(c *cluster) {
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
-		time.Sleep(10 * time.Second)      // until pools have owners and have settled
-		const jobs, starts = 100, 100 * 4 // of the first steps
+		time.Sleep(10 * time.Second)      // until the pools have owners and settled sizes
+		const jobs, starts = 100, 100 * 4 // of the first step
 		from := time.Now()
 		var all sync.WaitGroup
 		for i := range jobs {
 			spec := twoSteps(300 * time.Millisecond)
 			for n := range spec.Steps {
-				spec.Steps[n].Need.CPUMilli = 20 // room is not what they wait for
+				spec.Steps[n].Need.CPUMilli = 20 // so that jobs do not wait for free capacity
 			}
 			spec.Payload = "duration=300ms cpu=20 memory=128"
 			all.Go(func() { submit(t, n, q, fmt.Sprintf("%016x", i), spec) })
@@ -154,7 +158,7 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		if took := time.Since(from); took > 2500*time.Millisecond {
-			t.Errorf("%d of %d tasks of %d jobs had started after %v", c.fleet.Starts(), starts, jobs, took)
+			t.Errorf("%d of %d tasks of %d jobs have started after %v, want all within 2.5 s", c.fleet.Starts(), starts, jobs, took)
 		}
 	}, withSlowStore(300*time.Millisecond), withoutSteward())
 }
--- a/node/suspend_test.go
+++ b/node/suspend_test.go
@@ -14,33 +14,34 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file tests members whose machines are suspended for seconds: nothing runs there,
-// the steady clock stands still, and everybody else goes on.
+// This file tests members whose machines are suspended for seconds: nothing runs there, the
+// steady clock stands still, and all other members continue.
 
-// A machineClock is the clock of a member's machine, which may be suspended. Its process
-// may also be frozen alone: it gets no time on the machine's cores.
+// A machineClock is the clock of a member's machine, which can be suspended. Alternatively only
+// the member's process can be frozen: it gets no CPU time while the machine's clocks continue.
 type machineClock struct {
 	mu            sync.Mutex
-	woken         chan struct{} // while it is suspended or frozen, closed when that ends
+	woken         chan struct{} // not nil while suspended or frozen, closed when that ends
 	frozen        bool
 	since         time.Time
-	suspendedTime time.Duration // what Now has not counted
-	// onOwnerReads is called when owners of pools have read the steady time so many times more,
-	// which they do to see whether they own them.
+	suspendedTime time.Duration // time in suspension, which Now does not count
+	// onOwnerReads is called when pool owners have read the steady time ownerReadsLeft more
+	// times. They read it to check whether they own their pool.
 	onOwnerReads   func()
 	ownerReadsLeft int
-	// ownersOnly says that only owners of pools stand still when they read a time; all others do
-	// when they next wait, or reach for anything outside. Some read it under a lock, and in
-	// a bubble no time passes while another waits for that.
+	// ownersOnly means that only pool owners block when they read a time while the machine is
+	// stopped; all other callers block at their next wait or call to another service. Some read
+	// the time while holding a lock, and simulated time does not pass while others wait for
+	// that lock.
 	ownersOnly bool
 }
 
 var _ pointport.Clock = (*machineClock)(nil)
 
-// gate returns once the machine runs.
+// gate blocks until the machine runs.
 func (m *machineClock) gate() { m.gateUntil(nil) }
 
-// gateUntil returns once the machine runs, or false if done is closed first.
+// gateUntil blocks until the machine runs. It returns false if done is closed first.
 func (m *machineClock) gateUntil(done <-chan struct{}) bool {
 	for {
 		m.mu.Lock()
@@ -59,10 +60,10 @@
 
 func (m *machineClock) suspend() { m.stop(false) }
 
-// freeze has the process stand still while the machine's clocks go on.
+// freeze stops the process while the machine's clocks continue.
 func (m *machineClock) freeze() { m.stop(true) }
 
-// stop has the machine or its process stand still, unless it does.
+// stop suspends the machine or freezes its process, unless one of the two is already the case.
 func (m *machineClock) stop(frozen bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -84,8 +85,8 @@
 	m.woken, m.frozen = nil, false
 }
 
-// freezeAtRead has the process stand still for a time once owners of pools have read the
-// steady time so many times more.
+// freezeAtRead freezes the process for a time once pool owners have read the steady time the
+// given number of times.
 func (m *machineClock) freezeAtRead(reads int, lasts time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -96,7 +97,7 @@
 	}
 }
 
-// Now returns the time of day with a steady reading, which lacks what was lost.
+// Now returns the time of day with a monotonic reading, both without the time in suspension.
 func (m *machineClock) Now() time.Time {
 	m.awaitRunning()
 	return m.now()
@@ -112,7 +113,8 @@
 	return now.Add(-m.suspendedTime)
 }
 
-// awaitRunning returns once whoever reads a time may go on.
+// awaitRunning blocks the caller of a time function while the machine is stopped, as ownersOnly
+// defines.
 func (m *machineClock) awaitRunning() {
 	m.mu.Lock()
 	loose := m.ownersOnly
@@ -122,7 +124,7 @@
 	}
 }
 
-// Steady returns a time that lacks nothing.
+// Steady returns a time that includes the time in suspension.
 func (m *machineClock) Steady() time.Time {
 	m.awaitRunning()
 	now := time.Now()
@@ -142,8 +144,8 @@
 	return now
 }
 
-// calledByOwner reports whether the owner of a pool reads a time, itself or to see whether it owns
-// the pool.
+// calledByOwner reports whether a time is read by a pool owner, directly or through a check of
+// its ownership.
 func calledByOwner() bool {
 	var callers [8]uintptr
 	frames := runtime.CallersFrames(callers[:runtime.Callers(1, callers[:])])
@@ -158,7 +160,8 @@
 	}
 }
 
-// After counts while the machine runs.
+// After returns a channel that receives the time after d, in which time in suspension does not
+// count.
 func (m *machineClock) After(d time.Duration) <-chan time.Time {
 	c := make(chan time.Time, 1)
 	from := m.Now()
@@ -173,25 +176,25 @@
 	return c
 }
 
-// gatedMachines carries the orders of a machine that may be suspended.
+// gatedMachines blocks the orders about machines while the member's machine is stopped.
 type gatedMachines struct {
 	pointport.Machines
 	clock *machineClock
 }
 
-// Move moves a machine.
+// Move blocks while the member's machine is stopped, and then moves the machine.
 func (g *gatedMachines) Move(ctx context.Context, by pointport.Holder, id pointport.InstanceID, pool string) error {
 	g.clock.gate()
 	return g.Machines.Move(ctx, by, id, pool)
 }
 
-// Maintain maintains a machine.
+// Maintain blocks while the member's machine is stopped, and then maintains the machine.
 func (g *gatedMachines) Maintain(ctx context.Context, by pointport.Holder, id pointport.InstanceID, wave int64) error {
 	g.clock.gate()
 	return g.Machines.Maintain(ctx, by, id, wave)
 }
 
-// suspend has a member's machine stand still for a time.
+// suspend suspends a member's machine for a time.
 func (c *cluster) suspend(name string, lasts time.Duration) {
 	c.mu.Lock()
 	m := c.nodes[name].clock
@@ -201,12 +204,13 @@
 	m.wake()
 }
 
-// Suspensions of 1 to 20 s, of whoever owns a pool and of whoever orders machines about.
+// suspensions are the durations, 1 to 20 s, for which tests suspend a pool owner or the
+// steward.
 var suspensions = []time.Duration{time.Second, 3 * time.Second, 8 * time.Second, 20 * time.Second}
 
-// An owner is suspended in the midst of its work, for as long as it takes others to take
-// over and to end the tasks, or shorter. When it wakes, no task runs twice, and all jobs
-// end.
+// An owner is suspended during its work, for shorter or longer than other members need to take
+// its pool over and to end its tasks. After it resumes, no task has two runs, and all jobs
+// complete.
 func TestOwnerIsSuspended(t *testing.T) {
 	room := pointport.Shape{CPUMilli: 500, MemoryMiB: 64}
 	for _, lasts := range suspensions {
@@ -238,20 +242,17 @@
 	}
 }
 
-// What users saw: nothing yet; read from the code while a task with two runs was looked
-// for.
+// A frozen owner must not give tasks a lease that begins after its last proof of ownership.
 //
-// The order of events: the process of a pool's owner makes sure that it owns the pool, and
-// gets no time on its cores for seconds, with starts to be sent. Its lease lapses and another
-// member takes the pool, which cannot reach the instance where the tasks are placed. The
-// process goes on and sends the starts, and the instance, which has heard of no other owner,
-// runs them for as long as the orders say: for the whole lease of tasks from then on. The
-// new owner lets them go after the time for which its predecessor may have extended them
-// while it owned the pool, and starts them elsewhere beside that.
-//
-// The cause: how long tasks may run was reckoned from a time after the ownership was proven.
+// The owner's process checks its ownership and is then frozen for seconds before it sends
+// starts. Its lease expires, and another member takes the pool over, but cannot reach the
+// instance on which the tasks are placed. The process resumes and sends the starts. The
+// instance, which knows no other owner, runs the tasks for as long as the orders allow. If that
+// were the whole task lease from then on, the tasks would run longer than the new owner waits,
+// which is the time for which its predecessor can have extended them while it owned the pool.
+// The new owner would start them elsewhere at the same time.
 func TestOwnerIsFrozenBeforeSendingStarts(t *testing.T) {
-	const mostReads = 12 // by the owner, from when starts are stored until they are sent
+	const mostReads = 12 // by the owner, between storing the starts and sending them
 	for _, lasts := range []time.Duration{time.Second, 2 * time.Second, 3 * time.Second, 5 * time.Second} {
 		for reads := range mostReads {
 			t.Run(fmt.Sprint(lasts, " at read ", 1+reads), func(t *testing.T) {
@@ -261,8 +262,9 @@
 	}
 }
 
-// freezeOwnerBeforeStarts has the owner of a pool stand still when it has stored starts and read
-// the steady time so many times since. It alone reaches the instance where the tasks are.
+// freezeOwnerBeforeStarts freezes the owner of a pool once it has stored starts and then read
+// the steady time the given number of times. Only that owner can reach the instance of the
+// tasks.
 func (c *cluster) freezeOwnerBeforeStarts(reads int, lasts time.Duration) {
 	const id = "00000000000000cc"
 	owner, cut := c.owner("shift"), c.fleet.IDs()[0]
@@ -287,10 +289,10 @@
 	}
 }
 
-// The member that orders machines about is suspended after it has written an order down
-// and before it gives it. Meanwhile another has taken over and ordered. By the steady clock
-// the first one has written a moment ago and still holds the post; it must not give the
-// order, which has a lower fence than the machine has seen.
+// The steward is suspended after it has stored an order and before it gives it. Meanwhile
+// another member becomes the steward and gives orders. By the monotonic clock, which stood
+// still, the first one has only just stored its order and is still the steward. It must not
+// give the order, which has a lower fencing token than the machine has seen.
 func TestStewardIsSuspendedBeforeAnOrder(t *testing.T) {
 	for _, lasts := range suspensions {
 		t.Run(lasts.String(), func(t *testing.T) {
@@ -322,8 +324,8 @@
 	}
 }
 
-// A member wakes up and is asked at once, before it has heard from the store. The queue
-// that it knew is gone since. It must not take a job by the old configuration.
+// A member resumes and gets a request before it has reached the store. The queue that it knows
+// has been removed since. It must not accept a job according to its old configuration.
 func TestResumedMemberDoesNotUseStaleConfiguration(t *testing.T) {
 	for _, lasts := range suspensions {
 		t.Run(lasts.String(), func(t *testing.T) {
@@ -336,13 +338,13 @@
 				time.Sleep(lasts / 2)
 				for range 40 {
 					if k := n.Catalog(); k != nil && k.Version < 2 && lasts > time.Second {
-						t.Errorf("version %d is trusted after its holder was suspended for %v", k.Version, lasts)
+						t.Errorf("version %d is still used after its member was suspended for %v", k.Version, lasts)
 						break
 					}
 					time.Sleep(50 * time.Millisecond)
 				}
 				if k := n.Catalog(); k == nil || k.Version != 2 {
-					t.Errorf("the catalog is %v two seconds after waking, want version 2", k)
+					t.Errorf("the catalog is %v two seconds after resuming, want version 2", k)
 				}
 				if !strings.Contains(c.logs.containing("configuration applied"), "version=2") {
 					t.Errorf("version 2 was not applied")
--- a/node/trace_test.go
+++ b/node/trace_test.go
@@ -14,10 +14,10 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file tests that the cause of a failed request is found from its identity
-// and the logs alone. docs/OPERATIONS.md shows the same by example.
+// This file tests that the cause of a failed request can be found from the job's ID and the
+// logs alone. docs/OPERATIONS.md shows the same by example.
 
-// jobTrace returns what the logs of all nodes tell of a job.
+// jobTrace returns what the logs of all nodes contain about a job.
 func (c *cluster) jobTrace(id string) string {
 	c.t.Helper()
 	log := &trace.Log{}
@@ -32,7 +32,7 @@
 	return out.String()
 }
 
-// wantTrace makes sure that a story has lines with these words, in their order.
+// wantTrace checks that the trace of a job has lines with the given words, in the given order.
 func (c *cluster) wantTrace(id string, lines ...[]string) {
 	c.t.Helper()
 	story := c.jobTrace(id)
@@ -44,7 +44,7 @@
 			rest = rest[1:]
 		}
 		if !found {
-			c.t.Errorf("the story lacks, in its place, a line with %q:\n%s", words, story)
+			c.t.Errorf("the trace has no line with %q, or not in its place:\n%s", words, story)
 			return
 		}
 	}
@@ -59,6 +59,7 @@
 	return true
 }
 
+// The trace of a job that was refused during a store outage names the outage and the refusal.
 func TestTraceRefused(t *testing.T) {
 	simulate(t, 3, func(c *cluster) {
 		n := c.nodes["n0"].node
@@ -77,6 +78,7 @@
 	})
 }
 
+// The trace of a late job shows that it waited for free capacity, and how much each task needs.
 func TestTraceLate(t *testing.T) {
 	simulate(t, 3, func(c *cluster) {
 		n := c.nodes["n0"].node
@@ -96,6 +98,7 @@
 	}, withoutSteward())
 }
 
+// The trace of a job whose owner was killed shows the lost owner and the takeover by another one.
 func TestTraceOwnerLost(t *testing.T) {
 	simulate(t, 4, func(c *cluster) {
 		owner := c.owner("shift")
@@ -124,8 +127,8 @@
 	})
 }
 
-// A job fails because a task of it crashes its instances: the story names each crash, and
-// that the last one hit that task alone.
+// A job fails because one of its tasks crashes its instances. The trace names each crash, and
+// shows that the last crash hit that task alone.
 func TestTraceGivenUp(t *testing.T) {
 	simulate(t, 3, func(c *cluster) {
 		n := c.nodes["n0"].node
--- a/node/unstored_end_test.go
+++ b/node/unstored_end_test.go
@@ -11,13 +11,13 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// What users saw: after an outage of the store, tasks that were done ran again. The order
-// of events: an owner heard that the tasks of an instance had ended and said that nothing
-// runs there; a wave maintained the instance, which lists its ends no longer after that;
-// the owner, whose changes waited for the store for more than a second, lost its pool;
-// its successor found the tasks placed on an instance that was over and started them
-// elsewhere. The evidence: 'run ended', 'incarnation ended', 'pool taken' by another and
-// 'task returned' of one task, in this order, with nothing stored between the first two.
+// Completed tasks must not run again after a store outage. An owner learns that the tasks of an
+// instance have ended, and reports that nothing runs there, before it has stored the ends. If a
+// wave then maintains the instance, the instance no longer lists its ends. The owner, whose
+// writes fail for more than a second, loses its pool, and the new owner finds the tasks placed
+// on an incarnation that has ended and starts them elsewhere. The log shows 'run ended',
+// 'incarnation ended', 'pool taken' by another member and 'task returned' for one task, with
+// nothing stored between the first two.
 func TestEndsAreStoredBeforeInstanceIsMaintained(t *testing.T) {
 	room := pointport.Shape{CPUMilli: 500, MemoryMiB: 128}
 	simulate(t, 4, func(c *cluster) {
@@ -36,7 +36,7 @@
 		})
 		time.Sleep(300 * time.Millisecond)
 		held := c.fleet.Holding()
-		// From now on the owner reads and renews, but its changes get nowhere.
+		// from now on the owner can read and renew its lease, but its writes are lost
 		c.setStoreFault(func(node, op string) memory.Fault {
 			if node == owner && op == "commit" {
 				return memory.FaultLostCall
@@ -47,7 +47,7 @@
 		c.requestWave(1, held, len(held))
 		time.Sleep(2 * time.Second)
 		if n := c.fleet.Maintained(1); n > 0 {
-			t.Errorf("%d instances are maintained although what has ended there is not stored", n)
+			t.Errorf("%d instances are maintained although their ends are not stored", n)
 		}
 		c.setStoreFault(noStoreFault)
 		c.kill(owner)
