--- a/node/cap_test.go
+++ b/node/cap_test.go
@@ -28,8 +28,8 @@
 		q := queue(t, n, "shift-close")
 		core := pointport.Shape{CPUMilli: 1000, MemoryMiB: 16}
 		cases := map[string]struct {
-			step  workload.Step
-			taken bool
+			step     workload.Step
+			accepted bool
 		}{
 			"00000000000000a1": {workload.Step{Count: 4, Need: core, Gang: true}, false},
 			"00000000000000a2": {workload.Step{Count: 1, Need: core.Times(4)}, false},
@@ -39,7 +39,7 @@
 		for id, k := range cases {
 			err := asCustomer(n, "bistro").Submit(context.Background(), q, id, &workload.Spec{Steps: []workload.Step{k.step}})
 			var field *workload.SpecError
-			if k.taken && err != nil || !k.taken && (!errors.As(err, &field) || field.Field != "steps[0].need") {
+			if k.accepted && err != nil || !k.accepted && (!errors.As(err, &field) || field.Field != "steps[0].need") {
 				t.Errorf("job %s with step %+v: Submit returned %v", id, k.step, err)
 			}
 		}
@@ -94,16 +94,16 @@
 			}
 		}
 		w.mu.Lock()
-		most := int64(0)
+		limit := int64(0)
 		for _, l := range w.limits {
 			if l.until.IsZero() || time.Now().Before(l.until) {
-				most = max(most, l.cores)
+				limit = max(limit, l.cores)
 			}
 		}
 		w.maxRunning = max(w.maxRunning, running)
 		w.mu.Unlock()
-		if running > most && running > before {
-			w.c.t.Errorf("%d cores are in use with a cap of %d", running, most)
+		if running > limit && running > before {
+			w.c.t.Errorf("%d cores are in use with a cap of %d", running, limit)
 		}
 		before = running
 	}
@@ -114,7 +114,7 @@
 // customer's job completes meanwhile, and the tasks that were held back run in the end.
 func TestCustomerStaysWithinCap(t *testing.T) {
 	cases := map[string]func(c *cluster){
-		"no trouble": func(*cluster) {},
+		"no faults": func(*cluster) {},
 		"owners killed": func(c *cluster) {
 			for range 3 {
 				for _, pool := range []string{"shift", "payout"} {
@@ -125,13 +125,13 @@
 				}
 			}
 		},
-		"an owner cut off from the store": func(c *cluster) {
+		"owner disconnected from the store": func(c *cluster) {
 			name := c.owner("shift")
 			c.setStoreFault(storeFaultFor(memory.FaultLostCall, name))
 			time.Sleep(6 * time.Second)
 			c.setStoreFault(noStoreFault)
 		},
-		"answers of the store lost": func(c *cluster) {
+		"store answers lost": func(c *cluster) {
 			calls := 0
 			c.setStoreFault(func(_, op string) memory.Fault {
 				if calls++; op == "commit" && calls%3 == 0 {
@@ -144,7 +144,7 @@
 		},
 	}
 	const task = 700 * time.Millisecond
-	for name, trouble := range cases {
+	for name, inject := range cases {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, 3, func(c *cluster) {
 				w := &capMonitor{c: c, ids: make(map[string]bool), limits: []capPeriod{{cores: 12}}}
@@ -170,7 +170,7 @@
 				done := make(chan struct{})
 				go func() {
 					defer close(done)
-					trouble(c)
+					inject(c)
 				}()
 				time.Sleep(time.Second)
 				w.setCap(3, 5)
--- a/node/capacity_test.go
+++ b/node/capacity_test.go
@@ -14,7 +14,7 @@
 // tasks continue. Nothing is started beyond the smaller capacity, even if the instances do not
 // enforce it, and the capacity is used again once it is back.
 func TestInstancesAreResized(t *testing.T) {
-	room := pointport.Shape{CPUMilli: 500, MemoryMiB: 128}
+	need := pointport.Shape{CPUMilli: 500, MemoryMiB: 128}
 	large, small := pointport.Shape{CPUMilli: 4000, MemoryMiB: 8192}, pointport.Shape{CPUMilli: 1000, MemoryMiB: 8192}
 	cases := []struct {
 		owners string
@@ -31,9 +31,9 @@
 				n := c.nodes["n0"].node
 				q := queue(t, n, "shift-close")
 				jobs := 0
-				load := func(lasts time.Duration) {
-					for end := time.Now().Add(lasts); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-						submit(t, n, q, fmt.Sprintf("%016x", jobs), &workload.Spec{Steps: []workload.Step{{Count: 3, Need: room, Estimate: time.Second}}})
+				load := func(duration time.Duration) {
+					for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+						submit(t, n, q, fmt.Sprintf("%016x", jobs), &workload.Spec{Steps: []workload.Step{{Count: 3, Need: need, Estimate: time.Second}}})
 						jobs++
 					}
 				}
@@ -58,7 +58,7 @@
 					c.waitForStatus(n, q, fmt.Sprintf("%016x", i), workload.Completed, time.Minute)
 				}
 			}, append(k.guards, withWork(func(pointport.StartOrder) testbed.Work {
-				return testbed.Work{Room: room, Duration: time.Second}
+				return testbed.Work{Room: need, Duration: time.Second}
 			}))...)
 		})
 	}
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -225,9 +225,9 @@
 }
 
 // register adds an instance's registration to the store, or deletes it.
-func (c *cluster) register(inc pointport.Incarnation, there bool) {
+func (c *cluster) register(inc pointport.Incarnation, registered bool) {
 	key := registrationPrefix + string(inc.ID().Addressee())
-	if !there {
+	if !registered {
 		_, _ = c.kv.Commit(context.Background(), pointport.Txn{Delete: []string{key}})
 		return
 	}
--- a/node/config_link_test.go
+++ b/node/config_link_test.go
@@ -53,12 +53,12 @@
 
 // startSlowLinkNode starts a node on a link with the given rate in bytes per second, and waits
 // until version 1 is in force.
-func startSlowLinkNode(t testing.TB, width int) *slowLinkNode {
+func startSlowLinkNode(t testing.TB, bytesPerSecond int) *slowLinkNode {
 	t.Helper()
 	n := &slowLinkNode{t: t, kv: memory.New(clock.System{}).KV()}
 	server := httptest.NewServer(platform.ServeStore(n.kv))
 	t.Cleanup(server.Close)
-	address := n.link(width, strings.TrimPrefix(server.URL, "http://"))
+	address := n.link(bytesPerSecond, strings.TrimPrefix(server.URL, "http://"))
 	n.configure(1, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -101,21 +101,21 @@
 
 // link returns the address of a link to another address, with the given rate in bytes per
 // second.
-func (n *slowLinkNode) link(bytes int, to string) string {
+func (n *slowLinkNode) link(bytesPerSecond int, to string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		n.t.Fatal(err)
 	}
 	n.t.Cleanup(func() { l.Close() })
-	const piece = 4096
-	width := rate.NewLimiter(rate.Limit(bytes), piece)
+	const chunkSize = 4096
+	limiter := rate.NewLimiter(rate.Limit(bytesPerSecond), chunkSize)
 	go func() {
 		for {
-			near, err := l.Accept()
+			nodeConn, err := l.Accept()
 			if err != nil {
 				return // the test is over
 			}
-			go n.forward(near, to, width, piece)
+			go n.forward(nodeConn, to, limiter, chunkSize)
 		}
 	}()
 	return l.Addr().String()
@@ -123,30 +123,30 @@
 
 // forward forwards one connection: without delay what the node sends, and at the rate of the
 // link, which all connections share, what it receives.
-func (n *slowLinkNode) forward(near net.Conn, to string, width *rate.Limiter, piece int) {
-	defer near.Close()
-	far, err := net.Dial("tcp", to)
+func (n *slowLinkNode) forward(nodeConn net.Conn, to string, limiter *rate.Limiter, chunkSize int) {
+	defer nodeConn.Close()
+	storeConn, err := net.Dial("tcp", to)
 	if err != nil {
 		return // the test is over
 	}
-	defer far.Close()
+	defer storeConn.Close()
 	// A small window keeps few bytes in flight, so that an aborted response ends soon. With a
 	// smaller one, delayed acknowledgements of 40 ms would limit the throughput.
 	const window = 32 << 10
-	_ = near.(*net.TCPConn).SetWriteBuffer(window)
-	_ = far.(*net.TCPConn).SetReadBuffer(window)
+	_ = nodeConn.(*net.TCPConn).SetWriteBuffer(window)
+	_ = storeConn.(*net.TCPConn).SetReadBuffer(window)
 	go func() {
-		_, _ = io.Copy(far, near) // either end may close it
-		far.Close()
+		_, _ = io.Copy(storeConn, nodeConn) // either end may close it
+		storeConn.Close()
 	}()
-	buffer := make([]byte, piece)
+	buffer := make([]byte, chunkSize)
 	for {
-		got, err := far.Read(buffer)
-		if err != nil || width.WaitN(context.Background(), got) != nil {
+		got, err := storeConn.Read(buffer)
+		if err != nil || limiter.WaitN(context.Background(), got) != nil {
 			return
 		}
 		n.received.Add(int64(got))
-		if _, err := near.Write(buffer[:got]); err != nil {
+		if _, err := nodeConn.Write(buffer[:got]); err != nil {
 			return
 		}
 	}
@@ -185,8 +185,8 @@
 func BenchmarkUnchangedConfiguration(b *testing.B) {
 	for _, queues := range []int{50, 250, 1000, 4000} {
 		b.Run(fmt.Sprint(queues), func(b *testing.B) {
-			const wide = 100 << 20
-			n := startSlowLinkNode(b, wide)
+			const fastLink = 100 << 20
+			n := startSlowLinkNode(b, fastLink)
 			n.configure(2, queues)
 			n.waitForVersion(2)
 			time.Sleep(time.Second)
--- a/node/crash_test.go
+++ b/node/crash_test.go
@@ -49,9 +49,9 @@
 		step    func(*workload.Step)
 		work    func(*testbed.Work)
 		options []clusterOption
-		trouble func(c *cluster)
-		// left is how many tasks of the job keep running; the job fails if it is zero.
-		left int
+		inject  func(c *cluster)
+		// wantRunning is how many tasks of the job keep running; the job fails if it is zero.
+		wantRunning int
 	}{
 		{name: "plain"},
 		{name: "that may run in copies",
@@ -59,11 +59,11 @@
 		{name: "of a gang",
 			step: func(s *workload.Step) { s.Gang = true }, work: func(w *testbed.Work) { w.Gang = crashingJobTasks }},
 		{name: "that serves",
-			step: func(s *workload.Step) { s.Service = true }, work: func(w *testbed.Work) { w.Serves = true }, left: crashingJobTasks - 1},
+			step: func(s *workload.Step) { s.Service = true }, work: func(w *testbed.Work) { w.Serves = true }, wantRunning: crashingJobTasks - 1},
 		{name: "without a steward that reports ended incarnations",
 			options: []clusterOption{withoutSteward()}},
 		{name: "while owners are killed in turn",
-			trouble: func(c *cluster) {
+			inject: func(c *cluster) {
 				for range 3 {
 					time.Sleep(1200 * time.Millisecond)
 					name := c.owner("shift")
@@ -73,7 +73,7 @@
 				}
 			}},
 		{name: "while owners stop as planned in turn",
-			trouble: func(c *cluster) {
+			inject: func(c *cluster) {
 				for range 3 {
 					time.Sleep(700 * time.Millisecond)
 					name := c.owner("shift")
@@ -93,7 +93,7 @@
 				k.work = func(*testbed.Work) {}
 			}
 			options := append([]clusterOption{withWork(crashingWork(k.work))}, k.options...)
-			simulate(t, 4, func(c *cluster) { checkCrashingJobGivenUp(c, &step, k.trouble, k.left) }, options...)
+			simulate(t, 4, func(c *cluster) { checkCrashingJobGivenUp(c, &step, k.inject, k.wantRunning) }, options...)
 		})
 	}
 }
@@ -102,25 +102,25 @@
 const crashingJobTasks = 5
 
 // checkCrashingJobGivenUp submits crashingJob and other jobs, and checks how they end.
-func checkCrashingJobGivenUp(c *cluster, step *workload.Step, trouble func(*cluster), left int) {
+func checkCrashingJobGivenUp(c *cluster, step *workload.Step, inject func(*cluster), wantRunning int) {
 	c.t.Helper()
 	n := c.nodes["n0"].node
 	q := queue(c.t, n, "shift-close")
-	beside := &workload.Spec{Steps: []workload.Step{{Count: 3, Need: crashNeed, Estimate: 800 * time.Millisecond}}}
+	neighbour := &workload.Spec{Steps: []workload.Step{{Count: 3, Need: crashNeed, Estimate: 800 * time.Millisecond}}}
 	serving := &workload.Spec{Steps: []workload.Step{{Count: 2, Need: crashNeed, Service: true, MaxPerInstance: 1}}}
 	submit(c.t, n, q, servingNeighbour, serving)
 	for i := range 3 {
-		submit(c.t, n, q, fmt.Sprintf("%016x", i), beside)
+		submit(c.t, n, q, fmt.Sprintf("%016x", i), neighbour)
 	}
 	submit(c.t, n, q, crashingJob, &workload.Spec{Steps: []workload.Step{*step}})
 	for i := range 3 {
-		submit(c.t, n, q, fmt.Sprintf("%016x", 3+i), beside)
+		submit(c.t, n, q, fmt.Sprintf("%016x", 3+i), neighbour)
 	}
-	if trouble != nil {
-		trouble(c)
+	if inject != nil {
+		inject(c)
 	}
 	n = c.nodes["n0"].node
-	if left == 0 {
+	if wantRunning == 0 {
 		c.waitForStatus(n, q, crashingJob, workload.Failed, 40*time.Second)
 	}
 	for i := range 6 {
@@ -131,8 +131,8 @@
 	if got := c.fleet.RunsOf(servingNeighbour); got != 2 {
 		c.t.Errorf("%d tasks of the other serving job run at the end, want 2", got)
 	}
-	if got := c.fleet.RunsOf(crashingJob); got != left {
-		c.t.Errorf("%d tasks of the crashing job run at the end, want %d", got, left)
+	if got := c.fleet.RunsOf(crashingJob); got != wantRunning {
+		c.t.Errorf("%d tasks of the crashing job run at the end, want %d", got, wantRunning)
 	}
 	task := crashingJob + ".0.0.0"
 	if got := c.fleet.Crashes(task); got < 2 || got > 4 {
--- a/node/customer_overload_test.go
+++ b/node/customer_overload_test.go
@@ -25,25 +25,25 @@
 func TestOverloadByOneCustomerWhileOwnerIsKilled(t *testing.T) {
 	t.Parallel()
 	const work = 700 * time.Millisecond
-	room := pointport.Shape{CPUMilli: 1000, MemoryMiB: 16}
+	need := pointport.Shape{CPUMilli: 1000, MemoryMiB: 16}
 	simulate(t, 4, func(c *cluster) {
 		names := []string{"bistro", "cafe", "diner", "grill"}
 		c.configure(&workload.Catalog{Version: 2, Customers: customers(nil, names...)})
 		time.Sleep(2 * time.Second)
 		q := queue(t, c.nodes["n0"].node, "shift-close")
-		spec := &workload.Spec{Payload: "x", Steps: []workload.Step{{Count: 2, Need: room, Estimate: work}}}
-		type ticket struct {
+		spec := &workload.Spec{Payload: "x", Steps: []workload.Step{{Count: 2, Need: need, Estimate: work}}}
+		type request struct {
 			customer        string
 			asked, ended    time.Time
 			refused, failed bool
 		}
 		var mu sync.Mutex
-		tickets := make(map[string]*ticket)
+		requests := make(map[string]*request)
 		var wg sync.WaitGroup
-		ask := func(customer string, n int) {
-			id := fmt.Sprintf("%016x", len(tickets)+1)
-			k := &ticket{customer: customer, asked: time.Now()}
-			tickets[id] = k
+		send := func(customer string, n int) {
+			id := fmt.Sprintf("%016x", len(requests)+1)
+			k := &request{customer: customer, asked: time.Now()}
+			requests[id] = k
 			wg.Go(func() {
 				for try := 0; ; try++ {
 					at := c.anyNode(n + try)
@@ -83,13 +83,13 @@
 			for k, name := range names {
 				if at%(400*time.Millisecond) == time.Duration(k)*100*time.Millisecond {
 					n++
-					ask(name, n)
+					send(name, n)
 				}
 			}
 			if at >= 4*time.Second && at < 12*time.Second {
 				for range 6 {
 					n++
-					ask("bistro", n)
+					send("bistro", n)
 				}
 			}
 			if at == 8*time.Second {
@@ -102,11 +102,11 @@
 		wg.Wait()
 		asked, inTime, refused := make(map[string]int), make(map[string]int), 0
 		objective := time.Duration(q.Policy.Stretch*float64(work)) + q.Policy.Target
-		killed := func(k *ticket) bool {
-			since := k.asked.Sub(tickets["0000000000000001"].asked)
+		duringTakeover := func(k *request) bool {
+			since := k.asked.Sub(requests["0000000000000001"].asked)
 			return since > 7*time.Second && since < 14*time.Second
 		}
-		for id, k := range tickets {
+		for id, k := range requests {
 			switch {
 			case k.refused:
 				refused++
@@ -117,7 +117,7 @@
 			case k.failed || k.ended.IsZero():
 				t.Errorf("job %s of %s has not ended", id, k.customer)
 			}
-			if killed(k) {
+			if duringTakeover(k) {
 				continue // the owner had just been killed; no customer is served for a second or two
 			}
 			asked[k.customer]++
@@ -132,6 +132,6 @@
 		}
 		t.Logf("in time %v of %v, %d excess jobs refused", inTime, asked, refused)
 	}, withWork(func(pointport.StartOrder) testbed.Work {
-		return testbed.Work{Room: room, Duration: work}
+		return testbed.Work{Room: need, Duration: work}
 	}))
 }
--- a/node/customer_test.go
+++ b/node/customer_test.go
@@ -50,18 +50,18 @@
 		if err := asCustomer(n, "bistro").Submit(ctx, q, id, twoSteps(3*time.Second)); err != nil {
 			t.Fatal(err)
 		}
-		hidden := func(when string) {
+		checkHidden := func(when string) {
 			for name, r := range c.nodes {
-				for _, desk := range []*intake.Service{asCustomer(r.node, "cafe"), r.node.Intake()} {
+				for _, service := range []*intake.Service{asCustomer(r.node, "cafe"), r.node.Intake()} {
 					var unknown *intake.UnknownJobError
 					var taken *intake.TakenError
-					if s, err := desk.Status(ctx, q, id); !errors.As(err, &unknown) {
+					if s, err := service.Status(ctx, q, id); !errors.As(err, &unknown) {
 						t.Errorf("%s, at %s, Status for another customer returns %q, %v", when, name, s, err)
 					}
-					if err := desk.Cancel(ctx, q, id); !errors.As(err, &unknown) {
+					if err := service.Cancel(ctx, q, id); !errors.As(err, &unknown) {
 						t.Errorf("%s, at %s, Cancel by another customer returns %v", when, name, err)
 					}
-					if err := desk.Submit(ctx, q, id, twoSteps(time.Second)); !errors.As(err, &taken) {
+					if err := service.Submit(ctx, q, id, twoSteps(time.Second)); !errors.As(err, &taken) {
 						t.Errorf("%s, at %s, Submit with the same ID by another customer returns %v", when, name, err)
 					}
 				}
@@ -77,15 +77,15 @@
 			}
 		}
 		time.Sleep(500 * time.Millisecond)
-		hidden("while it runs")
+		checkHidden("while it runs")
 		time.Sleep(10 * time.Second)
 		if s, err := asCustomer(n, "bistro").Status(ctx, q, id); s != workload.Completed {
 			t.Fatalf("the job has status %q, error %v, after others tried to cancel it", s, err)
 		}
-		hidden("once it is over")
+		checkHidden("after it has ended")
 		c.kill(c.owner("shift"))
 		time.Sleep(5 * time.Second)
-		hidden("after its owner was killed")
+		checkHidden("after its owner was killed")
 	})
 }
 
@@ -157,9 +157,9 @@
 		t.Run(name, func(t *testing.T) {
 			simulate(t, 4, func(c *cluster) {
 				ask := func(n *node.Node, key string) int {
-					desk := func(by customer.Caller) platform.Desk { return n.Intake().ForCaller(by) }
+					service := func(by customer.Caller) platform.Desk { return n.Intake().ForCaller(by) }
 					keys := platform.KeyState{Trusted: n.KeysTrusted, Newest: n.KeysNewest}
-					ingress := platform.NewIngress(desk, n.Catalog, n.Logger(), platform.WithKeyState(keys))
+					ingress := platform.NewIngress(service, n.Catalog, n.Logger(), platform.WithKeyState(keys))
 					r := httptest.NewRequest(http.MethodGet, "http://example/shift/00000000000000aa", nil)
 					r.Header.Set("Authorization", "Token key-of-"+key)
 					w := httptest.NewRecorder()
@@ -213,8 +213,8 @@
 // starts again once it knows the newest configuration.
 func TestKeysWhileStoreIsUnreachable(t *testing.T) {
 	cases := map[string]struct {
-		policy         node.KeyPolicy
-		before, beyond bool // whether keys are trusted after 3 s and after 8 s
+		policy        node.KeyPolicy
+		before, after bool // whether keys are trusted after 3 s and after 8 s
 	}{
 		"strict":     {node.KeyPolicy{Strict: true, MaxConfigAge: 5 * time.Second}, true, false},
 		"not strict": {node.KeyPolicy{MaxConfigAge: 5 * time.Second}, true, true},
@@ -232,7 +232,7 @@
 					t.Errorf("after 3 s, keys are trusted: %v", got)
 				}
 				time.Sleep(5 * time.Second)
-				if got := n.KeysTrusted(); got != test.beyond {
+				if got := n.KeysTrusted(); got != test.after {
 					t.Errorf("after 8 s, keys are trusted: %v", got)
 				}
 				c.setStoreFault(noStoreFault)
--- a/node/entries_test.go
+++ b/node/entries_test.go
@@ -38,46 +38,46 @@
 			time.Sleep(4 * time.Second)
 			return held
 		}
-		const odd pointport.InstanceID = "m-00"
-		key := registrationPrefix + string(c.fleet.Incarnation(odd).Addressee())
-		whole, err := c.kv.Get(t.Context(), key)
+		const undecodable pointport.InstanceID = "m-00"
+		key := registrationPrefix + string(c.fleet.Incarnation(undecodable).Addressee())
+		original, err := c.kv.Get(t.Context(), key)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if held := load(); !held[odd] {
-			t.Fatalf("%v are used, want %s among them", held, odd)
+		if held := load(); !held[undecodable] {
+			t.Fatalf("%v are used, want %s among them", held, undecodable)
 		}
 		c.put(key, []byte("\xff\x00 nothing that can be read"))
 		c.put(registrationPrefix+"i-nobody", []byte(`{"Pool":7}`))
 		time.Sleep(time.Second)
-		lives := map[string]int{"n0": 1, "n1": 1, "n2": 1}
-		for _, who := range []string{"the owner that followed it", "an owner that reads it first"} {
-			if held := load(); held[odd] || len(held) < 3 {
-				t.Errorf("%s uses %v, want only instances other than %s", who, held, odd)
+		runsOfNode := map[string]int{"n0": 1, "n1": 1, "n2": 1}
+		for _, reader := range []string{"the owner that has followed it", "an owner that reads it for the first time"} {
+			if held := load(); held[undecodable] || len(held) < 3 {
+				t.Errorf("%s uses %v, want only instances other than %s", reader, held, undecodable)
 			}
 			name := c.owner("shift")
 			c.kill(name)
 			c.start(name)
-			lives[name]++
+			runsOfNode[name]++
 			time.Sleep(3 * time.Second)
 		}
-		c.put(key, whole.Value())
+		c.put(key, original.Value())
 		time.Sleep(time.Second)
-		if held := load(); !held[odd] {
-			t.Errorf("%v are used once the registration can be decoded again, want %s among them", held, odd)
+		if held := load(); !held[undecodable] {
+			t.Errorf("%v are used once the registration can be decoded again, want %s among them", held, undecodable)
 		}
 		lines := strings.Split(strings.TrimSpace(c.logs.containing("registration unreadable")), "\n")
-		said := make(map[string]int)
+		logged := make(map[string]int)
 		for _, line := range lines {
 			fields := strings.Fields(line)
 			at := slices.IndexFunc(fields, func(f string) bool { return strings.HasPrefix(f, "key=") })
 			who := slices.IndexFunc(fields, func(f string) bool { return strings.HasPrefix(f, "node=") })
-			said[fields[who]+" "+fields[at]]++
+			logged[fields[who]+" "+fields[at]]++
 		}
-		for what, times := range said {
+		for what, times := range logged {
 			node := strings.TrimPrefix(strings.Fields(what)[0], "node=")
-			if times > lives[node] {
-				t.Errorf("%s is logged %d times in %d runs of the node", what, times, lives[node])
+			if times > runsOfNode[node] {
+				t.Errorf("%s is logged %d times in %d runs of the node", what, times, runsOfNode[node])
 			}
 		}
 	}, withoutSteward())
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -31,9 +31,9 @@
 	jobs    int
 }
 
-func (l *zoneLoad) run(lasts time.Duration) {
+func (l *zoneLoad) run(duration time.Duration) {
 	step := workload.Step{Count: l.tasks, Need: pointport.Shape{CPUMilli: 500, MemoryMiB: 128}, Estimate: 500 * time.Millisecond}
-	for end := time.Now().Add(lasts); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		l.submit(&workload.Spec{Steps: []workload.Step{step}})
 	}
 }
--- a/node/forward_test.go
+++ b/node/forward_test.go
@@ -82,17 +82,17 @@
 		within  time.Duration
 		trouble func(c *cluster)
 	}{
-		"store away for all": {100 * time.Millisecond, func(c *cluster) {
+		"store unavailable to all nodes": {100 * time.Millisecond, func(c *cluster) {
 			c.setStoreFault(func(string, string) memory.Fault { return memory.FaultBefore })
 		}},
-		"cut off from all": {100 * time.Millisecond, func(c *cluster) {
+		"disconnected from store and peers": {100 * time.Millisecond, func(c *cluster) {
 			c.setStoreFault(storeFaultFor(memory.FaultLostCall, "n0"))
 			c.cutPeers("n1", "n2", "n3")
 		}},
 		// A peer that does not answer may have stored a job that was sent to it, which would
 		// leave the outcome unknown to the customer. So a node asks whether the peer can store
 		// a job before it sends one; only that question may remain unanswered.
-		"cut off from all in silence": {200 * time.Millisecond, func(c *cluster) {
+		"no answer from store and peers": {200 * time.Millisecond, func(c *cluster) {
 			c.setStoreFault(storeFaultFor(memory.FaultLostCall, "n0"))
 			c.silencePeers(true)
 		}},
--- a/node/handover_random_test.go
+++ b/node/handover_random_test.go
@@ -99,11 +99,11 @@
 func (m *faultRules) order(op string, to pointport.InstanceID) testbed.Fate {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, x := range m.all {
-		if x.order == nil {
+	for _, rule := range m.all {
+		if rule.order == nil {
 			continue
 		}
-		if f, ok := x.order(op, to); ok {
+		if f, ok := rule.order(op, to); ok {
 			return f
 		}
 	}
@@ -113,11 +113,11 @@
 func (m *faultRules) call(node, op string) memory.Fault {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, x := range m.all {
-		if x.call == nil {
+	for _, rule := range m.all {
+		if rule.call == nil {
 			continue
 		}
-		if f, ok := x.call(node, op, m.key); ok {
+		if f, ok := rule.call(node, op, m.key); ok {
 			return f
 		}
 	}
@@ -125,15 +125,15 @@
 }
 
 // applyFor activates a rule for a time.
-func (m *faultRules) applyFor(lasts time.Duration, x faultRule) {
+func (m *faultRules) applyFor(duration time.Duration, rule faultRule) {
 	m.mu.Lock()
-	m.all = append(m.all, &x)
+	m.all = append(m.all, &rule)
 	m.mu.Unlock()
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for n := range m.all {
-		if m.all[n] == &x {
+		if m.all[n] == &rule {
 			m.all = append(m.all[:n:n], m.all[n+1:]...)
 			return
 		}
@@ -141,7 +141,7 @@
 }
 
 // pause freezes a node's process, or suspends its machine, for a time.
-func (c *cluster) pause(name string, frozen bool, lasts time.Duration) {
+func (c *cluster) pause(name string, frozen bool, duration time.Duration) {
 	c.mu.Lock()
 	r := c.nodes[name]
 	c.mu.Unlock()
@@ -153,7 +153,7 @@
 	} else {
 		r.clock.suspend()
 	}
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	r.clock.wake()
 }
 
@@ -171,51 +171,51 @@
 
 // injectHandOver injects a fault of a handover. It returns false if the fault is of another
 // kind.
-func (p *play) injectHandOver(tr scriptedFault) bool {
+func (p *play) injectHandOver(fault scriptedFault) bool {
 	c := p.cluster
-	name := fmt.Sprintf("n%d", tr.index%3)
-	pool := []string{"shift", "payout"}[tr.index%2]
+	name := fmt.Sprintf("n%d", fault.index%3)
+	pool := []string{"shift", "payout"}[fault.index%2]
 	owner, owned := c.ownerIfAny(pool)
-	id := c.fleet.IDs()[tr.index]
+	id := c.fleet.IDs()[fault.index]
 	calls := 0
-	switch tr.kind {
+	switch fault.kind {
 	case "freeze", "suspend":
-		c.pause(name, tr.kind == "freeze", tr.duration)
+		c.pause(name, fault.kind == "freeze", fault.duration)
 	case "freezeOwner", "suspendOwner":
 		if owned {
-			c.pause(owner, tr.kind == "freezeOwner", tr.duration)
+			c.pause(owner, fault.kind == "freezeOwner", fault.duration)
 		}
 	case "oneSided":
-		p.faultRules.applyFor(tr.duration, reachableOnlyFrom(id, name))
+		p.faultRules.applyFor(fault.duration, reachableOnlyFrom(id, name))
 	case "ownerAlone":
-		p.faultRules.applyFor(tr.duration, reachableOnlyFrom(id, owner))
+		p.faultRules.applyFor(fault.duration, reachableOnlyFrom(id, owner))
 	case "aloneAndFrozen":
 		c.mu.Lock()
 		r := c.nodes[owner]
 		c.mu.Unlock()
 		if r != nil {
-			r.clock.freezeAtRead(1+tr.index, tr.duration)
-			p.faultRules.applyFor(tr.duration+isolatedAfterPause, reachableOnlyFrom(id, owner))
+			r.clock.freezeAtRead(1+fault.index, fault.duration)
+			p.faultRules.applyFor(fault.duration+isolatedAfterPause, reachableOnlyFrom(id, owner))
 		}
 	case "loseReleases":
-		p.faultRules.applyFor(tr.duration, faultRule{call: func(_, op, key string) (memory.Fault, bool) {
+		p.faultRules.applyFor(fault.duration, faultRule{call: func(_, op, key string) (memory.Fault, bool) {
 			// A commit without a key is a release, or a read under conditions.
-			return []memory.Fault{memory.FaultLostCall, memory.FaultLate, memory.FaultLostAnswer}[tr.index%3], op == "commit" && key == ""
+			return []memory.Fault{memory.FaultLostCall, memory.FaultLate, memory.FaultLostAnswer}[fault.index%3], op == "commit" && key == ""
 		}})
 	case "wander":
-		for end := time.Now().Add(tr.duration); time.Now().Before(end); time.Sleep(700 * time.Millisecond) {
+		for end := time.Now().Add(fault.duration); time.Now().Before(end); time.Sleep(700 * time.Millisecond) {
 			c.store.Take(member.OwnerKey(pool))
 		}
 	case "lateStarts":
-		p.faultRules.applyFor(tr.duration, faultRule{order: func(op string, _ pointport.InstanceID) (testbed.Fate, bool) {
+		p.faultRules.applyFor(fault.duration, faultRule{order: func(op string, _ pointport.InstanceID) (testbed.Fate, bool) {
 			calls++
-			return testbed.Fate{Late: time.Duration(500+400*tr.index) * time.Millisecond}, strings.HasSuffix(op, " start") && calls%2 == 0
+			return testbed.Fate{Late: time.Duration(500+400*fault.index) * time.Millisecond}, strings.HasSuffix(op, " start") && calls%2 == 0
 		}})
 	case "storeLosesAnswers", "storeIsLate":
-		fault := map[string]memory.Fault{"storeLosesAnswers": memory.FaultLostAnswer, "storeIsLate": memory.FaultLate}[tr.kind]
-		p.faultRules.applyFor(tr.duration, faultRule{call: func(_, op, _ string) (memory.Fault, bool) {
+		storeFault := map[string]memory.Fault{"storeLosesAnswers": memory.FaultLostAnswer, "storeIsLate": memory.FaultLate}[fault.kind]
+		p.faultRules.applyFor(fault.duration, faultRule{call: func(_, op, _ string) (memory.Fault, bool) {
 			calls++
-			return fault, op == "commit" && calls%3 == 0
+			return storeFault, op == "commit" && calls%3 == 0
 		}})
 	default:
 		return false
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -96,8 +96,8 @@
 }
 
 // loseReleases keeps a node's releases from reaching the store for a time.
-func (c *cluster) loseReleases(name string, lasts time.Duration) {
-	end, releases := time.Now().Add(lasts), false
+func (c *cluster) loseReleases(name string, duration time.Duration) {
+	end, releases := time.Now().Add(duration), false
 	c.mu.Lock()
 	// A commit without a key is a release, or a read under conditions.
 	c.onStoreCall = func(node, op, key string) { releases = node == name && op == "commit" && key == "" }
--- a/node/idle_test.go
+++ b/node/idle_test.go
@@ -139,7 +139,7 @@
 // start of the members that rank first, however many members own nothing.
 func TestPoolOfKilledOwnerIsTakenOverInTime(t *testing.T) {
 	const members, deaths = 60, 5
-	const soon = member.DefaultTTL + 150*time.Millisecond
+	const maxTakeover = member.DefaultTTL + 150*time.Millisecond
 	simulate(t, members, func(c *cluster) {
 		time.Sleep(20 * time.Second)
 		longest := time.Duration(0)
@@ -154,8 +154,8 @@
 			time.Sleep(10 * time.Second)
 		}
 		t.Logf("taken within %v", longest)
-		if longest > soon {
-			t.Errorf("a pool was taken over %v after its owner was killed, want at most %v", longest, soon)
+		if longest > maxTakeover {
+			t.Errorf("a pool was taken over %v after its owner was killed, want at most %v", longest, maxTakeover)
 		}
 	}, withoutSteward())
 }
@@ -197,20 +197,20 @@
 // After a store outage the owners get their pools back, however long the leases of other
 // members are still valid.
 func TestOwnersHaveTheirPoolsAgainAfterOutage(t *testing.T) {
-	for _, lasts := range []time.Duration{1200 * time.Millisecond, 2 * time.Second, 4 * time.Second} {
-		t.Run(lasts.String(), func(t *testing.T) {
+	for _, duration := range []time.Duration{1200 * time.Millisecond, 2 * time.Second, 4 * time.Second} {
+		t.Run(duration.String(), func(t *testing.T) {
 			simulate(t, 40, func(c *cluster) {
 				time.Sleep(20 * time.Second)
-				posts := []string{"shift", "payout", "/steward"}
+				ownerships := []string{"shift", "payout", "/steward"}
 				before := make(map[string]string)
-				for _, p := range posts {
+				for _, p := range ownerships {
 					before[p] = c.owner(p)
 				}
 				c.setStoreFault(func(string, string) memory.Fault { return memory.FaultLostCall })
-				time.Sleep(lasts)
+				time.Sleep(duration)
 				c.setStoreFault(noStoreFault)
 				time.Sleep(4 * time.Second)
-				for _, p := range posts {
+				for _, p := range ownerships {
 					if now := c.owner(p); now != before[p] {
 						t.Errorf("%s is owned by %s, want %s as before the outage", p, now, before[p])
 					}
--- a/node/machine_rate_test.go
+++ b/node/machine_rate_test.go
@@ -48,7 +48,7 @@
 // once. The steward must not give orders faster than that, and must still maintain all
 // instances.
 func TestMachineOrdersStayWithinPlatformRate(t *testing.T) {
-	const taken, instances = 4, 8
+	const ratePerSecond, instances = 4, 8
 	orders := &countingMachines{}
 	simulate(t, 1, func(c *cluster) {
 		c.requestWave(1, c.fleet.IDs()[:instances], instances)
@@ -56,8 +56,8 @@
 		if got := c.fleet.Maintained(1); got != instances {
 			t.Errorf("%d instances are maintained, want %d", got, instances)
 		}
-		if got := orders.maxWithin(time.Second); got > taken {
-			t.Errorf("%d orders within a second, want at most the %d that the platform accepts", got, taken)
+		if got := orders.maxWithin(time.Second); got > ratePerSecond {
+			t.Errorf("%d orders within a second, want at most the %d that the platform accepts", got, ratePerSecond)
 		}
-	}, withMachineOrderRate(taken, orders))
+	}, withMachineOrderRate(ratePerSecond, orders))
 }
--- a/node/moved_instance_test.go
+++ b/node/moved_instance_test.go
@@ -22,14 +22,14 @@
 // count as crashed or be avoided when it returns, and the owner must not suspect that it is
 // isolated because the instances that have left do not answer.
 func TestMovedInstancesAreNotSuspected(t *testing.T) {
-	room := pointport.Shape{CPUMilli: 2000, MemoryMiB: 128}
+	need := pointport.Shape{CPUMilli: 2000, MemoryMiB: 128}
 	simulate(t, 3, func(c *cluster) {
 		jobs := 0
 		for turn := range 6 {
 			pool := []string{"shift-close", "payout-close"}[turn%2]
 			for range 20 {
 				n := c.anyNode(0)
-				submit(t, n, queue(t, n, pool), jobID(jobs), &workload.Spec{Steps: []workload.Step{{Count: 4, Need: room, Estimate: time.Second}}})
+				submit(t, n, queue(t, n, pool), jobID(jobs), &workload.Spec{Steps: []workload.Step{{Count: 4, Need: need, Estimate: time.Second}}})
 				jobs++
 				time.Sleep(100 * time.Millisecond)
 			}
@@ -44,7 +44,7 @@
 			}
 		}
 	}, withLinger(registrationLinger), withWork(func(pointport.StartOrder) testbed.Work {
-		return testbed.Work{Room: room, Duration: time.Second}
+		return testbed.Work{Room: need, Duration: time.Second}
 	}))
 }
 
--- a/node/order_link_test.go
+++ b/node/order_link_test.go
@@ -38,11 +38,11 @@
 	if l.freeAt.Before(now) {
 		l.freeAt = now
 	}
-	takes := pollLinkTime
+	linkTime := pollLinkTime
 	if strings.HasSuffix(op, "start") {
-		takes = startLinkTime
+		linkTime = startLinkTime
 	}
-	l.freeAt = l.freeAt.Add(takes)
+	l.freeAt = l.freeAt.Add(linkTime)
 	l.orders++
 	delay := l.freeAt.Sub(now) + time.Millisecond
 	if delay > answerTimeout {
@@ -106,8 +106,8 @@
 // checkOrdersOverSlowLink submits jobs to a cluster in which the owner's link is slow. It
 // checks that at least want of them have completed when the last one was submitted, and that
 // all complete later.
-func checkOrdersOverSlowLink(t *testing.T, nodes, want int, troubles ...func(c *cluster, owner string)) {
-	room := pointport.Shape{CPUMilli: 500, MemoryMiB: 64}
+func checkOrdersOverSlowLink(t *testing.T, nodes, want int, faults ...func(c *cluster, owner string)) {
+	need := pointport.Shape{CPUMilli: 500, MemoryMiB: 64}
 	simulate(t, nodes, func(c *cluster) {
 		for n := range linkLoadInstances {
 			c.fleet.Add(pointport.InstanceID(fmt.Sprintf("more-%02d", n)), "shift", "north", fmt.Sprintf("rack-%d", n/8),
@@ -122,32 +122,32 @@
 			}
 			return link.send(op)
 		})
-		for _, trouble := range troubles {
-			trouble(c, owner)
+		for _, fault := range faults {
+			fault(c, owner)
 		}
-		asked := c.nodes["n0"].node
-		q := queue(t, asked, "shift-close")
-		spec := &workload.Spec{Payload: "x", Steps: []workload.Step{{Count: linkLoadTasks, Need: room, Estimate: 500 * time.Millisecond}}}
+		entryNode := c.nodes["n0"].node
+		q := queue(t, entryNode, "shift-close")
+		spec := &workload.Spec{Payload: "x", Steps: []workload.Step{{Count: linkLoadTasks, Need: need, Estimate: 500 * time.Millisecond}}}
 		var ids []string
 		next := time.Now()
 		for n := range int(linkLoadTime/time.Second) * linkLoadJobsPerSecond {
 			id := fmt.Sprintf("%016x", n+1)
-			if len(troubles) == 0 {
-				submit(t, asked, q, id, spec)
+			if len(faults) == 0 {
+				submit(t, entryNode, q, id, spec)
 				ids = append(ids, id)
-			} else if asked.Intake().Submit(context.Background(), q, id, spec) == nil {
+			} else if entryNode.Intake().Submit(context.Background(), q, id, spec) == nil {
 				ids = append(ids, id)
 			}
 			next = next.Add(time.Second / linkLoadJobsPerSecond)
 			time.Sleep(time.Until(next))
 		}
-		if ended := countCompleted(asked, q, ids); ended < want {
+		if ended := countCompleted(entryNode, q, ids); ended < want {
 			t.Errorf("%d of %d jobs have completed after %v, want at least %d", ended, len(ids), linkLoadTime, want)
 		}
-		for end := time.Now().Add(2 * time.Minute); countCompleted(asked, q, ids) < len(ids) && time.Now().Before(end); {
+		for end := time.Now().Add(2 * time.Minute); countCompleted(entryNode, q, ids) < len(ids) && time.Now().Before(end); {
 			time.Sleep(time.Second)
 		}
-		if ended := countCompleted(asked, q, ids); ended < len(ids) {
+		if ended := countCompleted(entryNode, q, ids); ended < len(ids) {
 			t.Errorf("%d of %d accepted jobs have not completed two minutes later", len(ids)-ended, len(ids))
 		}
 		if n := strings.Count(c.logs.containing("instance expired"), "\n"); n > 0 {
@@ -158,7 +158,7 @@
 		}
 		t.Logf("%s", c.logs.containing("orders delegated"))
 	}, withoutSteward(), withWork(func(pointport.StartOrder) testbed.Work {
-		return testbed.Work{Room: room, Duration: 500 * time.Millisecond}
+		return testbed.Work{Room: need, Duration: 500 * time.Millisecond}
 	}))
 }
 
--- a/node/outage_test.go
+++ b/node/outage_test.go
@@ -22,10 +22,10 @@
 	for _, early := range []time.Duration{100 * time.Millisecond, 600 * time.Millisecond, time.Second} {
 		t.Run(fmt.Sprint(early), func(t *testing.T) {
 			simulate(t, 6, func(c *cluster) {
-				posts := []string{"shift", "payout", "/steward"}
+				ownerships := []string{"shift", "payout", "/steward"}
 				before := make(map[string]string)
 				first := ""
-				for _, p := range posts {
+				for _, p := range ownerships {
 					before[p] = c.owner(p)
 				}
 				for name := range c.nodes {
@@ -33,19 +33,19 @@
 						first = name
 					}
 				}
-				away, back := time.Now(), time.Now().Add(4*time.Second)
+				outageStart, outageEnd := time.Now(), time.Now().Add(4*time.Second)
 				c.setStoreFault(func(node, _ string) memory.Fault {
-					end := back
+					end := outageEnd
 					if node == first {
-						end = back.Add(-early)
+						end = outageEnd.Add(-early)
 					}
-					if now := time.Now(); now.After(away) && now.Before(end) {
+					if now := time.Now(); now.After(outageStart) && now.Before(end) {
 						return memory.FaultLostCall
 					}
 					return memory.FaultNone
 				})
 				time.Sleep(7 * time.Second)
-				for _, p := range posts {
+				for _, p := range ownerships {
 					if now := c.owner(p); now != before[p] {
 						t.Errorf("%s is owned by %s, want %s as before the outage; the first member to reach the store is %s\n%s%s", p, now, before[p], first, c.logs.containing("pool"), c.logs.containing("store"))
 					}
@@ -60,9 +60,9 @@
 func TestPoolOfLostMemberIsTakenOver(t *testing.T) {
 	simulate(t, 6, func(c *cluster) {
 		lost, kept := c.owner("shift"), c.owner("payout")
-		away, back := time.Now(), time.Now().Add(4*time.Second)
+		outageStart, outageEnd := time.Now(), time.Now().Add(4*time.Second)
 		c.setStoreFault(func(string, string) memory.Fault {
-			if now := time.Now(); now.After(away) && now.Before(back) {
+			if now := time.Now(); now.After(outageStart) && now.Before(outageEnd) {
 				return memory.FaultLostCall
 			}
 			return memory.FaultNone
--- a/node/overload_test.go
+++ b/node/overload_test.go
@@ -32,23 +32,23 @@
 		steadyFor = 8 * time.Second
 		work      = 500 * time.Millisecond
 	)
-	room := pointport.Shape{CPUMilli: 1000, MemoryMiB: 64}
+	need := pointport.Shape{CPUMilli: 1000, MemoryMiB: 64}
 	simulate(t, 3, func(c *cluster) {
 		n := c.nodes["n0"].node
 		shift, payout := queue(t, n, "shift-close"), queue(t, n, "payout-close")
-		spec := &workload.Spec{Payload: "x", Steps: []workload.Step{{Count: 4, Need: room, Estimate: work}}}
+		spec := &workload.Spec{Payload: "x", Steps: []workload.Step{{Count: 4, Need: need, Estimate: work}}}
 		objective := time.Duration(payout.Policy.Stretch*float64(work)) + payout.Policy.Target
 		var wg sync.WaitGroup
 		var inTime, ended atomic.Int64
-		ask := func(q *workload.Queue, id string, timely *atomic.Int64) {
-			asked := time.Now()
+		send := func(q *workload.Queue, id string, counter *atomic.Int64) {
+			sent := time.Now()
 			submit(t, n, q, id, spec)
 			wg.Go(func() {
-				for time.Since(asked) < time.Minute {
+				for time.Since(sent) < time.Minute {
 					if s, err := n.Intake().Status(context.Background(), q, id); err == nil && s.Ended() {
 						ended.Add(1)
-						if time.Since(asked) <= objective && timely != nil {
-							timely.Add(1)
+						if time.Since(sent) <= objective && counter != nil {
+							counter.Add(1)
 						}
 						return
 					}
@@ -57,12 +57,12 @@
 			})
 		}
 		for i := range burst {
-			ask(shift, fmt.Sprintf("%016x", i), nil)
+			send(shift, fmt.Sprintf("%016x", i), nil)
 		}
 		time.Sleep(3 * time.Second)
 		steady := int(steadyFor.Seconds() * perSecond)
 		for i := range steady {
-			ask(payout, fmt.Sprintf("%016x", burst+i), &inTime)
+			send(payout, fmt.Sprintf("%016x", burst+i), &inTime)
 			time.Sleep(time.Second / perSecond)
 		}
 		wg.Wait()
@@ -74,6 +74,6 @@
 		}
 		t.Logf("%d of %d in time", inTime.Load(), steady)
 	}, withWork(func(pointport.StartOrder) testbed.Work {
-		return testbed.Work{Room: room, Duration: work}
+		return testbed.Work{Room: need, Duration: work}
 	}))
 }
--- a/node/partition_test.go
+++ b/node/partition_test.go
@@ -58,25 +58,25 @@
 
 // partitionOwner separates the owner of a pool and the instances that run its two jobs from the
 // other nodes, has one of the jobs cancelled meanwhile, and ends the partition after some time.
-func (c *cluster) partitionOwner(t *testing.T, lasts time.Duration) {
+func (c *cluster) partitionOwner(t *testing.T, duration time.Duration) {
 	const kept, cancelled = "00000000000000cc", "00000000000000dd"
 	q := queue(t, c.nodes["n0"].node, "shift-close")
 	submit(t, c.nodes["n0"].node, q, kept, twoSteps(8*time.Second))
 	submit(t, c.nodes["n0"].node, q, cancelled, twoSteps(8*time.Second))
 	time.Sleep(time.Second)
 	owner, cut := c.owner("shift"), c.fleet.Holding()
-	heals := time.Now().Add(lasts)
-	const looksLag = 700 * time.Millisecond
+	healsAt := time.Now().Add(duration)
+	const pollDelay = 700 * time.Millisecond
 	c.setNetwork(func(op string, to pointport.InstanceID) testbed.Fate {
 		inside, across := strings.HasPrefix(op, owner+" "), slices.Contains(cut, to)
-		lost := inside != across && time.Now().Before(heals)
+		lost := inside != across && time.Now().Before(healsAt)
 		if strings.HasSuffix(op, " hold") && !inside && across {
-			lost = time.Now().Before(heals.Add(looksLag))
+			lost = time.Now().Before(healsAt.Add(pollDelay))
 		}
 		return testbed.Fate{Latency: time.Millisecond, Lost: lost}
 	})
 	c.setStoreFault(func(node, _ string) memory.Fault {
-		if node == owner && time.Now().Before(heals) {
+		if node == owner && time.Now().Before(healsAt) {
 			return memory.FaultLostCall
 		}
 		return memory.FaultNone
@@ -91,7 +91,7 @@
 			break
 		}
 	}
-	time.Sleep(time.Until(heals))
+	time.Sleep(time.Until(healsAt))
 	c.cutPeers()
 	c.waitForStatus(c.nodes[owner].node, q, kept, workload.Completed, time.Minute)
 }
@@ -101,16 +101,16 @@
 // incarnation has existed for longer than the list can lag behind.
 func TestLostInstancesAreDetectedFromMachineList(t *testing.T) {
 	for name, c := range map[string]struct {
-		returns int
-		there   time.Duration
+		reuse int
+		age   time.Duration
 	}{
-		"under an addressee of its own":    {0, 0},
-		"under one that others may have":   {50, 20 * time.Second},
-		"where all come back under theirs": {100, 20 * time.Second},
+		"addressee is never reused":  {0, 0},
+		"addressee may be reused":    {50, 20 * time.Second},
+		"addressee is always reused": {100, 20 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			simulate(t, 2, func(k *cluster) {
-				time.Sleep(c.there)
+				time.Sleep(c.age)
 				n := k.nodes["n0"].node
 				q := queue(t, n, "shift-close")
 				submit(t, n, q, "00000000000000cc", twoSteps(30*time.Second))
@@ -122,7 +122,7 @@
 				if got := k.fleet.Running(); got != 4 {
 					t.Errorf("%d tasks run three seconds later, want 4\n%s", got, k.logs.containing("00000000000000cc"))
 				}
-			}, withAddresseeReuse(c.returns))
+			}, withAddresseeReuse(c.reuse))
 		})
 	}
 }
--- a/node/suspend_test.go
+++ b/node/suspend_test.go
@@ -15,7 +15,7 @@
 )
 
 // This file tests members whose machines are suspended for seconds: nothing runs there, the
-// steady clock stands still, and all other members continue.
+// monotonic clock stands still, and all other members continue.
 
 // A machineClock is the clock of a member's machine, which can be suspended. Alternatively only
 // the member's process can be frozen: it gets no CPU time while the machine's clocks continue.
@@ -87,13 +87,13 @@
 
 // freezeAtRead freezes the process for a time once pool owners have read the steady time the
 // given number of times.
-func (m *machineClock) freezeAtRead(reads int, lasts time.Duration) {
+func (m *machineClock) freezeAtRead(reads int, duration time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.ownerReadsLeft = reads
 	m.onOwnerReads = func() {
 		m.freeze()
-		time.AfterFunc(lasts, m.wake)
+		time.AfterFunc(duration, m.wake)
 	}
 }
 
@@ -195,12 +195,12 @@
 }
 
 // suspend suspends a member's machine for a time.
-func (c *cluster) suspend(name string, lasts time.Duration) {
+func (c *cluster) suspend(name string, duration time.Duration) {
 	c.mu.Lock()
 	m := c.nodes[name].clock
 	c.mu.Unlock()
 	m.suspend()
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	m.wake()
 }
 
@@ -212,9 +212,9 @@
 // its pool over and to end its tasks. After it resumes, no task has two runs, and all jobs
 // complete.
 func TestOwnerIsSuspended(t *testing.T) {
-	room := pointport.Shape{CPUMilli: 500, MemoryMiB: 64}
-	for _, lasts := range suspensions {
-		t.Run(lasts.String(), func(t *testing.T) {
+	need := pointport.Shape{CPUMilli: 500, MemoryMiB: 64}
+	for _, duration := range suspensions {
+		t.Run(duration.String(), func(t *testing.T) {
 			simulate(t, 3, func(c *cluster) {
 				owner := c.owner("shift")
 				var other string
@@ -227,16 +227,16 @@
 				ids := []string{"00000000000000a1", "00000000000000a2", "00000000000000a3", "00000000000000a4"}
 				for _, id := range ids {
 					submit(t, c.nodes[other].node, q, id, &workload.Spec{Steps: []workload.Step{
-						{Count: 4, Need: room, Estimate: time.Second}, {Count: 4, Need: room, Estimate: time.Second, After: []int{0}},
+						{Count: 4, Need: need, Estimate: time.Second}, {Count: 4, Need: need, Estimate: time.Second, After: []int{0}},
 					}})
 				}
 				time.Sleep(500 * time.Millisecond)
-				c.suspend(owner, lasts)
+				c.suspend(owner, duration)
 				for _, id := range ids {
 					c.waitForStatus(c.nodes[other].node, q, id, workload.Completed, 30*time.Second)
 				}
 			}, withWork(func(pointport.StartOrder) testbed.Work {
-				return testbed.Work{Room: room, Duration: time.Second}
+				return testbed.Work{Room: need, Duration: time.Second}
 			}))
 		})
 	}
@@ -252,11 +252,11 @@
 // which is the time for which its predecessor can have extended them while it owned the pool.
 // The new owner would start them elsewhere at the same time.
 func TestOwnerIsFrozenBeforeSendingStarts(t *testing.T) {
-	const mostReads = 12 // by the owner, between storing the starts and sending them
-	for _, lasts := range []time.Duration{time.Second, 2 * time.Second, 3 * time.Second, 5 * time.Second} {
-		for reads := range mostReads {
-			t.Run(fmt.Sprint(lasts, " at read ", 1+reads), func(t *testing.T) {
-				simulate(t, 3, func(c *cluster) { c.freezeOwnerBeforeStarts(1+reads, lasts) }, withoutSteward())
+	const maxReads = 12 // by the owner, between storing the starts and sending them
+	for _, duration := range []time.Duration{time.Second, 2 * time.Second, 3 * time.Second, 5 * time.Second} {
+		for reads := range maxReads {
+			t.Run(fmt.Sprint(duration, " at read ", 1+reads), func(t *testing.T) {
+				simulate(t, 3, func(c *cluster) { c.freezeOwnerBeforeStarts(1+reads, duration) }, withoutSteward())
 			})
 		}
 	}
@@ -265,7 +265,7 @@
 // freezeOwnerBeforeStarts freezes the owner of a pool once it has stored starts and then read
 // the steady time the given number of times. Only that owner can reach the instance of the
 // tasks.
-func (c *cluster) freezeOwnerBeforeStarts(reads int, lasts time.Duration) {
+func (c *cluster) freezeOwnerBeforeStarts(reads int, duration time.Duration) {
 	const id = "00000000000000cc"
 	owner, cut := c.owner("shift"), c.fleet.IDs()[0]
 	n := c.otherNode(owner)
@@ -276,7 +276,7 @@
 	c.mu.Lock()
 	c.onStoreCall = func(node, op, key string) {
 		if node == owner && op == "commit" && strings.HasPrefix(key, workload.ProgressPrefix("shift")) {
-			once.Do(func() { machine.freezeAtRead(reads, lasts) })
+			once.Do(func() { machine.freezeAtRead(reads, duration) })
 		}
 	}
 	c.mu.Unlock()
@@ -294,8 +294,8 @@
 // still, the first one has only just stored its order and is still the steward. It must not
 // give the order, which has a lower fencing token than the machine has seen.
 func TestStewardIsSuspendedBeforeAnOrder(t *testing.T) {
-	for _, lasts := range suspensions {
-		t.Run(lasts.String(), func(t *testing.T) {
+	for _, duration := range suspensions {
+		t.Run(duration.String(), func(t *testing.T) {
 			simulate(t, 3, func(c *cluster) {
 				steward := c.owner("/steward")
 				c.mu.Lock()
@@ -306,12 +306,12 @@
 					}
 					once.Do(func() {
 						machine.suspend()
-						time.AfterFunc(lasts, machine.wake)
+						time.AfterFunc(duration, machine.wake)
 					})
 				}
 				c.mu.Unlock()
 				c.requestWave(1, c.fleet.IDs()[:8], 8)
-				time.Sleep(lasts + 10*time.Second)
+				time.Sleep(duration + 10*time.Second)
 				for range 100 {
 					if c.fleet.Maintained(1) == 8 {
 						return
@@ -327,18 +327,18 @@
 // A member resumes and gets a request before it has reached the store. The queue that it knows
 // has been removed since. It must not accept a job according to its old configuration.
 func TestResumedMemberDoesNotUseStaleConfiguration(t *testing.T) {
-	for _, lasts := range suspensions {
-		t.Run(lasts.String(), func(t *testing.T) {
+	for _, duration := range suspensions {
+		t.Run(duration.String(), func(t *testing.T) {
 			simulate(t, 2, func(c *cluster) {
 				n := c.nodes["n0"].node
 				queue(t, n, "shift-close")
-				go c.suspend("n0", lasts)
-				time.Sleep(lasts / 2)
+				go c.suspend("n0", duration)
+				time.Sleep(duration / 2)
 				c.configure(&workload.Catalog{Version: 2})
-				time.Sleep(lasts / 2)
+				time.Sleep(duration / 2)
 				for range 40 {
-					if k := n.Catalog(); k != nil && k.Version < 2 && lasts > time.Second {
-						t.Errorf("version %d is still used after its member was suspended for %v", k.Version, lasts)
+					if k := n.Catalog(); k != nil && k.Version < 2 && duration > time.Second {
+						t.Errorf("version %d is still used after its member was suspended for %v", k.Version, duration)
 						break
 					}
 					time.Sleep(50 * time.Millisecond)
--- a/node/trace_test.go
+++ b/node/trace_test.go
@@ -35,8 +35,8 @@
 // wantTrace checks that the trace of a job has lines with the given words, in the given order.
 func (c *cluster) wantTrace(id string, lines ...[]string) {
 	c.t.Helper()
-	story := c.jobTrace(id)
-	rest := strings.Split(story, "\n")
+	text := c.jobTrace(id)
+	rest := strings.Split(text, "\n")
 	for _, words := range lines {
 		found := false
 		for !found && len(rest) > 0 {
@@ -44,7 +44,7 @@
 			rest = rest[1:]
 		}
 		if !found {
-			c.t.Errorf("the trace has no line with %q, or not in its place:\n%s", words, story)
+			c.t.Errorf("the trace has no line with %q, or not in its place:\n%s", words, text)
 			return
 		}
 	}
--- a/node/unanswered_test.go
+++ b/node/unanswered_test.go
@@ -42,50 +42,50 @@
 )
 
 // muteBusyInstances submits jobs, and then makes the instances that run their tasks carry out
-// orders without answering the nodes that deaf selects. It checks that no task starts twice,
+// orders without answering the nodes that unanswered selects. It checks that no task starts twice,
 // and that the jobs complete within endedWithin of the start of the silence.
-func muteBusyInstances(t *testing.T, lasts time.Duration, deaf func(node, owner string) bool, endedWithin time.Duration, troubles ...func(c *cluster)) {
-	room := pointport.Shape{CPUMilli: 1000, MemoryMiB: 64}
+func muteBusyInstances(t *testing.T, duration time.Duration, unanswered func(node, owner string) bool, endedWithin time.Duration, faults ...func(c *cluster)) {
+	need := pointport.Shape{CPUMilli: 1000, MemoryMiB: 64}
 	simulate(t, 4, func(c *cluster) {
 		for n := range extraInstances {
 			c.fleet.Add(pointport.InstanceID(fmt.Sprintf("more-%02d", n)), "shift", "north", "rack-9", pointport.Shape{CPUMilli: 4000, MemoryMiB: 8192})
 		}
 		time.Sleep(time.Second)
 		owner := c.owner("shift")
-		asked := c.otherNode(owner)
-		q := queue(t, asked, "shift-close")
-		spec := &workload.Spec{Payload: "x", Steps: []workload.Step{{Count: tasksPerUnansweredJob, Need: room, Estimate: time.Second}}}
+		entryNode := c.otherNode(owner)
+		q := queue(t, entryNode, "shift-close")
+		spec := &workload.Spec{Payload: "x", Steps: []workload.Step{{Count: tasksPerUnansweredJob, Need: need, Estimate: time.Second}}}
 		var ids []string
 		for n := range unansweredJobs {
 			ids = append(ids, fmt.Sprintf("%016x", n+1))
-			submit(t, asked, q, ids[n], spec)
+			submit(t, entryNode, q, ids[n], spec)
 		}
 		time.Sleep(300 * time.Millisecond)
 		busy := c.fleet.Holding()
 		if idle := 4 + extraInstances - len(busy); idle < minAnswering {
 			t.Fatalf("%d instances are idle, want at least %d", idle, minAnswering)
 		}
-		until := time.Now().Add(lasts)
+		until := time.Now().Add(duration)
 		c.setNetwork(func(op string, to pointport.InstanceID) testbed.Fate {
 			node, _, _ := strings.Cut(op, " ")
-			if time.Now().Before(until) && slices.Contains(busy, to) && deaf(node, owner) {
+			if time.Now().Before(until) && slices.Contains(busy, to) && unanswered(node, owner) {
 				return testbed.Fate{Mute: true}
 			}
 			return testbed.Reliable(op, to)
 		})
-		for _, trouble := range troubles {
-			trouble(c)
+		for _, fault := range faults {
+			fault(c)
 		}
-		for end := time.Now().Add(endedWithin); countCompleted(asked, q, ids) < len(ids) && time.Now().Before(end); {
+		for end := time.Now().Add(endedWithin); countCompleted(entryNode, q, ids) < len(ids) && time.Now().Before(end); {
 			time.Sleep(100 * time.Millisecond)
 		}
-		if ended := countCompleted(asked, q, ids); ended < len(ids) {
+		if ended := countCompleted(entryNode, q, ids); ended < len(ids) {
 			t.Errorf("%d of %d jobs have completed after %v", ended, len(ids), endedWithin)
 		}
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		c.wantStartedOnce(ids)
 	}, withoutSteward(), withWork(func(pointport.StartOrder) testbed.Work {
-		return testbed.Work{Room: room, Duration: time.Second}
+		return testbed.Work{Room: need, Duration: time.Second}
 	}))
 }
 
@@ -93,20 +93,20 @@
 // first task for which that is not so.
 func (c *cluster) wantStartedOnce(ids []string) {
 	c.t.Helper()
-	again, first := 0, ""
+	wrong, first := 0, ""
 	for _, id := range ids {
 		for n := range tasksPerUnansweredJob {
 			task := fmt.Sprintf("%s.0.0.%d", id, n)
 			if c.fleet.Started(task) == 1 {
 				continue
 			}
-			if again++; first == "" {
+			if wrong++; first == "" {
 				first = task
 			}
 		}
 	}
-	if again > 0 {
-		c.t.Errorf("%d tasks were not started exactly once; the log of %s, started %d times:\n%s", again, first, c.fleet.Started(first), c.logs.containing(first))
+	if wrong > 0 {
+		c.t.Errorf("%d tasks were not started exactly once; the log of %s, started %d times:\n%s", wrong, first, c.fleet.Started(first), c.logs.containing(first))
 	}
 }
 
@@ -135,23 +135,23 @@
 // after the owner can read again, so as far as it knows they were missing for 12 s. No task is
 // started again.
 func TestUnreadableRegistrationsRestartNoTask(t *testing.T) {
-	const lapse, unread, readAgain, back = 1800 * time.Millisecond, 2200 * time.Millisecond, 12 * time.Second, 13500 * time.Millisecond
+	const expireAfter, unreadableAfter, readableAfter, backAfter = 1800 * time.Millisecond, 2200 * time.Millisecond, 12 * time.Second, 13500 * time.Millisecond
 	muteBusyInstances(t, unansweredFor, func(string, string) bool { return true }, unansweredFor+completedWithin, func(c *cluster) {
 		owner, from := c.owner("shift"), time.Now()
 		c.setStoreFault(func(node, op string) memory.Fault {
 			at := time.Since(from)
-			if node == owner && (op == "watch" || op == "range") && at >= unread && at < readAgain {
+			if node == owner && (op == "watch" || op == "range") && at >= unreadableAfter && at < readableAfter {
 				return memory.FaultLostCall
 			}
 			return memory.FaultNone
 		})
 		entries := c.registrationsOf(c.fleet.Holding())
-		time.AfterFunc(lapse, func() {
+		time.AfterFunc(expireAfter, func() {
 			for _, e := range entries {
 				c.commit(pointport.Txn{Delete: []string{e.Key()}})
 			}
 		})
-		time.AfterFunc(back, func() {
+		time.AfterFunc(backAfter, func() {
 			for _, e := range entries {
 				c.put(e.Key(), e.Value())
 			}
--- a/node/unstored_end_test.go
+++ b/node/unstored_end_test.go
@@ -19,7 +19,7 @@
 // 'incarnation ended', 'pool taken' by another member and 'task returned' for one task, with
 // nothing stored between the first two.
 func TestEndsAreStoredBeforeInstanceIsMaintained(t *testing.T) {
-	room := pointport.Shape{CPUMilli: 500, MemoryMiB: 128}
+	need := pointport.Shape{CPUMilli: 500, MemoryMiB: 128}
 	simulate(t, 4, func(c *cluster) {
 		owner := c.owner("shift")
 		if c.owner("/steward") == owner {
@@ -32,7 +32,7 @@
 		const id = "00000000000000cc"
 		submit(t, c.nodes[owner].node, q, id, &workload.Spec{
 			Payload: "one runs longer",
-			Steps:   []workload.Step{{Count: 3, Need: room, Estimate: time.Second, MaxPerInstance: 1}},
+			Steps:   []workload.Step{{Count: 3, Need: need, Estimate: time.Second, MaxPerInstance: 1}},
 		})
 		time.Sleep(300 * time.Millisecond)
 		held := c.fleet.Holding()
@@ -63,7 +63,7 @@
 		}
 		t.Errorf("%d of %d instances are maintained half a minute later", c.fleet.Maintained(1), len(held))
 	}, withWork(func(o pointport.StartOrder) testbed.Work {
-		w := testbed.Work{Room: room, Duration: 500 * time.Millisecond}
+		w := testbed.Work{Room: need, Duration: 500 * time.Millisecond}
 		if strings.HasSuffix(o.Task, ".0") {
 			w.Duration = 8 * time.Second
 		}
