--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -221,7 +221,7 @@
 	for range rapid.IntRange(1, 3).Draw(t, "evacuations") {
 		s.faults = append(s.faults, scriptedFault{
 			at:       drawTime(t, "evacuation"),
-			duration: time.Duration(rapid.IntRange(0, 6000).Draw(t, "lasts")) * time.Millisecond,
+			duration: time.Duration(rapid.IntRange(0, 6000).Draw(t, "duration")) * time.Millisecond,
 			kind:     "evacuate", index: rapid.IntRange(0, 9).Draw(t, "zone"),
 		})
 	}
--- a/node/handover_random_test.go
+++ b/node/handover_random_test.go
@@ -23,13 +23,13 @@
 // Some are listed several times to make them likelier: a release that fails only does harm if
 // starts are also late, and their instances take no other tasks.
 var handoverKinds = []string{
-	"freeze", "freezeOwner", "suspend", "suspendOwner", "oneSided", "ownerAlone", "wander",
+	"freeze", "freezeOwner", "suspend", "suspendOwner", "reachableFromOneNode", "reachableFromOwner", "moveOwnership",
 	"loseReleases", "loseReleases", "loseReleases", "lateStarts", "lateStarts", "lateStarts", "drain", "drain",
-	"storeLosesAnswers", "storeIsLate", "kill", "stop", "revoke", "aloneAndFrozen", "aloneAndFrozen",
+	"storeLosesAnswers", "storeIsLate", "kill", "stop", "removeOwnerKeys", "reachableFromFrozenOwner", "reachableFromFrozenOwner",
 }
 
 func drawHandoverScript(t *rapid.T) script {
-	s := script{handover: true, cancels: make(map[int]time.Duration), crashingJob: -1, failingJob: -1, enforceCapacity: rapid.Bool().Draw(t, "guards")}
+	s := script{handover: true, cancels: make(map[int]time.Duration), crashingJob: -1, failingJob: -1, enforceCapacity: rapid.Bool().Draw(t, "enforce capacity")}
 	// Tasks take longer than a handover of a pool, and are small enough for pools that no
 	// steward enlarges.
 	const longer, smaller = 3, 3
@@ -49,10 +49,10 @@
 	for n := range s.joins {
 		s.joins[n] = time.Duration(rapid.IntRange(0, 8000).Draw(t, "join")) * time.Millisecond
 	}
-	for range rapid.IntRange(1, 12).Draw(t, "troubles") {
+	for range rapid.IntRange(1, 12).Draw(t, "faults") {
 		s.faults = append(s.faults, scriptedFault{
-			at:       drawTime(t, "trouble"),
-			duration: time.Duration(rapid.IntRange(100, 5000).Draw(t, "lasts")) * time.Millisecond,
+			at:       drawTime(t, "fault"),
+			duration: time.Duration(rapid.IntRange(100, 5000).Draw(t, "duration")) * time.Millisecond,
 			kind:     rapid.SampledFrom(handoverKinds).Draw(t, "kind"),
 			index:    rapid.IntRange(0, 9).Draw(t, "index"),
 		})
@@ -169,9 +169,9 @@
 	}}
 }
 
-// injectHandOver injects a fault of a handover. It returns false if the fault is of another
+// injectHandover injects a fault of a handover. It returns false if the fault is of another
 // kind.
-func (p *play) injectHandOver(fault scriptedFault) bool {
+func (p *play) injectHandover(fault scriptedFault) bool {
 	c := p.cluster
 	name := fmt.Sprintf("n%d", fault.index%3)
 	pool := []string{"shift", "payout"}[fault.index%2]
@@ -185,11 +185,11 @@
 		if owned {
 			c.pause(owner, fault.kind == "freezeOwner", fault.duration)
 		}
-	case "oneSided":
+	case "reachableFromOneNode":
 		p.faultRules.applyFor(fault.duration, reachableOnlyFrom(id, name))
-	case "ownerAlone":
+	case "reachableFromOwner":
 		p.faultRules.applyFor(fault.duration, reachableOnlyFrom(id, owner))
-	case "aloneAndFrozen":
+	case "reachableFromFrozenOwner":
 		c.mu.Lock()
 		r := c.nodes[owner]
 		c.mu.Unlock()
@@ -202,7 +202,7 @@
 			// A commit without a key is a release, or a read under conditions.
 			return []memory.Fault{memory.FaultLostCall, memory.FaultLate, memory.FaultLostAnswer}[fault.index%3], op == "commit" && key == ""
 		}})
-	case "wander":
+	case "moveOwnership":
 		for end := time.Now().Add(fault.duration); time.Now().Before(end); time.Sleep(700 * time.Millisecond) {
 			c.store.Take(member.OwnerKey(pool))
 		}
--- a/node/random_test.go
+++ b/node/random_test.go
@@ -58,7 +58,7 @@
 const scriptTime = 14 * time.Second
 
 func drawScript(t *rapid.T) script {
-	s := script{cancels: make(map[int]time.Duration), crashingJob: -1, failingJob: -1, enforceCapacity: rapid.Bool().Draw(t, "guards")}
+	s := script{cancels: make(map[int]time.Duration), crashingJob: -1, failingJob: -1, enforceCapacity: rapid.Bool().Draw(t, "enforce capacity")}
 	for range rapid.IntRange(1, 12).Draw(t, "jobs") {
 		s.jobs = append(s.jobs, drawSpec(t))
 		s.starts = append(s.starts, drawTime(t, "start"))
@@ -66,11 +66,11 @@
 			s.cancels[len(s.jobs)-1] = drawTime(t, "cancel")
 		}
 	}
-	kinds := []string{"kill", "stop", "crash", "drain", "failing", "storeDown", "storeLoses", "storeLate", "storeForgets", "revoke", "cutInstance", "lateOrders", "muteOrders", "cutPeers", "wave", "unwell"}
-	for range rapid.IntRange(0, 7).Draw(t, "troubles") {
+	kinds := []string{"kill", "stop", "crash", "drain", "failing", "storeDown", "storeLosesAnswers", "storeIsLate", "storeCompacts", "removeOwnerKeys", "cutInstance", "lateOrders", "unansweredOrders", "cutPeers", "wave", "refuseOrders"}
+	for range rapid.IntRange(0, 7).Draw(t, "faults") {
 		s.faults = append(s.faults, scriptedFault{
-			at:       drawTime(t, "trouble"),
-			duration: time.Duration(rapid.IntRange(300, 6000).Draw(t, "lasts")) * time.Millisecond,
+			at:       drawTime(t, "fault"),
+			duration: time.Duration(rapid.IntRange(300, 6000).Draw(t, "duration")) * time.Millisecond,
 			kind:     rapid.SampledFrom(kinds).Draw(t, "kind"),
 			index:    rapid.IntRange(0, 9).Draw(t, "index"),
 		})
@@ -99,7 +99,7 @@
 		if n > 0 && rapid.Bool().Draw(t, "depends") {
 			step.After = []int{rapid.IntRange(0, n-1).Draw(t, "after")}
 		}
-		switch rapid.IntRange(0, 5).Draw(t, "sort") {
+		switch rapid.IntRange(0, 5).Draw(t, "variant") {
 		case 0:
 			step.Copies = !serves
 		case 1:
@@ -161,7 +161,7 @@
 	t.Parallel()
 	checkScripts(t, func(t *rapid.T) script {
 		s := drawScript(t)
-		s.crashingJob = rapid.IntRange(0, len(s.jobs)-1).Draw(t, "poison")
+		s.crashingJob = rapid.IntRange(0, len(s.jobs)-1).Draw(t, "crashing job")
 		return s
 	})
 }
@@ -172,7 +172,7 @@
 	t.Parallel()
 	checkScripts(t, func(t *rapid.T) script {
 		s := drawScript(t)
-		s.failingJob = rapid.IntRange(0, len(s.jobs)-1).Draw(t, "hopeless")
+		s.failingJob = rapid.IntRange(0, len(s.jobs)-1).Draw(t, "failing job")
 		return s
 	})
 }
@@ -183,7 +183,7 @@
 	checkScripts(t, func(t *rapid.T) script {
 		s := drawScript(t)
 		s.listLag = time.Duration(rapid.IntRange(1, 6000).Draw(t, "lag")) * time.Millisecond
-		if rapid.Bool().Draw(t, "goes back") {
+		if rapid.Bool().Draw(t, "list goes back") {
 			s.listExtraLag = time.Duration(rapid.IntRange(0, 5000).Draw(t, "back")) * time.Millisecond
 		}
 		return s
@@ -243,8 +243,8 @@
 	for n, at := range s.cancels {
 		all.Go(func() { p.cancelLater(n, at) })
 	}
-	for _, tr := range s.faults {
-		all.Go(func() { p.inject(tr) })
+	for _, scripted := range s.faults {
+		all.Go(func() { p.inject(scripted) })
 	}
 	time.Sleep(scriptTime + 7*time.Second - time.Since(begun))
 	all.Wait()
@@ -321,99 +321,99 @@
 }
 
 // inject injects a fault at its time and ends it after its duration.
-func (p *play) inject(tr scriptedFault) {
-	time.Sleep(tr.at)
-	if p.faultRules != nil && p.injectHandOver(tr) {
+func (p *play) inject(scripted scriptedFault) {
+	time.Sleep(scripted.at)
+	if p.faultRules != nil && p.injectHandover(scripted) {
 		return
 	}
 	c := p.cluster
-	name := fmt.Sprintf("n%d", tr.index%3)
-	id := c.fleet.IDs()[tr.index]
+	name := fmt.Sprintf("n%d", scripted.index%3)
+	id := c.fleet.IDs()[scripted.index]
 	none := func(string, pointport.InstanceID) testbed.Fate { return testbed.Fate{Latency: time.Millisecond} }
-	switch tr.kind {
+	switch scripted.kind {
 	case "kill", "stop":
-		if !p.busy[tr.index%3].CompareAndSwap(false, true) {
+		if !p.busy[scripted.index%3].CompareAndSwap(false, true) {
 			return
 		}
-		if tr.kind == "kill" {
+		if scripted.kind == "kill" {
 			c.kill(name)
 		} else {
 			c.stop(name)
 		}
-		time.Sleep(tr.duration)
+		time.Sleep(scripted.duration)
 		c.start(name)
-		p.busy[tr.index%3].Store(false)
+		p.busy[scripted.index%3].Store(false)
 	case "crash":
-		c.fleet.Crash(id, tr.duration)
+		c.fleet.Crash(id, scripted.duration)
 	case "drain":
-		c.fleet.Drain(id, 2*time.Second, tr.duration)
+		c.fleet.Drain(id, 2*time.Second, scripted.duration)
 	case "failing":
 		c.fleet.SetFailing(id, true)
-		time.Sleep(tr.duration)
+		time.Sleep(scripted.duration)
 		c.fleet.SetFailing(id, false)
-	case "unwell":
+	case "refuseOrders":
 		c.fleet.SetUnwell(id, true)
-		time.Sleep(tr.duration)
+		time.Sleep(scripted.duration)
 		c.fleet.SetUnwell(id, false)
-	case "storeForgets":
+	case "storeCompacts":
 		c.store.SetDeaf(true)
 		time.Sleep(time.Second)
 		c.store.Forget()
 		c.store.SetDeaf(false)
-	case "revoke":
+	case "removeOwnerKeys":
 		for _, key := range []string{"roster/owner/shift", "roster/owner/payout", "roster/owner//steward"} {
 			c.store.Take(key)
 		}
-	case "storeDown", "storeLoses", "storeLate":
-		fault := map[string]memory.Fault{"storeDown": memory.FaultLostCall, "storeLoses": memory.FaultLostAnswer, "storeLate": memory.FaultLate}[tr.kind]
+	case "storeDown", "storeLosesAnswers", "storeIsLate":
+		fault := map[string]memory.Fault{"storeDown": memory.FaultLostCall, "storeLosesAnswers": memory.FaultLostAnswer, "storeIsLate": memory.FaultLate}[scripted.kind]
 		calls := 0
 		c.setStoreFault(func(node, op string) memory.Fault {
 			calls++
 			switch {
-			case tr.kind == "storeDown" && (tr.index < 5 || node == name):
+			case scripted.kind == "storeDown" && (scripted.index < 5 || node == name):
 				return fault
-			case tr.kind != "storeDown" && op == "commit" && calls%3 == 0:
+			case scripted.kind != "storeDown" && op == "commit" && calls%3 == 0:
 				return fault
 			}
 			return memory.FaultNone
 		})
-		time.Sleep(tr.duration)
+		time.Sleep(scripted.duration)
 		c.setStoreFault(noStoreFault)
 	case "cutInstance":
 		c.setNetwork(func(_ string, to pointport.InstanceID) testbed.Fate {
 			return testbed.Fate{Latency: time.Millisecond, Lost: to == id}
 		})
-		time.Sleep(tr.duration)
+		time.Sleep(scripted.duration)
 		c.setNetwork(none)
-	case "lateOrders", "muteOrders":
+	case "lateOrders", "unansweredOrders":
 		calls := 0
 		c.setNetwork(func(string, pointport.InstanceID) testbed.Fate {
 			calls++
 			switch {
 			case calls%7 != 0:
 				return testbed.Fate{Latency: time.Millisecond}
-			case tr.kind == "muteOrders":
+			case scripted.kind == "unansweredOrders":
 				return testbed.Fate{Mute: true}
 			}
-			return testbed.Fate{Late: time.Duration(2+tr.index) * time.Second}
+			return testbed.Fate{Late: time.Duration(2+scripted.index) * time.Second}
 		})
-		time.Sleep(tr.duration)
+		time.Sleep(scripted.duration)
 		c.setNetwork(none)
 	case "cutPeers":
 		c.mu.Lock()
 		c.peersCut[name] = true
 		c.mu.Unlock()
-		time.Sleep(tr.duration)
+		time.Sleep(scripted.duration)
 		c.mu.Lock()
 		delete(c.peersCut, name)
 		c.mu.Unlock()
 	case "evacuate":
-		zone := pointport.ZoneID([]string{"north", "south"}[tr.index%2])
+		zone := pointport.ZoneID([]string{"north", "south"}[scripted.index%2])
 		c.evacuate(zone)
-		time.Sleep(tr.duration + testbed.EvacuationTime)
+		time.Sleep(scripted.duration + testbed.EvacuationTime)
 		c.reopen(zone)
 	case "wave":
-		c.requestWave(int64(tr.index+1), c.fleet.IDs()[:tr.index+1], 2)
+		c.requestWave(int64(scripted.index+1), c.fleet.IDs()[:scripted.index+1], 2)
 	}
 }
 
@@ -430,14 +430,14 @@
 		}
 	}
 	if last != "" {
-		wrong = append(wrong, "a minute after the troubles: "+last)
+		wrong = append(wrong, "a minute after the faults: "+last)
 	}
 	for _, v := range c.fleet.Violations() {
 		wrong = append(wrong, v.String()+"\n"+c.logs.containing(v.Task)+c.logs.containing("event=421")+c.logs.containing("event=51"))
 	}
 	for _, pool := range []string{"shift", "payout", "/steward"} {
 		for _, fence := range c.fencesTakenTwice(pool) {
-			wrong = append(wrong, pool+" is taken twice with "+fence)
+			wrong = append(wrong, pool+" was taken twice with "+fence)
 		}
 	}
 	return wrong
@@ -484,7 +484,7 @@
 			continue
 		}
 		if errors.As(err, &unknown) || err != nil || status != want {
-			return fmt.Sprintf("job %d is %q (%v), want %q\n%s", n, status, err, want, p.cluster.logs.containing(jobID(n)))
+			return fmt.Sprintf("job %d has status %q (error %v), want %q\n%s", n, status, err, want, p.cluster.logs.containing(jobID(n)))
 		}
 	}
 	return ""
--- a/node/wave.go
+++ b/node/wave.go
@@ -43,8 +43,7 @@
 	return w
 }
 
-// apply adds or replaces waves. A wave whose request was deleted is kept: the steward ends it
-// by itself.
+// apply adds or replaces waves. A wave whose request was deleted is kept, and ends by itself.
 func (w *waves) apply(entries []pointport.Entry) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
