--- a/node/config_link_test.go
+++ b/node/config_link_test.go
@@ -152,7 +152,8 @@
 	}
 }
 
-// Three large versions in a row are applied in time, each after the node has confirmed the one before.
+// Three large versions in a row are applied in time, each after the node has confirmed the one
+// before.
 func TestLargeConfigurationReachesNodeOnSlowLink(t *testing.T) {
 	t.Parallel()
 	n := startSlowLinkNode(t, slowLinkBytesPerSecond)
--- a/node/customer_overload_test.go
+++ b/node/customer_overload_test.go
@@ -34,7 +34,7 @@
 		spec := &workload.Spec{Payload: "x", Steps: []workload.Step{{Count: 2, Need: need, Estimate: work}}}
 		type request struct {
 			customer        string
-			asked, ended    time.Time
+			sentAt, ended   time.Time
 			refused, failed bool
 		}
 		var mu sync.Mutex
@@ -42,7 +42,7 @@
 		var wg sync.WaitGroup
 		send := func(customer string, n int) {
 			id := fmt.Sprintf("%016x", len(requests)+1)
-			k := &request{customer: customer, asked: time.Now()}
+			k := &request{customer: customer, sentAt: time.Now()}
 			requests[id] = k
 			wg.Go(func() {
 				for try := 0; ; try++ {
@@ -67,7 +67,7 @@
 					}
 					time.Sleep(100 * time.Millisecond)
 				}
-				for time.Since(k.asked) < time.Minute {
+				for time.Since(k.sentAt) < time.Minute {
 					if s, err := asCustomer(c.anyNode(n), customer).Status(context.Background(), q, id); err == nil && s.Ended() {
 						mu.Lock()
 						k.ended = time.Now()
@@ -100,10 +100,10 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		wg.Wait()
-		asked, inTime, refused := make(map[string]int), make(map[string]int), 0
+		sent, inTime, refused := make(map[string]int), make(map[string]int), 0
 		objective := time.Duration(q.Policy.Stretch*float64(work)) + q.Policy.Target
 		duringTakeover := func(k *request) bool {
-			since := k.asked.Sub(requests["0000000000000001"].asked)
+			since := k.sentAt.Sub(requests["0000000000000001"].sentAt)
 			return since > 7*time.Second && since < 14*time.Second
 		}
 		for id, k := range requests {
@@ -120,17 +120,17 @@
 			if duringTakeover(k) {
 				continue // the owner had just been killed; no customer is served for a second or two
 			}
-			asked[k.customer]++
-			if k.ended.Sub(k.asked) <= objective {
+			sent[k.customer]++
+			if k.ended.Sub(k.sentAt) <= objective {
 				inTime[k.customer]++
 			}
 		}
 		for _, name := range names[1:] {
-			if inTime[name]*10 < asked[name]*9 {
-				t.Errorf("%d of %d jobs of %s ended in time, want nine of ten", inTime[name], asked[name], name)
+			if inTime[name]*10 < sent[name]*9 {
+				t.Errorf("%d of %d jobs of %s ended in time, want nine of ten", inTime[name], sent[name], name)
 			}
 		}
-		t.Logf("in time %v of %v, %d excess jobs refused", inTime, asked, refused)
+		t.Logf("in time %v of %v, %d excess jobs refused", inTime, sent, refused)
 	}, withWork(func(pointport.StartOrder) testbed.Work {
 		return testbed.Work{Room: need, Duration: work}
 	}))
--- a/node/customer_test.go
+++ b/node/customer_test.go
@@ -90,8 +90,8 @@
 }
 
 // Another customer cancels a job ID before the job is submitted. The ID then belongs to the
-// other customer, so the submission is refused, which tells the caller to use another ID. It
-// must not be accepted and then never run.
+// other customer, so the submission must be refused. If it were accepted, the job would never
+// run.
 func TestJobIDCancelledByAnotherCustomerIsTaken(t *testing.T) {
 	simulate(t, 1, func(c *cluster) {
 		c.configure(&workload.Catalog{Version: 2, Customers: customers(nil, "bistro", "cafe")})
--- a/node/entries.go
+++ b/node/entries.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// dropUnreadable removes the value of an entry that cannot be decoded, and logs each revision of
-// the entry once.
+// dropUnreadable removes the value of an entry that cannot be decoded, and logs each revision
+// of the entry once.
 func (s *entries[T]) dropUnreadable(e pointport.Entry, err error) {
 	delete(s.byKey, e.Key())
 	if s.unreadableAt[e.Key()] == e.Revision() {
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -68,12 +68,12 @@
 // failEvacuationReads makes the store refuse reads of the evacuation requests, and no other
 // calls, until setStoreFault is called again.
 func (c *cluster) failEvacuationReads() {
-	asked := ""
+	lastKey := ""
 	c.mu.Lock()
-	c.onStoreCall = func(_, _, key string) { asked = key }
+	c.onStoreCall = func(_, _, key string) { lastKey = key }
 	c.mu.Unlock()
 	c.setStoreFault(func(string, string) memory.Fault {
-		if strings.HasPrefix(asked, evacuationPrefix) {
+		if strings.HasPrefix(lastKey, evacuationPrefix) {
 			return memory.FaultDown
 		}
 		return memory.FaultNone
@@ -252,27 +252,27 @@
 func TestOnlyOwnersReadEvacuations(t *testing.T) {
 	simulate(t, 3, func(c *cluster) {
 		time.Sleep(10 * time.Second)
-		asked := make(map[string]int)
+		reads := make(map[string]int)
 		c.mu.Lock()
 		c.onStoreCall = func(node, _, key string) {
 			if strings.HasPrefix(key, evacuationPrefix) {
-				asked[node]++
+				reads[node]++
 			}
 		}
 		c.mu.Unlock()
 		time.Sleep(10 * time.Second)
 		owners := make(map[string]bool)
-		for _, post := range []string{"shift", "payout", "/steward"} {
-			owners[c.owner(post)] = true
+		for _, ownership := range []string{"shift", "payout", "/steward"} {
+			owners[c.owner(ownership)] = true
 		}
 		const most = 11 // one read a second
-		for node, n := range asked {
+		for node, n := range reads {
 			if n > most || !owners[node] {
 				t.Errorf("%s (owns something: %v) has read the requests %d times in 10 s", node, owners[node], n)
 			}
 		}
-		if len(asked) != len(owners) {
-			t.Errorf("reads by node are %v, owners are %v", asked, owners)
+		if len(reads) != len(owners) {
+			t.Errorf("reads by node are %v, owners are %v", reads, owners)
 		}
 	})
 }
--- a/node/failure_test.go
+++ b/node/failure_test.go
@@ -49,7 +49,8 @@
 	})
 }
 
-// A job that is submitted with one ID at every node, and again after it has completed, runs once.
+// A job that is submitted with one ID at every node, and again after it has completed, runs
+// once.
 func TestJobIDRunsOnceAcrossNodes(t *testing.T) {
 	simulate(t, 3, func(c *cluster) {
 		n := c.nodes["n0"].node
@@ -117,7 +118,8 @@
 	})
 }
 
-// Nodes stop as planned and restart one after the other while jobs are submitted. All jobs complete.
+// Nodes stop as planned and restart one after the other while jobs are submitted. All jobs
+// complete.
 func TestRollingPlannedStops(t *testing.T) {
 	simulate(t, 3, func(c *cluster) {
 		c.start("n9")
@@ -189,8 +191,8 @@
 	})
 }
 
-// A caller that was told that a job does not exist can rely on it: a submission that is still
-// in flight, or arrives later, has no effect.
+// A cancellation that finds no job also rules out a later start: a submission of that job that
+// is still in flight, or arrives later, has no effect.
 func TestCancelBeforeSubmission(t *testing.T) {
 	simulate(t, 1, func(c *cluster) {
 		n := c.nodes["n0"].node
@@ -286,8 +288,8 @@
 	})
 }
 
-// The starts of a gang on one instance are lost for a while, so the gang cannot gather. It must not
-// hold its instances forever, and must complete once starts get through.
+// The starts of a gang on one instance are lost for a while, so the gang cannot gather. It must
+// not hold its instances forever, and must complete once starts get through.
 func TestGangCompletesAfterLostStarts(t *testing.T) {
 	work := func(pointport.StartOrder) testbed.Work {
 		return testbed.Work{Room: pointport.Shape{CPUMilli: 1500}, Duration: 500 * time.Millisecond, Gang: 5}
--- a/node/idle_test.go
+++ b/node/idle_test.go
@@ -112,13 +112,13 @@
 	const members, within = 400, 5 * time.Second
 	simulate(t, members, func(c *cluster) {
 		time.Sleep(20 * time.Second)
-		asked := ""
+		lastCall := ""
 		c.mu.Lock()
-		c.onStoreCall = func(_, op, key string) { asked = op + " " + key }
+		c.onStoreCall = func(_, op, key string) { lastCall = op + " " + key }
 		c.mu.Unlock()
 		silenced := make(map[string]int)
 		c.setStoreFault(func(node, _ string) memory.Fault {
-			if asked != "watch "+configKey || silenced[node] > 0 {
+			if lastCall != "watch "+configKey || silenced[node] > 0 {
 				return memory.FaultNone
 			}
 			silenced[node]++
--- a/node/partition_test.go
+++ b/node/partition_test.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// One of four orders is lost, carried out without an answer, or carried out late. All jobs complete,
-// and no task has two runs at once.
+// One of four orders is lost, carried out without an answer, or carried out late. All jobs
+// complete, and no task has two runs at once.
 func TestOrdersWithoutAnswers(t *testing.T) {
 	for _, fate := range []testbed.Fate{{Lost: true}, {Mute: true}, {Late: 3 * time.Second}} {
 		t.Run(fmt.Sprintf("%+v", fate), func(t *testing.T) {
--- a/node/store_test.go
+++ b/node/store_test.go
@@ -16,8 +16,8 @@
 
 // This file tests nodes while the store is unavailable, slow, or loses answers.
 
-// Jobs that run during a store outage complete after it. A job that is submitted during the outage is
-// refused, with a time to retry after, and does not exist afterwards.
+// Jobs that run during a store outage complete after it. A job that is submitted during the
+// outage is refused, with a time to retry after, and does not exist afterwards.
 func TestStoreOutage(t *testing.T) {
 	simulate(t, 3, func(c *cluster) {
 		n := c.nodes["n0"].node
@@ -45,8 +45,8 @@
 	})
 }
 
-// One of three store commits loses its answer, is lost, or takes effect late. Clients retry, and all
-// jobs complete.
+// One of three store commits loses its answer, is lost, or takes effect late. Clients retry,
+// and all jobs complete.
 func TestStoreAnswersAreLost(t *testing.T) {
 	for _, fault := range []memory.Fault{memory.FaultLostAnswer, memory.FaultLostCall, memory.FaultLate} {
 		t.Run(fmt.Sprint(fault), func(t *testing.T) {
--- a/node/suspend_test.go
+++ b/node/suspend_test.go
@@ -129,17 +129,17 @@
 	m.awaitRunning()
 	now := time.Now()
 	m.mu.Lock()
-	asked := m.onOwnerReads
-	if asked != nil && calledByOwner() {
+	onReads := m.onOwnerReads
+	if onReads != nil && calledByOwner() {
 		m.ownerReadsLeft--
 	}
-	due := asked != nil && m.ownerReadsLeft == 0
+	due := onReads != nil && m.ownerReadsLeft == 0
 	if due {
 		m.onOwnerReads = nil
 	}
 	m.mu.Unlock()
 	if due {
-		asked()
+		onReads()
 	}
 	return now
 }
--- a/node/trace_test.go
+++ b/node/trace_test.go
@@ -98,7 +98,8 @@
 	}, withoutSteward())
 }
 
-// The trace of a job whose owner was killed shows the lost owner and the takeover by another one.
+// The trace of a job whose owner was killed shows the lost owner and the takeover by another
+// one.
 func TestTraceOwnerLost(t *testing.T) {
 	simulate(t, 4, func(c *cluster) {
 		owner := c.owner("shift")
--- a/node/unanswered_test.go
+++ b/node/unanswered_test.go
@@ -42,8 +42,8 @@
 )
 
 // muteBusyInstances submits jobs, and then makes the instances that run their tasks carry out
-// orders without answering the nodes that unanswered selects. It checks that no task starts twice,
-// and that the jobs complete within endedWithin of the start of the silence.
+// orders without answering the nodes that unanswered selects. It checks that no task starts
+// twice, and that the jobs complete within endedWithin of the start of the silence.
 func muteBusyInstances(t *testing.T, duration time.Duration, unanswered func(node, owner string) bool, endedWithin time.Duration, faults ...func(c *cluster)) {
 	need := pointport.Shape{CPUMilli: 1000, MemoryMiB: 64}
 	simulate(t, 4, func(c *cluster) {
@@ -126,8 +126,8 @@
 // the pool over to a member that reaches them. It may first wait to see whether the partition
 // heals.
 func TestOwnerWithoutAnswersHandsItsPoolOver(t *testing.T) {
-	const forGood, takenOverWithin = time.Minute, 20 * time.Second
-	muteBusyInstances(t, forGood, func(node, owner string) bool { return node == owner }, takenOverWithin, func(c *cluster) { c.silencePeers(true) })
+	const permanent, takenOverWithin = time.Minute, 20 * time.Second
+	muteBusyInstances(t, permanent, func(node, owner string) bool { return node == owner }, takenOverWithin, func(c *cluster) { c.silencePeers(true) })
 }
 
 // The registrations of instances that answer no node expire. Before their absence has lasted
