--- a/delegate/delegate_test.go
+++ b/delegate/delegate_test.go
@@ -191,10 +191,10 @@
 		cause := errors.New(rapid.String().Draw(t, "cause"))
 		err := rapid.SampledFrom([]error{
 			nil,
-			&pointport.RejectedError{Incarnation: "i-1", Reason: pointport.RejectRoom},
+			&pointport.RejectedError{Incarnation: "i-1", Reason: pointport.RejectNoCapacity},
 			&pointport.RejectedError{Incarnation: "i-1", Reason: pointport.RejectFence},
 			&pointport.GoneError{Incarnation: "i-1"},
-			&pointport.GoneError{Incarnation: "i-1", By: "i-1@5"},
+			&pointport.GoneError{Incarnation: "i-1", AnsweredBy: "i-1@5"},
 			&pointport.UnavailableError{Op: "stop", Key: "a.0.0.0", Err: cause},
 			&pointport.UnavailableError{Op: "stop", Key: "a.0.0.0", Ambiguous: true, Err: cause},
 		}).Draw(t, "err")
--- a/delegate/wire.go
+++ b/delegate/wire.go
@@ -164,7 +164,7 @@
 	case errors.As(err, &rejected):
 		return &failure{Rejected: rejected.Reason}
 	case errors.As(err, &gone):
-		return &failure{Gone: true, By: gone.By}
+		return &failure{Gone: true, By: gone.AnsweredBy}
 	case errors.As(err, &unavailable):
 		return &failure{Ambiguous: unavailable.Ambiguous, Cause: unavailable.Err.Error()}
 	}
@@ -179,7 +179,7 @@
 	case f.Rejected != "":
 		return &pointport.RejectedError{Incarnation: o.Incarnation, Reason: f.Rejected}
 	case f.Gone:
-		return &pointport.GoneError{Incarnation: o.Incarnation, By: f.By}
+		return &pointport.GoneError{Incarnation: o.Incarnation, AnsweredBy: f.By}
 	}
 	return o.unavailable(f.Ambiguous, errors.New(f.Cause))
 }
--- a/executor.go
+++ b/executor.go
@@ -92,12 +92,12 @@
 
 // The ways in which a run ends.
 const (
-	EndDone       EndKind = "done"
-	EndFailed     EndKind = "failed"     // by its own fault or its instance's
-	EndStopped    EndKind = "stopped"    // by an order
-	EndLapsed     EndKind = "lapsed"     // its time was not extended
-	EndGangBroken EndKind = "gangBroken" // another member of its gang ended
-	EndGangAlone  EndKind = "gangAlone"  // its gang did not gather in time
+	EndDone         EndKind = "done"
+	EndFailed       EndKind = "failed"     // by its own fault or its instance's
+	EndStopped      EndKind = "stopped"    // by an order
+	EndLeaseExpired EndKind = "lapsed"     // its time was not extended
+	EndGangBroken   EndKind = "gangBroken" // another member of its gang ended
+	EndGangTimeout  EndKind = "gangAlone"  // its gang did not gather in time
 )
 
 // A TaskEnd is a run that has ended.
@@ -136,13 +136,13 @@
 
 // The reasons for which an incarnation refuses an order.
 const (
-	RejectFence     RejectReason = "fence"     // it has seen a higher fence
-	RejectOldRun    RejectReason = "oldRun"    // that run or a later one has ended there
-	RejectLate      RejectReason = "late"      // the order's time had passed
-	RejectRoom      RejectReason = "room"      // the task does not fit
-	RejectTicket    RejectReason = "ticket"    // it may not run that step
-	RejectUnhealthy RejectReason = "unhealthy" // it is not well and has done nothing
-	RejectInvalid   RejectReason = "invalid"   // it does not understand the order
+	RejectFence      RejectReason = "fence"     // it has seen a higher fence
+	RejectOldRun     RejectReason = "oldRun"    // that run or a later one has ended there
+	RejectExpired    RejectReason = "late"      // the order's time had passed
+	RejectNoCapacity RejectReason = "room"      // the task does not fit
+	RejectTicket     RejectReason = "ticket"    // it may not run that step
+	RejectUnhealthy  RejectReason = "unhealthy" // it is not well and has done nothing
+	RejectInvalid    RejectReason = "invalid"   // it does not understand the order
 )
 
 // A RejectedError says that an incarnation refused an order and did nothing.
@@ -159,16 +159,16 @@
 // has ended.
 type GoneError struct {
 	Incarnation IncarnationID
-	// By is the incarnation that answered if it has the addressee of the one that was meant,
+	// AnsweredBy is the incarnation that answered if it has the addressee of the one that was meant,
 	// and so may have taken orders to it; empty if it has another one.
-	By IncarnationID
+	AnsweredBy IncarnationID
 }
 
 func (e *GoneError) Error() string {
-	if e.By == "" {
+	if e.AnsweredBy == "" {
 		return fmt.Sprintf("incarnation %s is gone", e.Incarnation)
 	}
-	return fmt.Sprintf("incarnation %s is gone: %s answers", e.Incarnation, e.By)
+	return fmt.Sprintf("incarnation %s is gone: %s answers", e.Incarnation, e.AnsweredBy)
 }
 
 // An Advisor knows which incarnations may run a step, where a queue's policy
--- a/member/follow.go
+++ b/member/follow.go
@@ -179,7 +179,7 @@
 		// forgotten it.
 		return nil
 	}
-	f.at = max(f.at, changes.At)
+	f.at = max(f.at, changes.Revision)
 	f.apply(changes.Entries)
 	sleep(ctx, f.clock, f.rest(changes.Entries))
 	return nil
@@ -208,7 +208,7 @@
 			return nil, 0, err
 		}
 		if at == 0 {
-			at = page.At
+			at = page.Revision
 		}
 		all = append(all, page.Entries...)
 		if !page.More || len(page.Entries) == 0 {
--- a/member/follow_key.go
+++ b/member/follow_key.go
@@ -148,7 +148,7 @@
 	if err != nil {
 		return err
 	}
-	f.at, f.checked = max(f.at, page.At), from
+	f.at, f.checked = max(f.at, page.Revision), from
 	if e := f.newest(page.Entries); e.Exists() {
 		f.changed(e)
 	}
@@ -162,7 +162,7 @@
 	if err != nil || len(changes.Entries) == 0 {
 		return err
 	}
-	f.at = max(f.at, changes.At)
+	f.at = max(f.at, changes.Revision)
 	for _, e := range changes.Entries {
 		if e.Key() == f.key {
 			f.changed(e)
--- a/memory/kv.go
+++ b/memory/kv.go
@@ -216,7 +216,7 @@
 }
 
 func (s *Store) page(prefix, after string) pointport.Page {
-	page := pointport.Page{At: s.last}
+	page := pointport.Page{Revision: s.last}
 	for key, e := range s.entries {
 		if strings.HasPrefix(key, prefix) && key > after {
 			page.Entries = append(page.Entries, e)
@@ -246,7 +246,7 @@
 			}
 			if k.store.deaf {
 				// It says that it is up to date all the same.
-				return heardOf{pointport.Changes{At: k.store.last}, k.store.changed}, nil
+				return heardOf{pointport.Changes{Revision: k.store.last}, k.store.changed}, nil
 			}
 			return heardOf{k.store.since(prefix, after), k.store.changed}, nil
 		})
@@ -259,7 +259,7 @@
 		select {
 		case <-heard.next:
 		case <-end:
-			return pointport.Changes{At: max(heard.changes.At, after)}, nil
+			return pointport.Changes{Revision: max(heard.changes.Revision, after)}, nil
 		case <-ctx.Done():
 			return pointport.Changes{}, &pointport.UnavailableError{Op: "watch", Key: prefix, Err: ctx.Err()}
 		}
@@ -268,7 +268,7 @@
 
 // since returns the changes under prefix after a revision. The lock is held.
 func (s *Store) since(prefix string, after pointport.Revision) pointport.Changes {
-	out := pointport.Changes{At: s.last}
+	out := pointport.Changes{Revision: s.last}
 	for _, c := range s.history {
 		if c.at > after && strings.HasPrefix(c.entry.Key(), prefix) {
 			out.Entries = append(out.Entries, c.entry)
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -232,7 +232,7 @@
 		return
 	}
 	value, err := json.Marshal(registrationDocument{
-		inc.ID(), inc.Instance(), inc.Pool(), inc.Address(), inc.Zone(), inc.Rack(), inc.Labels(), inc.Capacity(), inc.Draining(), inc.Left(),
+		inc.ID(), inc.Instance(), inc.Pool(), inc.Address(), inc.Zone(), inc.Rack(), inc.Labels(), inc.Capacity(), inc.Draining(), inc.Remaining(),
 	})
 	if err != nil {
 		c.t.Error(err)
--- a/schedule/instance_model_test.go
+++ b/schedule/instance_model_test.go
@@ -205,7 +205,7 @@
 		return
 	}
 	for _, r := range l.sorted() {
-		l.end(r, lapse, pointport.EndLapsed)
+		l.end(r, lapse, pointport.EndLeaseExpired)
 		l.instance.sim.breakGang(r)
 	}
 	l.lapsedAt = now
@@ -218,7 +218,7 @@
 	case !r.stopsAt.IsZero():
 		l.end(r, at, pointport.EndStopped)
 	case r.began.IsZero():
-		l.end(r, at, pointport.EndGangAlone)
+		l.end(r, at, pointport.EndGangTimeout)
 	case r.work.fails:
 		l.end(r, at, pointport.EndFailed)
 	default:
@@ -282,12 +282,12 @@
 	}
 	switch {
 	case l.extendedTo <= l.clock(w.now):
-		return l.reject(pointport.RejectLate)
+		return l.reject(pointport.RejectExpired)
 	case l.ruledOut[o.Task] >= o.Run || l.runs[o.Task] != nil:
 		return l.reject(pointport.RejectOldRun)
 	case !free.Fits(work.step.Reservation()):
 		w.checkFull(l, o.TaskRun)
-		return l.reject(pointport.RejectRoom)
+		return l.reject(pointport.RejectNoCapacity)
 	}
 	r := &modelRun{TaskRun: o.TaskRun, on: l, work: work, arrived: w.now, began: w.now}
 	w.checkStart(r)
@@ -330,7 +330,7 @@
 		if err := l.admit(o.Fence, o.LeaseUntil); err == nil {
 			l.acknowledge(o.Acknowledged)
 		}
-		answer(pointport.Report{}, &pointport.GoneError{Incarnation: meant, By: l.id})
+		answer(pointport.Report{}, &pointport.GoneError{Incarnation: meant, AnsweredBy: l.id})
 		return
 	}
 	if l.instance.unhealthy && l.instance.refusesPolls {
--- a/schedule/later_incarnation_test.go
+++ b/schedule/later_incarnation_test.go
@@ -27,7 +27,7 @@
 // replacedBy returns the error of a poll of a former incarnation that a later one has
 // answered.
 func replacedBy(former, by pointport.Incarnation) error {
-	return &pointport.GoneError{Incarnation: former.ID(), By: by.ID()}
+	return &pointport.GoneError{Incarnation: former.ID(), AnsweredBy: by.ID()}
 }
 
 // workerOf returns the worker of an incarnation.
--- a/schedule/takeover_test.go
+++ b/schedule/takeover_test.go
@@ -106,7 +106,7 @@
 	if i.runs(now) {
 		r.Running = []pointport.RunningTask{{TaskRun: run, Progress: 10}}
 	} else {
-		r.Ended = []pointport.TaskEnd{{Number: 1, TaskRun: run, Kind: pointport.EndLapsed}}
+		r.Ended = []pointport.TaskEnd{{Number: 1, TaskRun: run, Kind: pointport.EndLeaseExpired}}
 	}
 	return r
 }
--- a/testbed/incarnation.go
+++ b/testbed/incarnation.go
@@ -87,7 +87,7 @@
 	}
 	if len(i.runs) > 0 && now.After(lapse) {
 		for _, r := range i.sorted() {
-			i.end(r, pointport.EndLapsed)
+			i.end(r, pointport.EndLeaseExpired)
 			i.fleet.breakGang(r)
 		}
 	}
@@ -122,7 +122,7 @@
 	case !r.stops.IsZero():
 		i.end(r, pointport.EndStopped)
 	case r.work.Gang > 1 && r.began.IsZero():
-		i.end(r, pointport.EndGangAlone)
+		i.end(r, pointport.EndGangTimeout)
 	case r.work.Fails:
 		i.end(r, pointport.EndFailed)
 		i.fleet.noteFailed(r.Task, i)
@@ -176,14 +176,14 @@
 	}
 	switch {
 	case i.until <= i.clock(now):
-		return i.reject(pointport.RejectLate)
+		return i.reject(pointport.RejectExpired)
 	case i.burned[o.Task] >= o.Run || i.runs[o.Task] != nil:
 		return i.reject(pointport.RejectOldRun)
 	}
 	work := i.fleet.work(o)
 	if !i.free().Fits(work.Room) {
 		if i.fleet.guards {
-			return i.reject(pointport.RejectRoom)
+			return i.reject(pointport.RejectNoCapacity)
 		}
 		if !i.machine.justShrunk(now) || !i.freeOf(i.machine.former).Fits(work.Room) {
 			i.fleet.violate(now, o.Task, "is started beyond the room of "+string(i.id))
--- a/testbed/network.go
+++ b/testbed/network.go
@@ -175,7 +175,7 @@
 			}
 			report, err := i.report(now, o)
 			if err == nil && i.id != at.Incarnation {
-				err = &pointport.GoneError{Incarnation: at.Incarnation, By: i.id}
+				err = &pointport.GoneError{Incarnation: at.Incarnation, AnsweredBy: i.id}
 			}
 			return held{i, report, e.fleet.changed, i.untilNext(now)}, err
 		})
