--- a/node/cap_test.go
+++ b/node/cap_test.go
@@ -211,7 +211,7 @@
 					t.Errorf("at most %d cores were in use with a cap of 12, want at least 10", w.maxRunning)
 				}
 			}, withWork(func(pointport.StartOrder) testbed.Work {
-				return testbed.Work{Room: pointport.Shape{CPUMilli: 1000, MemoryMiB: 16}, Duration: task}
+				return testbed.Work{Reservation: pointport.Shape{CPUMilli: 1000, MemoryMiB: 16}, Duration: task}
 			}))
 		})
 	}
--- a/node/capacity_test.go
+++ b/node/capacity_test.go
@@ -58,7 +58,7 @@
 					c.waitForStatus(n, q, fmt.Sprintf("%016x", i), workload.Completed, time.Minute)
 				}
 			}, append(k.guards, withWork(func(pointport.StartOrder) testbed.Work {
-				return testbed.Work{Room: need, Duration: time.Second}
+				return testbed.Work{Reservation: need, Duration: time.Second}
 			}))...)
 		})
 	}
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -150,17 +150,17 @@
 // withAddresseeReuse sets the percentage of restarted instances that come back under their
 // previous addressee.
 func withAddresseeReuse(percent int) clusterOption {
-	return func(_ *cluster, o *[]testbed.Option) { *o = append(*o, testbed.WithReturns(percent)) }
+	return func(_ *cluster, o *[]testbed.Option) { *o = append(*o, testbed.WithAddresseeReuse(percent)) }
 }
 
 // withLinger sets how long the registration of an instance stays after the instance has ended
 // without deregistering.
 func withLinger(d time.Duration) clusterOption {
-	return func(_ *cluster, o *[]testbed.Option) { *o = append(*o, testbed.WithLinger(d)) }
+	return func(_ *cluster, o *[]testbed.Option) { *o = append(*o, testbed.WithDeregistrationDelay(d)) }
 }
 
 func withoutCapacityEnforcement() clusterOption {
-	return func(_ *cluster, o *[]testbed.Option) { *o = append(*o, testbed.WithGuards(false)) }
+	return func(_ *cluster, o *[]testbed.Option) { *o = append(*o, testbed.WithCapacityEnforcement(false)) }
 }
 
 // newCluster returns a cluster without nodes, with two pools of four instances each and two
@@ -172,7 +172,7 @@
 		peersCut:   make(map[string]bool), lowMemory: make(map[string]bool), nodes: make(map[string]*running), logs: &logs{}, jsonLogs: &logs{}, storeLatency: time.Millisecond,
 	}
 	c.kv = c.store.KV()
-	fleetOptions := []testbed.Option{testbed.WithSpare(sparePool), testbed.WithRegister(c.register), testbed.WithReturns(defaultAddresseeReuse)}
+	fleetOptions := []testbed.Option{testbed.WithSparePool(sparePool), testbed.WithRegistrationObserver(c.register), testbed.WithAddresseeReuse(defaultAddresseeReuse)}
 	for _, o := range options {
 		o(c, &fleetOptions)
 	}
@@ -331,7 +331,7 @@
 		}
 		return c.storeFault(name, op)
 	}
-	network := func(op string, to pointport.InstanceID) testbed.Fate {
+	network := func(op string, to pointport.InstanceID) testbed.Delivery {
 		machine.gate()
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -366,9 +366,9 @@
 	n, err := node.Start(ctx, services, node.Parameters{
 		Name: name, Zone: "north", Addresses: node.Addresses{Peers: ""}, LeaseTTL: member.DefaultTTL,
 		TaskLease: 4 * time.Second, Grace: 6 * time.Second, HolderTime: holderTime, PeerName: name, MachineOrdersPerSecond: c.machineOrdersPerSecond,
-		GangTimeout: testbed.DefaultGangTime, RemoteDataSlowdown: 2,
+		GangTimeout: testbed.DefaultGangTimeout, RemoteDataSlowdown: 2,
 		ConfigApplyTime: c.configApplyTime,
-		Capacity:        capacity.Settings{MoveTime: testbed.DefaultMoveTime, UpkeepTime: testbed.DefaultUpkeep}, Keys: c.keyPolicy,
+		Capacity:        capacity.Settings{MoveTime: testbed.DefaultMoveTime, UpkeepTime: testbed.DefaultUpkeepTime}, Keys: c.keyPolicy,
 		LowMemory: func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
@@ -454,7 +454,7 @@
 	if err != nil {
 		c.t.Error(err)
 	}
-	c.fleet.SetBound(id, bound)
+	c.fleet.SetWaveBound(id, bound)
 	c.put(fmt.Sprintf("%s%d", wavePrefix, id), value)
 }
 
@@ -466,7 +466,7 @@
 
 // reopen withdraws the request to evacuate an availability zone.
 func (c *cluster) reopen(zone pointport.ZoneID) {
-	c.fleet.Open(zone)
+	c.fleet.EndEvacuation(zone)
 	if _, err := c.kv.Commit(context.Background(), pointport.Txn{Delete: []string{evacuationPrefix + string(zone)}}); err != nil {
 		c.t.Error(err)
 	}
--- a/node/crash_test.go
+++ b/node/crash_test.go
@@ -30,7 +30,7 @@
 // instance.
 func crashingWork(change func(*testbed.Work)) testbed.WorkSource {
 	return func(o pointport.StartOrder) testbed.Work {
-		w := testbed.Work{Room: crashNeed, Duration: 800 * time.Millisecond, Serves: strings.HasPrefix(o.Task, servingNeighbour)}
+		w := testbed.Work{Reservation: crashNeed, Duration: 800 * time.Millisecond, Service: strings.HasPrefix(o.Task, servingNeighbour)}
 		if strings.HasPrefix(o.Task, crashingJob) {
 			w.Crashes = strings.HasSuffix(o.Task, ".0")
 			change(&w)
@@ -59,7 +59,7 @@
 		{name: "of a gang",
 			step: func(s *workload.Step) { s.Gang = true }, work: func(w *testbed.Work) { w.Gang = crashingJobTasks }},
 		{name: "that serves",
-			step: func(s *workload.Step) { s.Service = true }, work: func(w *testbed.Work) { w.Serves = true }, wantRunning: crashingJobTasks - 1},
+			step: func(s *workload.Step) { s.Service = true }, work: func(w *testbed.Work) { w.Service = true }, wantRunning: crashingJobTasks - 1},
 		{name: "without a steward that reports ended incarnations",
 			options: []clusterOption{withoutSteward()}},
 		{name: "while owners are killed in turn",
--- a/node/customer_overload_test.go
+++ b/node/customer_overload_test.go
@@ -132,6 +132,6 @@
 		}
 		t.Logf("in time %v of %v, %d excess jobs refused", inTime, sent, refused)
 	}, withWork(func(pointport.StartOrder) testbed.Work {
-		return testbed.Work{Room: need, Duration: work}
+		return testbed.Work{Reservation: need, Duration: work}
 	}))
 }
--- a/node/entries_test.go
+++ b/node/entries_test.go
@@ -31,7 +31,7 @@
 				})
 				jobs++
 				time.Sleep(100 * time.Millisecond)
-				for _, id := range c.fleet.Holding() {
+				for _, id := range c.fleet.BusyMachines() {
 					held[id] = true
 				}
 			}
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -21,7 +21,7 @@
 
 // shortWork is the work of the tasks of a zoneLoad.
 func shortWork(pointport.StartOrder) testbed.Work {
-	return testbed.Work{Room: pointport.Shape{CPUMilli: 500, MemoryMiB: 128}, Duration: 500 * time.Millisecond}
+	return testbed.Work{Reservation: pointport.Shape{CPUMilli: 500, MemoryMiB: 128}, Duration: 500 * time.Millisecond}
 }
 
 // A zoneLoad submits one job with the given number of tasks every tenth of a second.
--- a/node/failure_test.go
+++ b/node/failure_test.go
@@ -216,7 +216,7 @@
 // be missing.
 func TestWaveWhileStewardsChange(t *testing.T) {
 	work := func(pointport.StartOrder) testbed.Work {
-		return testbed.Work{Room: pointport.Shape{CPUMilli: 500}, Serves: true, MayMiss: 1}
+		return testbed.Work{Reservation: pointport.Shape{CPUMilli: 500}, Service: true, MayMiss: 1}
 	}
 	simulate(t, 3, func(c *cluster) {
 		q := queue(t, c.nodes["n0"].node, "shift-close")
@@ -262,27 +262,27 @@
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
 		time.Sleep(4 * time.Second)
-		if got := c.fleet.Size("shift") + c.fleet.Size("payout"); got != 8 {
+		if got := c.fleet.PoolSize("shift") + c.fleet.PoolSize("payout"); got != 8 {
 			t.Errorf("pools with unknown load have %d instances, want their original 8", got)
 		}
 		submit(t, n, q, "00000000000000aa", twoSteps(100*time.Millisecond))
 		submit(t, n, queue(t, n, "payout-close"), "00000000000000bb", twoSteps(100*time.Millisecond))
 		time.Sleep(6 * time.Second)
-		if got := c.fleet.Size("shift") + c.fleet.Size("payout"); got > 4 {
+		if got := c.fleet.PoolSize("shift") + c.fleet.PoolSize("payout"); got > 4 {
 			t.Errorf("idle pools have %d instances, want at most 4", got)
 		}
 		for i := range 60 {
 			submit(t, n, q, fmt.Sprintf("%016x", i), twoSteps(900*time.Millisecond))
 			time.Sleep(60 * time.Millisecond)
 		}
-		if got := c.fleet.Size("shift"); got < 5 {
+		if got := c.fleet.PoolSize("shift"); got < 5 {
 			t.Errorf("the pool at its peak has %d instances, want at least 5", got)
 		}
 		for i := range 60 {
 			c.waitForStatus(n, q, fmt.Sprintf("%016x", i), workload.Completed, 20*time.Second)
 		}
 		time.Sleep(6 * time.Second)
-		if got := c.fleet.Size("shift"); got > 2 {
+		if got := c.fleet.PoolSize("shift"); got > 2 {
 			t.Errorf("the pool has %d instances after its peak, want at most 2", got)
 		}
 	})
@@ -292,7 +292,7 @@
 // not hold its instances forever, and must complete once starts get through.
 func TestGangCompletesAfterLostStarts(t *testing.T) {
 	work := func(pointport.StartOrder) testbed.Work {
-		return testbed.Work{Room: pointport.Shape{CPUMilli: 1500}, Duration: 500 * time.Millisecond, Gang: 5}
+		return testbed.Work{Reservation: pointport.Shape{CPUMilli: 1500}, Duration: 500 * time.Millisecond, Gang: 5}
 	}
 	simulate(t, 2, func(c *cluster) {
 		n := c.nodes["n0"].node
@@ -300,11 +300,11 @@
 		spec := &workload.Spec{Steps: []workload.Step{{
 			Count: 5, Need: pointport.Shape{CPUMilli: 1500}, Estimate: 500 * time.Millisecond, Gang: true,
 		}}}
-		c.setNetwork(func(op string, to pointport.InstanceID) testbed.Fate {
+		c.setNetwork(func(op string, to pointport.InstanceID) testbed.Delivery {
 			if to == "m-02" && strings.HasSuffix(op, "start") {
-				return testbed.Fate{Lost: true}
+				return testbed.Delivery{OrderLost: true}
 			}
-			return testbed.Fate{Latency: time.Millisecond}
+			return testbed.Delivery{Latency: time.Millisecond}
 		})
 		submit(t, n, q, "00000000000000aa", spec)
 		time.Sleep(3 * time.Second)
--- a/node/handover_random_test.go
+++ b/node/handover_random_test.go
@@ -76,7 +76,7 @@
 
 // A faultRule decides the faults of orders and of store calls while it is active.
 type faultRule struct {
-	order func(op string, to pointport.InstanceID) (testbed.Fate, bool)
+	order func(op string, to pointport.InstanceID) (testbed.Delivery, bool)
 	call  func(node, op, key string) (memory.Fault, bool)
 }
 
@@ -96,7 +96,7 @@
 	c.setStoreFault(m.call)
 }
 
-func (m *faultRules) order(op string, to pointport.InstanceID) testbed.Fate {
+func (m *faultRules) order(op string, to pointport.InstanceID) testbed.Delivery {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, rule := range m.all {
@@ -163,9 +163,9 @@
 
 // reachableOnlyFrom returns a rule under which only one node reaches an instance.
 func reachableOnlyFrom(id pointport.InstanceID, node string) faultRule {
-	return faultRule{order: func(op string, to pointport.InstanceID) (testbed.Fate, bool) {
+	return faultRule{order: func(op string, to pointport.InstanceID) (testbed.Delivery, bool) {
 		cut := to == id && !strings.HasPrefix(op, node+" ")
-		return testbed.Fate{Latency: time.Millisecond, Lost: true}, cut
+		return testbed.Delivery{Latency: time.Millisecond, OrderLost: true}, cut
 	}}
 }
 
@@ -207,9 +207,9 @@
 			c.store.ExpireKey(member.OwnerKey(pool))
 		}
 	case "lateStarts":
-		p.faultRules.applyFor(fault.duration, faultRule{order: func(op string, _ pointport.InstanceID) (testbed.Fate, bool) {
+		p.faultRules.applyFor(fault.duration, faultRule{order: func(op string, _ pointport.InstanceID) (testbed.Delivery, bool) {
 			calls++
-			return testbed.Fate{Late: time.Duration(500+400*fault.index) * time.Millisecond}, strings.HasSuffix(op, " start") && calls%2 == 0
+			return testbed.Delivery{LateBy: time.Duration(500+400*fault.index) * time.Millisecond}, strings.HasSuffix(op, " start") && calls%2 == 0
 		}})
 	case "storeLosesAnswers", "storeIsLate":
 		storeFault := map[string]memory.Fault{"storeLosesAnswers": memory.FaultLostAnswer, "storeIsLate": memory.FaultLate}[fault.kind]
--- a/node/moved_instance_test.go
+++ b/node/moved_instance_test.go
@@ -44,7 +44,7 @@
 			}
 		}
 	}, withLinger(registrationLinger), withWork(func(pointport.StartOrder) testbed.Work {
-		return testbed.Work{Room: need, Duration: time.Second}
+		return testbed.Work{Reservation: need, Duration: time.Second}
 	}))
 }
 
--- a/node/order_link_test.go
+++ b/node/order_link_test.go
@@ -33,7 +33,7 @@
 )
 
 // send returns the fate of an order that is sent now. It must be called with a lock held.
-func (l *orderLink) send(op string) testbed.Fate {
+func (l *orderLink) send(op string) testbed.Delivery {
 	now := time.Now()
 	if l.freeAt.Before(now) {
 		l.freeAt = now
@@ -46,9 +46,9 @@
 	l.orders++
 	delay := l.freeAt.Sub(now) + time.Millisecond
 	if delay > answerTimeout {
-		return testbed.Fate{Late: delay}
+		return testbed.Delivery{LateBy: delay}
 	}
-	return testbed.Fate{Latency: delay}
+	return testbed.Delivery{Latency: delay}
 }
 
 // An owner must not send orders faster than its link can transmit them. The owner of 90
@@ -116,7 +116,7 @@
 		time.Sleep(time.Second)
 		owner := c.owner("shift")
 		link := &orderLink{}
-		c.setNetwork(func(op string, to pointport.InstanceID) testbed.Fate {
+		c.setNetwork(func(op string, to pointport.InstanceID) testbed.Delivery {
 			if !strings.HasPrefix(op, owner+" ") {
 				return testbed.Reliable(op, to)
 			}
@@ -158,7 +158,7 @@
 		}
 		t.Logf("%s", c.logs.containing("orders delegated"))
 	}, withoutSteward(), withWork(func(pointport.StartOrder) testbed.Work {
-		return testbed.Work{Room: need, Duration: 500 * time.Millisecond}
+		return testbed.Work{Reservation: need, Duration: 500 * time.Millisecond}
 	}))
 }
 
--- a/node/overload_test.go
+++ b/node/overload_test.go
@@ -74,6 +74,6 @@
 		}
 		t.Logf("%d of %d in time", inTime.Load(), steady)
 	}, withWork(func(pointport.StartOrder) testbed.Work {
-		return testbed.Work{Room: need, Duration: work}
+		return testbed.Work{Reservation: need, Duration: work}
 	}))
 }
--- a/node/random_test.go
+++ b/node/random_test.go
@@ -127,7 +127,7 @@
 		return testbed.Work{}
 	}
 	step := s.jobs[n].Steps[ref.Step]
-	w := testbed.Work{Room: step.Reservation(), Duration: step.Estimate * time.Duration(2+(ref.Index+n)%3) / 3, Serves: step.Service, Copies: step.Copies, MayMiss: step.MayMiss}
+	w := testbed.Work{Reservation: step.Reservation(), Duration: step.Estimate * time.Duration(2+(ref.Index+n)%3) / 3, Service: step.Service, Copies: step.Copies, MayMiss: step.MayMiss}
 	if _, cancelled := s.cancels[n]; cancelled {
 		w.MayMiss = 0 // all of its tasks are stopped at the same time
 	}
@@ -135,9 +135,9 @@
 		w.Gang, w.Duration = step.Count, step.Estimate
 	}
 	first := ref == workload.TaskRef{} || step.Gang && ref.Step == 0 // a gang fails as a whole
-	w.Fails, w.Attempts = n == s.failingJob && first, 3
+	w.Fails, w.MaxAttempts = n == s.failingJob && first, 3
 	if step.Service {
-		w.Attempts = 0 // a serving task may fail any number of times
+		w.MaxAttempts = 0 // a serving task may fail any number of times
 	}
 	w.Crashes = n == s.crashingJob && ref == workload.TaskRef{}
 	for _, before := range step.After {
@@ -329,7 +329,9 @@
 	c := p.cluster
 	name := fmt.Sprintf("n%d", scripted.index%3)
 	id := c.fleet.IDs()[scripted.index]
-	none := func(string, pointport.InstanceID) testbed.Fate { return testbed.Fate{Latency: time.Millisecond} }
+	none := func(string, pointport.InstanceID) testbed.Delivery {
+		return testbed.Delivery{Latency: time.Millisecond}
+	}
 	switch scripted.kind {
 	case "kill", "stop":
 		if !p.busy[scripted.index%3].CompareAndSwap(false, true) {
@@ -352,9 +354,9 @@
 		time.Sleep(scripted.duration)
 		c.fleet.SetFailing(id, false)
 	case "refuseOrders":
-		c.fleet.SetUnwell(id, true)
+		c.fleet.SetUnhealthy(id, true)
 		time.Sleep(scripted.duration)
-		c.fleet.SetUnwell(id, false)
+		c.fleet.SetUnhealthy(id, false)
 	case "storeCompacts":
 		c.store.DropWatchEvents(true)
 		time.Sleep(time.Second)
@@ -380,22 +382,22 @@
 		time.Sleep(scripted.duration)
 		c.setStoreFault(noStoreFault)
 	case "cutInstance":
-		c.setNetwork(func(_ string, to pointport.InstanceID) testbed.Fate {
-			return testbed.Fate{Latency: time.Millisecond, Lost: to == id}
+		c.setNetwork(func(_ string, to pointport.InstanceID) testbed.Delivery {
+			return testbed.Delivery{Latency: time.Millisecond, OrderLost: to == id}
 		})
 		time.Sleep(scripted.duration)
 		c.setNetwork(none)
 	case "lateOrders", "unansweredOrders":
 		calls := 0
-		c.setNetwork(func(string, pointport.InstanceID) testbed.Fate {
+		c.setNetwork(func(string, pointport.InstanceID) testbed.Delivery {
 			calls++
 			switch {
 			case calls%7 != 0:
-				return testbed.Fate{Latency: time.Millisecond}
+				return testbed.Delivery{Latency: time.Millisecond}
 			case scripted.kind == "unansweredOrders":
-				return testbed.Fate{Mute: true}
+				return testbed.Delivery{AnswerLost: true}
 			}
-			return testbed.Fate{Late: time.Duration(2+scripted.index) * time.Second}
+			return testbed.Delivery{LateBy: time.Duration(2+scripted.index) * time.Second}
 		})
 		time.Sleep(scripted.duration)
 		c.setNetwork(none)
@@ -448,7 +450,7 @@
 // that crashed for another reason. The platform allows this from the second crash on, because
 // the two cases look the same if the task was alone on the last instance.
 func (p *play) mayBeGivenUpByChance(n int) bool {
-	return p.script.crashingJob >= 0 && n != p.script.crashingJob && p.cluster.fleet.HitByChance(jobID(n))
+	return p.script.crashingJob >= 0 && n != p.script.crashingJob && p.cluster.fleet.LostRunToInjectedCrash(jobID(n))
 }
 
 // unsettled describes the first job that does not have its expected status. It returns an empty
--- a/node/reused_addressee_test.go
+++ b/node/reused_addressee_test.go
@@ -24,7 +24,7 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		work := func(pointport.StartOrder) testbed.Work {
-			return testbed.Work{Room: crashNeed, Duration: 300 * time.Millisecond}
+			return testbed.Work{Reservation: crashNeed, Duration: 300 * time.Millisecond}
 		}
 		c := newCluster(t, withWork(work), withoutSteward(), withAddresseeReuse(100))
 		defer c.close()
--- a/node/suspend_test.go
+++ b/node/suspend_test.go
@@ -236,7 +236,7 @@
 					c.waitForStatus(c.nodes[other].node, q, id, workload.Completed, 30*time.Second)
 				}
 			}, withWork(func(pointport.StartOrder) testbed.Work {
-				return testbed.Work{Room: need, Duration: time.Second}
+				return testbed.Work{Reservation: need, Duration: time.Second}
 			}))
 		})
 	}
@@ -269,8 +269,8 @@
 	const id = "00000000000000cc"
 	owner, cut := c.owner("shift"), c.fleet.IDs()[0]
 	n := c.otherNode(owner)
-	c.setNetwork(func(op string, to pointport.InstanceID) testbed.Fate {
-		return testbed.Fate{Latency: time.Millisecond, Lost: to == cut && !strings.HasPrefix(op, owner+" ")}
+	c.setNetwork(func(op string, to pointport.InstanceID) testbed.Delivery {
+		return testbed.Delivery{Latency: time.Millisecond, OrderLost: to == cut && !strings.HasPrefix(op, owner+" ")}
 	})
 	machine, once := c.nodes[owner].clock, sync.Once{}
 	c.mu.Lock()
--- a/node/unanswered_test.go
+++ b/node/unanswered_test.go
@@ -61,15 +61,15 @@
 			submit(t, entryNode, q, ids[n], spec)
 		}
 		time.Sleep(300 * time.Millisecond)
-		busy := c.fleet.Holding()
+		busy := c.fleet.BusyMachines()
 		if idle := 4 + extraInstances - len(busy); idle < minAnswering {
 			t.Fatalf("%d instances are idle, want at least %d", idle, minAnswering)
 		}
 		until := time.Now().Add(duration)
-		c.setNetwork(func(op string, to pointport.InstanceID) testbed.Fate {
+		c.setNetwork(func(op string, to pointport.InstanceID) testbed.Delivery {
 			node, _, _ := strings.Cut(op, " ")
 			if time.Now().Before(until) && slices.Contains(busy, to) && unanswered(node, owner) {
-				return testbed.Fate{Mute: true}
+				return testbed.Delivery{AnswerLost: true}
 			}
 			return testbed.Reliable(op, to)
 		})
@@ -85,7 +85,7 @@
 		time.Sleep(duration)
 		c.wantStartedOnce(ids)
 	}, withoutSteward(), withWork(func(pointport.StartOrder) testbed.Work {
-		return testbed.Work{Room: need, Duration: time.Second}
+		return testbed.Work{Reservation: need, Duration: time.Second}
 	}))
 }
 
@@ -145,7 +145,7 @@
 			}
 			return memory.FaultNone
 		})
-		entries := c.registrationsOf(c.fleet.Holding())
+		entries := c.registrationsOf(c.fleet.BusyMachines())
 		time.AfterFunc(expireAfter, func() {
 			for _, e := range entries {
 				c.commit(pointport.Txn{Delete: []string{e.Key()}})
