--- a/node/entries.go
+++ b/node/entries.go
@@ -7,66 +7,68 @@
 	"github.com/pointport/pointport/event"
 )
 
-// This file defines what a node keeps of the entries that it follows.
+// This file defines the decoded store entries that a node keeps of each prefix that it follows.
 
-// entries holds what the entries under a prefix stand for, by key. An entry that cannot be
-// decoded stands for nothing, and what stood under its key before is gone: else a member
-// that has followed the key would believe in something that one that reads it for the
-// first time does not.
+// entries holds the decoded values of the entries under a prefix, by key. An entry that cannot
+// be decoded has no value, and the value that its key had before is removed: otherwise a member
+// that has followed the key would use a value that a member reading it for the first time does
+// not have.
 type entries[T any] struct {
 	decode     func(pointport.Entry) (T, error)
 	unreadable event.Event
 	logger     *slog.Logger
 	byKey      map[string]T
-	// refused holds the revisions of entries that cannot be decoded, each of which is
-	// logged once: all entries are read again now and then.
-	refused map[string]pointport.Revision
+	// unreadableAt holds, by key, the revision of an entry that cannot be decoded. It keeps
+	// each such revision from being logged again whenever all entries are read again.
+	unreadableAt map[string]pointport.Revision
 }
 
 func newEntries[T any](decode func(pointport.Entry) (T, error), unreadable event.Event, logger *slog.Logger) *entries[T] {
 	return &entries[T]{
 		decode: decode, unreadable: unreadable, logger: logger,
-		byKey: make(map[string]T), refused: make(map[string]pointport.Revision),
+		byKey: make(map[string]T), unreadableAt: make(map[string]pointport.Revision),
 	}
 }
 
-// reset replaces everything by what the entries stand for.
+// reset replaces all values by those of the given entries.
 func (s *entries[T]) reset(all []pointport.Entry) {
 	clear(s.byKey)
-	before := s.refused
-	s.refused = make(map[string]pointport.Revision)
+	before := s.unreadableAt
+	s.unreadableAt = make(map[string]pointport.Revision)
 	for _, e := range all {
 		if revision, ok := before[e.Key()]; ok {
-			s.refused[e.Key()] = revision
+			s.unreadableAt[e.Key()] = revision
 		}
 	}
 	s.apply(all)
 }
 
-// apply takes in changed entries.
+// apply applies changed entries: it decodes those that exist and removes the deleted ones.
 func (s *entries[T]) apply(changes []pointport.Entry) {
 	for _, e := range changes {
 		if !e.Exists() {
 			delete(s.byKey, e.Key())
-			delete(s.refused, e.Key())
+			delete(s.unreadableAt, e.Key())
 			continue
 		}
 		value, err := s.decode(e)
 		if err != nil {
-			s.refuse(e, err)
+			s.dropUnreadable(e, err)
 			continue
 		}
 		s.byKey[e.Key()] = value
-		delete(s.refused, e.Key())
+		delete(s.unreadableAt, e.Key())
 	}
 }
 
-func (s *entries[T]) refuse(e pointport.Entry, err error) {
+// dropUnreadable removes the value of an entry that cannot be decoded, and logs each revision
+// of the entry once.
+func (s *entries[T]) dropUnreadable(e pointport.Entry, err error) {
 	delete(s.byKey, e.Key())
-	if s.refused[e.Key()] == e.Revision() {
+	if s.unreadableAt[e.Key()] == e.Revision() {
 		return
 	}
-	s.refused[e.Key()] = e.Revision()
+	s.unreadableAt[e.Key()] = e.Revision()
 	s.unreadable.Log(s.logger, slog.String("key", e.Key()), slog.Int64("revision", int64(e.Revision())),
 		slog.Int("bytes", len(e.Value())), slog.Any("error", err))
 }
