--- a/clock.go
+++ b/clock.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// This file defines the clock, which is passed in wherever time matters, so
-// that tests decide what time it is.
+// This file defines the clock. Code that depends on time gets it as a
+// parameter, so that tests can control the time.
 
-// A Clock tells the time and wakes its callers.
+// A Clock provides the current time and timers.
 type Clock interface {
-	// Now returns the current time, with a monotonic reading where there is one.
+	// Now returns the current time, with a monotonic reading if one is available.
 	Now() time.Time
 
-	// Steady returns a time that goes on while the machine is suspended, which Now's
-	// monotonic reading does not. Whatever must not be believed for longer than it
-	// holds elsewhere (a lease, an ownership, the age of a configuration) is reckoned by
-	// it. Only the difference of two such times means anything.
+	// Steady returns a time that keeps advancing while the machine is suspended;
+	// the monotonic reading of Now does not. Use it for everything that expires
+	// elsewhere in the meantime, such as a lease, an ownership or the age of a
+	// configuration. Only the difference of two such times is meaningful.
 	Steady() time.Time
 
-	// After returns a channel that receives the time once, d from now.
+	// After returns a channel that receives the current time once, after d.
 	After(d time.Duration) <-chan time.Time
 }
--- a/doc.go
+++ b/doc.go
@@ -1,22 +1,23 @@
-// Package pointport holds the domain types of a fleet capacity and maintenance
-// manager and the interfaces of everything that varies beneath it.
+// Package pointport defines the domain types of a fleet capacity and maintenance
+// manager, and the interfaces whose implementations may vary.
 //
-// The model: a fleet of instances lives in availability zones and racks. Each
-// instance belongs to exactly one pool, and each pool serves one service.
+// The model: a fleet of instances is spread over availability zones and racks.
+// Each instance belongs to exactly one pool, and each pool serves one service.
 // Callers reach a service through entry instances, which choose an upstream (a
 // serving instance of the service's pool) for each request. Operators change
 // templates and parameters; planners move instances between pools and through
-// maintenance waves; placers put jobs on instances.
+// maintenance waves; placers assign jobs to instances.
 //
-// Invariants that every package below this one keeps:
+// Invariants that the packages in this module maintain:
 //
-//   - An effect on shared state is a compare-and-swap on the revision that the
-//     decision read. A lease saves work and never protects correctness.
-//   - A request that is refused as not run reached no upstream, or the upstream
-//     itself said that it did not run it.
-//   - Work that may not be repeated is sent at most once.
+//   - Shared state is changed by a compare-and-swap on the revision that the
+//     decision was based on. Leases only avoid duplicate work; correctness never
+//     depends on them.
+//   - If a request is refused as not run, it reached no upstream, or the upstream
+//     itself reported that it did not run it.
+//   - Work that must not be repeated is sent at most once.
 //   - A configuration version is never replaced by a lower one.
 //
-// The package contains no input or output. Implementations live in the
-// packages below it and depend on it, never the reverse.
+// The package does no input or output. The other packages implement its
+// interfaces and depend on it, never the reverse.
 package pointport
--- a/executor.go
+++ b/executor.go
@@ -6,103 +6,108 @@
 	"time"
 )
 
-// This file defines the orders that an instance takes about tasks, and what it
-// says of the tasks that it has.
+// This file defines the orders about tasks that are sent to instances, and the
+// reports on tasks that instances return.
 
-// A Fence is a fencing token: an instance does nothing for an order that has a
-// lower one than it has seen.
+// A Fence is a fencing token: an instance rejects an order whose token is lower
+// than the highest that it has seen.
 type Fence int64
 
-// An Endpoint is where one incarnation takes orders. Its address may be taken over by another
-// incarnation, and so may its addressee.
+// An Endpoint is where an incarnation accepts orders. Another incarnation may
+// take over its address, and its addressee as well.
 type Endpoint struct {
 	Incarnation IncarnationID
 	Address     string // host:port
 }
 
-// A TaskRun is one start of a task. Run numbers rise from 1.
+// A TaskRun identifies one run of a task. The runs of a task are numbered in
+// increasing order from 1.
 type TaskRun struct {
 	Task string
 	Run  int
 }
 
-// An InstanceTime is a time on the steady clock of one incarnation, which may
-// run a few percent slow.
+// An InstanceTime is a reading of the steady clock of one incarnation. That
+// clock may run a few percent slow.
 type InstanceTime time.Duration
 
 // A StartOrder asks an incarnation to run a task.
 type StartOrder struct {
 	TaskRun
 	Payload    string
-	Checkpoint string // to resume from, empty for none
-	Ticket     string // a permission to use this incarnation, empty for none
+	Checkpoint string // to resume from; empty if there is none
+	Ticket     string // permission to use this incarnation; empty if there is none
 	Fence      Fence
-	// LeaseUntil is when everything on the incarnation ends unless it is extended.
-	// It never shortens what an earlier order gave.
+	// LeaseUntil is when the lease of all tasks on the incarnation expires unless
+	// it is extended. It never shortens the lease that an earlier order gave.
 	LeaseUntil InstanceTime
 }
 
-// A StopOrder asks an incarnation to stop a run, or never to start it.
+// A StopOrder asks an incarnation to stop a run, or never to start it if it has
+// not arrived yet.
 type StopOrder struct {
 	TaskRun
 	Fence Fence
 }
 
-// A PaceOrder sets which share of its work a task may do, in percent.
+// A PaceOrder limits the rate at which a task works, in percent of its full
+// rate.
 type PaceOrder struct {
 	TaskRun
 	Percent int
 	Fence   Fence
 }
 
-// A PollOrder extends the time of everything on an incarnation and asks what it
-// runs.
+// A PollOrder extends the lease of all tasks on an incarnation and asks for a
+// report on them.
 type PollOrder struct {
 	Fence Fence
-	// LeaseUntil extends the time of everything there, unless it is zero.
+	// LeaseUntil is the new expiry of the lease of all tasks there. Zero leaves
+	// the lease as it is.
 	LeaseUntil InstanceTime
-	// Acknowledged is the number of the last end that may be forgotten.
+	// Acknowledged is the number of the last TaskEnd that the incarnation may
+	// discard; it may discard all earlier ones too.
 	Acknowledged int64
-	// Wait is how long the answer may wait for a task to end.
+	// Wait is how long the incarnation may delay its answer until a task ends.
 	Wait time.Duration
-	// ExtraTimeout is how much longer than usual to wait for the answer.
+	// ExtraTimeout is added to the usual timeout of the call.
 	ExtraTimeout time.Duration
 }
 
-// A Report is what an incarnation says of its tasks.
+// A Report is an incarnation's report on its tasks.
 type Report struct {
 	Clock   InstanceTime
 	Running []RunningTask
 	Ended   []TaskEnd
 }
 
-// A RunningTask is a run that an incarnation has at the moment of a report.
+// A RunningTask is a run that is in progress at the time of a report.
 type RunningTask struct {
 	TaskRun
 	Checkpoint string
 	Progress   int // how much of its work is done, in percent
-	// Load is a rough figure of the last half second: for a task that serves,
-	// the tail of its response times in milliseconds; for any other, the
-	// processor time in use, in thousandths of a core.
+	// Load is a rough measure over the last half second: for a serving task, the
+	// tail latency in milliseconds; for any other task, the CPU usage in
+	// thousandths of a core.
 	Load int
 }
 
-// An EndKind says how a run ended.
+// An EndKind is the way in which a run ended.
 type EndKind string
 
-// The ways in which a run ends.
+// The ways in which a run can end.
 const (
 	EndDone         EndKind = "done"
-	EndFailed       EndKind = "failed"     // by its own fault or its instance's
-	EndStopped      EndKind = "stopped"    // by an order
-	EndLeaseExpired EndKind = "lapsed"     // its time was not extended
+	EndFailed       EndKind = "failed"     // the task or its instance failed
+	EndStopped      EndKind = "stopped"    // a StopOrder ended it
+	EndLeaseExpired EndKind = "lapsed"     // its lease was not extended
 	EndGangBroken   EndKind = "gangBroken" // another member of its gang ended
-	EndGangTimeout  EndKind = "gangAlone"  // its gang did not gather in time
+	EndGangTimeout  EndKind = "gangAlone"  // the rest of its gang did not start in time
 )
 
-// A TaskEnd is a run that has ended.
+// A TaskEnd describes a run that has ended.
 type TaskEnd struct {
-	Number int64 // rises from 1 in each incarnation
+	Number int64 // counts the ends on an incarnation, from 1
 	TaskRun
 	Kind       EndKind
 	Checkpoint string
@@ -110,42 +115,47 @@
 
 // An Executor sends orders to incarnations of instances.
 //
-// Its methods fail with a *RejectedError if the incarnation refused, with a
-// *GoneError if another incarnation answered, and with an *UnavailableError if
-// no usable answer came; an order that failed so may still be carried out, even
-// seconds later and after newer ones.
+// The methods fail with a *RejectedError if the incarnation refused the order,
+// with a *GoneError if another incarnation answered, and with an
+// *UnavailableError if no usable answer came. An order that failed with an
+// *UnavailableError may still be carried out, even seconds later and after newer
+// orders.
 //
-// A report is of the incarnation that was meant. The answers to other orders, refusals among
-// them, are of whoever has its addressee when they arrive, which may be a later life.
+// A Report always comes from the intended incarnation. The answer to any other
+// order, including a refusal, comes from whichever incarnation has the addressee
+// when the order arrives, which may be a later one.
 type Executor interface {
-	// Start starts a run. Starting a run that is there already changes nothing.
+	// Start starts a run and returns the incarnation's time. Starting a run that
+	// is already there changes nothing.
 	Start(ctx context.Context, at Endpoint, order StartOrder) (InstanceTime, error)
 
-	// Stop stops a run; a run that is not there yet will never start there.
+	// Stop stops a run and returns the incarnation's time. A run that has not
+	// arrived yet will never start there.
 	Stop(ctx context.Context, at Endpoint, order StopOrder) (InstanceTime, error)
 
-	// Poll extends the time of what runs and returns what runs and has ended.
+	// Poll extends the lease of the running tasks and returns the runs that are
+	// in progress and those that have ended.
 	Poll(ctx context.Context, at Endpoint, order PollOrder) (Report, error)
 
-	// Pace sets the share of its work that a run may do.
+	// Pace limits the rate at which a run works.
 	Pace(ctx context.Context, at Endpoint, order PaceOrder) error
 }
 
-// A RejectReason says why an incarnation refused an order.
+// A RejectReason is the reason why an incarnation refused an order.
 type RejectReason string
 
 // The reasons for which an incarnation refuses an order.
 const (
-	RejectFence      RejectReason = "fence"     // it has seen a higher fence
+	RejectFence      RejectReason = "fence"     // it has seen a higher fencing token
 	RejectOldRun     RejectReason = "oldRun"    // that run or a later one has ended there
-	RejectExpired    RejectReason = "late"      // the order's time had passed
+	RejectExpired    RejectReason = "late"      // the lease in the order had expired
 	RejectNoCapacity RejectReason = "room"      // the task does not fit
-	RejectTicket     RejectReason = "ticket"    // it may not run that step
-	RejectUnhealthy  RejectReason = "unhealthy" // it is not well and has done nothing
+	RejectTicket     RejectReason = "ticket"    // it is not permitted to run that step
+	RejectUnhealthy  RejectReason = "unhealthy" // it is unhealthy; it has done nothing
 	RejectInvalid    RejectReason = "invalid"   // it does not understand the order
 )
 
-// A RejectedError says that an incarnation refused an order and did nothing.
+// A RejectedError reports that an incarnation refused an order and did nothing.
 type RejectedError struct {
 	Incarnation IncarnationID
 	Reason      RejectReason
@@ -155,12 +165,13 @@
 	return fmt.Sprintf("incarnation %s refused: %s", e.Incarnation, e.Reason)
 }
 
-// A GoneError says that another incarnation answered, so the one that was meant
-// has ended.
+// A GoneError reports that another incarnation answered, so the intended one has
+// ended.
 type GoneError struct {
 	Incarnation IncarnationID
-	// AnsweredBy is the incarnation that answered if it has the addressee of the one that was meant,
-	// and so may have taken orders to it; empty if it has another one.
+	// AnsweredBy is the incarnation that answered if it has the addressee of the
+	// intended one, and so may have received orders that were meant for it. It is
+	// empty if the addressees differ.
 	AnsweredBy IncarnationID
 }
 
@@ -171,10 +182,10 @@
 	return fmt.Sprintf("incarnation %s is gone: %s answers", e.Incarnation, e.AnsweredBy)
 }
 
-// An Advisor knows which incarnations may run a step, where a queue's policy
-// asks for that.
+// An Advisor decides which incarnations may run a step, for queues whose policy
+// requires it.
 type Advisor interface {
 	// Advise returns a ticket for each of the incarnations that may run the step,
-	// and how long the tickets hold.
+	// and how long the tickets are valid.
 	Advise(ctx context.Context, step string, incarnations []IncarnationID) (map[IncarnationID]string, time.Duration, error)
 }
--- a/incarnation_id.go
+++ b/incarnation_id.go
@@ -6,50 +6,54 @@
 	"time"
 )
 
-// This file defines how the lives of instances are told apart.
+// This file defines the identity of incarnations.
 
-// An IncarnationID names one life of an instance, from a start of its software
-// to the next. A new life knows nothing of the one before: what was said to a life, or by it,
-// ends with it.
+// An IncarnationID identifies one incarnation of an instance, from one start of
+// its software to the next. A new incarnation has no state of the previous one:
+// orders to an incarnation and reports from it become void when it ends.
 //
-// Whoever decodes what the platform says makes it of all that tells lives apart. Two lives are
-// one if their IDs are equal, and nothing else says so.
+// Code that decodes the platform's messages builds the ID from everything that
+// distinguishes incarnations. Two incarnations are the same exactly if their IDs
+// are equal.
 type IncarnationID string
 
-// An Addressee is the name by which the platform directs an order to an incarnation. A later
-// life of an instance may take over the one of an earlier life, and with it the orders that
-// were meant for that one.
+// An Addressee is the name by which the platform routes an order to an
+// incarnation. A later incarnation of an instance may take over the addressee of
+// an earlier one, and then receives the orders that were meant for that one.
 type Addressee string
 
-// bornMark stands in an ID between the addressee and when the life began.
-const bornMark = "@"
+// startSeparator separates the addressee from the start time in an ID.
+const startSeparator = "@"
 
-// NewIncarnationID returns the ID of the life that began at born, by its instance's clock in
-// whole milliseconds. That clock may be set back, so of two lives of an addressee born tells
-// only that they differ, and not which one is the later.
-func NewIncarnationID(to Addressee, born time.Time) IncarnationID {
-	return IncarnationID(string(to) + bornMark + strconv.FormatInt(born.UnixMilli(), 10))
+// NewIncarnationID returns the ID of the incarnation that started at startedAt,
+// according to its instance's clock and in whole milliseconds. That clock may be
+// set back, so the start times of two incarnations with the same addressee show
+// only that they differ, not which one is later.
+func NewIncarnationID(to Addressee, startedAt time.Time) IncarnationID {
+	return IncarnationID(string(to) + startSeparator + strconv.FormatInt(startedAt.UnixMilli(), 10))
 }
 
 // ValidAddressee reports whether a name can be an addressee.
-func ValidAddressee(name string) bool { return name != "" && !strings.Contains(name, bornMark) }
+func ValidAddressee(name string) bool { return name != "" && !strings.Contains(name, startSeparator) }
 
-// Addressee returns the name by which orders are directed to the incarnation.
+// Addressee returns the name by which orders are routed to the incarnation.
 func (id IncarnationID) Addressee() Addressee {
-	to, _, _ := strings.Cut(string(id), bornMark)
+	to, _, _ := strings.Cut(string(id), startSeparator)
 	return Addressee(to)
 }
 
-// StartedAt returns when the life began, false if its addressee alone names it: no other life has
-// that one then.
+// StartedAt returns when the incarnation started. It returns false if the ID
+// consists of the addressee alone, in which case no other incarnation has that
+// addressee.
 func (id IncarnationID) StartedAt() (time.Time, bool) {
-	_, born, ok := strings.Cut(string(id), bornMark)
+	_, startedAt, ok := strings.Cut(string(id), startSeparator)
 	if !ok {
 		return time.Time{}, false
 	}
-	at, err := strconv.ParseInt(born, 10, 64)
+	at, err := strconv.ParseInt(startedAt, 10, 64)
 	return time.UnixMilli(at), err == nil
 }
 
-// SharesAddressee reports whether other lives may have the addressee of this one.
-func (id IncarnationID) SharesAddressee() bool { return strings.Contains(string(id), bornMark) }
+// SharesAddressee reports whether other incarnations may have the addressee of
+// this one.
+func (id IncarnationID) SharesAddressee() bool { return strings.Contains(string(id), startSeparator) }
--- a/kv.go
+++ b/kv.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// This file defines what jobs and membership need of the platform's key-value
-// service beyond a Store: transactions over several keys, ranges, watches on
-// prefixes, and leases that keys go with.
+// This file defines the features of the platform's key-value service that jobs
+// and membership need beyond a Store: transactions over several keys, ranges,
+// watches on prefixes, and leases that keys are attached to.
 
-// A LeaseID names a lease of the platform's service. Keys that were put under a
-// lease go when it ends.
+// A LeaseID identifies a lease of the platform's service. When a lease ends, the
+// keys that were put under it are deleted.
 type LeaseID int64
 
-// A Condition says at which revision a key must be. Zero means that the key
-// must not exist.
+// A Condition requires a key to be at a revision. Zero means that the key must
+// not exist.
 type Condition struct {
 	Key      string
 	Revision Revision
@@ -28,37 +28,37 @@
 	Lease LeaseID
 }
 
-// A Txn is a change of several keys that is made wholly or not at all, and only
-// if all conditions hold.
+// A Txn is an atomic change of several keys, which is made only if all its
+// conditions hold.
 type Txn struct {
 	If     []Condition
 	Put    []Put
 	Delete []string
 }
 
-// MaxTxnEntries is the most conditions, puts and deletes that one transaction
-// may hold together; the platform sets it.
+// MaxTxnEntries is the maximum number of conditions, puts and deletes together
+// in one transaction. It is a limit of the platform.
 const MaxTxnEntries = 32
 
-// Entries returns how many entries the transaction has.
+// Entries returns the number of conditions, puts and deletes in the transaction.
 func (t Txn) Entries() int { return len(t.If) + len(t.Put) + len(t.Delete) }
 
-// A Page is a part of the keys under a prefix, in the order of their keys.
-// Pages of one range form no snapshot.
+// A Page is a part of the keys under a prefix, sorted by key. The pages of one
+// range together are not a snapshot.
 type Page struct {
 	Entries  []Entry
 	More     bool     // whether further keys follow
 	Revision Revision // the service's revision when the page was read
 }
 
-// Changes are what a watch has seen, in order. A deleted key is an Entry that
-// does not exist.
+// Changes are the changes that a watch returned, in order. A deleted key is an
+// Entry that does not exist.
 type Changes struct {
 	Entries  []Entry
-	Revision Revision // from where the next watch goes on
+	Revision Revision // the revision after which the next watch continues
 }
 
-// A KV is the platform's key-value service with all that jobs need of it.
+// A KV is the platform's key-value service with all features that jobs need.
 //
 // Every method may fail with an *UnavailableError.
 type KV interface {
@@ -71,44 +71,45 @@
 	// *LeaseEndedError if a lease that it names has ended.
 	Commit(ctx context.Context, txn Txn) (Revision, error)
 
-	// Range returns the keys under prefix that come after the key named.
+	// Range returns the keys under prefix that come after the key called after.
 	Range(ctx context.Context, prefix, after string) (Page, error)
 
-	// WatchPrefix returns the changes of keys under prefix after a revision as
-	// soon as there is one, or none when wait has passed. It fails with a
-	// *CompactedError if the service has forgotten the changes since.
+	// WatchPrefix waits until keys under prefix have changed after a revision, and
+	// returns the changes; it returns none if there are none within wait. It fails
+	// with a *CompactedError if the service no longer keeps the changes since that
+	// revision.
 	WatchPrefix(ctx context.Context, prefix string, after Revision, wait time.Duration) (Changes, error)
 
-	// Grant makes a lease, which runs from before the answer.
+	// Grant creates a lease. Its time starts before the answer arrives.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
 
-	// Renew starts a lease's time anew. It fails with a *LeaseEndedError if the
+	// Renew restarts a lease's time. It fails with a *LeaseEndedError if the
 	// lease has ended.
 	Renew(ctx context.Context, lease LeaseID) error
 
-	// Revoke ends a lease; its keys go at once.
+	// Revoke ends a lease and deletes its keys at once.
 	Revoke(ctx context.Context, lease LeaseID) error
 }
 
-// A TxnConflictError says that a condition of a transaction did not hold, and
-// what the keys of its conditions were. It comes from a KV.
+// A TxnConflictError reports that a condition of a transaction did not hold. It
+// is returned by a KV.
 type TxnConflictError struct {
-	Entries []Entry
+	Entries []Entry // the state of the keys of the conditions
 }
 
 func (e *TxnConflictError) Error() string {
 	return fmt.Sprintf("transaction refused: a condition on %d keys does not hold", len(e.Entries))
 }
 
-// A LeaseEndedError says that a lease is over. It comes from a KV.
+// A LeaseEndedError reports that a lease has ended. It is returned by a KV.
 type LeaseEndedError struct {
 	Lease LeaseID
 }
 
 func (e *LeaseEndedError) Error() string { return fmt.Sprintf("lease %d has ended", e.Lease) }
 
-// A CompactedError says that the service has forgotten the changes that a watch
-// asked for. It comes from a KV.
+// A CompactedError reports that the service no longer keeps the changes that a
+// watch asked for. It is returned by a KV.
 type CompactedError struct {
 	Prefix string
 	After  Revision
--- a/progress.go
+++ b/progress.go
@@ -2,21 +2,22 @@
 
 import "context"
 
-// This file defines how whoever makes a call hears that its answer is on its way.
+// This file defines how a caller is notified while the answer to its call is
+// being received.
 
 type progressKey struct{}
 
-// WithProgress returns a context that has note called with each part of the answer to
-// a call that is made under it. note must not block. An answer may be large and its
-// link thin: one that is coming is not overdue.
-func WithProgress(ctx context.Context, note func()) context.Context {
-	return context.WithValue(ctx, progressKey{}, note)
+// WithProgress returns a context whose calls invoke onProgress for each received
+// part of their answer. onProgress must not block. A large answer may take long on
+// a slow link, so an answer that is still arriving does not count as overdue.
+func WithProgress(ctx context.Context, onProgress func()) context.Context {
+	return context.WithValue(ctx, progressKey{}, onProgress)
 }
 
-// Progress tells whoever waits for a call made under ctx that a part of its answer has
-// come.
+// Progress invokes the function that WithProgress attached to ctx, if there is
+// one. Clients call it for each received part of an answer.
 func Progress(ctx context.Context) {
-	if note, ok := ctx.Value(progressKey{}).(func()); ok {
-		note()
+	if onProgress, ok := ctx.Value(progressKey{}).(func()); ok {
+		onProgress()
 	}
 }
--- a/store.go
+++ b/store.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// This file defines the platform's key-value service as pointport uses it.
+// This file defines the basic interface to the platform's key-value service.
 
 // A Revision identifies one state of a key. It grows with every change of the
 // key and is zero while the key does not exist.
@@ -34,35 +34,35 @@
 	return e
 }
 
-// WithLease returns e with the lease that the key goes with.
+// WithLease returns e with the lease that the key is attached to.
 func (e Entry) WithLease(lease LeaseID) Entry {
 	e.lease = lease
 	return e
 }
 
-// Created returns the revision at which the key was created. It stays the same
-// while the key is changed, and is zero where a store does not tell it.
+// Created returns the revision at which the key was created. Changes of the key
+// do not affect it. It is zero if the store does not provide it.
 func (e Entry) Created() Revision { return e.created }
 
-// Lease returns the lease that the key goes with, zero if there is none.
+// Lease returns the lease that the key is attached to, or zero if there is none.
 func (e Entry) Lease() LeaseID { return e.lease }
 
 // Key returns the key.
 func (e Entry) Key() string { return e.key }
 
-// Value returns the stored bytes, which the caller must not change.
+// Value returns the stored bytes. The caller must not modify them.
 func (e Entry) Value() []byte { return e.value }
 
-// Revision returns the revision, zero if the key does not exist.
+// Revision returns the revision, or zero if the key does not exist.
 func (e Entry) Revision() Revision { return e.revision }
 
 // Exists reports whether the key exists.
 func (e Entry) Exists() bool { return e.revision != 0 }
 
-// A Store is the least that pointport needs of the platform's service.
+// A Store is the minimal interface to the platform's key-value service.
 //
-// Every method may fail with an *UnavailableError. When its Ambiguous method
-// reports true, the change may have taken effect although no answer came.
+// Every method may fail with an *UnavailableError. If its Ambiguous field is
+// true, the change may have taken effect although no answer came.
 type Store interface {
 	// Get returns the state of key. A missing key is an Entry that does not
 	// exist, not an error.
@@ -76,8 +76,8 @@
 
 // A Watcher is a Store that can wait for a change.
 type Watcher interface {
-	// Watch returns the state of key as soon as its revision is greater than
-	// after, or its unchanged state when the service ends the wait.
+	// Watch waits until the revision of key is greater than after and returns the
+	// key's state. If the service ends the wait before, the state is unchanged.
 	Watch(ctx context.Context, key string, after Revision) (Entry, error)
 }
 
@@ -91,16 +91,16 @@
 // A Leaser is a Store that grants leases.
 type Leaser interface {
 	// Lease grants or extends the lease called name for holder. It fails with
-	// a *HeldError while another holder has it. Whoever counts on a lease must
-	// count from before the call, because the answer may be late.
+	// a *HeldError while another holder has it. The caller must count the TTL
+	// from before the call, because the answer may be late.
 	Lease(ctx context.Context, name, holder string, ttl time.Duration) error
 
 	// Release ends holder's lease called name, if it still has it.
 	Release(ctx context.Context, name, holder string) error
 }
 
-// A ConflictError says that a key was not at the revision that a change
-// expected. It comes from a Store.
+// A ConflictError reports that a key was not at the revision that a change
+// expected. It is returned by a Store.
 type ConflictError struct {
 	Key  string   // the key that was to change
 	Want Revision // the revision that the change expected
@@ -111,27 +111,29 @@
 	return fmt.Sprintf("store key %q: want revision %d, have %d", e.Key, e.Want, e.Have)
 }
 
-// A HeldError says that another holder has a lease. It comes from a Leaser.
+// A HeldError reports that another holder has a lease. It is returned by a
+// Leaser.
 type HeldError struct {
 	Name   string // the lease
-	Holder string // who has it
+	Holder string // its current holder
 }
 
 func (e *HeldError) Error() string {
 	return fmt.Sprintf("lease %q is held by %q", e.Name, e.Holder)
 }
 
-// An UnavailableError says that the platform's service gave no usable answer.
+// An UnavailableError reports that the platform's service gave no usable answer.
 type UnavailableError struct {
 	Op        string // the call, such as "get"
-	Key       string // the key or the lease it was about
-	Ambiguous bool   // whether a change may have taken effect all the same
-	// Busy says that the call was refused, without effect, because there are too many calls.
+	Key       string // the key or the lease of the call
+	Ambiguous bool   // whether a change may have taken effect nevertheless
+	// Busy means that the call was refused, without effect, because there were
+	// too many calls.
 	Busy bool
 	Err  error // the cause
 }
 
-// IsBusy reports whether err says that a call was refused because there are too many.
+// IsBusy reports whether err is an UnavailableError with Busy set.
 func IsBusy(err error) bool {
 	var unavailable *UnavailableError
 	return errors.As(err, &unavailable) && unavailable.Busy
