--- a/command/config.go
+++ b/command/config.go
@@ -1,8 +1,9 @@
-// Package command holds what operators can change. Queries, which change
-// nothing, are in package query.
+// Package command implements the commands with which operators change the
+// configuration and jobs. Queries, which change nothing, are in package query.
 //
-// Invariant: a command either took effect, or changed nothing, or says that it
-// is not known which and how to find out.
+// Invariant: a command that succeeds took effect. A command that fails changed
+// nothing, unless its error reports that the effect is unknown and how to find
+// out.
 package command
 
 import (
@@ -19,7 +20,7 @@
 
 // This file defines the commands that change the configuration.
 
-// AnyVersion skips the question of a racing author.
+// AnyVersion disables the check for concurrent changes by other authors.
 const AnyVersion config.Version = -1
 
 // ConfigLog is the log of the configuration.
@@ -27,16 +28,17 @@
 
 // A Proposal is a change of the configuration that an author asks for.
 type Proposal struct {
-	// ID is the author's own unique name for this attempt. Proposing it again
-	// gives the change that it made, if it made one that is still in reach.
+	// ID is a unique ID that the author chose for this attempt. Proposing the same
+	// ID again returns the change that the first attempt made, if the log still
+	// has it. Configure generates an ID if it is empty.
 	ID     string
 	Author string
 	Reason string
-	// Object is the new document, or nil to remove the object called Removed.
+	// Object is the new document, or nil to remove the object with the ID Removed.
 	Object  *config.Object
 	Removed string
-	// ReadVersion is the version at which the author read the object: zero if it did
-	// not exist, and AnyVersion to skip the question.
+	// ReadVersion is the version at which the author read the object: zero if it
+	// did not exist, and AnyVersion to skip the check for concurrent changes.
 	ReadVersion config.Version
 }
 
@@ -47,28 +49,31 @@
 	return p.Removed
 }
 
-// A ReferenceError says that a change would leave an object without another
-// that it names.
+// A ReferenceError reports that a change would leave an object with a reference
+// to an object that does not exist.
 type ReferenceError struct {
-	Object string // the object that names the other
-	Field  string // the field in which it does
-	Name   string // the identity of the other
+	Object string // the ID of the object with the reference
+	Field  string // the field with the reference
+	Name   string // the ID of the missing object
 }
 
 func (e *ReferenceError) Error() string {
 	return fmt.Sprintf("%s: %s: %q: no such object", e.Object, e.Field, e.Name)
 }
 
-// errNoAuthor refuses a change that nobody answers for.
-var errNoAuthor = errors.New("author: \"\": must name who asks for the change")
+// errMissingAuthor is returned for a change without an author, which nobody would
+// be accountable for.
+var errMissingAuthor = errors.New("author: \"\": must name who asks for the change")
 
-// Configure makes a proposed change. It fails with a *config.RaceError if
-// someone changed the object since the author read it, with a *ReferenceError,
-// a *pointport.NotFoundError, a *changelog.UnsettledError, or an
-// *pointport.UnavailableError if nothing was changed.
+// Configure makes a proposed change and returns it. It fails with a
+// *config.RaceError if the object has changed since the author read it, with a
+// *ReferenceError if a reference would lead nowhere, with a
+// *pointport.NotFoundError if the object to remove does not exist, with a
+// *changelog.UnsettledError if the effect is unknown, and with a
+// *pointport.UnavailableError if the store was unavailable and nothing changed.
 func Configure(ctx context.Context, log *ConfigLog, clock pointport.Clock, p Proposal) (config.Change, error) {
 	if p.Author == "" {
-		return config.Change{}, errNoAuthor
+		return config.Change{}, errMissingAuthor
 	}
 	if p.ID == "" {
 		p.ID = uuid.NewString()
@@ -87,6 +92,8 @@
 	})
 }
 
+// checkReferences checks that the proposal leaves no reference to a template that
+// does not exist.
 func checkReferences(s *config.State, p Proposal) error {
 	if p.Object == nil {
 		return checkRemoval(s, p.Removed)
@@ -107,7 +114,8 @@
 	return nil
 }
 
-// checkRemoval refuses to remove what is missing, and what others name.
+// checkRemoval fails if the object does not exist, or if other objects refer to
+// it.
 func checkRemoval(s *config.State, id string) error {
 	if !s.Has(id) {
 		return &pointport.NotFoundError{Kind: "object", Name: id}
--- a/command/job.go
+++ b/command/job.go
@@ -19,15 +19,15 @@
 // JobLog is the log of a zone's jobs.
 type JobLog = changelog.Log[*job.State, job.Change]
 
-// Bounds of what a job may ask for.
+// Limits on the fields of a submission: lengths in bytes, and the run time.
 const (
 	maxJobKey     = 255
 	maxJobName    = 63
 	maxJobRuntime = 7 * 24 * time.Hour
 )
 
-// A Submission is a job as its customer asks for it. Its fields are exported
-// because a codec reads them.
+// A Submission is a customer's request to run a job. Its fields are exported for
+// decoding.
 type Submission struct {
 	Key      string          `json:"key"`
 	Customer string          `json:"customer"`
@@ -40,7 +40,8 @@
 	Billed   bool            `json:"billed"`
 }
 
-// A FieldError says which field of a submission is wrong, and how.
+// A FieldError reports an invalid field of a request. Reason says what the field
+// must be.
 type FieldError struct {
 	Field  string
 	Value  string
@@ -49,6 +50,7 @@
 
 func (e *FieldError) Error() string { return fmt.Sprintf("%s: %q: %s", e.Field, e.Value, e.Reason) }
 
+// check validates the submission and sets its priority if there is none.
 func (s *Submission) check() error {
 	switch {
 	case s.Key == "" || len(s.Key) > maxJobKey:
@@ -74,18 +76,20 @@
 	return nil
 }
 
-// A KeyReusedError says that a key was used before for another job.
+// A KeyReusedError reports that a key was used before for a different job.
 type KeyReusedError struct {
 	Key string
-	Job string // the job that it named
+	Job string // the ID of the job that was submitted with the key
 }
 
 func (e *KeyReusedError) Error() string {
 	return fmt.Sprintf("key: %q: was used before for job %s, which asks for something else", e.Key, e.Job)
 }
 
-// Submit records a job, unless its key was used before: then the job that it
-// named is returned.
+// Submit records a job and returns it. If the customer has used the key before,
+// it returns the earlier job; it fails with a *KeyReusedError if that job asks
+// for something else, and with a *FieldError if a field is invalid. It fails like
+// Configure if the store does.
 func Submit(ctx context.Context, log *JobLog, clock pointport.Clock, s Submission) (job.Job, error) {
 	if err := s.check(); err != nil {
 		return job.Job{}, err
@@ -95,26 +99,27 @@
 		Runtime: s.Runtime.Value(), Priority: s.Priority, Billed: s.Billed,
 		Phase: job.Waiting, Submitted: clock.Now().UTC(), Reason: "not looked at yet",
 	}
-	var found *foundJob
+	var found *existingJobError
 	id := uuid.NewString()
 	_, err := log.Append(ctx, id, func(have *job.State) (job.Change, error) {
 		if old, ok := have.Job(j.ID); ok {
-			return job.Change{}, &foundJob{old}
+			return job.Change{}, &existingJobError{old}
 		}
 		return jobChange(have, clock, id, s.Customer, j), nil
 	})
 	if errors.As(err, &found) {
-		return found.same(s, j)
+		return found.sameJob(s, j)
 	}
 	return j, err
 }
 
-// A foundJob ends an attempt to submit a job that exists.
-type foundJob struct{ job job.Job }
+// An existingJobError ends an attempt to change a job that needs no change.
+type existingJobError struct{ job job.Job }
 
-func (e *foundJob) Error() string { return "job " + e.job.ID + " exists" }
+func (e *existingJobError) Error() string { return "job " + e.job.ID + " exists" }
 
-func (e *foundJob) same(s Submission, j job.Job) (job.Job, error) {
+// sameJob returns the existing job if it asks for the same as j.
+func (e *existingJobError) sameJob(s Submission, j job.Job) (job.Job, error) {
 	old := e.job
 	if old.Kind != j.Kind || old.Service != j.Service || old.Need != j.Need || old.Billed != j.Billed {
 		return job.Job{}, &KeyReusedError{s.Key, old.ID}
@@ -122,9 +127,11 @@
 	return old, nil
 }
 
-// Cancel asks for a job to end. A job that has ended stays as it is.
+// Cancel requests the end of a job and returns the job. A job that has ended or
+// whose cancellation was requested before is returned unchanged. Cancel fails with
+// a *pointport.NotFoundError if the job does not exist.
 func Cancel(ctx context.Context, log *JobLog, clock pointport.Clock, author, id string) (job.Job, error) {
-	var found *foundJob
+	var found *existingJobError
 	var after job.Job
 	change := uuid.NewString()
 	_, err := log.Append(ctx, change, func(have *job.State) (job.Change, error) {
@@ -133,7 +140,7 @@
 			return job.Change{}, &pointport.NotFoundError{Kind: "job", Name: id}
 		}
 		if j.Phase.Ended() || j.Cancel {
-			return job.Change{}, &foundJob{j}
+			return job.Change{}, &existingJobError{j}
 		}
 		j.Cancel = true
 		if j.Phase == job.Waiting {
@@ -148,6 +155,7 @@
 	return after, err
 }
 
+// jobChange returns the change that replaces a job in have.
 func jobChange(have *job.State, clock pointport.Clock, id, author string, j job.Job) job.Change {
 	return job.Change{
 		ID: id, Version: have.Version() + 1, Author: author, At: clock.Now().UTC(),
--- a/executor.go
+++ b/executor.go
@@ -148,7 +148,7 @@
 const (
 	RejectFence      RejectReason = "fence"     // it has seen a higher fencing token
 	RejectOldRun     RejectReason = "oldRun"    // that run or a later one has ended there
-	RejectExpired    RejectReason = "late"      // the lease in the order had expired
+	RejectExpired    RejectReason = "late"      // the lease had expired when the order arrived
 	RejectNoCapacity RejectReason = "room"      // the task does not fit
 	RejectTicket     RejectReason = "ticket"    // it is not permitted to run that step
 	RejectUnhealthy  RejectReason = "unhealthy" // it is unhealthy; it has done nothing
--- a/job/decide.go
+++ b/job/decide.go
@@ -10,179 +10,189 @@
 	"github.com/pointport/pointport/assign"
 )
 
-// This file defines the decision about jobs.
+// This file defines how the next steps of a zone's jobs are decided.
 
 const (
-	// setAside is on how many instances a job may fail before it is set aside.
-	setAside = 3
-	// maxSteps bounds the steps of one change, so that its stored value stays far
-	// below what the store takes.
+	// maxFailedInstances is the number of instances on which a job may fail. At
+	// that number it ends as failed.
+	maxFailedInstances = 3
+	// maxSteps limits the steps of one change, so that its encoded size stays far
+	// below the store's limit on a value.
 	maxSteps = 500
-	// keepEnded is how long an ended job is remembered.
-	keepEnded = 24 * time.Hour
-	// DefaultLease is how long a task may run after its instance was cut off.
+	// endedRetention is how long an ended job is kept in the state.
+	endedRetention = 24 * time.Hour
+	// DefaultLease is how long a task may keep running after its instance was cut
+	// off from the platform.
 	DefaultLease = time.Minute
-	// lostAfter is how long a task may be unknown to the platform, beyond its
-	// run time and lease, before it counts as lost.
-	lostAfter = 5 * time.Minute
+	// lostTimeout is how long a task may be unknown to the platform, beyond twice
+	// its run time and its lease, before it counts as lost.
+	lostTimeout = 5 * time.Minute
 )
 
-// An Input is everything that a decision looks at.
+// An Input is everything that a decision depends on.
 type Input struct {
 	Now     time.Time
 	State   *State
 	Members []assign.Member
-	// Services gives the service of each pool.
+	// Services maps each pool to its service.
 	Services map[string]string
-	// Tasks is what the instances say of their tasks.
+	// Tasks are the tasks that the instances report.
 	Tasks []pointport.Task
-	// Quotas bounds what a customer's jobs use at once, in thousandths of a
-	// processor.
+	// Quotas limits the CPU that each customer's jobs use at a time, in
+	// thousandths of a core. A missing or zero quota is no limit.
 	Quotas map[string]int64
-	// Evacuated says that the availability zone is to be left empty, so that no job starts.
+	// Evacuated means that the availability zone is being evacuated, so no job
+	// starts.
 	Evacuated bool
 }
 
 type decision struct {
-	in    *Input
-	jobs  map[string]Job
-	steps []Step
-	at    map[string]int
-	tasks map[pointport.TaskID]pointport.Task
-	free  map[pointport.InstanceID]pointport.Shape
-	used  map[string]int64 // by customer
-	ids   []string
+	in        *Input
+	jobs      map[string]Job
+	steps     []Step
+	stepIndex map[string]int
+	tasks     map[pointport.TaskID]pointport.Task
+	free      map[pointport.InstanceID]pointport.Shape
+	used      map[string]int64 // by customer
+	jobIDs    []string
 	// inService lists the members that serve each service.
 	inService map[string][]assign.Member
-	// full lists, for each service, needs that found no room. Room only shrinks
-	// while a decision is made, so whoever needs as much finds none either.
-	full map[string][]fullNeed
+	// unplaceable lists, for each service, needs for which no instance had free
+	// capacity. Free capacity only shrinks during placement, so another job with
+	// the same need cannot be placed either.
+	unplaceable map[string][]unplaceableNeed
 }
 
-// A fullNeed is a need that found no room.
-type fullNeed struct {
-	need pointport.Shape
-	fits int // how many instances are large enough
+// An unplaceableNeed is a need for which no instance had free capacity.
+type unplaceableNeed struct {
+	need        pointport.Shape
+	largeEnough int // number of instances that could hold it when empty
 }
 
-// Decide returns the steps to take next.
+// Decide returns the next steps, at most maxSteps of them. Further steps may
+// follow from the next call, after these have been applied.
 func Decide(in Input) []Step {
 	d := &decision{
-		in: &in, jobs: make(map[string]Job), at: make(map[string]int),
-		tasks:     make(map[pointport.TaskID]pointport.Task),
-		free:      make(map[pointport.InstanceID]pointport.Shape),
-		used:      make(map[string]int64),
-		inService: make(map[string][]assign.Member),
-		full:      make(map[string][]fullNeed),
+		in: &in, jobs: make(map[string]Job), stepIndex: make(map[string]int),
+		tasks:       make(map[pointport.TaskID]pointport.Task),
+		free:        make(map[pointport.InstanceID]pointport.Shape),
+		used:        make(map[string]int64),
+		inService:   make(map[string][]assign.Member),
+		unplaceable: make(map[string][]unplaceableNeed),
 	}
 	for _, t := range in.Tasks {
 		d.tasks[t.ID] = t
 	}
 	for _, j := range in.State.Jobs() {
 		d.jobs[j.ID] = j
-		d.ids = append(d.ids, j.ID)
+		d.jobIDs = append(d.jobIDs, j.ID)
 	}
-	d.follow()
-	d.count()
-	d.place()
+	d.updateFromTasks()
+	d.countUsage()
+	d.placeWaiting()
 	return d.steps
 }
 
-func (d *decision) set(j Job) {
+// addStep replaces a job, in the step that it already has if there is one.
+func (d *decision) addStep(j Job) {
 	d.jobs[j.ID] = j
-	if n, ok := d.at[j.ID]; ok {
+	if n, ok := d.stepIndex[j.ID]; ok {
 		d.steps[n].After = &j
 		return
 	}
-	d.at[j.ID] = len(d.steps)
+	d.stepIndex[j.ID] = len(d.steps)
 	d.steps = append(d.steps, Step{Job: j.ID, After: &j})
 }
 
-// isFull reports whether the decision has as many steps as one change may hold.
-// What is left is decided next time.
-func (d *decision) isFull() bool { return len(d.steps) >= maxSteps }
+// atStepLimit reports whether the decision has as many steps as one change may
+// hold. The remaining jobs are handled by the next decision.
+func (d *decision) atStepLimit() bool { return len(d.steps) >= maxSteps }
 
-// follow moves each job on by what its instance says.
-func (d *decision) follow() {
-	for _, id := range d.ids {
-		if d.isFull() {
+// updateFromTasks updates jobs that have started from the state of their tasks,
+// ends cancelled jobs that wait, and removes jobs that ended long ago.
+func (d *decision) updateFromTasks() {
+	for _, id := range d.jobIDs {
+		if d.atStepLimit() {
 			return
 		}
 		j := d.jobs[id]
 		switch {
 		case j.Phase.Ended():
-			if d.in.Now.Sub(j.Ended) >= keepEnded {
+			if d.in.Now.Sub(j.Ended) >= endedRetention {
 				d.steps = append(d.steps, Step{Job: id})
 				delete(d.jobs, id)
 			}
 		case j.Phase == Waiting && j.Cancel:
-			d.end(j, Cancelled, "cancelled before it ran")
+			d.endJob(j, Cancelled, "cancelled before it ran")
 		case j.Phase == Running || j.Phase == Stopping:
-			d.followTask(j)
+			d.updateFromTask(j)
 		}
 	}
 }
 
-func (d *decision) end(j Job, p Phase, reason string) {
+func (d *decision) endJob(j Job, p Phase, reason string) {
 	j.Phase, j.Ended, j.Reason = p, d.in.Now, reason
-	d.set(j)
+	d.addStep(j)
 }
 
-func (d *decision) followTask(j Job) {
+func (d *decision) updateFromTask(j Job) {
 	t, known := d.tasks[j.Task]
 	if !known {
-		d.followLost(j)
+		d.handleMissingTask(j)
 		return
 	}
 	switch t.State {
 	case pointport.TaskRunning:
 		if j.Cancel && j.Phase == Running {
 			j.Phase, j.Reason = Stopping, "its customer cancelled it"
-			d.set(j)
+			d.addStep(j)
 		}
 	case pointport.TaskDone:
 		j.Result = t.Result
-		d.end(j, Done, "ran on "+string(j.Instance))
+		d.endJob(j, Done, "ran on "+string(j.Instance))
 	case pointport.TaskStopped:
-		d.end(j, Cancelled, "stopped on "+string(j.Instance)+"; it may have run in part")
+		d.endJob(j, Cancelled, "stopped on "+string(j.Instance)+"; it may have run in part")
 	case pointport.TaskFailed:
-		d.failed(j, t)
+		d.handleFailure(j, t)
 	}
 }
 
-// followLost handles a task that the platform does not know, or not yet.
-func (d *decision) followLost(j Job) {
-	if d.in.Now.Sub(j.Started) < 2*j.Runtime+DefaultLease+lostAfter {
+// handleMissingTask handles a job whose task the platform does not know, or does
+// not know yet.
+func (d *decision) handleMissingTask(j Job) {
+	if d.in.Now.Sub(j.Started) < 2*j.Runtime+DefaultLease+lostTimeout {
 		return
 	}
 	if j.Billed {
-		d.end(j, Lost, fmt.Sprintf("instance %s went away with it; it is billed and may have run, so it is not tried again", j.Instance))
+		d.endJob(j, Lost, fmt.Sprintf("instance %s went away with it; it is billed and may have run, so it is not tried again", j.Instance))
 		return
 	}
 	d.retry(j, fmt.Sprintf("instance %s went away with it", j.Instance))
 }
 
-func (d *decision) failed(j Job, t pointport.Task) {
+func (d *decision) handleFailure(j Job, t pointport.Task) {
 	if j.Billed {
-		d.end(j, Failed, fmt.Sprintf("failed on %s: %s; it is billed and not tried again", j.Instance, t.Result))
+		d.endJob(j, Failed, fmt.Sprintf("failed on %s: %s; it is billed and not tried again", j.Instance, t.Result))
 		return
 	}
 	d.retry(j, fmt.Sprintf("failed on %s: %s", j.Instance, t.Result))
 }
 
-// retry puts a job back to wait, unless it has failed too often.
+// retry lets a job wait for another instance. After maxFailedInstances instances
+// it ends the job as failed.
 func (d *decision) retry(j Job, reason string) {
 	j.Tried = append(slices.Clone(j.Tried), j.Instance)
-	if len(j.Tried) >= setAside {
-		d.end(j, Failed, fmt.Sprintf("set aside after %d instances: %s", len(j.Tried), reason))
+	if len(j.Tried) >= maxFailedInstances {
+		d.endJob(j, Failed, fmt.Sprintf("set aside after %d instances: %s", len(j.Tried), reason))
 		return
 	}
 	j.Phase, j.Instance, j.Task, j.Reason = Waiting, "", "", reason
-	d.set(j)
+	d.addStep(j)
 }
 
-// count works out what is free on each instance and used by each customer.
-func (d *decision) count() {
+// countUsage computes the free capacity of each instance and the usage of each
+// customer.
+func (d *decision) countUsage() {
 	for _, m := range d.in.Members {
 		if m.Phase == assign.Serving {
 			d.free[m.ID] = m.Shape
@@ -201,21 +211,21 @@
 	}
 }
 
-// place gives waiting jobs to instances, urgent ones first.
-func (d *decision) place() {
+// placeWaiting assigns waiting jobs to instances, urgent jobs first.
+func (d *decision) placeWaiting() {
 	var waiting []Job
-	for _, id := range d.ids {
+	for _, id := range d.jobIDs {
 		if j, ok := d.jobs[id]; ok && j.Phase == Waiting {
 			waiting = append(waiting, j)
 		}
 	}
 	sort.SliceStable(waiting, func(a, b int) bool { return waiting[a].Priority.Rank() < waiting[b].Priority.Rank() })
 	for _, j := range waiting {
-		if d.isFull() {
+		if d.atStepLimit() {
 			return
 		}
 		if d.in.Evacuated {
-			d.wait(j, "its availability zone is evacuated")
+			d.setWaitReason(j, "its availability zone is evacuated")
 			continue
 		}
 		d.placeOne(j)
@@ -224,14 +234,14 @@
 
 func (d *decision) placeOne(j Job) {
 	if q := d.in.Quotas[j.Customer]; q > 0 && d.used[j.Customer]+j.Need.CPUMilli > q {
-		// What is used now is left out: a reason that changed with it would be
-		// written again and again.
-		d.wait(j, fmt.Sprintf("customer %s has too little left of its quota of %d thousandths of a processor", j.Customer, q))
+		// The reason omits the current usage: each change of the usage would change
+		// the reason, which would then be stored again.
+		d.setWaitReason(j, fmt.Sprintf("customer %s has too little left of its quota of %d thousandths of a processor", j.Customer, q))
 		return
 	}
-	best, fits := d.bestFit(j)
+	best, largeEnough := d.bestFit(j)
 	if best == "" {
-		d.wait(j, noRoom(j, fits))
+		d.setWaitReason(j, noCapacityReason(j, largeEnough))
 		return
 	}
 	d.free[best] = d.free[best].Minus(j.Need)
@@ -239,37 +249,39 @@
 	j.Phase, j.Instance, j.Started = Running, best, d.in.Now
 	j.Task = pointport.TaskID(fmt.Sprintf("%s.%d", j.ID, len(j.Tried)))
 	j.Reason = fmt.Sprintf("given to %s", best)
-	d.set(j)
+	d.addStep(j)
 }
 
-func noRoom(j Job, fits int) string {
-	if fits == 0 {
+func noCapacityReason(j Job, largeEnough int) string {
+	if largeEnough == 0 {
 		return fmt.Sprintf("no instance of service %s is large enough for it", j.Service)
 	}
-	return fmt.Sprintf("%d instances of service %s are large enough; none has room now", fits, j.Service)
+	return fmt.Sprintf("%d instances of service %s are large enough; none has room now", largeEnough, j.Service)
 }
 
-// wait records what a job waits for, if that has changed.
-func (d *decision) wait(j Job, reason string) {
+// setWaitReason records what a job waits for. It adds no step if the reason is
+// unchanged.
+func (d *decision) setWaitReason(j Job, reason string) {
 	if j.Reason != reason {
 		j.Reason = reason
-		d.set(j)
+		d.addStep(j)
 	}
 }
 
-// bestFit returns the instance that the job fills best, and how many are large
-// enough for it when they are empty.
+// bestFit returns the instance with the least free CPU among those that can hold
+// the job now, empty if there is none, and the number of instances that could
+// hold it when empty.
 func (d *decision) bestFit(j Job) (pointport.InstanceID, int) {
-	if f, known := d.knownFull(j); known {
-		return "", f.fits
+	if f, known := d.knownUnplaceable(j); known {
+		return "", f.largeEnough
 	}
 	var best pointport.InstanceID
-	fits := 0
+	largeEnough := 0
 	for _, m := range d.inService[j.Service] {
 		if !m.Shape.Fits(j.Need) {
 			continue
 		}
-		fits++
+		largeEnough++
 		if slices.Contains(j.Tried, m.ID) || !d.free[m.ID].Fits(j.Need) {
 			continue
 		}
@@ -278,17 +290,18 @@
 		}
 	}
 	if best == "" && len(j.Tried) == 0 {
-		d.full[j.Service] = append(d.full[j.Service], fullNeed{j.Need, fits})
+		d.unplaceable[j.Service] = append(d.unplaceable[j.Service], unplaceableNeed{j.Need, largeEnough})
 	}
-	return best, fits
+	return best, largeEnough
 }
 
-// knownFull reports whether a need that was no larger found no room before.
-func (d *decision) knownFull(j Job) (fullNeed, bool) {
-	for _, f := range d.full[j.Service] {
+// knownUnplaceable reports whether a job with the same need could not be placed
+// earlier in this decision.
+func (d *decision) knownUnplaceable(j Job) (unplaceableNeed, bool) {
+	for _, f := range d.unplaceable[j.Service] {
 		if j.Need == f.need {
 			return f, true
 		}
 	}
-	return fullNeed{}, false
+	return unplaceableNeed{}, false
 }
--- a/job/decide_test.go
+++ b/job/decide_test.go
@@ -14,8 +14,9 @@
 
 var now = time.Unix(1_800_000_000, 0)
 
-// grid returns an input with n instances of 16 processors and some waiting jobs.
-func grid(tb testing.TB, instances, waiting int, each func(n int, j *job.Job)) job.Input {
+// newInput returns an input with a number of instances of 16 cores and a number of
+// waiting jobs, each of which may be changed by each.
+func newInput(tb testing.TB, instances, waiting int, each func(n int, j *job.Job)) job.Input {
 	in := job.Input{Now: now, State: job.NewState(), Services: map[string]string{"pool": "proof"}, Quotas: map[string]int64{}}
 	for n := range instances {
 		in.Members = append(in.Members, assign.Member{
@@ -50,11 +51,12 @@
 	return in
 }
 
-// TestLongQueueFitsTheStore decides on a queue far beyond the room. No change may
-// come near the megabyte that the store takes, no instance may be given more
-// than it has, and the decisions must come to rest.
-func TestLongQueueFitsTheStore(t *testing.T) {
-	in := grid(t, 20, 5000, nil)
+// TestLongQueueStaysWithinStoreLimit decides on far more jobs than fit. If a
+// decision changed all of them at once, the change would exceed the store's limit
+// of one megabyte. It also checks that no instance is overcommitted, that each
+// waiting job has a reason, and that the decisions converge.
+func TestLongQueueStaysWithinStoreLimit(t *testing.T) {
+	in := newInput(t, 20, 5000, nil)
 	for round := 0; ; round++ {
 		steps := job.Decide(in)
 		if len(steps) == 0 {
@@ -64,7 +66,7 @@
 			t.Fatalf("a change has %d bytes: %v", len(data), err)
 		}
 		if round > 20 {
-			t.Fatal("the decisions do not come to rest")
+			t.Fatal("the decisions do not converge")
 		}
 		in = apply(t, in, steps)
 	}
@@ -73,20 +75,20 @@
 		if j.Phase == job.Running {
 			used[j.Instance] += j.Need.CPUMilli
 		} else if j.Reason == "" {
-			t.Fatalf("job %s does not say what it waits for", j.ID)
+			t.Fatalf("job %s waits without a reason", j.ID)
 		}
 	}
 	for i, n := range used {
 		if n > 16000 {
-			t.Errorf("%s was given %d of 16000 thousandths of a processor", i, n)
+			t.Errorf("instance %s: its jobs use %d thousandths of a core, it has 16000", i, n)
 		}
 	}
 }
 
-// TestUrgentFirstAndQuota places urgent jobs before others, and no customer
-// beyond its quota.
-func TestUrgentFirstAndQuota(t *testing.T) {
-	in := grid(t, 1, 40, func(n int, j *job.Job) {
+// TestUrgentJobsFirstWithinQuota submits the urgent jobs last. They must be placed
+// before older ones, and no customer may exceed its quota.
+func TestUrgentJobsFirstWithinQuota(t *testing.T) {
+	in := newInput(t, 1, 40, func(n int, j *job.Job) {
 		j.Need.CPUMilli, j.Customer = 2000, fmt.Sprint("c", n%2)
 		if n >= 36 {
 			j.Priority = config.Urgent
@@ -106,15 +108,15 @@
 		}
 	}
 	if urgent != 4 || ofC1 != 4000 {
-		t.Errorf("%d of 4 urgent jobs were placed, c1 uses %d of 4000", urgent, ofC1)
+		t.Errorf("%d urgent jobs were placed, want 4; customer c1 uses %d thousandths of a core, want its quota of 4000", urgent, ofC1)
 	}
 }
 
-// BenchmarkDecide measures a decision with ten thousand waiting jobs and no room
-// for them, which is the most work.
+// BenchmarkDecide measures a decision about ten thousand waiting jobs with no
+// free capacity, which is the most expensive case.
 func BenchmarkDecide(b *testing.B) {
 	for _, instances := range []int{250, 500, 1000, 2000} {
-		in := grid(b, instances, 10000, func(n int, j *job.Job) {
+		in := newInput(b, instances, 10000, func(n int, j *job.Job) {
 			j.Reason = fmt.Sprintf("%d instances of service proof are large enough; none has room now", instances)
 			if n < instances {
 				j.Phase, j.Instance, j.Task, j.Need.CPUMilli = job.Running, pointport.InstanceID(fmt.Sprint("i", n)), pointport.TaskID(fmt.Sprint("t", n)), 16000
@@ -125,31 +127,33 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if steps := job.Decide(in); len(steps) != 0 {
-					b.Fatalf("%d steps", len(steps))
+					b.Fatalf("got %d steps, want none", len(steps))
 				}
 			}
 		})
 	}
 }
 
-// TestNoJobStartsInAnEvacuatedZone keeps jobs waiting, with the reason, until the zone is open.
+// TestNoJobStartsInAnEvacuatedZone checks that jobs wait with a reason while
+// their zone is evacuated, that this takes one step for each, and that they start
+// when the zone is open again.
 func TestNoJobStartsInAnEvacuatedZone(t *testing.T) {
-	in := grid(t, 4, 3, nil)
+	in := newInput(t, 4, 3, nil)
 	in.Evacuated = true
 	in = apply(t, in, job.Decide(in))
 	for _, j := range in.State.Jobs() {
 		if j.Phase != job.Waiting || j.Reason != "its availability zone is evacuated" {
-			t.Errorf("%s is %s: %s", j.ID, j.Phase, j.Reason)
+			t.Errorf("job %s in the evacuated zone is %s: %s", j.ID, j.Phase, j.Reason)
 		}
 	}
 	if steps := job.Decide(in); len(steps) != 0 {
-		t.Errorf("%d steps although nothing has changed", len(steps))
+		t.Errorf("got %d steps although nothing has changed", len(steps))
 	}
 	in.Evacuated = false
 	in = apply(t, in, job.Decide(in))
 	for _, j := range in.State.Jobs() {
 		if j.Phase != job.Running {
-			t.Errorf("%s is %s although the zone is open: %s", j.ID, j.Phase, j.Reason)
+			t.Errorf("job %s is %s although the zone is open: %s", j.ID, j.Phase, j.Reason)
 		}
 	}
 }
--- a/job/state.go
+++ b/job/state.go
@@ -16,21 +16,21 @@
 
 // This file defines jobs, steps and the state of a zone's jobs.
 
-// A Phase says how far a job has come.
+// A Phase is a stage in the life cycle of a job.
 type Phase string
 
 // The phases of a job.
 const (
 	Waiting   Phase = "waiting"
 	Running   Phase = "running"
-	Stopping  Phase = "stopping" // is told to stop
+	Stopping  Phase = "stopping" // its task is being stopped
 	Done      Phase = "done"
 	Failed    Phase = "failed"
 	Cancelled Phase = "cancelled"
-	Lost      Phase = "lost" // it may have run; a billed job is not tried again
+	Lost      Phase = "lost" // its task vanished and may have run; only for billed jobs, which are not retried
 )
 
-// Ended reports whether a job in this phase is over.
+// Ended reports whether p is a final phase.
 func (p Phase) Ended() bool {
 	switch p {
 	case Done, Failed, Cancelled, Lost:
@@ -39,8 +39,8 @@
 	return false
 }
 
-// A Job is one piece of work that a member submitted. Its fields are exported
-// because a codec reads and writes them.
+// A Job is a unit of work that a customer submitted. Its fields are exported for
+// encoding.
 type Job struct {
 	ID       string          `json:"id"`
 	Customer string          `json:"customer"`
@@ -50,7 +50,7 @@
 	// Runtime is the declared run time, in nanoseconds.
 	Runtime  time.Duration   `json:"runtime"`
 	Priority config.Priority `json:"priority"`
-	// Billed says that the job may not run twice.
+	// Billed means that the job must not run twice.
 	Billed    bool                   `json:"billed"`
 	Phase     Phase                  `json:"phase"`
 	Submitted time.Time              `json:"submitted"`
@@ -60,23 +60,23 @@
 	Task      pointport.TaskID       `json:"task,omitempty"`
 	Tried     []pointport.InstanceID `json:"tried,omitempty"` // where it failed
 	Result    string                 `json:"result,omitempty"`
-	// Reason says what the job waits for, or why it ended as it did.
+	// Reason explains what the job waits for, or why it is in its phase.
 	Reason string `json:"reason,omitempty"`
-	// Cancel says that its customer does not want it any more.
+	// Cancel means that its cancellation was requested.
 	Cancel bool `json:"cancel,omitempty"`
 }
 
-// ID returns the identity of what a customer submits under its own key. It is
-// the same at every entry instance.
+// ID returns the ID of the job that a customer submits under its own key. Every
+// entry instance computes the same ID.
 func ID(customer, key string) string {
 	h := sha256.Sum256(fmt.Appendf(nil, "%d:%s%s", len(customer), customer, key))
 	return hex.EncodeToString(h[:idBytes])
 }
 
-// idBytes is how many bytes of the digest name a job.
+// idBytes is the number of bytes of the digest in a job's ID.
 const idBytes = 16
 
-// HomeZone returns the zone that keeps the job called id.
+// HomeZone returns the zone whose log stores the job with the given ID.
 func HomeZone(id string, zones []pointport.ZoneID) pointport.ZoneID {
 	n := 0
 	for _, c := range []byte(id) {
@@ -85,15 +85,15 @@
 	return zones[n]
 }
 
-// A Step replaces one job, or forgets it if After is nil. Its fields are
-// exported for the codec.
+// A Step replaces one job, or removes it if After is nil. Its fields are
+// exported for encoding.
 type Step struct {
 	Job   string `json:"job"`
 	After *Job   `json:"after,omitempty"`
 }
 
-// A Change is a set of steps that are taken together. Its fields are exported
-// for the codec.
+// A Change is a set of steps that are applied together. Its fields are exported
+// for encoding.
 type Change struct {
 	ID      string            `json:"id"`
 	Version pointport.Version `json:"version"`
@@ -102,13 +102,13 @@
 	Steps   []Step            `json:"steps"`
 }
 
-// ChangeID returns the change's own name.
+// ChangeID returns the change's unique ID.
 func (c Change) ChangeID() string { return c.ID }
 
-// ChangeVersion returns the version that the change makes.
+// ChangeVersion returns the version of the state that the change produces.
 func (c Change) ChangeVersion() pointport.Version { return c.Version }
 
-// A State is the jobs of a zone at one version. It is never changed.
+// A State holds the jobs of a zone at one version. It is immutable.
 type State struct {
 	version pointport.Version
 	jobs    map[string]Job
@@ -120,13 +120,13 @@
 // Version returns the version of the state.
 func (s *State) Version() pointport.Version { return s.version }
 
-// Job returns a job.
+// Job returns the job with the given ID, and whether it exists.
 func (s *State) Job(id string) (Job, bool) {
 	j, ok := s.jobs[id]
 	return j, ok
 }
 
-// Jobs returns every job, the oldest first.
+// Jobs returns all jobs, the oldest submission first.
 func (s *State) Jobs() []Job {
 	out := slices.Collect(maps.Values(s.jobs))
 	sort.Slice(out, func(a, b int) bool {
@@ -138,7 +138,8 @@
 	return out
 }
 
-// Apply returns the state after c. It fails if c is not the next version.
+// Apply returns the state after c. It fails if the version of c does not directly
+// follow that of s.
 func (s *State) Apply(c Change) (*State, error) {
 	if c.Version != s.version+1 {
 		return nil, fmt.Errorf("change %s has version %d, which does not follow %d", c.ID, c.Version, s.version)
@@ -159,10 +160,10 @@
 	Jobs    map[string]Job    `json:"jobs"`
 }
 
-// MarshalJSON writes the whole state.
+// MarshalJSON encodes the whole state.
 func (s *State) MarshalJSON() ([]byte, error) { return json.Marshal(stateDocument{s.version, s.jobs}) }
 
-// UnmarshalJSON reads a whole state.
+// UnmarshalJSON decodes a whole state.
 func (s *State) UnmarshalJSON(data []byte) error {
 	d := stateDocument{Jobs: map[string]Job{}}
 	if err := json.Unmarshal(data, &d); err != nil {
--- a/placer/evacuation_test.go
+++ b/placer/evacuation_test.go
@@ -9,23 +9,25 @@
 	"github.com/pointport/pointport/config"
 )
 
-// What users would see: a task that begins in an availability zone after it was evacuated.
-// The order of events: a job is given to an instance and that is committed, the order to start
-// it never arrives, the zone is evacuated, and the placer tells what was committed again.
-func TestCommittedStartIsNotToldInAnEvacuatedZone(t *testing.T) {
-	g := newGrid(t)
+// TestCommittedStartIsNotSentInAnEvacuatedZone guards against a task that starts
+// in an availability zone after the zone was evacuated. A job is assigned to an
+// instance and the assignment is committed, but the order to start the task is
+// lost. After the evacuation the placer sends the orders for the committed state
+// again. The start must be sent only once the zone is open.
+func TestCommittedStartIsNotSentInAnEvacuatedZone(t *testing.T) {
+	g := newFixture(t)
 	j, err := g.submit("a", 1000, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	lost := &unreachable{fakeRunner: g.runner, cut: true}
-	p, log := g.placerWith(lost)
+	runner := &unreachableRunner{fakeRunner: g.runner, unavailable: true}
+	p, log := g.placerWith(runner)
 	round := func() {
 		t.Helper()
 		if err := log.Refresh(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if err := p.Round(t.Context()); err != nil && !lost.cut {
+		if err := p.Round(t.Context()); err != nil && !runner.unavailable {
 			t.Fatal(err)
 		}
 	}
@@ -35,10 +37,10 @@
 	if g.config, err = open.Apply(config.Change{ID: "e", Version: open.Version() + 1, Object: &o}); err != nil {
 		t.Fatal(err)
 	}
-	lost.cut = false
+	runner.unavailable = false
 	round()
 	if n := g.runner.starts[j.ID]; n != 0 {
-		t.Fatalf("the job has started %d times in the evacuated zone", n)
+		t.Fatalf("the job has started %d times in the evacuated zone, want 0", n)
 	}
 	g.config = open
 	round()
@@ -47,18 +49,19 @@
 	}
 }
 
-// An unreachable runner starts nothing while it is cut off.
-type unreachable struct {
+// An unreachableRunner is a fakeRunner that starts nothing while it is
+// unavailable.
+type unreachableRunner struct {
 	*fakeRunner
-	cut bool
+	unavailable bool
 }
 
-var errCutOff = errors.New("no route")
+var errNoRoute = errors.New("no route")
 
-// StartTask starts a task unless the runner is cut off.
-func (u *unreachable) StartTask(ctx context.Context, task pointport.Task) error {
-	if u.cut {
-		return &pointport.UnavailableError{Op: "start", Err: errCutOff}
+// StartTask starts a task unless the runner is unavailable.
+func (u *unreachableRunner) StartTask(ctx context.Context, task pointport.Task) error {
+	if u.unavailable {
+		return &pointport.UnavailableError{Op: "start", Err: errNoRoute}
 	}
 	return u.fakeRunner.StartTask(ctx, task)
 }
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -1,10 +1,10 @@
-// Package placer carries out the decisions about an availability zone's jobs:
-// it asks package job what to do, commits that to the zone's log and then
+// Package placer carries out the decisions about an availability zone's jobs: it
+// commits the steps that package job decides on to the zone's log, and then
 // starts and stops tasks.
 //
-// Invariants: no task is started before the step that names it is committed; a
-// commit follows on the very version that the decision read; starting a task
-// again changes nothing, because an instance starts a task's ID at most once.
+// Invariants: no task is started before the step that assigns it is committed; a
+// commit directly follows the version that the decision was based on; starting a
+// task again changes nothing, because an instance starts a task ID at most once.
 package placer
 
 import (
@@ -24,10 +24,10 @@
 	"github.com/pointport/pointport/job"
 )
 
-// This file defines the placer and its round.
+// This file defines the placer and its control loop.
 
-// DefaultInterval is how often the placer looks. Urgent work must start within
-// seconds.
+// DefaultInterval is the default interval between rounds. It is short because
+// urgent jobs must start within seconds.
 const DefaultInterval = 500 * time.Millisecond
 
 // A JobLog is the log of a zone's jobs.
@@ -36,12 +36,13 @@
 // LogName returns the name of a zone's log.
 func LogName(zone pointport.ZoneID) string { return "jobs." + string(zone) }
 
-// An Election says whether this process places jobs.
+// An Election reports whether this process is the one that places jobs.
 type Election interface {
 	Held() bool
 }
 
-// Sources are where the placer reads what it decides on.
+// Sources provide the current state of the configuration and of the assignment
+// of instances to pools.
 type Sources struct {
 	Config func() *config.State
 	Assign func() *assign.State
@@ -49,31 +50,31 @@
 
 // A Placer places the jobs of one availability zone.
 type Placer struct {
-	zone     pointport.ZoneID
-	clock    pointport.Clock
-	runner   pointport.TaskRunner
-	sources  Sources
-	log      *JobLog
-	election Election
-	logger   *slog.Logger
-	author   string
-	interval time.Duration
-	cut      bool
+	zone        pointport.ZoneID
+	clock       pointport.Clock
+	runner      pointport.TaskRunner
+	sources     Sources
+	log         *JobLog
+	election    Election
+	logger      *slog.Logger
+	author      string
+	interval    time.Duration
+	unavailable bool
 }
 
-// An Option changes a Placer.
+// An Option configures a Placer.
 type Option func(*Placer)
 
-// WithLogger sets where events go.
+// WithLogger sets the logger for events. The default discards them.
 func WithLogger(l *slog.Logger) Option { return func(p *Placer) { p.logger = l } }
 
-// WithInterval sets how often the placer looks.
+// WithInterval sets the interval between rounds. The default is DefaultInterval.
 func WithInterval(d time.Duration) Option { return func(p *Placer) { p.interval = d } }
 
-// WithAuthor sets the name under which the placer writes.
+// WithAuthor sets the author of the placer's changes. The default is "placer".
 func WithAuthor(a string) Option { return func(p *Placer) { p.author = a } }
 
-// New returns a placer that acts only by Round.
+// New returns a placer that acts only when Round is called.
 func New(clock pointport.Clock, zone pointport.ZoneID, runner pointport.TaskRunner, sources Sources, log *JobLog, election Election, options ...Option) *Placer {
 	p := &Placer{
 		zone: zone, clock: clock, runner: runner, sources: sources, log: log, election: election,
@@ -85,18 +86,19 @@
 	return p
 }
 
-// Start returns a placer that works until ctx ends.
+// Start returns a placer that runs rounds in the background until ctx ends. It
+// skips them while election is not held.
 func Start(ctx context.Context, clock pointport.Clock, zone pointport.ZoneID, runner pointport.TaskRunner, sources Sources, log *JobLog, election Election, options ...Option) *Placer {
 	p := New(clock, zone, runner, sources, log, election, options...)
 	go func() {
 		for ctx.Err() == nil {
 			if p.election.Held() {
-				p.report(ctx, p.Round(ctx))
+				p.logFailure(ctx, p.Round(ctx))
 			}
 			select {
 			case <-clock.After(p.interval):
 			case <-log.Changed():
-				// A new job need not wait for the next look.
+				// A new job is handled without waiting for the interval.
 			case <-ctx.Done():
 			}
 		}
@@ -104,14 +106,16 @@
 	return p
 }
 
-func (p *Placer) report(ctx context.Context, err error) {
-	if err != nil && !p.cut && ctx.Err() == nil {
+// logFailure logs the first of several consecutive failed rounds.
+func (p *Placer) logFailure(ctx context.Context, err error) {
+	if err != nil && !p.unavailable && ctx.Err() == nil {
 		event.PlacementUnavailable.Log(p.logger, slog.Any("error", err))
 	}
-	p.cut = err != nil
+	p.unavailable = err != nil
 }
 
-// Round reads, decides, commits, and starts and stops tasks, once.
+// Round runs one round: it reads the tasks, decides and commits the next steps,
+// and starts and stops tasks. It does nothing if no job is unfinished.
 func (p *Placer) Round(ctx context.Context) error {
 	state := p.log.State()
 	if !state.HasUnfinished() {
@@ -127,7 +131,7 @@
 			return err
 		}
 	}
-	return p.tell(ctx, state, tasks)
+	return p.startAndStopTasks(ctx, state, tasks)
 }
 
 func (p *Placer) input(state *job.State, tasks []pointport.Task) job.Input {
@@ -145,7 +149,7 @@
 	return in
 }
 
-// evacuated reports whether nothing may be started in the availability zone.
+// evacuated reports whether no task may be started in the availability zone.
 func (p *Placer) evacuated() bool {
 	return p.sources.Config().Evacuations().State(p.zone) != evacuation.Open
 }
@@ -158,7 +162,8 @@
 	err := p.log.Commit(ctx, change)
 	var stale *changelog.StaleError
 	if errors.As(err, &stale) {
-		// What was committed before still holds and may be told again.
+		// The state that was committed before is still valid, and its orders may be
+		// sent again.
 		return state, nil
 	}
 	if err != nil {
@@ -186,8 +191,8 @@
 	}
 }
 
-// tell starts and stops tasks as the committed state calls for.
-func (p *Placer) tell(ctx context.Context, state *job.State, tasks []pointport.Task) error {
+// startAndStopTasks starts and stops tasks according to the committed state.
+func (p *Placer) startAndStopTasks(ctx context.Context, state *job.State, tasks []pointport.Task) error {
 	known := make(map[pointport.TaskID]bool, len(tasks))
 	for _, t := range tasks {
 		known[t.ID] = true
@@ -197,7 +202,7 @@
 		var err error
 		switch {
 		case j.Phase == job.Running && !known[j.Task] && p.evacuated():
-			// It is told once the availability zone is open again.
+			// The start is sent once the availability zone is open again.
 		case j.Phase == job.Running && !known[j.Task]:
 			err = p.runner.StartTask(ctx, pointport.Task{
 				ID: j.Task, Instance: j.Instance, Kind: j.Kind, Need: j.Need, Runtime: j.Runtime, Lease: job.DefaultLease,
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -21,15 +21,15 @@
 	"github.com/pointport/pointport/placer"
 )
 
-// A fakeRunner runs tasks, each ID once on an instance, as the platform does.
+// A fakeRunner runs tasks like the platform: each ID at most once on an instance.
 type fakeRunner struct {
 	clock  *clock.Fake
 	tasks  map[pointport.TaskID]*pointport.Task
 	ends   map[pointport.TaskID]time.Time
-	starts map[string]int // by job
-	fail   map[pointport.InstanceID]bool
-	lost   func() bool // whether an answer is lost after the call took effect
-	gone   map[pointport.InstanceID]bool
+	starts map[string]int                // by job
+	fail   map[pointport.InstanceID]bool // instances on which every task fails
+	lost   func() bool                   // whether an answer is lost after the call took effect
+	gone   map[pointport.InstanceID]bool // instances whose tasks are not listed
 }
 
 var errLost = errors.New("the answer was lost")
@@ -84,12 +84,13 @@
 	return f.answer("stop")
 }
 
-type always struct{}
+// alwaysHeld is an Election that this process has won.
+type alwaysHeld struct{}
 
-func (always) Held() bool { return true }
+func (alwaysHeld) Held() bool { return true }
 
-// A grid is a zone with three instances and its jobs.
-type grid struct {
+// A fixture is a zone with three instances and a log of jobs.
+type fixture struct {
 	clock  *clock.Fake
 	store  *memory.Store
 	runner *fakeRunner
@@ -97,9 +98,9 @@
 	config *config.State
 }
 
-func newGrid(t fataler) *grid {
+func newFixture(t fataler) *fixture {
 	c := clock.NewFake(time.Unix(1_800_000_000, 0))
-	g := &grid{clock: c, store: memory.New(c), runner: newFakeRunner(c)}
+	g := &fixture{clock: c, store: memory.New(c), runner: newFakeRunner(c)}
 	objects, err := config.Parse("test", []byte("kind: Template\nname: proof\npool: {size: 3}\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -120,33 +121,35 @@
 
 type fataler interface{ Fatal(args ...any) }
 
-func (g *grid) log() *placer.JobLog {
+func (g *fixture) log() *placer.JobLog {
 	return changelog.New[*job.State, job.Change](g.store, g.clock, placer.LogName("zone-a"), job.NewState())
 }
 
-// placer returns a new placer that has read the log, as after a restart.
-func (g *grid) placer() (*placer.Placer, *placer.JobLog) { return g.placerWith(g.runner) }
+// placer returns a new placer with its own view of the log, as after a restart.
+func (g *fixture) placer() (*placer.Placer, *placer.JobLog) { return g.placerWith(g.runner) }
 
-// placerWith returns one whose tasks are run by runner.
-func (g *grid) placerWith(runner pointport.TaskRunner) (*placer.Placer, *placer.JobLog) {
+// placerWith returns a new placer whose tasks are run by runner.
+func (g *fixture) placerWith(runner pointport.TaskRunner) (*placer.Placer, *placer.JobLog) {
 	log := g.log()
 	sources := placer.Sources{Config: func() *config.State { return g.config }, Assign: func() *assign.State { return g.assign }}
-	return placer.New(g.clock, "zone-a", runner, sources, log, always{}), log
+	return placer.New(g.clock, "zone-a", runner, sources, log, alwaysHeld{}), log
 }
 
-func (g *grid) submit(key string, cpu int64, billed bool) (job.Job, error) {
+func (g *fixture) submit(key string, cpu int64, billed bool) (job.Job, error) {
 	return command.Submit(context.Background(), g.log(), g.clock, command.Submission{
 		Key: key, Customer: "sahab", Kind: "proof", Service: "proof", Billed: billed,
 		Need: pointport.Shape{CPUMilli: cpu, MemoryMiB: 100}, Runtime: config.NewDuration(5 * time.Second),
 	})
 }
 
-// TestBilledJobStartsOnce lets two placers work, pause and restart, cancels come,
-// instances fail and go, and answers of the store and of the instances be lost.
-// A billed job starts at most once, and every job ends or says what it waits for.
+// TestBilledJobStartsOnce guards against a billed job that starts twice, and
+// against a job that neither ends nor has a reason for waiting. Two placers work
+// on the same zone with stale state and after restarts, while jobs are cancelled,
+// instances fail or disappear, and answers of the store and of the instances are
+// lost.
 func TestBilledJobStartsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := newGrid(t)
+		g := newFixture(t)
 		type worker struct {
 			placer *placer.Placer
 			log    *placer.JobLog
@@ -193,7 +196,7 @@
 					faults = faults[1:]
 					return f
 				})
-				// A worker that does not read first decides on what it last knew.
+				// Without a refresh, the placer decides on the state that it last read.
 				if rapid.Bool().Draw(t, "read") {
 					_ = w.log.Refresh(context.Background())
 				}
@@ -208,12 +211,13 @@
 		}
 		g.store.SetInjector(func(string, string) memory.Fault { return memory.FaultNone })
 		g.runner.lost = func() bool { return false }
-		checkEnds(t, g)
+		checkEveryJobSettles(t, g)
 	})
 }
 
-// checkEnds lets everything come to rest.
-func checkEnds(t *rapid.T, g *grid) {
+// checkEveryJobSettles runs a placer without faults and then checks that every
+// job has ended or has a reason for waiting.
+func checkEveryJobSettles(t *rapid.T, g *fixture) {
 	p, log := g.placer()
 	for range 100 {
 		if err := log.Refresh(context.Background()); err != nil {
@@ -226,14 +230,15 @@
 	}
 	for _, j := range log.State().Jobs() {
 		if !j.Phase.Ended() && j.Reason == "" {
-			t.Fatalf("job %s neither ended nor says what it waits for: %+v", j.ID, j)
+			t.Fatalf("job %s has not ended and has no reason for waiting: %+v", j.ID, j)
 		}
 	}
 }
 
-// TestNeverFits says of a job that fits no instance that it never will.
-func TestNeverFits(t *testing.T) {
-	g := newGrid(t)
+// TestReasonOfJobThatFitsNoInstance checks the reason of a job that is larger than
+// any instance. It must not look like a job that waits for free capacity.
+func TestReasonOfJobThatFitsNoInstance(t *testing.T) {
+	g := newFixture(t)
 	j, err := g.submit("large", 64000, false)
 	if err != nil {
 		t.Fatal(err)
@@ -247,14 +252,14 @@
 	}
 	got, _ := log.State().Job(j.ID)
 	if got.Reason != "no instance of service proof is large enough for it" {
-		t.Errorf("the job says %q", got.Reason)
+		t.Errorf("the job's reason is %q", got.Reason)
 	}
 }
 
-// TestSameKey submits a key again: the same job, or a conflict if it asks for
-// something else.
-func TestSameKey(t *testing.T) {
-	g := newGrid(t)
+// TestSubmitWithSameKey submits a key twice. The second submission must return
+// the first job, or fail if it asks for something else.
+func TestSubmitWithSameKey(t *testing.T) {
+	g := newFixture(t)
 	first, err := g.submit("tip", 1000, true)
 	if err != nil {
 		t.Fatal(err)
@@ -263,8 +268,8 @@
 	if err != nil || again.ID != first.ID {
 		t.Errorf("got %v, %v, want job %s", again.ID, err, first.ID)
 	}
-	var same *command.KeyReusedError
-	if _, err := g.submit("tip", 2000, true); !errors.As(err, &same) {
-		t.Errorf("got %v, want a SameKeyError", err)
+	var reused *command.KeyReusedError
+	if _, err := g.submit("tip", 2000, true); !errors.As(err, &reused) {
+		t.Errorf("got %v, want a KeyReusedError", err)
 	}
 }
--- a/query/audit.go
+++ b/query/audit.go
@@ -11,12 +11,13 @@
 	"github.com/pointport/pointport/config"
 )
 
-// This file defines the audit trail: operators' changes and the system's own.
+// This file defines the audit trail: the changes by operators and those by the
+// system itself.
 
-// DefaultAuditLimit is how many entries an answer holds at most by default.
+// DefaultAuditLimit is the default maximum number of entries in an answer.
 const DefaultAuditLimit = 100
 
-// An Entry is one line of the audit trail.
+// An Entry is an entry of the audit trail.
 type Entry struct {
 	At      time.Time         `json:"at"`
 	Author  string            `json:"author"`
@@ -27,7 +28,8 @@
 	Change  string            `json:"change"`
 }
 
-// A Filter chooses entries. What is empty chooses all.
+// A Filter selects entries. A zero field selects all, but a Limit of zero means
+// DefaultAuditLimit. Since is inclusive, Until exclusive.
 type Filter struct {
 	Since  time.Time
 	Until  time.Time
@@ -36,23 +38,23 @@
 	Limit  int
 }
 
-func (f Filter) accepts(e Entry) bool {
+func (f Filter) matches(e Entry) bool {
 	return (f.Author == "" || e.Author == f.Author) &&
 		(f.Object == "" || e.Object == f.Object) &&
 		!e.At.Before(f.Since) && (f.Until.IsZero() || e.At.Before(f.Until))
 }
 
-// Audit returns the entries that f chooses, the newest first.
+// Audit returns the entries that f selects, the newest first.
 func (s *Source) Audit(ctx context.Context, f Filter) ([]Entry, error) {
 	if f.Limit <= 0 {
 		f.Limit = DefaultAuditLimit
 	}
-	entries, err := s.auditConfig(ctx, f)
+	entries, err := s.configEntries(ctx, f)
 	if err != nil {
 		return nil, err
 	}
 	for _, zone := range s.Zones {
-		more, err := s.auditAssign(ctx, s.Assign[zone], f)
+		more, err := s.assignEntries(ctx, s.Assign[zone], f)
 		if err != nil {
 			return nil, err
 		}
@@ -62,19 +64,19 @@
 	return entries[:min(len(entries), f.Limit)], nil
 }
 
-func (s *Source) auditConfig(ctx context.Context, f Filter) ([]Entry, error) {
-	changes, err := s.Config.History(ctx, f.Limit, func(c config.Change) bool { return f.accepts(configEntry(c)) })
+func (s *Source) configEntries(ctx context.Context, f Filter) ([]Entry, error) {
+	changes, err := s.Config.History(ctx, f.Limit, func(c config.Change) bool { return f.matches(entryOfConfigChange(c)) })
 	if err != nil {
 		return nil, err
 	}
 	out := make([]Entry, 0, len(changes))
 	for _, c := range changes {
-		out = append(out, configEntry(c))
+		out = append(out, entryOfConfigChange(c))
 	}
 	return out, nil
 }
 
-func configEntry(c config.Change) Entry {
+func entryOfConfigChange(c config.Change) Entry {
 	action := "removed"
 	if c.Object != nil {
 		action = fmt.Sprintf("set, from version %d", c.From)
@@ -85,17 +87,17 @@
 	return Entry{c.At, c.Author, c.Target(), action, c.Reason, c.Version, c.ID}
 }
 
-func (s *Source) auditAssign(ctx context.Context, log *AssignLog, f Filter) ([]Entry, error) {
+func (s *Source) assignEntries(ctx context.Context, log *AssignLog, f Filter) ([]Entry, error) {
 	changes, err := log.History(ctx, f.Limit, func(c assign.Change) bool {
-		return slices.ContainsFunc(assignEntries(c), f.accepts)
+		return slices.ContainsFunc(entriesOfAssignChange(c), f.matches)
 	})
 	if err != nil {
 		return nil, err
 	}
 	out := []Entry{}
 	for _, c := range changes {
-		for _, e := range assignEntries(c) {
-			if f.accepts(e) {
+		for _, e := range entriesOfAssignChange(c) {
+			if f.matches(e) {
 				out = append(out, e)
 			}
 		}
@@ -103,7 +105,7 @@
 	return out, nil
 }
 
-func assignEntries(c assign.Change) []Entry {
+func entriesOfAssignChange(c assign.Change) []Entry {
 	var out []Entry
 	for _, step := range c.Steps {
 		action := "forgotten"
--- a/query/plan.go
+++ b/query/plan.go
@@ -5,10 +5,10 @@
 	"github.com/pointport/pointport/config"
 )
 
-// This file defines the forecast of what a change would do.
+// This file defines the forecast of the effects of a change.
 
-// Plan returns, for each availability zone, what changing objects would come to
-// if nothing failed. It changes nothing.
+// Plan returns, for each availability zone, the forecast of what happens if the
+// objects are applied and nothing fails. It changes nothing.
 func (s *Source) Plan(objects []config.Object) ([]assign.Forecast, error) {
 	state := s.Config.State()
 	for i := range objects {
--- a/query/query.go
+++ b/query/query.go
@@ -1,5 +1,5 @@
-// Package query holds what operators can ask. It changes nothing; commands,
-// which do, are in package command.
+// Package query implements the queries of operators. It changes nothing;
+// commands, which do, are in package command.
 package query
 
 import (
@@ -17,7 +17,8 @@
 	"github.com/pointport/pointport/job"
 )
 
-// This file defines the sources of answers and the status.
+// This file defines the source of answers, and the queries about the status, jobs
+// and explanations.
 
 // ConfigLog is the log of the configuration.
 type ConfigLog = changelog.Log[*config.State, config.Change]
@@ -28,12 +29,12 @@
 // JobLog is the log of a zone's jobs.
 type JobLog = changelog.Log[*job.State, job.Change]
 
-// Services gives the state of the request path.
+// Services provides the state of the request path of each service.
 type Services interface {
 	Status() []dispatch.Status
 }
 
-// A Source is where answers come from.
+// A Source answers queries from the state that a node has.
 type Source struct {
 	Node      string
 	Zone      pointport.ZoneID
@@ -43,10 +44,11 @@
 	Assign    map[pointport.ZoneID]*AssignLog
 	Jobs      map[pointport.ZoneID]*JobLog
 	Services  Services
-	IsPlanner func() bool // whether this node plans its zone now
+	IsPlanner func() bool // whether this node currently plans its zone
 }
 
-// A PoolStatus counts a pool's instances in a zone by phase.
+// A PoolStatus holds the size of a pool in a zone and the number of its instances
+// by phase.
 type PoolStatus struct {
 	Pool    string               `json:"pool"`
 	Zone    pointport.ZoneID     `json:"zone"`
@@ -55,7 +57,7 @@
 	ByPhase map[assign.Phase]int `json:"byPhase"`
 }
 
-// A Status is the answer to how things stand, as one node sees them.
+// A Status is the status of the whole system, as one node sees it.
 type Status struct {
 	Node          string            `json:"node"`
 	Zone          pointport.ZoneID  `json:"zone"`
@@ -68,7 +70,7 @@
 	Services      []dispatch.Status `json:"services"`
 }
 
-// Status returns how things stand.
+// Status returns the status of the whole system, as this node sees it.
 func (s *Source) Status() Status {
 	cfg := s.Config.State()
 	st := Status{
@@ -78,7 +80,7 @@
 	}
 	slices.SortFunc(st.Services, func(a, b dispatch.Status) int { return strings.Compare(a.Service, b.Service) })
 	for _, zone := range s.Zones {
-		st.Pools = append(st.Pools, s.pools(zone, cfg)...)
+		st.Pools = append(st.Pools, s.poolStatus(zone, cfg)...)
 		st.Waves = append(st.Waves, s.Assign[zone].State().Waves()...)
 		for _, j := range s.Jobs[zone].State().Jobs() {
 			st.Jobs[j.Phase]++
@@ -87,7 +89,7 @@
 	return st
 }
 
-func (s *Source) pools(zone pointport.ZoneID, cfg *config.State) []PoolStatus {
+func (s *Source) poolStatus(zone pointport.ZoneID, cfg *config.State) []PoolStatus {
 	var out []PoolStatus
 	members := s.Assign[zone].State().Members()
 	for _, t := range cfg.Effective(s.Clock.Now()) {
@@ -105,7 +107,8 @@
 	return out
 }
 
-// Job returns a job from its home zone, as the store has it now.
+// Job returns the job with the given ID as the store of its home zone has it now.
+// It fails with a *pointport.NotFoundError if there is no such job.
 func (s *Source) Job(ctx context.Context, id string) (job.Job, error) {
 	log := s.Jobs[job.HomeZone(id, s.Zones)]
 	if err := log.Refresh(ctx); err != nil {
@@ -118,7 +121,8 @@
 	return j, nil
 }
 
-// WaitJob returns a job once it has ended, or as it stands when ctx ends.
+// WaitJob waits until a job has ended and returns it. If ctx ends before, it
+// returns the job in its current state.
 func (s *Source) WaitJob(ctx context.Context, id string) (job.Job, error) {
 	log := s.Jobs[job.HomeZone(id, s.Zones)]
 	for {
@@ -135,7 +139,8 @@
 	}
 }
 
-// ListJobs returns the jobs of every zone, the oldest first.
+// ListJobs returns the customer's jobs in all zones, the oldest submission first.
+// If customer is empty, it returns the jobs of all customers.
 func (s *Source) ListJobs(customer string) []job.Job {
 	out := []job.Job{}
 	for _, zone := range s.Zones {
@@ -149,7 +154,9 @@
 	return out
 }
 
-// Explain explains an instance, a pool, a wave or a job.
+// Explain explains the state of an instance, a pool, a wave or a job, once for
+// each zone that has it. It fails with a *pointport.NotFoundError if the kind or
+// the name does not exist.
 func (s *Source) Explain(ctx context.Context, kind, name string) ([]assign.Explanation, error) {
 	var out []assign.Explanation
 	switch kind {
