--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -25,29 +25,29 @@
 	"github.com/pointport/pointport/standin"
 )
 
-// patience bounds how long a test waits for something to come about. It is no
-// measure: a test that needs it all has failed.
-const patience = 30 * time.Second
+// waitTimeout limits how long a test waits for a condition. It is not an expected
+// duration: a test that reaches it has failed.
+const waitTimeout = 30 * time.Second
 
-// until waits until ok returns true.
-func until(t *testing.T, what string, ok func() bool) {
+// waitUntil waits until ok returns true. It fails the test after waitTimeout.
+func waitUntil(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	t.Fatalf("waited %v in vain until %s", patience, what)
+	t.Fatalf("after %v, still waiting until %s", waitTimeout, condition)
 }
 
-// newFlags returns flags that a set is registered with.
+// newFlags returns a flag set on which the settings are registered.
 func newFlags(set *settings.Set) *flag.FlagSet {
 	f := flag.NewFlagSet("serve", flag.ContinueOnError)
 	set.Register(f)
 	return f
 }
 
-// loadSettings returns the settings that args give.
+// loadSettings returns the settings for the given command-line arguments.
 func loadSettings(t *testing.T, args ...string) *Settings {
 	t.Helper()
 	var s Settings
@@ -66,7 +66,7 @@
 	return &s
 }
 
-// startEntry starts an entry instance on addresses of its own.
+// startEntry starts an entry instance on free local ports.
 func startEntry(t *testing.T, platform, name string, more ...string) *Entry {
 	t.Helper()
 	args := append([]string{
@@ -86,7 +86,7 @@
 	return e
 }
 
-// startPlatform starts a stand-in with eight instances in one zone.
+// startPlatform starts a simulated platform with eight instances in one zone.
 func startPlatform(t *testing.T) (*standin.Platform, *standin.Fleet, string) {
 	t.Helper()
 	fleet, err := standin.NewFleet(clock.System{}, standin.WithZones(8, "zone-a"),
@@ -105,8 +105,8 @@
 	return p, fleet, "http://" + addr.String()
 }
 
-// put sends a document as an operator does.
-func put(t *testing.T, e *Entry, read string, text string) error {
+// putConfig sends a document to the operators' API, based on the version read.
+func putConfig(t *testing.T, e *Entry, read string, text string) error {
 	t.Helper()
 	objects, err := config.Parse("test", []byte(text))
 	if err != nil {
@@ -118,7 +118,9 @@
 	return operator.NewClient(e.Address("operators")).Call(context.Background(), http.MethodPut, path, q, o, nil)
 }
 
-func ask(t *testing.T, e *Entry, method, path, key string) (int, string, string) {
+// request sends a request as a caller, with an idempotency key unless key is empty.
+// It returns the status, the Pointport-Ran header and the body.
+func request(t *testing.T, e *Entry, method, path, key string) (int, string, string) {
 	t.Helper()
 	req, err := http.NewRequest(method, e.Address("callers")+path, strings.NewReader("body"))
 	if err != nil {
@@ -149,60 +151,63 @@
 maintenance: {budget: "1", drainQuiet: 200ms}
 `
 
-// TestWholePath takes the thin path of the product through two entry instances
-// and a stand-in platform: a template, a request, a wave, a job and the audit
-// trail.
-func TestWholePath(t *testing.T) {
+// TestTemplateRequestWaveJobAndAudit exercises all main features together, with
+// two entry instances and a simulated platform: a template, a request, a wave, a
+// job and the audit trail.
+func TestTemplateRequestWaveJobAndAudit(t *testing.T) {
 	_, fleet, platform := startPlatform(t)
 	a, b := startEntry(t, platform, "a"), startEntry(t, platform, "b")
-	if err := put(t, a, "0", shiftTemplate); err != nil {
+	if err := putConfig(t, a, "0", shiftTemplate); err != nil {
 		t.Fatal(err)
 	}
 	for _, e := range []*Entry{a, b} {
-		until(t, "the change is in force", func() bool {
-			status, _, _ := ask(t, e, http.MethodGet, "/shift/1", "")
+		waitUntil(t, "the change is in force", func() bool {
+			status, _, _ := request(t, e, http.MethodGet, "/shift/1", "")
 			return status == http.StatusOK
 		})
 	}
-	status, _, body := ask(t, a, http.MethodPost, "/payout", "tip-1")
+	status, _, body := request(t, a, http.MethodPost, "/payout", "tip-1")
 	if status != http.StatusOK || !strings.Contains(body, `"key":"tip-1"`) {
 		t.Fatalf("payout: status %d, body %s", status, body)
 	}
-	status, ran, _ := ask(t, b, http.MethodPost, "/payout", "tip-1")
+	status, ran, _ := request(t, b, http.MethodPost, "/payout", "tip-1")
 	if status != http.StatusConflict || ran == "no" {
-		t.Errorf("the same key at the other entry instance: status %d, ran %s", status, ran)
+		t.Errorf("the same key at the other entry instance: status %d, Pointport-Ran %q, want 409 and not \"no\"", status, ran)
 	}
 	if n := fleet.Runs()["tip-1"]; n != 1 {
-		t.Errorf("tip-1 ran %d times", n)
+		t.Errorf("the request with key tip-1 ran %d times, want once", n)
 	}
 	runWave(t, a, b)
 	runJob(t, b)
 	checkAudit(t, b)
 }
 
+// runWave runs a wave and checks that requests are served during it and that it
+// maintains every instance of the pool.
 func runWave(t *testing.T, a, b *Entry) {
 	t.Helper()
-	if err := put(t, a, "0", "kind: Wave\nname: kernel\ntemplate: shift\n"); err != nil {
+	if err := putConfig(t, a, "0", "kind: Wave\nname: kernel\ntemplate: shift\n"); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the wave has ended", func() bool {
-		if status, _, body := ask(t, b, http.MethodGet, "/shift/1", ""); status != http.StatusOK {
+	waitUntil(t, "the wave has ended", func() bool {
+		if status, _, body := request(t, b, http.MethodGet, "/shift/1", ""); status != http.StatusOK {
 			t.Fatalf("during the wave: status %d: %s", status, body)
 		}
-		w, ok := a.assigns["zone-a"].State().Wave("kernel")
+		w, ok := a.assignments["zone-a"].State().Wave("kernel")
 		return ok && !w.Ended.IsZero()
 	})
-	w, _ := a.assigns["zone-a"].State().Wave("kernel")
+	w, _ := a.assignments["zone-a"].State().Wave("kernel")
 	if w.Done != 5 || w.FailedCount != 0 || w.PassedCount != 0 {
 		t.Errorf("the wave ended as %+v, want 5 done", w)
 	}
-	for _, m := range a.assigns["zone-a"].State().Members() {
+	for _, m := range a.assignments["zone-a"].State().Members() {
 		if m.Pool == "shift" && (m.Boots != 2 || m.Phase != assign.Serving) {
 			t.Errorf("after the wave: %+v", m)
 		}
 	}
 }
 
+// runJob submits a job and waits until it is done.
 func runJob(t *testing.T, e *Entry) {
 	t.Helper()
 	client := operator.NewClient(e.Address("operators"))
@@ -214,7 +219,7 @@
 	if err := client.Call(context.Background(), http.MethodPost, "/v1/jobs", nil, s, &j); err != nil {
 		t.Fatal(err)
 	}
-	q := url.Values{"wait": {patience.String()}}
+	q := url.Values{"wait": {waitTimeout.String()}}
 	if err := client.Call(context.Background(), http.MethodGet, "/v1/jobs/"+j.ID, q, nil, &j); err != nil {
 		t.Fatal(err)
 	}
@@ -223,6 +228,8 @@
 	}
 }
 
+// checkAudit checks that the audit trail has the changes by the operator and by
+// the system.
 func checkAudit(t *testing.T, e *Entry) {
 	t.Helper()
 	var list []query.Entry
@@ -236,31 +243,34 @@
 	}
 	for _, want := range []string{"ana Template/shift created", "ana Wave/kernel created", "Wave/kernel ended", "now rebooting in shift", "now draining in shift"} {
 		if !strings.Contains(trail.String(), want) {
-			t.Errorf("the audit trail does not say %q:\n%s", want, trail.String())
+			t.Errorf("the audit trail does not contain %q:\n%s", want, trail.String())
 		}
 	}
 }
 
-// TestRaceIsAConflict lets two operators change one template from the same
-// version.
-func TestRaceIsAConflict(t *testing.T) {
+// TestConcurrentConfigChangesConflict lets two operators change a template based
+// on the same version. The second change must fail instead of overwriting the
+// first, and its error must name the version and the author of the first.
+func TestConcurrentConfigChangesConflict(t *testing.T) {
 	_, _, platform := startPlatform(t)
 	a, b := startEntry(t, platform, "a"), startEntry(t, platform, "b")
-	if err := put(t, a, "0", shiftTemplate); err != nil {
+	if err := putConfig(t, a, "0", shiftTemplate); err != nil {
 		t.Fatal(err)
 	}
-	err := put(t, b, "0", shiftTemplate)
+	err := putConfig(t, b, "0", shiftTemplate)
 	failed, ok := err.(*operator.Error)
 	if !ok || failed.Code != "race" || !strings.Contains(failed.Message, "version 1 by ana") {
 		t.Errorf("got %v, want a race that names version 1 and ana", err)
 	}
 }
 
-// TestPlanChangesNothing asks what a template would do before it is applied.
+// TestPlanChangesNothing requests the forecast for a template that is not applied.
+// The forecast must have the expected moves, and the configuration must not
+// change.
 func TestPlanChangesNothing(t *testing.T) {
 	_, _, platform := startPlatform(t)
 	e := startEntry(t, platform, "a")
-	until(t, "all instances are known", func() bool { return len(e.assigns["zone-a"].State().Members()) == 8 })
+	waitUntil(t, "all instances are known", func() bool { return len(e.assignments["zone-a"].State().Members()) == 8 })
 	objects, err := config.Parse("test", []byte(shiftTemplate))
 	if err != nil {
 		t.Fatal(err)
@@ -273,41 +283,42 @@
 		t.Errorf("got %+v, want 5 moves in one zone", list)
 	}
 	if v := e.configs.State().Version(); v != 0 {
-		t.Errorf("the plan made configuration version %d", v)
+		t.Errorf("the plan changed the configuration to version %d", v)
 	}
 }
 
-// TestEvacuation evacuates an availability zone by the operators' API and takes that back, at
-// an entry instance that does not plan it. Requests are refused as not run, with a time to come
-// back, jobs wait, and the audit trail has both.
-func TestEvacuation(t *testing.T) {
+// TestEvacuationRefusesRequests evacuates the only availability zone through the
+// operators' API of one entry instance and reopens it. Meanwhile the other entry
+// instance must refuse requests as not run. The audit trail must have both
+// changes. The evacuation of a zone that does not exist must be refused.
+func TestEvacuationRefusesRequests(t *testing.T) {
 	_, _, platform := startPlatform(t)
 	a, b := startEntry(t, platform, "a"), startEntry(t, platform, "b")
-	if err := put(t, a, "0", shiftTemplate); err != nil {
+	if err := putConfig(t, a, "0", shiftTemplate); err != nil {
 		t.Fatal(err)
 	}
 	served := func() bool {
-		status, _, _ := ask(t, b, http.MethodGet, "/shift/1", "")
+		status, _, _ := request(t, b, http.MethodGet, "/shift/1", "")
 		return status == http.StatusOK
 	}
-	until(t, "requests are served", served)
-	err := put(t, a, "0", "kind: Evacuation\nname: zone-x\n")
+	waitUntil(t, "requests are served", served)
+	err := putConfig(t, a, "0", "kind: Evacuation\nname: zone-x\n")
 	if failed, ok := err.(*operator.Error); !ok || !strings.Contains(failed.Message, "zone-x") || !strings.Contains(failed.Message, "zone-a") {
-		t.Errorf("an availability zone that there is not: %v, want an error that names it and those that there are", err)
+		t.Errorf("evacuation of an unknown availability zone: got %v, want an error that names it and the existing ones", err)
 	}
-	if err := put(t, a, "0", "kind: Evacuation\nname: zone-a\nreason: cooling\n"); err != nil {
+	if err := putConfig(t, a, "0", "kind: Evacuation\nname: zone-a\nreason: cooling\n"); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "requests are refused", func() bool { return !served() })
-	if status, ran, body := ask(t, b, http.MethodPost, "/payout", "tip-9"); status != http.StatusServiceUnavailable || ran != "no" {
-		t.Errorf("a payout while the only zone is evacuated: status %d, ran %s: %s", status, ran, body)
+	waitUntil(t, "requests are refused", func() bool { return !served() })
+	if status, ran, body := request(t, b, http.MethodPost, "/payout", "tip-9"); status != http.StatusServiceUnavailable || ran != "no" {
+		t.Errorf("a payout while the only zone is evacuated: status %d, Pointport-Ran %q, want 503 and \"no\": %s", status, ran, body)
 	}
 	client := operator.NewClient(a.Address("operators"))
 	q := url.Values{"author": {"ana"}, "reason": {"cooling is back"}}
 	if err := client.Call(context.Background(), http.MethodDelete, "/v1/config/Evacuation/zone-a", q, nil, nil); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "requests are served again", served)
+	waitUntil(t, "requests are served again", served)
 	var list []query.Entry
 	if err := client.Call(context.Background(), http.MethodGet, "/v1/audit", nil, nil, &list); err != nil {
 		t.Fatal(err)
@@ -315,7 +326,7 @@
 	trail := fmt.Sprint(list)
 	for _, want := range []string{"Evacuation/zone-a created", "Evacuation/zone-a removed", "cooling is back"} {
 		if !strings.Contains(trail, want) {
-			t.Errorf("the audit trail does not say %q:\n%s", want, trail)
+			t.Errorf("the audit trail does not contain %q:\n%s", want, trail)
 		}
 	}
 }
--- a/daemon/embedded.go
+++ b/daemon/embedded.go
@@ -14,10 +14,10 @@
 	"github.com/pointport/pointport/standin"
 )
 
-// This file defines the embedded default: a stand-in platform and instances in
-// the same process, for a first try.
+// This file defines the embedded platform, which is the default: a simulated
+// platform and instances in the same process, for trying pointport out.
 
-// startEmbedded starts the stand-in and returns the platform's URL.
+// startEmbedded starts the simulated platform and returns its URL.
 func startEmbedded(ctx context.Context, s *Settings, logger *slog.Logger) (string, error) {
 	zones := make([]pointport.ZoneID, len(s.zones))
 	for i, z := range s.zones {
@@ -32,12 +32,12 @@
 	if err != nil {
 		return "", merry.Prepend(err, "embedded platform")
 	}
-	logger.Info("embedded stand-in", slog.String("platform", "http://"+addr.String()), slog.Int("instances", len(fleet.All())))
+	logger.Info("embedded platform started", slog.String("platform", "http://"+addr.String()), slog.Int("instances", len(fleet.All())))
 	return "http://" + addr.String(), nil
 }
 
-// demo is the template that the embedded default begins with.
-const demo = `
+// demoTemplate is the template that the embedded platform starts with.
+const demoTemplate = `
 kind: Template
 name: hello
 routes:
@@ -56,10 +56,10 @@
   drainQuiet: 1s
 `
 
-// seed gives the embedded default its template, so that a first request has
-// somewhere to go.
-func (e *Entry) seed(ctx context.Context) error {
-	objects, err := config.Parse("embedded template", []byte(demo))
+// createDemoTemplate configures the template of the embedded platform, so that
+// requests can be served without further configuration.
+func (e *Entry) createDemoTemplate(ctx context.Context) error {
+	objects, err := config.Parse("embedded template", []byte(demoTemplate))
 	if err != nil {
 		return merry.Wrap(err)
 	}
--- a/daemon/gateway_updater.go
+++ b/daemon/gateway_updater.go
@@ -13,36 +13,37 @@
 	"github.com/pointport/pointport/event"
 )
 
-// This file defines the feeder, which tells the gateway what is in force: the
-// templates, the customers' weights and the instances of each service.
+// This file defines the gateway updater, which passes the state in force to the
+// gateway: the templates, the customers' weights and the instances of each
+// service.
 
-// A feeder watches the logs and the platform's list.
-type feeder struct {
-	entry  *Entry
-	fedSum pointport.Version // of all logs at the last feed; versions only grow
-	fedAt  time.Time
+// A gatewayUpdater updates the gateway from the logs and the platform's list.
+type gatewayUpdater struct {
+	entry      *Entry
+	versionSum pointport.Version // sum over all logs at the last update; versions only grow
+	updatedAt  time.Time
 
-	mu     sync.Mutex
-	listed map[pointport.InstanceID]pointport.Instance
-	fed    bool
-	cut    bool
+	mu          sync.Mutex
+	listed      map[pointport.InstanceID]pointport.Instance
+	updated     bool
+	unavailable bool
 }
 
-// look is how often the feeder compares versions. It adds to the time in which
-// a change comes into force.
-const look = 50 * time.Millisecond
+// updateInterval is how often the updater compares versions. It adds to the time
+// until a change comes into force.
+const updateInterval = 50 * time.Millisecond
 
-// startFeeder returns a feeder that works until ctx ends.
-func startFeeder(ctx context.Context, e *Entry) *feeder {
-	f := &feeder{entry: e, listed: make(map[pointport.InstanceID]pointport.Instance)}
+// startGatewayUpdater returns an updater that runs until ctx ends.
+func startGatewayUpdater(ctx context.Context, e *Entry) *gatewayUpdater {
+	f := &gatewayUpdater{entry: e, listed: make(map[pointport.InstanceID]pointport.Instance)}
 	go func() { f.pollList(ctx) }()
 	go func() {
 		for ctx.Err() == nil {
 			if f.due() {
-				f.feed()
+				f.update()
 			}
 			select {
-			case <-e.clock.After(look):
+			case <-e.clock.After(updateInterval):
 			case <-ctx.Done():
 			}
 		}
@@ -50,63 +51,70 @@
 	return f
 }
 
-// due reports whether any version has changed since the last feed, or enough
-// time has passed: parameters come into force by time alone, and ejected
-// upstreams come back by it.
-func (f *feeder) due() bool {
+// due reports whether an update is due: if any version has changed since the last
+// one, or if the refresh interval has passed. Updates without a change of version
+// are needed because parameters come into force, and ejected upstreams are
+// restored, at a certain time. If an update is due, due records its versions and
+// time.
+func (f *gatewayUpdater) due() bool {
 	now := f.entry.clock.Now()
 	sum := f.entry.configs.State().Version()
-	for _, log := range f.entry.assigns {
+	for _, log := range f.entry.assignments {
 		sum += log.State().Version()
 	}
-	if sum == f.fedSum && now.Sub(f.fedAt) < f.entry.settings.refresh {
+	if sum == f.versionSum && now.Sub(f.updatedAt) < f.entry.settings.refreshInterval {
 		return false
 	}
-	f.fedSum, f.fedAt = sum, now
+	f.versionSum, f.updatedAt = sum, now
 	return true
 }
 
-// pollList reads the platform's list, which lags, for signs of leaving.
-func (f *feeder) pollList(ctx context.Context) {
+// pollList reads the platform's list for instances that are leaving. The list
+// lags behind reality.
+func (f *gatewayUpdater) pollList(ctx context.Context) {
 	for ctx.Err() == nil {
-		// Other zones' instances are known by their planners' logs. While this
-		// process plans, the planner's own readings do.
-		if !f.entry.held() {
+		// The instances of other zones are known from their planners' logs. While
+		// this process is the planner, the lists that the planner reads are used.
+		if !f.entry.isPlanner() {
 			list, err := f.entry.platform.Instances(ctx, pointport.ZoneID(f.entry.settings.zone))
-			f.take(ctx, list, err)
+			f.setList(ctx, list, err)
 		}
 		select {
-		case <-f.entry.clock.After(f.entry.listPause()):
+		case <-f.entry.clock.After(f.entry.listInterval()):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// planned takes in a reading of the planner in this process.
-func (f *feeder) planned(list []pointport.Instance) { f.take(context.Background(), list, nil) }
+// setPlannerList records a list that the planner in this process has read.
+func (f *gatewayUpdater) setPlannerList(list []pointport.Instance) {
+	f.setList(context.Background(), list, nil)
+}
 
-func (f *feeder) take(ctx context.Context, list []pointport.Instance, err error) {
+// setList records the result of a read of the platform's list. It logs the start
+// and the end of an outage.
+func (f *gatewayUpdater) setList(ctx context.Context, list []pointport.Instance, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err != nil {
-		if !f.cut && ctx.Err() == nil {
+		if !f.unavailable && ctx.Err() == nil {
 			event.InstanceListUnavailable.Log(f.entry.logger, slog.Any("error", err))
 		}
-		f.cut = true
+		f.unavailable = true
 		return
 	}
-	if f.cut {
+	if f.unavailable {
 		event.InstanceListRecovered.Log(f.entry.logger)
 	}
-	f.cut = false
+	f.unavailable = false
 	f.listed = make(map[pointport.InstanceID]pointport.Instance, len(list))
 	for _, i := range list {
 		f.listed[i.ID] = i
 	}
 }
 
-// feed puts what is known now in force.
-func (f *feeder) feed() {
+// update passes the current state to the gateway.
+func (f *gatewayUpdater) update() {
 	e := f.entry
 	cfg := e.configs.State()
 	templates := cfg.Effective(e.clock.Now())
@@ -117,7 +125,7 @@
 	targets := make(map[string][]dispatch.Target)
 	zones := cfg.Evacuations()
 	f.mu.Lock()
-	for _, log := range e.assigns {
+	for _, log := range e.assignments {
 		for _, m := range log.State().Members() {
 			t, ok := f.target(m)
 			t.Evacuated = zones.State(m.Zone) != evacuation.Open
@@ -126,20 +134,20 @@
 			}
 		}
 	}
-	f.fed = f.fed || len(targets) > 0 || cfg.Version() == 0
+	f.updated = f.updated || len(targets) > 0 || cfg.Version() == 0
 	f.mu.Unlock()
 	weights := make(map[string]float64)
 	for customer, p := range cfg.Customers() {
 		weights[customer] = p.Weight
 	}
-	e.shares.setBound(templates)
+	e.shares.setMaxRequestTime(templates)
 	e.gateway.Update(templates, weights, targets)
 }
 
-// target returns how a member is to be used. Any sign of leaving suffices: the
-// assignment's, the platform's list's, or the instance's own, which the
-// gateway sees.
-func (f *feeder) target(m assign.Member) (dispatch.Target, bool) {
+// target returns how the gateway should use a member, and false if it should not
+// use it. A member counts as leaving if the assignment or the platform's list
+// marks it so; the gateway itself sees what the instance reports.
+func (f *gatewayUpdater) target(m assign.Member) (dispatch.Target, bool) {
 	if m.Phase != assign.Serving && m.Phase != assign.Draining {
 		return dispatch.Target{}, false
 	}
@@ -151,9 +159,10 @@
 	return dispatch.Target{Instance: i, Leaving: leaving}, true
 }
 
-// ready reports whether the gateway has been told anything.
-func (f *feeder) ready() bool {
+// ready reports whether the gateway has been updated with known instances, or with
+// a configuration that is still empty.
+func (f *gatewayUpdater) ready() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.fed
+	return f.updated
 }
--- a/daemon/list_interval.go
+++ b/daemon/list_interval.go
@@ -6,20 +6,25 @@
 	"github.com/pointport/pointport/planner"
 )
 
-// This file defines how often the platform's list is read.
+// This file defines how often the platform's list of instances is read.
 
-// maxListPause bounds the time between two readings of the list.
-const maxListPause = time.Minute
+// maxListInterval is the maximum time between two reads of the list.
+const maxListInterval = time.Minute
 
-// byBytes is how long the zone's list must rest for its bytes to stay within
-// what the settings allow.
-func (e *Entry) byBytes() time.Duration {
-	seconds := float64(e.platform.ListBytes()) / float64(e.settings.listRate)
-	return min(time.Duration(seconds*float64(time.Second)), maxListPause)
+// listByteInterval returns the minimum time between two reads of the zone's list
+// at which the transferred bytes stay within the configured rate. It is at most
+// maxListInterval.
+func (e *Entry) listByteInterval() time.Duration {
+	seconds := float64(e.platform.ListBytes()) / float64(e.settings.listByteRate)
+	return min(time.Duration(seconds*float64(time.Second)), maxListInterval)
 }
 
-// listPause is how long this entry instance waits between two readings.
-func (e *Entry) listPause() time.Duration { return max(e.settings.refresh, e.byBytes()) }
+// listInterval returns how long this entry instance waits between two reads.
+func (e *Entry) listInterval() time.Duration {
+	return max(e.settings.refreshInterval, e.listByteInterval())
+}
 
-// planPause is how long the planner waits between two readings.
-func (e *Entry) planPause() time.Duration { return max(planner.DefaultInterval, e.byBytes()) }
+// planInterval returns how long the planner waits between two reads.
+func (e *Entry) planInterval() time.Duration {
+	return max(planner.DefaultInterval, e.listByteInterval())
+}
--- a/daemon/listen.go
+++ b/daemon/listen.go
@@ -20,7 +20,7 @@
 	"github.com/pointport/pointport/remote"
 )
 
-// This file defines the listeners, health, and the planned stop.
+// This file defines the listeners, the health checks and the planned stop.
 
 // The roles of the listeners.
 const (
@@ -29,9 +29,9 @@
 	roleMetrics   = "metrics"
 )
 
-// open opens every listener, so that a wrong address ends the start before
-// anything else has begun.
-func (e *Entry) open() error {
+// openListeners opens all listeners, so that an invalid address makes the start
+// fail before anything else has started.
+func (e *Entry) openListeners() error {
 	s := e.settings
 	for _, p := range []struct{ role, address string }{
 		{roleCallers, s.callers}, {roleOperators, s.operators}, {roleMetrics, s.metrics},
@@ -49,19 +49,19 @@
 	return nil
 }
 
-// serveAll serves every listener.
+// serveAll starts to serve all listeners.
 func (e *Entry) serveAll(ctx context.Context) error {
 	s := e.settings
 	api, err := operator.New(e.clock, &query.Source{
 		Node: s.name, Zone: pointport.ZoneID(s.zone), Zones: s.zoneIDs(), Clock: e.clock,
-		Config: e.configs, Assign: e.assigns, Jobs: e.jobs, Services: e.gateway, IsPlanner: e.held,
+		Config: e.configs, Assign: e.assignments, Jobs: e.jobs, Services: e.gateway, IsPlanner: e.isPlanner,
 	})
 	if err != nil {
 		return err
 	}
-	relayed := remote.New(e.platform.Base(), remote.WithWatch(relay.StoreWait))
+	relayStore := remote.New(e.platform.Base(), remote.WithWatch(relay.StoreWait))
 	operators := http.NewServeMux()
-	operators.Handle(relay.Path, relay.NewServer(ctx, relayed, e.clock))
+	operators.Handle(relay.Path, relay.NewServer(ctx, relayStore, e.clock))
 	operators.Handle("/", api)
 	e.callers = &http.Server{
 		Handler: e.countCallers(e.gateway), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
@@ -82,7 +82,8 @@
 	return nil
 }
 
-// Address returns the URL that serves a role: callers, operators or metrics.
+// Address returns the URL at which a role is served: callers, operators or
+// metrics.
 func (e *Entry) Address(role string) string { return e.addresses[role] }
 
 func (e *Entry) serve(role string, srv *http.Server, l net.Listener) {
@@ -91,7 +92,8 @@
 	}
 }
 
-// countCallers counts the requests in flight, for the end of a planned stop.
+// countCallers counts the requests in flight, which the event at the end of a
+// planned stop reports.
 func (e *Entry) countCallers(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.inFlight.Add(1)
@@ -100,15 +102,16 @@
 	})
 }
 
-func (e *Entry) held() bool { return e.settings.control && e.election.Held() }
+// isPlanner reports whether this process is the elected planner of its zone.
+func (e *Entry) isPlanner() bool { return e.settings.controlEnabled && e.election.Held() }
 
-// health serves metrics, liveness and readiness.
+// health returns the handler of metrics, liveness and readiness.
 func (e *Entry) health() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(e.registry, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET /livez", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "live") })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
-		if reason := e.notReady(); reason != "" {
+		if reason := e.notReadyReason(); reason != "" {
 			http.Error(w, reason, http.StatusServiceUnavailable)
 			return
 		}
@@ -117,32 +120,34 @@
 	return mux
 }
 
-// notReady says why callers should be sent elsewhere, or nothing. An outage of
-// the store is no reason: what is in force goes on.
-func (e *Entry) notReady() string {
+// notReadyReason returns why callers should use other entry instances, or an empty
+// string if this one is ready. An outage of the store is no such reason, because
+// the configuration in force remains usable.
+func (e *Entry) notReadyReason() string {
 	switch {
 	case e.stopping.Load():
 		return "stopping"
 	case e.configs.LastAnswer().IsZero():
 		return "no configuration has been read yet"
-	case !e.feeder.ready():
+	case !e.updater.ready():
 		return "no instances are known yet"
 	}
 	return ""
 }
 
-// Stop ends the entry instance as planned: readiness first, then a notice for
-// the balancer, then the requests in flight. The end of ctx cuts the notice
-// short. Stopping again waits for the same end.
+// Stop shuts the entry instance down as planned: it turns readiness off, waits for
+// the notice period so that the load balancer can react, and then waits for the
+// requests in flight, at most for the configured time limit. The end of ctx cuts
+// the notice period short. Further calls wait until the first one has finished.
 func (e *Entry) Stop(ctx context.Context) { e.stopOnce.Do(func() { e.stop(ctx) }) }
 
 func (e *Entry) stop(ctx context.Context) {
 	e.stopping.Store(true)
-	event.Stopping.Log(e.logger, slog.Duration("notice", e.settings.notice), slog.Duration("bound", e.settings.stopBound))
-	// Connections close after their current answer from now on.
+	event.Stopping.Log(e.logger, slog.Duration("notice", e.settings.stopNotice), slog.Duration("bound", e.settings.stopBound))
+	// From now on, connections are closed after their current response.
 	e.callers.SetKeepAlivesEnabled(false)
 	select {
-	case <-e.clock.After(e.settings.notice):
+	case <-e.clock.After(e.settings.stopNotice):
 	case <-ctx.Done():
 	}
 	bound, cancel := context.WithTimeout(context.Background(), e.settings.stopBound)
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -5,9 +5,10 @@
 )
 
 // This file defines the metrics that belong to no single package.
-// docs/operators/metrics.md lists all of them.
+// docs/operators/metrics.md lists all metrics.
 
-// registerMetrics registers what is read from counts when metrics are asked for.
+// registerMetrics registers the metrics whose values are read from other parts of
+// the entry instance when the metrics are collected.
 func (e *Entry) registerMetrics() {
 	counter := func(name, help string, labels prometheus.Labels, read func() int64) {
 		e.registry.MustRegister(prometheus.NewCounterFunc(
@@ -29,7 +30,7 @@
 	gauge("pointport_config_version", "Version of the configuration in force.", func() float64 { return float64(e.configs.State().Version()) })
 	gauge("pointport_config_age_seconds", "Time since the store last answered about the configuration.", func() float64 { return e.clock.Now().Sub(e.configs.LastAnswer()).Seconds() })
 	gauge("pointport_planner", "Whether this entry instance plans its availability zone.", func() float64 {
-		if e.held() {
+		if e.isPlanner() {
 			return 1
 		}
 		return 0
--- a/daemon/pages_test.go
+++ b/daemon/pages_test.go
@@ -10,9 +10,9 @@
 	"github.com/pointport/pointport/settings"
 )
 
-// rows returns the first cell, without its backquotes, of each row of a page's
-// tables that begins with a backquote.
-func rows(t *testing.T, page string) []string {
+// listedNames returns the names in the tables of a page: the first cell of each
+// row that begins with a backquote, without backquotes and a leading dash.
+func listedNames(t *testing.T, page string) []string {
 	t.Helper()
 	data, err := os.ReadFile("../docs/operators/" + page)
 	if err != nil {
@@ -26,9 +26,11 @@
 	return out
 }
 
-func compare(t *testing.T, page string, code []string) {
+// compareWithPage checks that the tables of a page list exactly the names that
+// the code defines.
+func compareWithPage(t *testing.T, page string, code []string) {
 	t.Helper()
-	listed := rows(t, page)
+	listed := listedNames(t, page)
 	for _, name := range code {
 		if !slices.Contains(listed, name) {
 			t.Errorf("docs/operators/%s lacks %s", page, name)
@@ -41,45 +43,47 @@
 	}
 }
 
-// TestSettingsPage keeps the page of settings and the flags the same.
-func TestSettingsPage(t *testing.T) {
+// TestSettingsPageMatchesFlags checks that the settings page documents exactly the
+// flags of pointportd.
+func TestSettingsPageMatchesFlags(t *testing.T) {
 	set := settings.New()
 	new(Settings).Define(set)
-	compare(t, "settings.md", set.All())
+	compareWithPage(t, "settings.md", set.All())
 }
 
-// TestMetricsPage keeps the page of metrics and what is served the same.
-func TestMetricsPage(t *testing.T) {
+// TestMetricsPageMatchesMetrics checks that the metrics page documents exactly the
+// metrics that are served after a first request.
+func TestMetricsPageMatchesMetrics(t *testing.T) {
 	_, _, platform := startPlatform(t)
 	e := startEntry(t, platform, "a")
-	if err := put(t, e, "0", shiftTemplate); err != nil {
+	if err := putConfig(t, e, "0", shiftTemplate); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "a request is answered", func() bool {
-		status, _ := askWith(e.Address("callers")+"/shift", nil)
+	waitUntil(t, "a request is answered", func() bool {
+		status, _ := get(e.Address("callers")+"/shift", nil)
 		return status == 200
 	})
-	_, body := askWith(e.Address("metrics")+"/metrics", nil)
+	_, body := get(e.Address("metrics")+"/metrics", nil)
 	var names []string
 	for _, m := range regexp.MustCompile(`(?m)^# TYPE (pointport_\w+) `).FindAllStringSubmatch(body, -1) {
 		names = append(names, m[1])
 	}
-	compare(t, "metrics.md", names)
+	compareWithPage(t, "metrics.md", names)
 }
 
-// TestEverySettingIsChecked gives every setting a wrong value at once. Each must
-// be named with its value.
+// TestEverySettingIsChecked gives all settings an invalid value at once. The error
+// must name each setting with its value.
 func TestEverySettingIsChecked(t *testing.T) {
 	set := settings.New()
 	new(Settings).Define(set)
 	wrong := func(name string) (string, bool) { return "no such value!", strings.HasPrefix(name, settings.Prefix) }
 	err := set.Load(newFlags(set), wrong)
 	if err == nil {
-		t.Fatal("wrong settings were taken")
+		t.Fatal("invalid settings were accepted")
 	}
 	for _, name := range set.All() {
 		if want := "-" + name + " (" + settings.Env(name) + "): \"no such value!\": must"; !strings.Contains(err.Error(), want) {
-			t.Errorf("the error does not say %s", want)
+			t.Errorf("the error does not contain %s", want)
 		}
 	}
 }
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -12,10 +12,11 @@
 
 // This file defines the settings of pointportd.
 
-// Embedded is the value of -platform that starts the stand-in in the process.
+// Embedded is the value of -platform that starts a simulated platform in this
+// process.
 const Embedded = "embedded"
 
-// Settings are what pointportd learns from its flags and environment.
+// Settings are the settings that pointportd reads from its flags and environment.
 type Settings struct {
 	callers   string
 	operators string
@@ -27,23 +28,23 @@
 	logLevel  string
 	logFormat string
 
-	notice     time.Duration
-	stopBound  time.Duration
-	refresh    time.Duration
-	listRate   int
-	ownShare   int
-	otherShare int
-	elastic    int
-	claimRate  float64
-	claimKeep  time.Duration
-	maxHeader  int
-	chooser    string
-	control    bool
+	stopNotice      time.Duration
+	stopBound       time.Duration
+	refreshInterval time.Duration
+	listByteRate    int
+	ownShare        int
+	otherShare      int
+	elastic         int
+	claimWriteRate  float64
+	claimRetention  time.Duration
+	maxHeader       int
+	chooser         string
+	controlEnabled  bool
 
 	demoInstances int
 }
 
-// Define adds pointportd's settings to a set.
+// Define adds the settings of pointportd to a set.
 func (s *Settings) Define(set *settings.Set) {
 	set.Address(&s.callers, "callers", "127.0.0.1:8080", "address that serves callers")
 	set.Address(&s.operators, "operators", "127.0.0.1:8081", "address that serves operators")
@@ -54,18 +55,18 @@
 	set.Names(&s.zones, "zones", "zone-a", "every availability zone, the same list and order at every entry instance")
 	set.OneOf(&s.logLevel, "log-level", "info", "least level that is logged", "debug", "info", "warn", "error")
 	set.OneOf(&s.logFormat, "log-format", "text", "format of the log", "text", "json")
-	set.Duration(&s.notice, "stop-notice", 5*time.Second, "how long a planned stop goes on taking requests after readiness is off, for the balancer to notice", 0, 10*time.Minute)
+	set.Duration(&s.stopNotice, "stop-notice", 5*time.Second, "how long a planned stop goes on taking requests after readiness is off, for the balancer to notice", 0, 10*time.Minute)
 	set.Duration(&s.stopBound, "stop-bound", time.Minute, "how long a planned stop waits for requests in flight", time.Second, time.Hour)
-	set.Duration(&s.refresh, "refresh", 2*time.Second, "how often the platform's list of instances is read, if -list-bytes allows", 100*time.Millisecond, time.Minute)
-	set.Int(&s.listRate, "list-bytes", 1024, "bytes a second that reading the platform's list may take on average, by the entry instance and by its planner each", 1, 1<<30)
+	set.Duration(&s.refreshInterval, "refresh", 2*time.Second, "how often the platform's list of instances is read, if -list-bytes allows", 100*time.Millisecond, time.Minute)
+	set.Int(&s.listByteRate, "list-bytes", 1024, "bytes a second that reading the platform's list may take on average, by the entry instance and by its planner each", 1, 1<<30)
 	set.Int(&s.ownShare, "connections-own", 12, "connections to each upstream of the own availability zone that are always allowed", 1, 10000)
 	set.Int(&s.otherShare, "connections-other", 0, "connections to each upstream of another availability zone that are always allowed", 0, 10000)
 	set.Int(&s.elastic, "connections-elastic", 16, "connections to each upstream that entry instances lease from each other when they need more; the same at every entry instance", 0, 10000)
-	set.Float(&s.claimRate, "claim-writes", claim.DefaultWriteRate, "writes of claims a second that this entry instance may make", 0.1, 1000)
-	set.Duration(&s.claimKeep, "claim-retention", claim.DefaultRetention, "how long a key stays claimed; the same at every entry instance", time.Minute, 7*24*time.Hour)
+	set.Float(&s.claimWriteRate, "claim-writes", claim.DefaultWriteRate, "writes of claims a second that this entry instance may make", 0.1, 1000)
+	set.Duration(&s.claimRetention, "claim-retention", claim.DefaultRetention, "how long a key stays claimed; the same at every entry instance", time.Minute, 7*24*time.Hour)
 	set.Int(&s.maxHeader, "max-header", 64<<10, "bytes of a request's headers that are read", 1<<10, 1<<20)
 	set.OneOf(&s.chooser, "chooser", "forecast", "how an upstream is chosen; all but forecast are baselines for experiments", "forecast", "least-in-flight", "round-robin")
-	set.Bool(&s.control, "control", true, "whether this entry instance takes part in planning and placement")
+	set.Bool(&s.controlEnabled, "control", true, "whether this entry instance takes part in planning and placement")
 	set.Int(&s.demoInstances, "embedded-instances", 8, "instances in each availability zone of the embedded stand-in", 1, 50)
 }
 
@@ -77,7 +78,8 @@
 	return out
 }
 
-// Check reports what no single setting shows to be wrong.
+// Check validates the combination of settings: -zone must be one of -zones. It
+// fails with a *settings.Error.
 func (s *Settings) Check() error {
 	for _, z := range s.zones {
 		if z == s.zone {
@@ -87,7 +89,7 @@
 	return &settings.Error{Name: "zone", Value: s.zone, Reason: "must be one of -zones"}
 }
 
-// Logger returns the logger that the settings ask for.
+// Logger returns a logger with the configured level and format that writes to w.
 func (s *Settings) Logger(w io.Writer) *slog.Logger {
 	levels := map[string]slog.Level{"debug": slog.LevelDebug, "info": slog.LevelInfo, "warn": slog.LevelWarn, "error": slog.LevelError}
 	options := &slog.HandlerOptions{Level: levels[s.logLevel]}
--- a/daemon/shares.go
+++ b/daemon/shares.go
@@ -11,48 +11,53 @@
 	"github.com/pointport/pointport/share"
 )
 
-// This file defines this entry instance's part of the upstreams' connections.
+// This file defines how this entry instance leases its share of the connections
+// to upstreams.
 
 const (
-	// shareLook is how often demand for connections is looked at.
-	shareLook = time.Second
-	// shareKeep is how long elastic connections are kept after demand ended.
-	shareKeep = 30 * time.Second
-	// minBound is the least time that a request is taken to last.
-	minBound = time.Minute
+	// shareInterval is the interval at which the demand for connections is checked.
+	shareInterval = time.Second
+	// elasticRetention is how long elastic connections are kept after the last
+	// time when all upstreams were saturated.
+	elasticRetention = 30 * time.Second
+	// minRequestTime is the lower limit of the assumed maximum duration of a
+	// request.
+	minRequestTime = time.Minute
 )
 
-// shares holds a share of connections for each availability zone.
-type shares struct {
-	entry   *Entry
-	holders map[pointport.ZoneID]*share.Holder
-	last    map[pointport.ZoneID]int       // what was last logged
-	renewed map[pointport.ZoneID]time.Time // when the last round was
+// connectionShares holds the share of connections for each availability zone.
+type connectionShares struct {
+	entry      *Entry
+	holders    map[pointport.ZoneID]*share.Holder
+	lastLogged map[pointport.ZoneID]int       // elastic limit that was last logged
+	renewedAt  map[pointport.ZoneID]time.Time // time of the last Reconcile
 }
 
-// newShares returns the shares of an entry instance, which are fixed until run.
-func newShares(e *Entry) *shares {
-	s := &shares{
+// newShares returns the shares of an entry instance. Only the fixed connections
+// are allowed until run is called.
+func newShares(e *Entry) *connectionShares {
+	s := &connectionShares{
 		entry: e, holders: make(map[pointport.ZoneID]*share.Holder),
-		last: make(map[pointport.ZoneID]int), renewed: make(map[pointport.ZoneID]time.Time),
+		lastLogged: make(map[pointport.ZoneID]int), renewedAt: make(map[pointport.ZoneID]time.Time),
 	}
 	for _, zone := range e.settings.zoneIDs() {
 		used := func() int { return max(0, e.gateway.MostConnections(zone)-s.fixed(zone)) }
-		s.holders[zone] = share.New(e.platform, e.clock, zone, e.holder, e.settings.elastic, used, share.WithMaxRequestTime(minBound))
+		s.holders[zone] = share.New(e.platform, e.clock, zone, e.holder, e.settings.elastic, used, share.WithMaxRequestTime(minRequestTime))
 	}
 	return s
 }
 
-// fixed is how many connections are always allowed.
-func (s *shares) fixed(zone pointport.ZoneID) int {
+// fixed returns how many connections to each upstream of zone are always allowed.
+func (s *connectionShares) fixed(zone pointport.ZoneID) int {
 	if zone == pointport.ZoneID(s.entry.settings.zone) {
 		return s.entry.settings.ownShare
 	}
 	return s.entry.settings.otherShare
 }
 
-// allowed is how many connections to each upstream of zone are allowed now.
-func (s *shares) allowed(zone pointport.ZoneID) int {
+// allowed returns how many connections to each upstream of zone are currently
+// allowed.
+func (s *connectionShares) allowed(zone pointport.ZoneID) int {
 	n := s.fixed(zone)
 	if h := s.holders[zone]; h != nil {
 		n += h.ElasticLimit()
@@ -60,43 +65,46 @@
 	return n
 }
 
-// run follows demand until ctx ends, and then gives everything back.
-func (s *shares) run(ctx context.Context) {
+// run adjusts the shares to demand until ctx ends, and then releases them.
+func (s *connectionShares) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		s.look(ctx)
+		s.adjust(ctx)
 		select {
-		case <-s.entry.clock.After(shareLook):
+		case <-s.entry.clock.After(shareInterval):
 		case <-ctx.Done():
 		}
 	}
-	last, cancel := context.WithTimeout(context.Background(), time.Second)
+	releaseCtx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	for _, h := range s.holders {
-		// A grant that cannot be given back lapses.
-		_ = h.Reconcile(last, 0)
+		// A grant that cannot be released expires by itself.
+		_ = h.Reconcile(releaseCtx, 0)
 	}
 }
 
-func (s *shares) look(ctx context.Context) {
+// adjust requests the elastic connections that demand calls for, and renews the
+// grants.
+func (s *connectionShares) adjust(ctx context.Context) {
 	now := s.entry.clock.Now()
-	pressed := now.Sub(s.entry.gateway.SaturatedAt()) < shareKeep
+	saturated := now.Sub(s.entry.gateway.SaturatedAt()) < elasticRetention
 	slots := s.slots()
 	for zone, h := range s.holders {
 		want := 0
-		if pressed {
+		if saturated {
 			want = max(0, min(slots-s.fixed(zone), s.entry.settings.elastic))
 		}
-		if want != h.ElasticLimit() || now.Sub(s.renewed[zone]) >= share.DefaultTTL/share.RenewalsPerTTL {
-			s.renewed[zone] = now
-			// A failed round is tried again; the grant lapses by itself.
+		if want != h.ElasticLimit() || now.Sub(s.renewedAt[zone]) >= share.DefaultTTL/share.RenewalsPerTTL {
+			s.renewedAt[zone] = now
+			// A failed call is repeated later; the grant expires by itself.
 			_ = h.Reconcile(ctx, want)
 		}
-		s.settle(zone, h)
+		s.applyLimit(zone, h)
 	}
 }
 
-// slots returns how many requests an instance runs at once.
-func (s *shares) slots() int {
+// slots returns how many requests an instance runs concurrently, as the maximum
+// over all templates.
+func (s *connectionShares) slots() int {
 	n := 0
 	for _, t := range s.entry.configs.State().Templates() {
 		n = max(n, t.Upstream.Slots)
@@ -104,28 +112,30 @@
 	return n
 }
 
-// setBound takes in how long a request may last by templates that are about to
-// come into force.
-func (s *shares) setBound(templates []*config.Template) {
-	bound := minBound
+// setMaxRequestTime passes the maximum duration of a request, the longest timeout
+// of all routes, on to the holders. It must be called before the templates come
+// into force.
+func (s *connectionShares) setMaxRequestTime(templates []*config.Template) {
+	longest := minRequestTime
 	for _, t := range templates {
 		for _, r := range t.Routes {
-			bound = max(bound, r.Timeout.Value())
+			longest = max(longest, r.Timeout.Value())
 		}
 	}
 	for _, h := range s.holders {
-		h.SetMaxRequestTime(bound)
+		h.SetMaxRequestTime(longest)
 	}
 }
 
-// settle closes connections that are not allowed any more, and logs a change.
-func (s *shares) settle(zone pointport.ZoneID, h *share.Holder) {
+// applyLimit closes idle connections if more are open than allowed, and logs a
+// change of the limit.
+func (s *connectionShares) applyLimit(zone pointport.ZoneID, h *share.Holder) {
 	extra := h.ElasticLimit()
 	if s.entry.gateway.MostConnections(zone) > s.fixed(zone)+extra {
 		s.entry.gateway.TrimIdle(zone)
 	}
-	if extra != s.last[zone] {
-		event.ShareChanged.Log(s.entry.logger, slog.String("zone", string(zone)), slog.Int("from", s.last[zone]), slog.Int("to", extra))
-		s.last[zone] = extra
+	if extra != s.lastLogged[zone] {
+		event.ShareChanged.Log(s.entry.logger, slog.String("zone", string(zone)), slog.Int("from", s.lastLogged[zone]), slog.Int("to", extra))
+		s.lastLogged[zone] = extra
 	}
 }
--- a/operator/api.go
+++ b/operator/api.go
@@ -1,10 +1,10 @@
 // Package operator serves the operators' API: commands that change the
-// configuration and the jobs, and queries about how things stand.
+// configuration and jobs, and queries about the status of the system.
 //
 // Invariant: an answer with a status below 300 means that the command took
-// effect. A status of 409 or 4xx means that it did not. A status of 504 with
-// the code "unsettled" means that it is not known, and that sending the same
-// change ID again settles it.
+// effect. A status of 409 or another 4xx means that it did not. A status of 504
+// with the code "unsettled" means that the effect is unknown; sending the command
+// again with the same change ID settles it.
 package operator
 
 import (
@@ -29,12 +29,12 @@
 	"github.com/pointport/pointport/query"
 )
 
-// This file defines the routes and their handlers.
+// This file defines the routes and handlers of the operators' API.
 
 const (
-	// maxDocument bounds what is read of a document, in bytes.
+	// maxDocument is the maximum size of a document, in bytes.
 	maxDocument = 1 << 20
-	// maxJobWait bounds how long a query waits for a job to end.
+	// maxJobWait is the maximum time for which a query waits for a job to end.
 	maxJobWait = time.Minute
 )
 
@@ -49,32 +49,33 @@
 	a := &API{clock, source}
 	app := iris.New()
 	app.Logger().SetLevel("disable")
-	app.Get("/v1/config", a.handle(a.list))
-	app.Get("/v1/config/{kind}/{name}", a.handle(a.get))
-	app.Put("/v1/config/{kind}/{name}", a.handle(a.put))
-	app.Delete("/v1/config/{kind}/{name}", a.handle(a.remove))
-	app.Get("/v1/status", a.handle(a.status))
-	app.Get("/v1/audit", a.handle(a.audit))
-	app.Get("/v1/explain/{kind}/{name}", a.handle(a.explain))
-	app.Post("/v1/plan", a.handle(a.plan))
-	app.Post("/v1/jobs", a.handle(a.submit))
-	app.Get("/v1/jobs", a.handle(a.jobs))
-	app.Get("/v1/jobs/{id}", a.handle(a.job))
-	app.Delete("/v1/jobs/{id}", a.handle(a.cancel))
+	app.Get("/v1/config", a.jsonHandler(a.list))
+	app.Get("/v1/config/{kind}/{name}", a.jsonHandler(a.get))
+	app.Put("/v1/config/{kind}/{name}", a.jsonHandler(a.put))
+	app.Delete("/v1/config/{kind}/{name}", a.jsonHandler(a.remove))
+	app.Get("/v1/status", a.jsonHandler(a.status))
+	app.Get("/v1/audit", a.jsonHandler(a.audit))
+	app.Get("/v1/explain/{kind}/{name}", a.jsonHandler(a.explain))
+	app.Post("/v1/plan", a.jsonHandler(a.plan))
+	app.Post("/v1/jobs", a.jsonHandler(a.submit))
+	app.Get("/v1/jobs", a.jsonHandler(a.jobs))
+	app.Get("/v1/jobs/{id}", a.jsonHandler(a.job))
+	app.Delete("/v1/jobs/{id}", a.jsonHandler(a.cancel))
 	if err := app.Build(); err != nil {
 		return nil, merry.Wrap(err)
 	}
 	return app, nil
 }
 
-// A Failure is what a failed call answers.
+// A Failure is the body of the answer to a failed call.
 type Failure struct {
 	Code  string `json:"code"`
 	Error string `json:"error"`
 }
 
-// handle turns a function into a handler that answers in JSON.
-func (a *API) handle(do func(c iris.Context) (any, error)) iris.Handler {
+// jsonHandler returns a handler that encodes the result of do, or its error as a
+// Failure, in JSON.
+func (a *API) jsonHandler(do func(c iris.Context) (any, error)) iris.Handler {
 	return func(c iris.Context) {
 		v, err := do(c)
 		if err != nil {
@@ -82,24 +83,26 @@
 			c.StatusCode(merry.HTTPCode(err))
 			v = Failure{codeOf(err), err.Error()}
 		}
-		// An error here means that the caller has gone.
+		// An error here means that the client has disconnected.
 		_ = c.JSON(v)
 	}
 }
 
-// codeKey is the key under which an error carries its code.
+// codeKey is the key of the code that is attached to an error.
 type codeKey struct{}
 
-func coded(err error, status int, code string) error {
+// withCode attaches the HTTP status and the code of the answer to err.
+func withCode(err error, status int, code string) error {
 	return merry.Wrap(err, merry.WithHTTPCode(status), merry.WithValue(codeKey{}, code))
 }
 
+// codeOf returns the code that is attached to err, empty if there is none.
 func codeOf(err error) string {
 	code, _ := merry.Value(err, codeKey{}).(string)
 	return code
 }
 
-// classify gives an error the status and the code that callers see.
+// classify attaches the HTTP status and the code of the answer to an error.
 func classify(err error) error {
 	var race *config.RaceError
 	var check *config.CheckError
@@ -111,21 +114,21 @@
 	var down *pointport.UnavailableError
 	switch {
 	case errors.As(err, &unsettled):
-		return coded(err, http.StatusGatewayTimeout, "unsettled")
+		return withCode(err, http.StatusGatewayTimeout, "unsettled")
 	case errors.As(err, &race):
-		return coded(err, http.StatusConflict, "race")
+		return withCode(err, http.StatusConflict, "race")
 	case errors.As(err, &sameKey):
-		return coded(err, http.StatusConflict, "key-used")
+		return withCode(err, http.StatusConflict, "key-used")
 	case errors.As(err, &check), errors.As(err, &field), errors.As(err, &reference):
-		return coded(err, http.StatusUnprocessableEntity, "invalid")
+		return withCode(err, http.StatusUnprocessableEntity, "invalid")
 	case errors.As(err, &missing):
-		return coded(err, http.StatusNotFound, "not-found")
+		return withCode(err, http.StatusNotFound, "not-found")
 	case errors.As(err, &down):
-		return coded(err, http.StatusServiceUnavailable, "store-down")
+		return withCode(err, http.StatusServiceUnavailable, "store-down")
 	case codeOf(err) != "":
 		return err
 	}
-	return coded(err, http.StatusBadRequest, "bad-request")
+	return withCode(err, http.StatusBadRequest, "bad-request")
 }
 
 // A VersionedObject is an object with the version at which it last changed.
@@ -152,8 +155,9 @@
 	return out, nil
 }
 
-// refresh reads the newest configuration. If the store cannot be reached, a
-// query answers by what is in force here.
+// refresh reads the latest configuration. If the store is unavailable, it succeeds
+// with a Warning header, and the query is answered from the configuration in force
+// on this node.
 func (a *API) refresh(c iris.Context) error {
 	err := a.source.Config.Refresh(c.Request().Context())
 	var down *pointport.UnavailableError
@@ -176,7 +180,7 @@
 	return VersionedObject{o, version}, nil
 }
 
-// proposal reads the parts of a change that both commands share.
+// proposal reads the URL parameters that put and remove have in common.
 func (a *API) proposal(c iris.Context) (command.Proposal, error) {
 	p := command.Proposal{
 		ID: c.URLParam("id"), Author: c.URLParam("author"), Reason: c.URLParam("reason"), ReadVersion: command.AnyVersion,
@@ -198,7 +202,7 @@
 	}
 	data, err := io.ReadAll(http.MaxBytesReader(c.ResponseWriter(), c.Request().Body, maxDocument))
 	if err != nil {
-		return nil, coded(err, http.StatusRequestEntityTooLarge, "too-large")
+		return nil, withCode(err, http.StatusRequestEntityTooLarge, "too-large")
 	}
 	source := c.URLParam("source")
 	if source == "" {
@@ -219,8 +223,8 @@
 	return command.Configure(c.Request().Context(), a.source.Config, a.clock, p)
 }
 
-// checkZone refuses the evacuation of an availability zone that there is not: it would do
-// nothing, and its author would count on it.
+// checkZone refuses the evacuation of an availability zone that does not exist. It
+// would have no effect, while its author would rely on it.
 func (a *API) checkZone(o *config.Object) error {
 	if o.Kind() != config.KindEvacuation || slices.Contains(a.source.Zones, pointport.ZoneID(o.Name())) {
 		return nil
@@ -262,7 +266,7 @@
 func (a *API) plan(c iris.Context) (any, error) {
 	var documents []json.RawMessage
 	if err := c.ReadJSON(&documents); err != nil {
-		return nil, coded(err, http.StatusUnprocessableEntity, "invalid")
+		return nil, withCode(err, http.StatusUnprocessableEntity, "invalid")
 	}
 	var objects []config.Object
 	for _, d := range documents {
@@ -278,7 +282,7 @@
 func (a *API) submit(c iris.Context) (any, error) {
 	var s command.Submission
 	if err := c.ReadJSON(&s, iris.JSONReader{DisallowUnknownFields: true}); err != nil {
-		return nil, coded(err, http.StatusUnprocessableEntity, "invalid")
+		return nil, withCode(err, http.StatusUnprocessableEntity, "invalid")
 	}
 	log, err := a.jobLog(job.ID(s.Customer, s.Key))
 	if err != nil {
@@ -287,7 +291,7 @@
 	return command.Submit(c.Request().Context(), log, a.clock, s)
 }
 
-// jobLog returns the log that keeps the job called id.
+// jobLog returns the log that stores the job with the given ID.
 func (a *API) jobLog(id string) (*query.JobLog, error) {
 	log := a.source.Jobs[job.HomeZone(id, a.source.Zones)]
 	if log == nil {
--- a/operator/client.go
+++ b/operator/client.go
@@ -14,7 +14,7 @@
 
 // This file defines the client of the operators' API.
 
-// clientTimeout bounds a call beyond what it asks the API to wait.
+// clientTimeout is the timeout of a call, in addition to maxJobWait.
 const clientTimeout = 15 * time.Second
 
 // A Client calls the operators' API of one entry instance.
@@ -23,13 +23,13 @@
 	http *http.Client
 }
 
-// NewClient returns a client of the API at base.
+// NewClient returns a client of the API at the URL base.
 func NewClient(base string) *Client {
 	return &Client{strings.TrimSuffix(base, "/"), &http.Client{}}
 }
 
-// An Error is what a failed call answered. A status of zero means that no
-// answer came.
+// An Error reports a failed call. A status of zero means that there was no
+// answer, or that the request could not be built.
 type Error struct {
 	Status  int
 	Code    string
@@ -43,12 +43,12 @@
 	return fmt.Sprintf("%s (%s, status %d)", e.Message, e.Code, e.Status)
 }
 
-// CodeNoAnswer is the code of a call that got no answer. A change may have
-// taken effect all the same.
+// CodeNoAnswer is the code of a call that got no answer. A change may have taken
+// effect nevertheless.
 const CodeNoAnswer = "no-answer"
 
-// Call makes one call and decodes its answer into out, unless out is nil. Its
-// error is an *Error.
+// Call makes a call with the body encoded in JSON, unless it is nil, and decodes
+// the answer into out, unless that is nil. Its error is an *Error.
 func (c *Client) Call(ctx context.Context, method, path string, q url.Values, body, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout+maxJobWait)
 	defer cancel()
@@ -67,7 +67,7 @@
 	if err != nil {
 		return &Error{Code: "bad-request", Message: err.Error()}
 	}
-	req.GetBody = nil // a command is sent once
+	req.GetBody = nil // prevents the HTTP client from sending a command again
 	req.Header.Set("Content-Type", "application/json")
 	res, err := c.http.Do(req)
 	if err != nil {
--- a/operator/workloads.go
+++ b/operator/workloads.go
@@ -14,68 +14,70 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file defines the operators' API of an entry instance that takes jobs of
-// steps: it hands jobs in, follows and cancels them, and explains what they wait
-// for.
+// This file defines the operators' API of an entry instance that accepts jobs with
+// several steps: submitting, querying and cancelling jobs, and explaining what
+// they wait for.
 
-// A JobService takes jobs.
+// A JobService accepts jobs, cancels them and returns their status.
 type JobService interface {
 	Submit(ctx context.Context, q *workload.Queue, id string, spec *workload.Spec) error
 	Cancel(ctx context.Context, q *workload.Queue, id string) error
 	Status(ctx context.Context, q *workload.Queue, id string) (workload.Status, error)
 }
 
-// An Explainer says how jobs and customers stand and why.
+// An Explainer explains the state of jobs and customers.
 type Explainer interface {
-	// Explain says how a job stands; false if it does not know the job.
+	// Explain explains the state of a job. It returns false if it does not know
+	// the job.
 	Explain(ctx context.Context, pool, id string) (schedule.Explanation, bool, error)
-	// ExplainCustomer says how a customer stands in a pool.
+	// ExplainCustomer explains the state of a customer in a pool.
 	ExplainCustomer(ctx context.Context, pool, name string) (schedule.CustomerExplanation, error)
 }
 
-// A CustomerState is what the API says of a customer.
+// A CustomerState is the answer to a query about a customer.
 type CustomerState struct {
 	Name   string          `json:"name"`
 	Weight float64         `json:"weight"`
 	Cap    pointport.Shape `json:"cap,omitzero"`
-	// Keys holds the fingerprints of its keys.
+	// Keys holds the fingerprints of the customer's API keys.
 	Keys []string `json:"keys"`
-	// Pools says how it stands in each pool whose owner has answered, Silent names the
-	// others.
+	// Pools explains the customer's state in each pool whose owner has answered.
+	// Silent lists the other pools.
 	Pools  []schedule.CustomerExplanation `json:"pools"`
 	Silent []string                       `json:"silent,omitempty"`
 }
 
-// A JobState is what the API says of a job.
+// A JobState is the answer to a query or command about a job.
 type JobState struct {
 	ID     string          `json:"id"`
 	Queue  string          `json:"queue"`
 	Status workload.Status `json:"status"`
 }
 
-// workloads is the API.
+// workloads implements the API.
 type workloads struct {
-	desk    JobService
+	jobs    JobService
 	explain Explainer
 	catalog func() *workload.Catalog
 }
 
 // NewWorkloads returns the handler of the API. catalog returns the configuration
-// in force, nil while there is none.
-func NewWorkloads(desk JobService, explain Explainer, catalog func() *workload.Catalog) http.Handler {
-	a := &workloads{desk, explain, catalog}
+// in force, or nil while there is none.
+func NewWorkloads(jobs JobService, explain Explainer, catalog func() *workload.Catalog) http.Handler {
+	a := &workloads{jobs, explain, catalog}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/queues", a.answer(a.queues))
-	mux.HandleFunc("PUT /v1/queues/{queue}/jobs/{id}", a.answer(a.submit))
-	mux.HandleFunc("GET /v1/queues/{queue}/jobs/{id}", a.answer(a.status))
-	mux.HandleFunc("DELETE /v1/queues/{queue}/jobs/{id}", a.answer(a.cancel))
-	mux.HandleFunc("GET /v1/queues/{queue}/jobs/{id}/explanation", a.answer(a.explanation))
-	mux.HandleFunc("GET /v1/customers/{name}", a.answer(a.customer))
+	mux.HandleFunc("GET /v1/queues", a.jsonHandler(a.queues))
+	mux.HandleFunc("PUT /v1/queues/{queue}/jobs/{id}", a.jsonHandler(a.submit))
+	mux.HandleFunc("GET /v1/queues/{queue}/jobs/{id}", a.jsonHandler(a.status))
+	mux.HandleFunc("DELETE /v1/queues/{queue}/jobs/{id}", a.jsonHandler(a.cancel))
+	mux.HandleFunc("GET /v1/queues/{queue}/jobs/{id}/explanation", a.jsonHandler(a.explanation))
+	mux.HandleFunc("GET /v1/customers/{name}", a.jsonHandler(a.customer))
 	return mux
 }
 
-// answer turns a function into a handler that answers in JSON.
-func (a *workloads) answer(do func(r *http.Request) (any, error)) http.HandlerFunc {
+// jsonHandler returns a handler that encodes the result of do, or its error as a
+// Failure, in JSON.
+func (a *workloads) jsonHandler(do func(r *http.Request) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		status := http.StatusOK
 		v, err := do(r)
@@ -86,18 +88,18 @@
 		}
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(status)
-		// An error here means that the caller has gone.
+		// An error here means that the client has disconnected.
 		_ = json.NewEncoder(w).Encode(v)
 	}
 }
 
-// classifyJob returns the status and the code that a caller sees of an error.
+// classifyJob returns the HTTP status and the code of the answer for an error.
 func classifyJob(err error) (status int, code string) {
 	var field *workload.SpecError
 	var missing *pointport.NotFoundError
 	var unknown *intake.UnknownJobError
 	var refused *intake.RefusedError
-	var unsure *intake.AmbiguousError
+	var ambiguous *intake.AmbiguousError
 	switch {
 	case errors.As(err, &field):
 		return http.StatusUnprocessableEntity, "invalid"
@@ -105,7 +107,7 @@
 		return http.StatusNotFound, "not-found"
 	case errors.As(err, &refused):
 		return http.StatusServiceUnavailable, "refused"
-	case errors.As(err, &unsure):
+	case errors.As(err, &ambiguous):
 		return http.StatusGatewayTimeout, "unsettled"
 	}
 	return http.StatusServiceUnavailable, "unavailable"
@@ -152,7 +154,7 @@
 	if !workload.ValidID(id) {
 		return nil, &workload.SpecError{Field: "id", Value: id, Reason: fmt.Sprintf("must be %d hexadecimal digits", workload.IDDigits)}
 	}
-	if err := a.desk.Submit(r.Context(), q, id, spec); err != nil {
+	if err := a.jobs.Submit(r.Context(), q, id, spec); err != nil {
 		return nil, err
 	}
 	return JobState{ID: id, Queue: q.Name, Status: workload.Queued}, nil
@@ -164,7 +166,7 @@
 		return nil, err
 	}
 	id := r.PathValue("id")
-	status, err := a.desk.Status(r.Context(), q, id)
+	status, err := a.jobs.Status(r.Context(), q, id)
 	return JobState{ID: id, Queue: q.Name, Status: status}, err
 }
 
@@ -174,13 +176,13 @@
 		return nil, err
 	}
 	id := r.PathValue("id")
-	if err := a.desk.Cancel(r.Context(), q, id); err != nil {
+	if err := a.jobs.Cancel(r.Context(), q, id); err != nil {
 		return nil, err
 	}
 	return JobState{ID: id, Queue: q.Name, Status: workload.Cancelled}, nil
 }
 
-// customer says what the configuration has of a customer and how it stands in each pool.
+// customer returns a customer's configuration and its state in each pool.
 func (a *workloads) customer(r *http.Request) (any, error) {
 	name, k := r.PathValue("name"), a.catalog()
 	if k == nil {
@@ -215,7 +217,8 @@
 	if err == nil && known {
 		return x, nil
 	}
-	// The owner does not know it, or gives no answer; the store knows how it ended.
-	status, err := a.desk.Status(r.Context(), q, id)
+	// If the owner does not know the job or does not answer, the status comes from
+	// the store, which also has the jobs that have ended.
+	status, err := a.jobs.Status(r.Context(), q, id)
 	return schedule.Explanation{Job: id, Queue: q.Name, Status: status}, err
 }
