--- a/executor.go
+++ b/executor.go
@@ -177,9 +177,9 @@
 
 func (e *GoneError) Error() string {
 	if e.AnsweredBy == "" {
-		return fmt.Sprintf("incarnation %s is gone", e.Incarnation)
+		return fmt.Sprintf("incarnation %s has ended", e.Incarnation)
 	}
-	return fmt.Sprintf("incarnation %s is gone: %s answers", e.Incarnation, e.AnsweredBy)
+	return fmt.Sprintf("incarnation %s has ended: %s answers", e.Incarnation, e.AnsweredBy)
 }
 
 // An Advisor decides which incarnations may run a step, for queues whose policy
--- a/job/doc.go
+++ b/job/doc.go
@@ -11,7 +11,7 @@
 //
 //   - A task's ID is committed before the task may start, and an instance starts
 //     an ID at most once.
-//   - A billed job has one task ID for its whole life, so it runs at most once.
+//   - A billed job has a single task ID for its whole lifetime, so it runs at most once.
 //   - Any other job gets a new task only after its previous task is known to have
 //     ended or to never start.
 //   - Every job ends, or has a reason that explains what it waits for.
