--- a/clock.go
+++ b/clock.go
@@ -11,8 +11,8 @@
 	Now() time.Time
 
 	// Steady returns a time that keeps advancing while the machine is suspended;
-	// the monotonic reading of Now does not. Use it for everything that expires
-	// elsewhere in the meantime, such as a lease, an ownership or the age of a
+	// the monotonic reading of Now does not. It must be used for everything that
+	// may expire elsewhere during a suspension: leases, ownerships, the age of a
 	// configuration. Only the difference of two such times is meaningful.
 	Steady() time.Time
 
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -67,13 +67,13 @@
 	updater     *gatewayUpdater
 	election    *elect.Candidate
 
-	addresses map[string]string // URL by role, such as "callers"
-	listeners map[string]net.Listener
-	servers   []*http.Server
-	callers   *http.Server
-	stopping  atomic.Bool
-	stopOnce  sync.Once
-	inFlight  atomic.Int64
+	addresses    map[string]string // URL by role, such as "callers"
+	listeners    map[string]net.Listener
+	servers      []*http.Server
+	callerServer *http.Server
+	stopping     atomic.Bool
+	stopOnce     sync.Once
+	inFlight     atomic.Int64
 }
 
 // Start starts an entry instance. Its background work ends with ctx.
--- a/daemon/embedded.go
+++ b/daemon/embedded.go
@@ -23,7 +23,7 @@
 	for i, z := range s.zones {
 		zones[i] = pointport.ZoneID(z)
 	}
-	fleet, err := standin.NewFleet(clock.System{}, standin.WithZones(s.demoInstances, zones...))
+	fleet, err := standin.NewFleet(clock.System{}, standin.WithZones(s.embeddedInstances, zones...))
 	if err != nil {
 		return "", merry.Prepend(err, "embedded instances")
 	}
--- a/daemon/gateway_updater.go
+++ b/daemon/gateway_updater.go
@@ -24,9 +24,9 @@
 	updatedAt  time.Time
 
 	mu          sync.Mutex
-	listed      map[pointport.InstanceID]pointport.Instance
-	updated     bool
-	unavailable bool
+	listed      map[pointport.InstanceID]pointport.Instance // the platform's list
+	updated     bool                                        // see ready
+	unavailable bool                                        // whether the last read of the list failed
 }
 
 // updateInterval is how often the updater compares versions. It adds to the time
@@ -35,12 +35,12 @@
 
 // startGatewayUpdater returns an updater that runs until ctx ends.
 func startGatewayUpdater(ctx context.Context, e *Entry) *gatewayUpdater {
-	f := &gatewayUpdater{entry: e, listed: make(map[pointport.InstanceID]pointport.Instance)}
-	go func() { f.pollList(ctx) }()
+	u := &gatewayUpdater{entry: e, listed: make(map[pointport.InstanceID]pointport.Instance)}
+	go func() { u.pollList(ctx) }()
 	go func() {
 		for ctx.Err() == nil {
-			if f.due() {
-				f.update()
+			if u.due() {
+				u.update()
 			}
 			select {
 			case <-e.clock.After(updateInterval):
@@ -48,7 +48,7 @@
 			}
 		}
 	}()
-	return f
+	return u
 }
 
 // due reports whether an update is due: if any version has changed since the last
@@ -56,66 +56,66 @@
 // are needed because parameters come into force, and ejected upstreams are
 // restored, at a certain time. If an update is due, due records its versions and
 // time.
-func (f *gatewayUpdater) due() bool {
-	now := f.entry.clock.Now()
-	sum := f.entry.configs.State().Version()
-	for _, log := range f.entry.assignments {
+func (u *gatewayUpdater) due() bool {
+	now := u.entry.clock.Now()
+	sum := u.entry.configs.State().Version()
+	for _, log := range u.entry.assignments {
 		sum += log.State().Version()
 	}
-	if sum == f.versionSum && now.Sub(f.updatedAt) < f.entry.settings.refreshInterval {
+	if sum == u.versionSum && now.Sub(u.updatedAt) < u.entry.settings.refreshInterval {
 		return false
 	}
-	f.versionSum, f.updatedAt = sum, now
+	u.versionSum, u.updatedAt = sum, now
 	return true
 }
 
 // pollList reads the platform's list for instances that are leaving. The list
 // lags behind reality.
-func (f *gatewayUpdater) pollList(ctx context.Context) {
+func (u *gatewayUpdater) pollList(ctx context.Context) {
 	for ctx.Err() == nil {
 		// The instances of other zones are known from their planners' logs. While
 		// this process is the planner, the lists that the planner reads are used.
-		if !f.entry.isPlanner() {
-			list, err := f.entry.platform.Instances(ctx, pointport.ZoneID(f.entry.settings.zone))
-			f.setList(ctx, list, err)
+		if !u.entry.isPlanner() {
+			list, err := u.entry.platform.Instances(ctx, pointport.ZoneID(u.entry.settings.zone))
+			u.setList(ctx, list, err)
 		}
 		select {
-		case <-f.entry.clock.After(f.entry.listInterval()):
+		case <-u.entry.clock.After(u.entry.listInterval()):
 		case <-ctx.Done():
 		}
 	}
 }
 
 // setPlannerList records a list that the planner in this process has read.
-func (f *gatewayUpdater) setPlannerList(list []pointport.Instance) {
-	f.setList(context.Background(), list, nil)
+func (u *gatewayUpdater) setPlannerList(list []pointport.Instance) {
+	u.setList(context.Background(), list, nil)
 }
 
 // setList records the result of a read of the platform's list. It logs the start
 // and the end of an outage.
-func (f *gatewayUpdater) setList(ctx context.Context, list []pointport.Instance, err error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (u *gatewayUpdater) setList(ctx context.Context, list []pointport.Instance, err error) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	if err != nil {
-		if !f.unavailable && ctx.Err() == nil {
-			event.InstanceListUnavailable.Log(f.entry.logger, slog.Any("error", err))
+		if !u.unavailable && ctx.Err() == nil {
+			event.InstanceListUnavailable.Log(u.entry.logger, slog.Any("error", err))
 		}
-		f.unavailable = true
+		u.unavailable = true
 		return
 	}
-	if f.unavailable {
-		event.InstanceListRecovered.Log(f.entry.logger)
+	if u.unavailable {
+		event.InstanceListRecovered.Log(u.entry.logger)
 	}
-	f.unavailable = false
-	f.listed = make(map[pointport.InstanceID]pointport.Instance, len(list))
+	u.unavailable = false
+	u.listed = make(map[pointport.InstanceID]pointport.Instance, len(list))
 	for _, i := range list {
-		f.listed[i.ID] = i
+		u.listed[i.ID] = i
 	}
 }
 
 // update passes the current state to the gateway.
-func (f *gatewayUpdater) update() {
-	e := f.entry
+func (u *gatewayUpdater) update() {
+	e := u.entry
 	cfg := e.configs.State()
 	templates := cfg.Effective(e.clock.Now())
 	services := make(map[string]string, len(templates))
@@ -124,18 +124,18 @@
 	}
 	targets := make(map[string][]dispatch.Target)
 	zones := cfg.Evacuations()
-	f.mu.Lock()
+	u.mu.Lock()
 	for _, log := range e.assignments {
 		for _, m := range log.State().Members() {
-			t, ok := f.target(m)
+			t, ok := u.target(m)
 			t.Evacuated = zones.State(m.Zone) != evacuation.Open
 			if ok && services[m.Pool] != "" {
 				targets[services[m.Pool]] = append(targets[services[m.Pool]], t)
 			}
 		}
 	}
-	f.updated = f.updated || len(targets) > 0 || cfg.Version() == 0
-	f.mu.Unlock()
+	u.updated = u.updated || len(targets) > 0 || cfg.Version() == 0
+	u.mu.Unlock()
 	weights := make(map[string]float64)
 	for customer, p := range cfg.Customers() {
 		weights[customer] = p.Weight
@@ -147,13 +147,13 @@
 // target returns how the gateway should use a member, and false if it should not
 // use it. A member counts as leaving if the assignment or the platform's list
 // marks it so; the gateway itself sees what the instance reports.
-func (f *gatewayUpdater) target(m assign.Member) (dispatch.Target, bool) {
+func (u *gatewayUpdater) target(m assign.Member) (dispatch.Target, bool) {
 	if m.Phase != assign.Serving && m.Phase != assign.Draining {
 		return dispatch.Target{}, false
 	}
 	i := pointport.Instance{ID: m.ID, Address: m.Address, Zone: m.Zone, Rack: m.Rack, Shape: m.Shape, Boots: m.Boots}
 	leaving := m.Phase == assign.Draining
-	if l, ok := f.listed[m.ID]; ok && l.Boots == m.Boots && l.State != pointport.InstanceLive {
+	if l, ok := u.listed[m.ID]; ok && l.Boots == m.Boots && l.State != pointport.InstanceLive {
 		leaving = true
 	}
 	return dispatch.Target{Instance: i, Leaving: leaving}, true
@@ -161,8 +161,8 @@
 
 // ready reports whether the gateway has been updated with known instances, or with
 // a configuration that is still empty.
-func (f *gatewayUpdater) ready() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.updated
+func (u *gatewayUpdater) ready() bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.updated
 }
--- a/daemon/listen.go
+++ b/daemon/listen.go
@@ -63,12 +63,12 @@
 	operators := http.NewServeMux()
 	operators.Handle(relay.Path, relay.NewServer(ctx, relayStore, e.clock))
 	operators.Handle("/", api)
-	e.callers = &http.Server{
+	e.callerServer = &http.Server{
 		Handler: e.countCallers(e.gateway), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
-		MaxHeaderBytes: s.maxHeader, ErrorLog: slog.NewLogLogger(e.logger.Handler(), slog.LevelDebug),
+		MaxHeaderBytes: s.maxHeaderBytes, ErrorLog: slog.NewLogLogger(e.logger.Handler(), slog.LevelDebug),
 	}
 	servers := map[string]*http.Server{
-		roleCallers:   e.callers,
+		roleCallers:   e.callerServer,
 		roleOperators: {Handler: operators, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout},
 		roleMetrics:   {Handler: e.health(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout},
 	}
@@ -143,16 +143,16 @@
 
 func (e *Entry) stop(ctx context.Context) {
 	e.stopping.Store(true)
-	event.Stopping.Log(e.logger, slog.Duration("notice", e.settings.stopNotice), slog.Duration("bound", e.settings.stopBound))
+	event.Stopping.Log(e.logger, slog.Duration("notice", e.settings.stopNotice), slog.Duration("bound", e.settings.stopTimeout))
 	// From now on, connections are closed after their current response.
-	e.callers.SetKeepAlivesEnabled(false)
+	e.callerServer.SetKeepAlivesEnabled(false)
 	select {
 	case <-e.clock.After(e.settings.stopNotice):
 	case <-ctx.Done():
 	}
-	bound, cancel := context.WithTimeout(context.Background(), e.settings.stopBound)
+	bound, cancel := context.WithTimeout(context.Background(), e.settings.stopTimeout)
 	defer cancel()
-	if err := e.callers.Shutdown(bound); err != nil {
+	if err := e.callerServer.Shutdown(bound); err != nil {
 		event.Failed.Log(e.logger, slog.String("part", "callers"), slog.Any("error", err))
 	}
 	for _, srv := range e.servers {
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -28,20 +28,20 @@
 	logLevel  string
 	logFormat string
 
-	stopNotice      time.Duration
-	stopBound       time.Duration
-	refreshInterval time.Duration
-	listByteRate    int
-	ownShare        int
-	otherShare      int
-	elastic         int
-	claimWriteRate  float64
-	claimRetention  time.Duration
-	maxHeader       int
-	chooser         string
-	controlEnabled  bool
+	stopNotice           time.Duration
+	stopTimeout          time.Duration
+	refreshInterval      time.Duration
+	listByteRate         int
+	ownZoneConnections   int
+	otherZoneConnections int
+	elasticConnections   int
+	claimWriteRate       float64
+	claimRetention       time.Duration
+	maxHeaderBytes       int
+	chooser              string
+	controlEnabled       bool
 
-	demoInstances int
+	embeddedInstances int
 }
 
 // Define adds the settings of pointportd to a set.
@@ -56,18 +56,18 @@
 	set.OneOf(&s.logLevel, "log-level", "info", "least level that is logged", "debug", "info", "warn", "error")
 	set.OneOf(&s.logFormat, "log-format", "text", "format of the log", "text", "json")
 	set.Duration(&s.stopNotice, "stop-notice", 5*time.Second, "how long a planned stop goes on taking requests after readiness is off, for the balancer to notice", 0, 10*time.Minute)
-	set.Duration(&s.stopBound, "stop-bound", time.Minute, "how long a planned stop waits for requests in flight", time.Second, time.Hour)
+	set.Duration(&s.stopTimeout, "stop-bound", time.Minute, "how long a planned stop waits for requests in flight", time.Second, time.Hour)
 	set.Duration(&s.refreshInterval, "refresh", 2*time.Second, "how often the platform's list of instances is read, if -list-bytes allows", 100*time.Millisecond, time.Minute)
 	set.Int(&s.listByteRate, "list-bytes", 1024, "bytes a second that reading the platform's list may take on average, by the entry instance and by its planner each", 1, 1<<30)
-	set.Int(&s.ownShare, "connections-own", 12, "connections to each upstream of the own availability zone that are always allowed", 1, 10000)
-	set.Int(&s.otherShare, "connections-other", 0, "connections to each upstream of another availability zone that are always allowed", 0, 10000)
-	set.Int(&s.elastic, "connections-elastic", 16, "connections to each upstream that entry instances lease from each other when they need more; the same at every entry instance", 0, 10000)
+	set.Int(&s.ownZoneConnections, "connections-own", 12, "connections to each upstream of the own availability zone that are always allowed", 1, 10000)
+	set.Int(&s.otherZoneConnections, "connections-other", 0, "connections to each upstream of another availability zone that are always allowed", 0, 10000)
+	set.Int(&s.elasticConnections, "connections-elastic", 16, "connections to each upstream that entry instances lease from each other when they need more; the same at every entry instance", 0, 10000)
 	set.Float(&s.claimWriteRate, "claim-writes", claim.DefaultWriteRate, "writes of claims a second that this entry instance may make", 0.1, 1000)
 	set.Duration(&s.claimRetention, "claim-retention", claim.DefaultRetention, "how long a key stays claimed; the same at every entry instance", time.Minute, 7*24*time.Hour)
-	set.Int(&s.maxHeader, "max-header", 64<<10, "bytes of a request's headers that are read", 1<<10, 1<<20)
+	set.Int(&s.maxHeaderBytes, "max-header", 64<<10, "bytes of a request's headers that are read", 1<<10, 1<<20)
 	set.OneOf(&s.chooser, "chooser", "forecast", "how an upstream is chosen; all but forecast are baselines for experiments", "forecast", "least-in-flight", "round-robin")
 	set.Bool(&s.controlEnabled, "control", true, "whether this entry instance takes part in planning and placement")
-	set.Int(&s.demoInstances, "embedded-instances", 8, "instances in each availability zone of the embedded stand-in", 1, 50)
+	set.Int(&s.embeddedInstances, "embedded-instances", 8, "instances in each availability zone of the embedded stand-in", 1, 50)
 }
 
 func (s *Settings) zoneIDs() []pointport.ZoneID {
--- a/daemon/shares.go
+++ b/daemon/shares.go
@@ -42,7 +42,7 @@
 	}
 	for _, zone := range e.settings.zoneIDs() {
 		used := func() int { return max(0, e.gateway.MostConnections(zone)-s.fixed(zone)) }
-		s.holders[zone] = share.New(e.platform, e.clock, zone, e.holder, e.settings.elastic, used, share.WithMaxRequestTime(minRequestTime))
+		s.holders[zone] = share.New(e.platform, e.clock, zone, e.holder, e.settings.elasticConnections, used, share.WithMaxRequestTime(minRequestTime))
 	}
 	return s
 }
@@ -50,9 +50,9 @@
 // fixed returns how many connections to each upstream of zone are always allowed.
 func (s *connectionShares) fixed(zone pointport.ZoneID) int {
 	if zone == pointport.ZoneID(s.entry.settings.zone) {
-		return s.entry.settings.ownShare
+		return s.entry.settings.ownZoneConnections
 	}
-	return s.entry.settings.otherShare
+	return s.entry.settings.otherZoneConnections
 }
 
 // allowed returns how many connections to each upstream of zone are currently
@@ -91,7 +91,7 @@
 	for zone, h := range s.holders {
 		want := 0
 		if saturated {
-			want = max(0, min(slots-s.fixed(zone), s.entry.settings.elastic))
+			want = max(0, min(slots-s.fixed(zone), s.entry.settings.elasticConnections))
 		}
 		if want != h.ElasticLimit() || now.Sub(s.renewedAt[zone]) >= share.DefaultTTL/share.RenewalsPerTTL {
 			s.renewedAt[zone] = now
@@ -130,12 +130,12 @@
 // applyLimit closes idle connections if more are open than allowed, and logs a
 // change of the limit.
 func (s *connectionShares) applyLimit(zone pointport.ZoneID, h *share.Holder) {
-	extra := h.ElasticLimit()
-	if s.entry.gateway.MostConnections(zone) > s.fixed(zone)+extra {
+	limit := h.ElasticLimit()
+	if s.entry.gateway.MostConnections(zone) > s.fixed(zone)+limit {
 		s.entry.gateway.TrimIdle(zone)
 	}
-	if extra != s.lastLogged[zone] {
-		event.ShareChanged.Log(s.entry.logger, slog.String("zone", string(zone)), slog.Int("from", s.lastLogged[zone]), slog.Int("to", extra))
-		s.lastLogged[zone] = extra
+	if limit != s.lastLogged[zone] {
+		event.ShareChanged.Log(s.entry.logger, slog.String("zone", string(zone)), slog.Int("from", s.lastLogged[zone]), slog.Int("to", limit))
+		s.lastLogged[zone] = limit
 	}
 }
--- a/job/decide.go
+++ b/job/decide.go
@@ -50,7 +50,7 @@
 	in        *Input
 	jobs      map[string]Job
 	steps     []Step
-	stepIndex map[string]int
+	stepIndex map[string]int // by job
 	tasks     map[pointport.TaskID]pointport.Task
 	free      map[pointport.InstanceID]pointport.Shape
 	used      map[string]int64 // by customer
--- a/job/state.go
+++ b/job/state.go
@@ -76,7 +76,8 @@
 // idBytes is the number of bytes of the digest in a job's ID.
 const idBytes = 16
 
-// HomeZone returns the zone whose log stores the job with the given ID.
+// HomeZone returns the zone whose log stores the job with the given ID. The result
+// depends on the order of zones, so every entry instance must use the same list.
 func HomeZone(id string, zones []pointport.ZoneID) pointport.ZoneID {
 	n := 0
 	for _, c := range []byte(id) {
--- a/placer/evacuation_test.go
+++ b/placer/evacuation_test.go
@@ -15,13 +15,13 @@
 // lost. After the evacuation the placer sends the orders for the committed state
 // again. The start must be sent only once the zone is open.
 func TestCommittedStartIsNotSentInAnEvacuatedZone(t *testing.T) {
-	g := newFixture(t)
-	j, err := g.submit("a", 1000, false)
+	fx := newFixture(t)
+	j, err := fx.submit("a", 1000, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	runner := &unreachableRunner{fakeRunner: g.runner, unavailable: true}
-	p, log := g.placerWith(runner)
+	runner := &unreachableRunner{fakeRunner: fx.runner, unavailable: true}
+	p, log := fx.placerWith(runner)
 	round := func() {
 		t.Helper()
 		if err := log.Refresh(t.Context()); err != nil {
@@ -32,19 +32,19 @@
 		}
 	}
 	round()
-	open := g.config
+	open := fx.config
 	o := config.NewObject(&config.Evacuation{Name: "zone-a"})
-	if g.config, err = open.Apply(config.Change{ID: "e", Version: open.Version() + 1, Object: &o}); err != nil {
+	if fx.config, err = open.Apply(config.Change{ID: "e", Version: open.Version() + 1, Object: &o}); err != nil {
 		t.Fatal(err)
 	}
 	runner.unavailable = false
 	round()
-	if n := g.runner.starts[j.ID]; n != 0 {
+	if n := fx.runner.starts[j.ID]; n != 0 {
 		t.Fatalf("the job has started %d times in the evacuated zone, want 0", n)
 	}
-	g.config = open
+	fx.config = open
 	round()
-	if n := g.runner.starts[j.ID]; n != 1 {
+	if n := fx.runner.starts[j.ID]; n != 1 {
 		t.Errorf("the job has started %d times after the zone was opened, want 1", n)
 	}
 }
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -59,7 +59,7 @@
 	logger      *slog.Logger
 	author      string
 	interval    time.Duration
-	unavailable bool
+	unavailable bool // whether the last round failed
 }
 
 // An Option configures a Placer.
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -100,12 +100,12 @@
 
 func newFixture(t fataler) *fixture {
 	c := clock.NewFake(time.Unix(1_800_000_000, 0))
-	g := &fixture{clock: c, store: memory.New(c), runner: newFakeRunner(c)}
+	fx := &fixture{clock: c, store: memory.New(c), runner: newFakeRunner(c)}
 	objects, err := config.Parse("test", []byte("kind: Template\nname: proof\npool: {size: 3}\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if g.config, err = config.NewState().Apply(config.Change{ID: "c", Version: 1, Object: &objects[0]}); err != nil {
+	if fx.config, err = config.NewState().Apply(config.Change{ID: "c", Version: 1, Object: &objects[0]}); err != nil {
 		t.Fatal(err)
 	}
 	change := assign.Change{ID: "a", Version: 1}
@@ -113,30 +113,30 @@
 		m := assign.Member{ID: pointport.InstanceID(fmt.Sprint("i", n)), Pool: "proof", Phase: assign.Serving, Shape: pointport.Shape{CPUMilli: 2000, MemoryMiB: 1000}}
 		change.Steps = append(change.Steps, assign.Step{Instance: m.ID, After: &m})
 	}
-	if g.assign, err = assign.NewState().Apply(change); err != nil {
+	if fx.assign, err = assign.NewState().Apply(change); err != nil {
 		t.Fatal(err)
 	}
-	return g
+	return fx
 }
 
 type fataler interface{ Fatal(args ...any) }
 
-func (g *fixture) log() *placer.JobLog {
-	return changelog.New[*job.State, job.Change](g.store, g.clock, placer.LogName("zone-a"), job.NewState())
+func (fx *fixture) log() *placer.JobLog {
+	return changelog.New[*job.State, job.Change](fx.store, fx.clock, placer.LogName("zone-a"), job.NewState())
 }
 
 // placer returns a new placer with its own view of the log, as after a restart.
-func (g *fixture) placer() (*placer.Placer, *placer.JobLog) { return g.placerWith(g.runner) }
+func (fx *fixture) placer() (*placer.Placer, *placer.JobLog) { return fx.placerWith(fx.runner) }
 
 // placerWith returns a new placer whose tasks are run by runner.
-func (g *fixture) placerWith(runner pointport.TaskRunner) (*placer.Placer, *placer.JobLog) {
-	log := g.log()
-	sources := placer.Sources{Config: func() *config.State { return g.config }, Assign: func() *assign.State { return g.assign }}
-	return placer.New(g.clock, "zone-a", runner, sources, log, alwaysHeld{}), log
+func (fx *fixture) placerWith(runner pointport.TaskRunner) (*placer.Placer, *placer.JobLog) {
+	log := fx.log()
+	sources := placer.Sources{Config: func() *config.State { return fx.config }, Assign: func() *assign.State { return fx.assign }}
+	return placer.New(fx.clock, "zone-a", runner, sources, log, alwaysHeld{}), log
 }
 
-func (g *fixture) submit(key string, cpu int64, billed bool) (job.Job, error) {
-	return command.Submit(context.Background(), g.log(), g.clock, command.Submission{
+func (fx *fixture) submit(key string, cpu int64, billed bool) (job.Job, error) {
+	return command.Submit(context.Background(), fx.log(), fx.clock, command.Submission{
 		Key: key, Customer: "sahab", Kind: "proof", Service: "proof", Billed: billed,
 		Need: pointport.Shape{CPUMilli: cpu, MemoryMiB: 100}, Runtime: config.NewDuration(5 * time.Second),
 	})
@@ -149,46 +149,46 @@
 // lost.
 func TestBilledJobStartsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := newFixture(t)
+		fx := newFixture(t)
 		type worker struct {
 			placer *placer.Placer
 			log    *placer.JobLog
 		}
 		workers := make([]worker, 2)
 		for n := range workers {
-			workers[n].placer, workers[n].log = g.placer()
+			workers[n].placer, workers[n].log = fx.placer()
 		}
 		jobs := make(map[string]bool)
 		for n := range rapid.IntRange(1, 60).Draw(t, "events") {
-			g.store.SetInjector(func(string, string) memory.Fault { return memory.FaultNone })
-			g.runner.lost = func() bool { return false }
+			fx.store.SetInjector(func(string, string) memory.Fault { return memory.FaultNone })
+			fx.runner.lost = func() bool { return false }
 			w := &workers[rapid.IntRange(0, 1).Draw(t, "worker")]
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0, 1:
-				j, err := g.submit(fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "key")), 1000, rapid.Bool().Draw(t, "billed"))
+				j, err := fx.submit(fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "key")), 1000, rapid.Bool().Draw(t, "billed"))
 				if err == nil {
 					jobs[j.ID] = j.Billed
 				}
 			case 2:
 				for id := range jobs {
-					_, _ = command.Cancel(context.Background(), g.log(), g.clock, "ana", id)
+					_, _ = command.Cancel(context.Background(), fx.log(), fx.clock, "ana", id)
 					break
 				}
 			case 3:
-				w.placer, w.log = g.placer()
+				w.placer, w.log = fx.placer()
 			case 4:
 				i := pointport.InstanceID(fmt.Sprint("i", n%3))
-				g.runner.fail[i] = !g.runner.fail[i]
+				fx.runner.fail[i] = !fx.runner.fail[i]
 			case 5:
 				i := pointport.InstanceID(fmt.Sprint("i", n%3))
-				g.runner.gone[i] = !g.runner.gone[i]
+				fx.runner.gone[i] = !fx.runner.gone[i]
 			default:
 				faults := rapid.SliceOfN(rapid.SampledFrom([]memory.Fault{
 					memory.FaultNone, memory.FaultNone, memory.FaultDown, memory.FaultLostAnswer, memory.FaultLostCall,
 				}), 0, 5).Draw(t, "faults")
 				lost := rapid.Bool().Draw(t, "lost")
-				g.runner.lost = func() bool { return lost }
-				g.store.SetInjector(func(string, string) memory.Fault {
+				fx.runner.lost = func() bool { return lost }
+				fx.store.SetInjector(func(string, string) memory.Fault {
 					if len(faults) == 0 {
 						return memory.FaultNone
 					}
@@ -202,23 +202,23 @@
 				}
 				_ = w.placer.Round(context.Background())
 			}
-			g.clock.Advance(time.Duration(rapid.IntRange(0, 400).Draw(t, "seconds")) * time.Second)
+			fx.clock.Advance(time.Duration(rapid.IntRange(0, 400).Draw(t, "seconds")) * time.Second)
 			for id, billed := range jobs {
-				if n := g.runner.starts[id]; billed && n > 1 {
+				if n := fx.runner.starts[id]; billed && n > 1 {
 					t.Fatalf("billed job %s started %d times", id, n)
 				}
 			}
 		}
-		g.store.SetInjector(func(string, string) memory.Fault { return memory.FaultNone })
-		g.runner.lost = func() bool { return false }
-		checkEveryJobSettles(t, g)
+		fx.store.SetInjector(func(string, string) memory.Fault { return memory.FaultNone })
+		fx.runner.lost = func() bool { return false }
+		checkEveryJobSettles(t, fx)
 	})
 }
 
 // checkEveryJobSettles runs a placer without faults and then checks that every
 // job has ended or has a reason for waiting.
-func checkEveryJobSettles(t *rapid.T, g *fixture) {
-	p, log := g.placer()
+func checkEveryJobSettles(t *rapid.T, fx *fixture) {
+	p, log := fx.placer()
 	for range 100 {
 		if err := log.Refresh(context.Background()); err != nil {
 			t.Fatal(err)
@@ -226,7 +226,7 @@
 		if err := p.Round(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		g.clock.Advance(10 * time.Second)
+		fx.clock.Advance(10 * time.Second)
 	}
 	for _, j := range log.State().Jobs() {
 		if !j.Phase.Ended() && j.Reason == "" {
@@ -238,12 +238,12 @@
 // TestReasonOfJobThatFitsNoInstance checks the reason of a job that is larger than
 // any instance. It must not look like a job that waits for free capacity.
 func TestReasonOfJobThatFitsNoInstance(t *testing.T) {
-	g := newFixture(t)
-	j, err := g.submit("large", 64000, false)
+	fx := newFixture(t)
+	j, err := fx.submit("large", 64000, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, log := g.placer()
+	p, log := fx.placer()
 	if err := log.Refresh(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -259,17 +259,17 @@
 // TestSubmitWithSameKey submits a key twice. The second submission must return
 // the first job, or fail if it asks for something else.
 func TestSubmitWithSameKey(t *testing.T) {
-	g := newFixture(t)
-	first, err := g.submit("tip", 1000, true)
+	fx := newFixture(t)
+	first, err := fx.submit("tip", 1000, true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := g.submit("tip", 1000, true)
+	again, err := fx.submit("tip", 1000, true)
 	if err != nil || again.ID != first.ID {
 		t.Errorf("got %v, %v, want job %s", again.ID, err, first.ID)
 	}
 	var reused *command.KeyReusedError
-	if _, err := g.submit("tip", 2000, true); !errors.As(err, &reused) {
+	if _, err := fx.submit("tip", 2000, true); !errors.As(err, &reused) {
 		t.Errorf("got %v, want a KeyReusedError", err)
 	}
 }
