--- a/daemon/listen.go
+++ b/daemon/listen.go
@@ -150,9 +150,9 @@
 	case <-e.clock.After(e.settings.stopNotice):
 	case <-ctx.Done():
 	}
-	bound, cancel := context.WithTimeout(context.Background(), e.settings.stopTimeout)
+	drainCtx, cancel := context.WithTimeout(context.Background(), e.settings.stopTimeout)
 	defer cancel()
-	if err := e.callerServer.Shutdown(bound); err != nil {
+	if err := e.callerServer.Shutdown(drainCtx); err != nil {
 		event.Failed.Log(e.logger, slog.String("part", "callers"), slog.Any("error", err))
 	}
 	for _, srv := range e.servers {
--- a/daemon/shares.go
+++ b/daemon/shares.go
@@ -17,8 +17,8 @@
 const (
 	// shareInterval is the interval at which the demand for connections is checked.
 	shareInterval = time.Second
-	// elasticRetention is how long elastic connections are kept after the last
-	// time when all upstreams were saturated.
+	// elasticRetention is how long elastic connections are kept after a request
+	// last found no upstream with free capacity.
 	elasticRetention = 30 * time.Second
 	// minRequestTime is the lower limit of the assumed maximum duration of a
 	// request.
