--- a/daemon/pages_test.go
+++ b/daemon/pages_test.go
@@ -48,7 +48,7 @@
 func TestSettingsPageMatchesFlags(t *testing.T) {
 	set := settings.New()
 	new(Settings).Define(set)
-	compareWithPage(t, "settings.md", set.All())
+	compareWithPage(t, "settings.md", set.AllNames())
 }
 
 // TestMetricsPageMatchesMetrics checks that the metrics page documents exactly the
@@ -81,7 +81,7 @@
 	if err == nil {
 		t.Fatal("invalid settings were accepted")
 	}
-	for _, name := range set.All() {
+	for _, name := range set.AllNames() {
 		if want := "-" + name + " (" + settings.Env(name) + "): \"no such value!\": must"; !strings.Contains(err.Error(), want) {
 			t.Errorf("the error does not contain %s", want)
 		}
--- a/testbed/incarnation.go
+++ b/testbed/incarnation.go
@@ -65,7 +65,7 @@
 	if !r.stops.IsZero() {
 		return r.stops
 	}
-	if r.work.Serves || r.work.Crashes || r.began.IsZero() {
+	if r.work.Service || r.work.Crashes || r.began.IsZero() {
 		return time.Time{}
 	}
 	left := r.work.Duration * time.Duration(wholeProgress-r.from) / wholeProgress
@@ -181,11 +181,11 @@
 		return i.reject(pointport.RejectOldRun)
 	}
 	work := i.fleet.work(o)
-	if !i.free().Fits(work.Room) {
+	if !i.free().Fits(work.Reservation) {
 		if i.fleet.guards {
 			return i.reject(pointport.RejectNoCapacity)
 		}
-		if !i.machine.justShrunk(now) || !i.freeOf(i.machine.former).Fits(work.Room) {
+		if !i.machine.justShrunk(now) || !i.freeOf(i.machine.former).Fits(work.Reservation) {
 			i.fleet.violate(now, o.Task, "is started beyond the room of "+string(i.id))
 		}
 	}
@@ -219,7 +219,7 @@
 
 func (i *incarnation) freeOf(free pointport.Shape) pointport.Shape {
 	for _, r := range i.runs {
-		free = free.Minus(r.work.Room)
+		free = free.Minus(r.work.Reservation)
 	}
 	return free
 }
@@ -272,7 +272,7 @@
 		return 0
 	}
 	whole := r.work.Duration
-	if r.work.Serves {
+	if r.work.Service {
 		whole = serveStart
 	}
 	if whole <= 0 {
--- a/testbed/network.go
+++ b/testbed/network.go
@@ -10,24 +10,24 @@
 
 // This file defines how orders reach incarnations.
 
-// A Fate says what becomes of an order.
-type Fate struct {
+// A Delivery says what becomes of an order.
+type Delivery struct {
 	Latency time.Duration
-	// Lost says that the order is not carried out and gets no answer.
-	Lost bool
-	// Late says that the order gets no answer and is carried out so much later.
-	Late time.Duration
-	// Mute says that the order is carried out and gets no answer.
-	Mute bool
+	// OrderLost says that the order is not carried out and gets no answer.
+	OrderLost bool
+	// LateBy says that the order gets no answer and is carried out so much later.
+	LateBy time.Duration
+	// AnswerLost says that the order is carried out and gets no answer.
+	AnswerLost bool
 	// Refused says that the instance answers that it is not well, and has done nothing.
 	Refused bool
 }
 
 // A Network decides the fate of each order to a machine.
-type Network func(op string, to pointport.InstanceID) Fate
+type Network func(op string, to pointport.InstanceID) Delivery
 
 // Reliable is a network on which every order takes a millisecond.
-func Reliable(string, pointport.InstanceID) Fate { return Fate{Latency: time.Millisecond} }
+func Reliable(string, pointport.InstanceID) Delivery { return Delivery{Latency: time.Millisecond} }
 
 // answerTimeout is how long a caller waits for an answer.
 const answerTimeout = 400 * time.Millisecond
@@ -59,11 +59,11 @@
 	if !sleep(ctx, f.clock, fate.Latency) {
 		return none, e.silent(ctx, op, at, 0)
 	}
-	if fate.Lost {
+	if fate.OrderLost {
 		return none, e.silent(ctx, op, at, answerTimeout)
 	}
-	if fate.Late > 0 {
-		taker, wake := f.lifeAt(at), f.clock.After(fate.Late)
+	if fate.LateBy > 0 {
+		taker, wake := f.lifeAt(at), f.clock.After(fate.LateBy)
 		go func() {
 			<-wake
 			f.awaitStall(taker)
@@ -93,7 +93,7 @@
 	life.advance(now)
 	answer, err := carryOut(life, now)
 	f.mu.Unlock()
-	if fate.Mute {
+	if fate.AnswerLost {
 		return none, e.silent(ctx, op, at, answerTimeout)
 	}
 	return answer, err
@@ -203,7 +203,7 @@
 	if first {
 		return e
 	}
-	return &Executor{e.fleet, func(string, pointport.InstanceID) Fate { return Fate{} }}
+	return &Executor{e.fleet, func(string, pointport.InstanceID) Delivery { return Delivery{} }}
 }
 
 // untilNext returns how long it is until something ends by itself.
