--- a/job/decide_test.go
+++ b/job/decide_test.go
@@ -14,8 +14,8 @@
 
 var now = time.Unix(1_800_000_000, 0)
 
-// newInput returns an input with a number of instances of 16 cores and a number of
-// waiting jobs, each of which may be changed by each.
+// newInput returns an input with instances of 16 cores and with waiting jobs. If
+// each is not nil, it may modify the job with index n.
 func newInput(tb testing.TB, instances, waiting int, each func(n int, j *job.Job)) job.Input {
 	in := job.Input{Now: now, State: job.NewState(), Services: map[string]string{"pool": "proof"}, Quotas: map[string]int64{}}
 	for n := range instances {
