--- a/changelog/append.go
+++ b/changelog/append.go
@@ -40,7 +40,7 @@
 	for {
 		t, done, err := g.find(ctx, id)
 		if err != nil {
-			return none, settle(unsettled, id, err)
+			return none, wrapAmbiguous(unsettled, id, err)
 		}
 		if done != nil {
 			if unsettled {
@@ -66,15 +66,15 @@
 		case errors.As(err, &conflict):
 			// Another author was first, or an earlier write of this very
 			// change was. Reading again tells which.
-		case ambiguous(err):
+		case isAmbiguous(err):
 			// The loop reads back. If the change is not there, the same
 			// revision is written again, so a late first write must fail.
 			unsettled = true
 		default:
-			return none, settle(unsettled, id, err)
+			return none, wrapAmbiguous(unsettled, id, err)
 		}
 		if ctx.Err() != nil {
-			return none, settle(unsettled, id, ctx.Err())
+			return none, wrapAmbiguous(unsettled, id, ctx.Err())
 		}
 	}
 }
@@ -108,7 +108,7 @@
 	return err
 }
 
-func settle(unsettled bool, id string, err error) error {
+func wrapAmbiguous(unsettled bool, id string, err error) error {
 	if unsettled {
 		return &AmbiguousError{id, err}
 	}
@@ -121,11 +121,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if c := lookFor(t.changes, id); c != nil {
+	if c := findChange(t.changes, id); c != nil {
 		return t, c, nil
 	}
 	// The change may have filled its segment, or others may have since.
-	for n := t.number - 1; n >= 1 && n >= t.number-settleSegments; n-- {
+	for n := t.number - 1; n >= 1 && n >= t.number-maxSearchedSegments; n-- {
 		e, err := g.store.Get(ctx, g.segmentKey(n))
 		if err != nil {
 			return nil, nil, err
@@ -137,18 +137,18 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		if c := lookFor(changes, id); c != nil {
+		if c := findChange(changes, id); c != nil {
 			return t, c, nil
 		}
 	}
 	return t, nil, nil
 }
 
-// settleSegments is how many sealed segments are searched for a change whose
+// maxSearchedSegments is how many sealed segments are searched for a change whose
 // answer was lost.
-const settleSegments = 4
+const maxSearchedSegments = 4
 
-func lookFor[C Change](changes []C, id string) *C {
+func findChange[C Change](changes []C, id string) *C {
 	for i := range changes {
 		if changes[i].ChangeID() == id {
 			return &changes[i]
@@ -191,7 +191,7 @@
 	if old.Next >= next {
 		return nil
 	}
-	oldest := max(old.Oldest, min(next-g.retention, old.Oldest+removeAtOnce))
+	oldest := max(old.Oldest, min(next-g.retention, old.Oldest+maxRemovedPerCompaction))
 	data, err := json.Marshal(snapshot[S]{State: state, Next: next, Oldest: oldest})
 	if err != nil {
 		return err
--- a/changelog/log.go
+++ b/changelog/log.go
@@ -31,27 +31,27 @@
 // This file defines the log, its stored form and the follower.
 
 const (
-	// DefaultSegment is how many changes a segment holds. A waiting node reads
+	// DefaultSegmentSize is how many changes a segment holds. A waiting node reads
 	// the tail again at every change, so a small segment saves bytes.
-	DefaultSegment = 8
-	// sealBytes is the size from which a segment takes no more changes, in bytes.
+	DefaultSegmentSize = 8
+	// maxSegmentBytes is the size from which a segment takes no more changes, in bytes.
 	// Like the segment's length it belongs to the stored form, and must not change
 	// while nodes of an older version run.
-	sealBytes = 8 << 10
+	maxSegmentBytes = 8 << 10
 	// DefaultSnapshotEvery is how many segments pass between snapshots.
 	DefaultSnapshotEvery = 64
 	// DefaultRetention is how many segments are kept for the audit trail.
 	DefaultRetention = 4096
-	// removeAtOnce bounds how many old segments one compaction removes.
-	removeAtOnce = 2 * DefaultSnapshotEvery
-	// sleepBound is the time without an answer after which a node looks if the
+	// maxRemovedPerCompaction bounds how many old segments one compaction removes.
+	maxRemovedPerCompaction = 2 * DefaultSnapshotEvery
+	// maxSilence is the time without an answer after which a node looks if the
 	// log can still be read on from where it is. Waits are shorter, and segments
 	// are kept far longer.
-	sleepBound = 5 * time.Minute
-	// behindBound is how long only lower versions may be read before it is said.
-	behindBound = 5 * time.Second
-	// retryPause is how long the follower waits after a failed call.
-	retryPause = 500 * time.Millisecond
+	maxSilence = 5 * time.Minute
+	// behindLogDelay is how long only lower versions may be read before it is said.
+	behindLogDelay = 5 * time.Second
+	// retryDelay is how long the follower waits after a failed call.
+	retryDelay = 500 * time.Millisecond
 )
 
 // A Store is what the log needs of the platform's service.
@@ -112,10 +112,10 @@
 
 	mu      sync.Mutex
 	changed chan struct{} // closed and replaced when the state changes
-	heardAt time.Time
+	lastAnswerAt time.Time
 	// behindSince is since when only lower versions were read; zero if not.
 	behindSince time.Time
-	last        *tail[S, C] // the furthest that was read, where the next load begins
+	furthest        *tail[S, C] // the furthest that was read, where the next load begins
 }
 
 // settings are what options change.
@@ -132,9 +132,9 @@
 // WithLogger sets where events go.
 func WithLogger(l *slog.Logger) Option { return func(s *settings) { s.logger = l } }
 
-// WithSegment sets how many changes a segment holds, how many segments pass
+// WithSegmentPolicy sets how many changes a segment holds, how many segments pass
 // between snapshots and how many are kept.
-func WithSegment(changes int, snapshotEvery, retention int64) Option {
+func WithSegmentPolicy(changes int, snapshotEvery, retention int64) Option {
 	return func(s *settings) { s.segmentSize, s.snapshotEvery, s.retention = changes, snapshotEvery, retention }
 }
 
@@ -143,7 +143,7 @@
 func New[S State[S, C], C Change](store Store, clock pointport.Clock, name string, empty S, options ...Option) *Log[S, C] {
 	g := &Log[S, C]{
 		settings: settings{
-			logger: slog.New(slog.DiscardHandler), segmentSize: DefaultSegment,
+			logger: slog.New(slog.DiscardHandler), segmentSize: DefaultSegmentSize,
 			snapshotEvery: DefaultSnapshotEvery, retention: DefaultRetention,
 		},
 		name: name, store: store, clock: clock, empty: empty,
@@ -184,17 +184,17 @@
 func (g *Log[S, C]) LastAnswer() time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.heardAt
+	return g.lastAnswerAt
 }
 
 // apply puts state in force unless a higher version already is.
 func (g *Log[S, C]) apply(state S) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.heardAt = g.clock.Now()
+	g.lastAnswerAt = g.clock.Now()
 	have := g.State()
 	if state.Version() < have.Version() {
-		g.behind(state.Version(), have.Version())
+		g.noteBehind(state.Version(), have.Version())
 		return
 	}
 	g.behindSince = time.Time{}
@@ -207,16 +207,16 @@
 	event.VersionApplied.Log(g.logger, slog.Int64("version", int64(state.Version())))
 }
 
-// behind notes that a lower version was read than the one in force. For a moment
+// noteBehind notes that a lower version was read than the one in force. For a moment
 // that is a reading that this node's own change has overtaken; if it lasts, the
 // store has gone back.
-func (g *Log[S, C]) behind(read, applied pointport.Version) {
+func (g *Log[S, C]) noteBehind(read, applied pointport.Version) {
 	switch {
 	case g.behindSince.IsZero():
-		g.behindSince = g.heardAt
-	case g.heardAt.Sub(g.behindSince) > behindBound:
+		g.behindSince = g.lastAnswerAt
+	case g.lastAnswerAt.Sub(g.behindSince) > behindLogDelay:
 		event.LogBehind.Log(g.logger, slog.Int64("store", int64(read)), slog.Int64("applied", int64(applied)))
-		g.behindSince = g.heardAt
+		g.behindSince = g.lastAnswerAt
 	}
 }
 
@@ -225,11 +225,11 @@
 	var t *tail[S, C]
 	cut := false
 	for ctx.Err() == nil {
-		if g.clock.Now().Sub(g.LastAnswer()) > sleepBound {
+		if g.clock.Now().Sub(g.LastAnswer()) > maxSilence {
 			// What this node waits for may have come and gone meanwhile.
 			t = nil
 		}
-		next, err := g.step(ctx, t)
+		next, err := g.readNext(ctx, t)
 		if err != nil {
 			if !cut && ctx.Err() == nil {
 				event.LogUnavailable.Log(g.logger, slog.Any("error", err))
@@ -251,13 +251,13 @@
 
 func (g *Log[S, C]) pause(ctx context.Context) {
 	select {
-	case <-g.clock.After(retryPause):
+	case <-g.clock.After(retryDelay):
 	case <-ctx.Done():
 	}
 }
 
-// step reads the whole log if t is nil, and else waits for its next change.
-func (g *Log[S, C]) step(ctx context.Context, t *tail[S, C]) (*tail[S, C], error) {
+// readNext reads the whole log if t is nil, and else waits for its next change.
+func (g *Log[S, C]) readNext(ctx context.Context, t *tail[S, C]) (*tail[S, C], error) {
 	if t == nil {
 		return g.load(ctx)
 	}
@@ -287,9 +287,9 @@
 // snapshot and every segment after it.
 func (g *Log[S, C]) load(ctx context.Context) (*tail[S, C], error) {
 	g.mu.Lock()
-	t := g.last
+	t := g.furthest
 	g.mu.Unlock()
-	fresh, err := g.reachable(ctx, t)
+	fresh, err := g.canResume(ctx, t)
 	if err != nil {
 		return nil, err
 	}
@@ -300,22 +300,22 @@
 		}
 		t = &tail[S, C]{state: snap.State, number: snap.Next}
 	}
-	t, err = g.readOn(ctx, t)
+	t, err = g.readForward(ctx, t)
 	if err != nil {
 		return nil, err
 	}
 	g.mu.Lock()
-	if g.last == nil || g.last.state.Version() <= t.state.Version() {
-		g.last = t
+	if g.furthest == nil || g.furthest.state.Version() <= t.state.Version() {
+		g.furthest = t
 	}
 	g.mu.Unlock()
 	g.apply(t.state)
 	return t, nil
 }
 
-// reachable reports whether the log can be read on from t without a snapshot:
+// canResume reports whether the log can be read on from t without a snapshot:
 // either t's segment or the one before it still exists.
-func (g *Log[S, C]) reachable(ctx context.Context, t *tail[S, C]) (bool, error) {
+func (g *Log[S, C]) canResume(ctx context.Context, t *tail[S, C]) (bool, error) {
 	if t == nil {
 		return false, nil
 	}
@@ -326,8 +326,8 @@
 	return e.Exists(), err
 }
 
-// readOn reads every segment from t on.
-func (g *Log[S, C]) readOn(ctx context.Context, t *tail[S, C]) (*tail[S, C], error) {
+// readForward reads every segment from t on.
+func (g *Log[S, C]) readForward(ctx context.Context, t *tail[S, C]) (*tail[S, C], error) {
 	for {
 		e, err := g.store.Get(ctx, g.segmentKey(t.number))
 		if err != nil {
@@ -385,7 +385,7 @@
 // sealed reports whether a segment takes no more changes. All nodes must agree
 // on it, so it follows from the stored value alone.
 func (g *Log[S, C]) sealed(changes, bytes int) bool {
-	return changes >= g.segmentSize || bytes >= sealBytes
+	return changes >= g.segmentSize || bytes >= maxSegmentBytes
 }
 
 func decodeSegment[C any](e pointport.Entry) ([]C, error) {
@@ -396,8 +396,8 @@
 	return s.Changes, nil
 }
 
-// ambiguous reports whether err leaves open if a change has taken effect.
-func ambiguous(err error) bool {
+// isAmbiguous reports whether err leaves open if a change has taken effect.
+func isAmbiguous(err error) bool {
 	var u *pointport.UnavailableError
 	return errors.As(err, &u) && u.Ambiguous
 }
--- a/changelog/log_test.go
+++ b/changelog/log_test.go
@@ -22,7 +22,7 @@
 type configLog = changelog.Log[*config.State, config.Change]
 
 func small(store *memory.Store) *configLog {
-	return changelog.New[*config.State, config.Change](store, clock.System{}, "config", config.NewState(), changelog.WithSegment(3, 2, 4))
+	return changelog.New[*config.State, config.Change](store, clock.System{}, "config", config.NewState(), changelog.WithSegmentPolicy(3, 2, 4))
 }
 
 func configure(log *configLog, id, name string, weight int, read config.Version) (config.Change, error) {
@@ -132,7 +132,7 @@
 		author := small(store)
 		var nodes []*configLog
 		for range 3 {
-			nodes = append(nodes, changelog.Start[*config.State, config.Change](t.Context(), store, clock.System{}, "config", config.NewState(), changelog.WithSegment(3, 2, 4)))
+			nodes = append(nodes, changelog.Start[*config.State, config.Change](t.Context(), store, clock.System{}, "config", config.NewState(), changelog.WithSegmentPolicy(3, 2, 4)))
 		}
 		check := func(when string) {
 			time.Sleep(time.Second)
--- a/clock/boot.go
+++ b/clock/boot_time.go
@@ -14,19 +14,19 @@
 // reckons durations and timers stands still meanwhile; the kernel's boot time does not.
 
 const (
-	// checkEvery is how often the boot time is read when nothing tells of a suspension.
+	// checkInterval is how often the boot time is read when nothing tells of a suspension.
 	// The clock of Go costs no system call and this one does.
-	checkEvery = time.Second
-	// stepBound is by how much the time of day must have left the steady clock for the
+	checkInterval = time.Second
+	// wallStepThreshold is by how much the time of day must have left the steady clock for the
 	// boot time to be read at once: a suspension moves it by its whole length, and
 	// corrections of a clock in use are at most half a millisecond in a second.
-	stepBound = 20 * time.Millisecond
-	// readBound is by how much two readings made one after the other may differ.
-	readBound = 5 * time.Millisecond
-	// readTries is how often they are made until they are near enough.
-	readTries = 3
-	// toldBound is how long a suspension must be to be told of; shorter ones count too.
-	toldBound = 100 * time.Millisecond
+	wallStepThreshold = 20 * time.Millisecond
+	// readTolerance is by how much two readings made one after the other may differ.
+	readTolerance = 5 * time.Millisecond
+	// maxReads is how often they are made until they are near enough.
+	maxReads = 3
+	// minReported is how long a suspension must be to be told of; shorter ones count too.
+	minReported = 100 * time.Millisecond
 )
 
 // A Suspension is a time for which the machine stood still.
@@ -42,47 +42,47 @@
 	System
 	start  time.Time     // of the process, with its steady reading
 	origin time.Duration // the boot time then
-	boot   func() (time.Duration, error)
-	tell   func(Suspension)
+	readBoot   func() (time.Duration, error)
+	onSuspension   func(Suspension)
 
 	mu        sync.Mutex
-	checked   time.Duration // when the boot time was last read, since start
-	ahead     time.Duration // of the time of day before the steady clock then
+	checkedAt   time.Duration // when the boot time was last read, since start
+	wallOffset     time.Duration // of the time of day before the steady clock then
 	suspended time.Duration // since start
 }
 
 var _ pointport.Clock = (*BootTime)(nil)
 
-// A BootOption changes a Boot.
-type BootOption func(*BootTime)
+// A BootTimeOption changes a Boot.
+type BootTimeOption func(*BootTime)
 
 // OnSuspension sets a function that is told of each suspension of a tenth of a second or
 // more, by whoever asks for the time first after it.
-func OnSuspension(tell func(Suspension)) BootOption { return func(b *BootTime) { b.tell = tell } }
+func OnSuspension(tell func(Suspension)) BootTimeOption { return func(b *BootTime) { b.onSuspension = tell } }
 
 // WithBootTime sets how the boot time is read.
-func WithBootTime(read func() (time.Duration, error)) BootOption {
-	return func(b *BootTime) { b.boot = read }
+func WithBootTime(read func() (time.Duration, error)) BootTimeOption {
+	return func(b *BootTime) { b.readBoot = read }
 }
 
 // NewBootTime returns the machine's clock. Where the boot time cannot be read it returns the
 // error with a clock that counts no suspended time: what rests on it is then as good as
 // the steady clock, which a suspended machine must not be used with.
-func NewBootTime(options ...BootOption) (*BootTime, error) {
-	b := &BootTime{start: time.Now(), boot: readBoot, tell: func(Suspension) {}}
+func NewBootTime(options ...BootTimeOption) (*BootTime, error) {
+	b := &BootTime{start: time.Now(), readBoot: kernelBootTime, onSuspension: func(Suspension) {}}
 	for _, o := range options {
 		o(b)
 	}
-	origin, err := b.boot()
+	origin, err := b.readBoot()
 	if err != nil {
-		b.boot = nil
+		b.readBoot = nil
 		return b, fmt.Errorf("boot time: %w", err)
 	}
 	b.origin = origin
 	return b, nil
 }
 
-func readBoot() (time.Duration, error) {
+func kernelBootTime() (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		return 0, err
@@ -94,10 +94,10 @@
 // that is kept from running between two readings reads once more: the time would count as
 // suspended although the steady clock has gone on.
 func (b *BootTime) readBoth() (boot, steady time.Duration, ok bool) {
-	for range readTries {
+	for range maxReads {
 		before := time.Since(b.start)
-		boot, err := b.boot()
-		if after := time.Since(b.start); err == nil && after-before < readBound {
+		boot, err := b.readBoot()
+		if after := time.Since(b.start); err == nil && after-before < readTolerance {
 			return boot, before, true
 		}
 	}
@@ -109,7 +109,7 @@
 	now := time.Now()
 	suspended, told := b.measure(now)
 	if told != nil {
-		b.tell(*told)
+		b.onSuspension(*told)
 	}
 	return now.Add(suspended)
 }
@@ -121,21 +121,21 @@
 	defer b.mu.Unlock()
 	steady := now.Sub(b.start)
 	ahead := now.Round(0).Sub(b.start.Round(0)) - steady
-	moved := (ahead - b.ahead).Abs() > stepBound
-	if b.boot == nil || !moved && steady-b.checked < checkEvery {
+	moved := (ahead - b.wallOffset).Abs() > wallStepThreshold
+	if b.readBoot == nil || !moved && steady-b.checkedAt < checkInterval {
 		return b.suspended, nil
 	}
 	boot, steady, ok := b.readBoth()
 	if !ok {
 		return b.suspended, nil // the next question tries again
 	}
-	b.checked, b.ahead = steady, ahead
+	b.checkedAt, b.wallOffset = steady, ahead
 	lasted := boot - b.origin - steady - b.suspended
-	if lasted < readBound {
+	if lasted < readTolerance {
 		return b.suspended, nil
 	}
 	b.suspended += lasted
-	if lasted < toldBound {
+	if lasted < minReported {
 		return b.suspended, nil
 	}
 	return b.suspended, &Suspension{Steady: steady, Boot: boot - b.origin, Lasted: lasted}
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -27,12 +27,12 @@
 type Fake struct {
 	mu     sync.Mutex
 	now    time.Time
-	alarms []alarm
+	timers []timer
 	// suspended is how much more Steady has counted.
 	suspended time.Duration
 }
 
-type alarm struct {
+type timer struct {
 	at time.Time
 	c  chan time.Time
 }
@@ -73,7 +73,7 @@
 		c <- f.now
 		return c
 	}
-	f.alarms = append(f.alarms, alarm{f.now.Add(d), c})
+	f.timers = append(f.timers, timer{f.now.Add(d), c})
 	return c
 }
 
@@ -82,20 +82,20 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.now = f.now.Add(d)
-	left := f.alarms[:0]
-	for _, a := range f.alarms {
+	left := f.timers[:0]
+	for _, a := range f.timers {
 		if a.at.After(f.now) {
 			left = append(left, a)
 			continue
 		}
 		a.c <- f.now
 	}
-	f.alarms = left
+	f.timers = left
 }
 
 // Waiting returns how many callers wait for the clock to move.
 func (f *Fake) Waiting() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.alarms)
+	return len(f.timers)
 }
--- a/config/evacuation.go
+++ b/config/evacuation.go
@@ -16,7 +16,7 @@
 	Reason string `json:"reason,omitempty"`
 }
 
-func (e *Evacuation) fill() {}
+func (e *Evacuation) setDefaults() {}
 
 func (e *Evacuation) check(c *checker) { c.name("name", e.Name) }
 
--- a/config/object.go
+++ b/config/object.go
@@ -62,7 +62,7 @@
 	return p.Until == nil || now.Before(*p.Until)
 }
 
-func (p *Parameters) fill() {
+func (p *Parameters) setDefaults() {
 	setDefault(&p.Customer, p.Name)
 	setDefault(&p.Weight, 1)
 }
@@ -76,7 +76,7 @@
 		c.fail("template", "", "must name the template whose values are replaced")
 	}
 	if p.Size != nil {
-		c.between("size", *p.Size, 0, maxPool)
+		c.between("size", *p.Size, 0, maxPoolSize)
 	}
 	if p.Spare != nil {
 		c.count("spare", *p.Spare)
@@ -119,7 +119,7 @@
 	Reason string `json:"reason,omitempty"`
 }
 
-func (w *Wave) fill() { setDefault(&w.State, WaveRun) }
+func (w *Wave) setDefaults() { setDefault(&w.State, WaveRun) }
 
 func (w *Wave) check(c *checker) {
 	c.name("name", w.Name)
@@ -129,7 +129,7 @@
 
 // body is what each kind of object can do.
 type body interface {
-	fill()
+	setDefaults()
 	check(c *checker)
 }
 
@@ -194,7 +194,7 @@
 	if err := json.Unmarshal(data, b); err != nil {
 		return err
 	}
-	b.fill()
+	b.setDefaults()
 	*o = NewObject(b)
 	return nil
 }
@@ -210,7 +210,7 @@
 func Parse(source string, data []byte) ([]Object, error) {
 	var objects []Object
 	var bad []*FieldError
-	for n, part := range split(data) {
+	for n, part := range splitDocuments(data) {
 		where := source
 		if n > 0 {
 			where = fmt.Sprintf("%s (document %d)", source, n+1)
@@ -232,7 +232,7 @@
 	return objects, nil
 }
 
-func split(data []byte) [][]byte {
+func splitDocuments(data []byte) [][]byte {
 	var parts [][]byte
 	for _, p := range strings.Split("\n"+string(data), "\n---") {
 		if strings.TrimSpace(p) != "" {
@@ -245,7 +245,7 @@
 func parseYAML(source string, data []byte) (Object, error) {
 	asJSON, err := yaml.YAMLToJSONStrict(data)
 	if err != nil {
-		return Object{}, oneError(source, "(document)", firstLine(data), err.Error())
+		return Object{}, singleError(source, "(document)", firstLine(data), err.Error())
 	}
 	return ParseObject(source, asJSON)
 }
@@ -254,7 +254,7 @@
 func newBody(source string, data []byte) (body, error) {
 	var d document
 	if err := json.Unmarshal(data, &d); err != nil {
-		return nil, oneError(source, "(document)", firstLine(data), "must be a mapping with a kind")
+		return nil, singleError(source, "(document)", firstLine(data), "must be a mapping with a kind")
 	}
 	switch d.Kind {
 	case KindTemplate:
@@ -266,7 +266,7 @@
 	case KindEvacuation:
 		return new(Evacuation), nil
 	}
-	return nil, oneError(source, "kind", string(d.Kind), "must be one of Template, Parameters, Wave, Evacuation")
+	return nil, singleError(source, "kind", string(d.Kind), "must be one of Template, Parameters, Wave, Evacuation")
 }
 
 // ParseObject reads and checks one document in JSON.
@@ -278,7 +278,7 @@
 	if err := decode(source, data, b); err != nil {
 		return Object{}, err
 	}
-	b.fill()
+	b.setDefaults()
 	c := &checker{source: source}
 	b.check(c)
 	if err := c.err(); err != nil {
@@ -306,12 +306,12 @@
 func decode(source string, data []byte, b body) error {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(data, &fields); err != nil {
-		return oneError(source, "(document)", firstLine(data), err.Error())
+		return singleError(source, "(document)", firstLine(data), err.Error())
 	}
 	delete(fields, "kind")
 	rest, err := json.Marshal(fields)
 	if err != nil {
-		return oneError(source, "(document)", firstLine(data), err.Error())
+		return singleError(source, "(document)", firstLine(data), err.Error())
 	}
 	dec := json.NewDecoder(bytes.NewReader(rest))
 	dec.DisallowUnknownFields()
@@ -322,22 +322,22 @@
 		return nil
 	case errors.As(err, &wrong):
 		last := wrong.Field[strings.LastIndex(wrong.Field, ".")+1:]
-		return oneError(source, wrong.Field, valueOf(rest, last), "must be of type "+wrong.Type.String())
+		return singleError(source, wrong.Field, findValue(rest, last), "must be of type "+wrong.Type.String())
 	}
 	if field, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
 		name := strings.Trim(field, `"`)
-		return oneError(source, name, valueOf(rest, name), "is not a field of this kind of document")
+		return singleError(source, name, findValue(rest, name), "is not a field of this kind of document")
 	}
-	return oneError(source, "(document)", firstLine(data), err.Error())
+	return singleError(source, "(document)", firstLine(data), err.Error())
 }
 
-// valueOf finds the value of the first field called name, at any depth.
-func valueOf(data []byte, name string) string {
+// findValue finds the value of the first field called name, at any depth.
+func findValue(data []byte, name string) string {
 	var v any
 	if json.Unmarshal(data, &v) != nil {
 		return ""
 	}
-	found := search(v, name)
+	found := findField(v, name)
 	if found == nil {
 		return ""
 	}
@@ -348,20 +348,20 @@
 	return string(out)
 }
 
-func search(v any, name string) any {
+func findField(v any, name string) any {
 	switch v := v.(type) {
 	case map[string]any:
 		if found, ok := v[name]; ok {
 			return found
 		}
 		for _, inner := range v {
-			if found := search(inner, name); found != nil {
+			if found := findField(inner, name); found != nil {
 				return found
 			}
 		}
 	case []any:
 		for _, inner := range v {
-			if found := search(inner, name); found != nil {
+			if found := findField(inner, name); found != nil {
 				return found
 			}
 		}
@@ -369,7 +369,7 @@
 	return nil
 }
 
-func oneError(source, field, value, reason string) error {
+func singleError(source, field, value, reason string) error {
 	return &CheckError{[]*FieldError{{source, field, value, reason}}}
 }
 
--- a/config/state.go
+++ b/config/state.go
@@ -224,8 +224,8 @@
 	return next
 }
 
-// stateDocument is a State as it is stored.
-type stateDocument struct {
+// storedState is a State as it is stored.
+type storedState struct {
 	Version Version              `json:"version"`
 	Objects map[string]versioned `json:"objects"`
 	Removed map[string]tombstone `json:"removed"`
@@ -233,12 +233,12 @@
 
 // MarshalJSON writes the whole state.
 func (s *State) MarshalJSON() ([]byte, error) {
-	return json.Marshal(stateDocument{s.version, s.objects, s.removed})
+	return json.Marshal(storedState{s.version, s.objects, s.removed})
 }
 
 // UnmarshalJSON reads a whole state.
 func (s *State) UnmarshalJSON(data []byte) error {
-	var d stateDocument
+	var d storedState
 	if err := json.Unmarshal(data, &d); err != nil {
 		return err
 	}
--- a/config/template.go
+++ b/config/template.go
@@ -46,27 +46,27 @@
 
 // Bounds and defaults of what a template holds.
 const (
-	maxPool             = 20000
+	maxPoolSize             = 20000
 	maxRoutes           = 64
 	maxTimeout          = time.Hour
 	defaultTimeout      = 30 * time.Second
 	defaultMaxBody      = 8 << 20
-	maxMaxBody          = 1 << 30
-	defaultQueue        = 512
-	defaultBuffer       = 64 << 10
+	maxBodyLimit          = 1 << 30
+	defaultQueueLength        = 512
+	defaultRetryBuffer       = 64 << 10
 	defaultSlots        = 8
 	defaultConnections  = 64
 	defaultRetryRatio   = 0.1
 	defaultMaxAttempts  = 3
-	defaultEjectAfter   = 5
+	defaultEjectFailures   = 5
 	defaultEjectFor     = 10 * time.Second
-	defaultEjectMost    = 0.5
+	defaultMaxEjected    = 0.5
 	defaultDrainQuiet   = 3 * time.Second
 	defaultDrainBound   = 10 * time.Minute
 	defaultReturnBound  = 15 * time.Minute
 	defaultStopAfter    = 3
 	defaultNotRunHeader = "X-Not-Run"
-	defaultLeaving      = "X-Leaving"
+	defaultLeavingHeader      = "X-Leaving"
 )
 
 // A Template describes one pool and the service that its instances run.
@@ -184,37 +184,37 @@
 	StopAfter int `json:"stopAfter"`
 }
 
-// fill sets what a document leaves out.
-func (t *Template) fill() {
+// setDefaults sets what a document leaves out.
+func (t *Template) setDefaults() {
 	if t.Service == "" {
 		t.Service = t.Name
 	}
 	for i := range t.Routes {
-		t.Routes[i].fill()
+		t.Routes[i].setDefaults()
 	}
-	setDefault(&t.Pool.Spare, Whole(0))
+	setDefault(&t.Pool.Spare, AbsoluteCount(0))
 	setDefault(&t.Pool.MoveWeight, 1)
 	setDefault(&t.Pool.BufferWeight, 1)
 	setDefault(&t.Upstream.Slots, defaultSlots)
 	setDefault(&t.Upstream.Connections, defaultConnections)
 	setDefault(&t.Upstream.NotRunHeader, defaultNotRunHeader)
-	setDefault(&t.Upstream.LeavingHeader, defaultLeaving)
+	setDefault(&t.Upstream.LeavingHeader, defaultLeavingHeader)
 	setDefault(&t.Retry.Ratio, defaultRetryRatio)
 	setDefault(&t.Retry.MaxAttempts, defaultMaxAttempts)
-	setDefault(&t.Retry.Buffer, defaultBuffer)
-	setDefault(&t.Ejection.Failures, defaultEjectAfter)
+	setDefault(&t.Retry.Buffer, defaultRetryBuffer)
+	setDefault(&t.Ejection.Failures, defaultEjectFailures)
 	setDefault(&t.Ejection.For, NewDuration(defaultEjectFor))
-	setDefault(&t.Ejection.Most, defaultEjectMost)
+	setDefault(&t.Ejection.Most, defaultMaxEjected)
 	setDefault(&t.Maintenance.Budget, Percent(10))
 	setDefault(&t.Maintenance.Speed, Percent(10))
 	setDefault(&t.Maintenance.DrainQuiet, NewDuration(defaultDrainQuiet))
 	setDefault(&t.Maintenance.DrainBound, NewDuration(defaultDrainBound))
 	setDefault(&t.Maintenance.ReturnBound, NewDuration(defaultReturnBound))
 	setDefault(&t.Maintenance.StopAfter, defaultStopAfter)
-	setDefault(&t.Queue, defaultQueue)
+	setDefault(&t.Queue, defaultQueueLength)
 }
 
-func (r *Route) fill() {
+func (r *Route) setDefaults() {
 	setDefault(&r.Priority, Normal)
 	setDefault(&r.Timeout, NewDuration(defaultTimeout))
 	setDefault(&r.MaxBody, defaultMaxBody)
@@ -265,8 +265,8 @@
 	}
 	c.oneOf(prefix+"priority", string(r.Priority), string(Urgent), string(Normal), string(Bulk))
 	c.duration(prefix+"timeout", r.Timeout, time.Millisecond, maxTimeout)
-	if r.MaxBody < 1 || r.MaxBody > maxMaxBody {
-		c.fail(prefix+"maxBody", fmt.Sprint(r.MaxBody), "must be from 1 to %d bytes", maxMaxBody)
+	if r.MaxBody < 1 || r.MaxBody > maxBodyLimit {
+		c.fail(prefix+"maxBody", fmt.Sprint(r.MaxBody), "must be from 1 to %d bytes", maxBodyLimit)
 	}
 	if r.Repeatable && r.RequireKey {
 		c.fail(prefix+"requireKey", "true", "is only for work that may not be repeated")
@@ -274,7 +274,7 @@
 }
 
 func (p *Pool) check(c *checker) {
-	c.between("pool.size", p.Size, 0, maxPool)
+	c.between("pool.size", p.Size, 0, maxPoolSize)
 	for i, d := range p.Spread {
 		c.oneOf(fmt.Sprintf("pool.spread[%d]", i), string(d), string(DomainRack), string(DomainZone), string(DomainRegion))
 	}
@@ -293,5 +293,5 @@
 	c.duration("maintenance.drainQuiet", m.DrainQuiet, 100*time.Millisecond, time.Hour)
 	c.duration("maintenance.drainBound", m.DrainBound, time.Second, 24*time.Hour)
 	c.duration("maintenance.returnBound", m.ReturnBound, time.Second, 24*time.Hour)
-	c.between("maintenance.stopAfter", m.StopAfter, 1, maxPool)
+	c.between("maintenance.stopAfter", m.StopAfter, 1, maxPoolSize)
 }
--- a/config/units.go
+++ b/config/units.go
@@ -57,13 +57,13 @@
 // ("10%"). What cannot be read is kept, so that the check can name the field.
 type Count struct {
 	raw     string
-	whole   int
+	absolute   int
 	percent float64
 	bad     bool
 }
 
-// Whole returns the Count of n instances.
-func Whole(n int) Count { return Count{raw: strconv.Itoa(n), whole: n} }
+// AbsoluteCount returns the Count of n instances.
+func AbsoluteCount(n int) Count { return Count{raw: strconv.Itoa(n), absolute: n} }
 
 // Percent returns the Count of p hundredths of a pool.
 func Percent(p float64) Count {
@@ -77,11 +77,11 @@
 		return Count{raw: s, percent: v, bad: err != nil}
 	}
 	n, err := strconv.Atoi(s)
-	return Count{raw: s, whole: n, bad: err != nil}
+	return Count{raw: s, absolute: n, bad: err != nil}
 }
 
 // RoundDown returns the count for a pool of size instances, rounded down.
-func (c Count) RoundDown(size int) int { return c.whole + int(c.percent*float64(size)/100) }
+func (c Count) RoundDown(size int) int { return c.absolute + int(c.percent*float64(size)/100) }
 
 // RoundUp returns the count for a pool of size instances, rounded up.
 func (c Count) RoundUp(size int) int {
@@ -90,7 +90,7 @@
 	if float64(n) < part {
 		n++
 	}
-	return c.whole + n
+	return c.absolute + n
 }
 
 // String returns the value as it was written.
@@ -162,8 +162,8 @@
 		c.fail(field, value, "must not be empty")
 		return
 	}
-	if len(value) > maxName {
-		c.fail(field, value, "must not be longer than %d bytes", maxName)
+	if len(value) > maxNameLength {
+		c.fail(field, value, "must not be longer than %d bytes", maxNameLength)
 		return
 	}
 	for _, r := range value {
@@ -174,7 +174,7 @@
 	}
 }
 
-const maxName = 63
+const maxNameLength = 63
 
 func isNameRune(r rune) bool {
 	return r >= 'a' && r <= 'z' || r >= '0' && r <= '9' || r == '-' || r == '.'
@@ -205,8 +205,8 @@
 	switch {
 	case value.bad:
 		c.fail(field, value.raw, "must be a whole number of instances or a part of the pool, such as \"3\" or \"10%%\"")
-	case value.whole < 0 || value.whole > maxPool:
-		c.fail(field, value.raw, "must be from 0 to %d", maxPool)
+	case value.absolute < 0 || value.absolute > maxPoolSize:
+		c.fail(field, value.raw, "must be from 0 to %d", maxPoolSize)
 	case !(value.percent >= 0 && value.percent <= 100):
 		c.fail(field, value.raw, "must be from 0%% to 100%%")
 	}
--- a/event/event.go
+++ b/event/event.go
@@ -19,21 +19,21 @@
 	name     string
 	level    slog.Level
 	meaning  string
-	outcome  string
+	outcomeAttr  string
 	outcomes []string
-	time     string
+	durationAttr     string
 }
 
 // An option says what else there is to an event.
 type option func(*Event)
 
-// splits says that an attribute tells the outcome, which is one of those named.
-func splits(attr string, outcomes ...string) option {
-	return func(e *Event) { e.outcome, e.outcomes = attr, outcomes }
+// withOutcomes says that an attribute tells the outcome, which is one of those named.
+func withOutcomes(attr string, outcomes ...string) option {
+	return func(e *Event) { e.outcomeAttr, e.outcomes = attr, outcomes }
 }
 
-// times says that an attribute tells how long something took.
-func times(attr string) option { return func(e *Event) { e.time = attr } }
+// withDuration says that an attribute tells how long something took.
+func withDuration(attr string) option { return func(e *Event) { e.durationAttr = attr } }
 
 // Number returns the event's number.
 func (e Event) Number() int { return e.number }
@@ -48,14 +48,14 @@
 func (e Event) Meaning() string { return e.meaning }
 
 // OutcomeAttr returns the attribute that tells the outcome, empty for none.
-func (e Event) OutcomeAttr() string { return e.outcome }
+func (e Event) OutcomeAttr() string { return e.outcomeAttr }
 
 // Outcomes returns the values of the attribute that tells the outcome.
 func (e Event) Outcomes() []string { return e.outcomes }
 
 // DurationAttr returns the attribute that tells how long something took, empty for
 // none.
-func (e Event) DurationAttr() string { return e.time }
+func (e Event) DurationAttr() string { return e.durationAttr }
 
 // Log writes the event with its attributes.
 func (e Event) Log(logger *slog.Logger, attrs ...slog.Attr) {
--- a/event/rate_limiter.go
+++ b/event/rate_limiter.go
@@ -22,25 +22,25 @@
 // LeftOutAttr is the attribute that says in a line how many lines of its event were left out before.
 const LeftOutAttr = "leftOut"
 
-// A limiter is a handler that leaves out lines of an event of which there are too
+// A limitHandler is a handler that leaves out lines of an event of which there are too
 // many, and says how many in the next one that it lets pass.
-type limiter struct {
+type limitHandler struct {
 	slog.Handler
-	state *limiterState
+	state *limitState
 }
 
-// limiterState is what the handlers that descend from one limiter share.
-type limiterState struct {
+// limitState is what the handlers that descend from one limiter share.
+type limitState struct {
 	clock pointport.Clock
 
 	mu      sync.Mutex
-	budgets map[int]*budget
+	buckets map[int]*tokenBucket
 	leftOut int64
 }
 
-// A budget is what one event may still write.
-type budget struct {
-	lines   float64
+// A tokenBucket is what one event may still write.
+type tokenBucket struct {
+	tokens   float64
 	at      time.Time
 	leftOut int
 }
@@ -48,12 +48,12 @@
 // A RateLimiter is a handler that bounds the lines of each event. It is safe for
 // concurrent use.
 type RateLimiter struct {
-	limiter
+	limitHandler
 }
 
 // NewRateLimiter returns next with the lines of each event bounded.
 func NewRateLimiter(next slog.Handler, clock pointport.Clock) *RateLimiter {
-	return &RateLimiter{limiter{next, &limiterState{clock: clock, budgets: make(map[int]*budget)}}}
+	return &RateLimiter{limitHandler{next, &limitState{clock: clock, buckets: make(map[int]*tokenBucket)}}}
 }
 
 // LeftOut returns how many lines were left out.
@@ -64,8 +64,8 @@
 }
 
 // Handle hands a record on, unless there are too many of its event.
-func (l *limiter) Handle(ctx context.Context, r slog.Record) error {
-	pass, leftOut := l.state.spend(numberOf(r))
+func (l *limitHandler) Handle(ctx context.Context, r slog.Record) error {
+	pass, leftOut := l.state.take(eventNumber(r))
 	if !pass {
 		return nil
 	}
@@ -77,17 +77,17 @@
 }
 
 // WithAttrs returns a handler whose records have further attributes.
-func (l *limiter) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &limiter{l.Handler.WithAttrs(attrs), l.state}
+func (l *limitHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &limitHandler{l.Handler.WithAttrs(attrs), l.state}
 }
 
 // WithGroup returns a handler whose records' attributes are in a group.
-func (l *limiter) WithGroup(name string) slog.Handler {
-	return &limiter{l.Handler.WithGroup(name), l.state}
+func (l *limitHandler) WithGroup(name string) slog.Handler {
+	return &limitHandler{l.Handler.WithGroup(name), l.state}
 }
 
-// numberOf returns the number of a record's event, zero if it is none.
-func numberOf(r slog.Record) int {
+// eventNumber returns the number of a record's event, zero if it is none.
+func eventNumber(r slog.Record) int {
 	number := 0
 	r.Attrs(func(a slog.Attr) bool {
 		if a.Key == NumberAttr {
@@ -99,25 +99,25 @@
 	return number
 }
 
-// spend takes one line from an event's budget. It reports whether there was one
+// take takes one line from an event's budget. It reports whether there was one
 // and, if so, how many lines were left out before.
-func (s *limiterState) spend(number int) (pass bool, leftOut int) {
+func (s *limitState) take(number int) (pass bool, leftOut int) {
 	now := s.clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b := s.budgets[number]
+	b := s.buckets[number]
 	if b == nil {
-		b = &budget{lines: lineBurst, at: now}
-		s.budgets[number] = b
+		b = &tokenBucket{tokens: lineBurst, at: now}
+		s.buckets[number] = b
 	}
-	b.lines = min(lineBurst, b.lines+linesPerSecond*now.Sub(b.at).Seconds())
+	b.tokens = min(lineBurst, b.tokens+linesPerSecond*now.Sub(b.at).Seconds())
 	b.at = now
-	if b.lines < 1 {
+	if b.tokens < 1 {
 		b.leftOut++
 		s.leftOut++
 		return false, 0
 	}
-	b.lines--
+	b.tokens--
 	leftOut, b.leftOut = b.leftOut, 0
 	return true, leftOut
 }
--- a/event/sink.go
+++ b/event/sink.go
@@ -14,17 +14,17 @@
 // writes many of them at once.
 
 const (
-	// sinkBytes bounds the lines that wait to be written. Beyond it lines are
+	// maxWaitingBytes bounds the lines that wait to be written. Beyond it lines are
 	// dropped and counted.
-	sinkBytes = 512 << 10
-	// sinkEvery is how long lines wait for others before they are written. Each
+	maxWaitingBytes = 512 << 10
+	// flushDelay is how long lines wait for others before they are written. Each
 	// write is a system call, and those are dearer than the lines.
-	sinkEvery = 100 * time.Millisecond
-	// sinkPiece is how many bytes are written at once, at most, unless one line is
+	flushDelay = 100 * time.Millisecond
+	// maxWriteBytes is how many bytes are written at once, at most, unless one line is
 	// longer. Collectors take the first 8 KB of a write and cut the rest off: of a day
 	// with three outages of the store on 350 instances, 21,416 lines were collected in
 	// place of 39,210, and the missing ones were of its busiest tenths of a second.
-	sinkPiece = 8 << 10
+	maxWriteBytes = 8 << 10
 )
 
 // A Sink is a writer of log lines that never blocks its callers. It is safe for
@@ -36,8 +36,8 @@
 	mu      sync.Mutex
 	waiting []byte
 	spare   []byte
-	dropped int   // since lines were last written
-	lost    int64 // in all
+	unreported int   // since lines were last written
+	droppedTotal    int64 // in all
 	wake    chan struct{}
 	closed  bool
 	done    chan struct{}
@@ -49,7 +49,7 @@
 	go func() {
 		defer close(s.done)
 		for range s.wake {
-			<-s.clock.After(sinkEvery)
+			<-s.clock.After(flushDelay)
 			s.flush()
 		}
 		s.flush()
@@ -61,9 +61,9 @@
 func (s *Sink) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed || len(s.waiting)+len(line) > sinkBytes {
-		s.dropped++
-		s.lost++
+	if s.closed || len(s.waiting)+len(line) > maxWaitingBytes {
+		s.unreported++
+		s.droppedTotal++
 		return len(line), nil
 	}
 	s.waiting = append(s.waiting, line...)
@@ -78,20 +78,20 @@
 func (s *Sink) Dropped() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lost
+	return s.droppedTotal
 }
 
 // flush writes what waits, and says how many lines were dropped.
 func (s *Sink) flush() {
 	s.mu.Lock()
-	lines, dropped := s.waiting, s.dropped
-	s.waiting, s.dropped = s.spare[:0], 0
+	lines, dropped := s.waiting, s.unreported
+	s.waiting, s.unreported = s.spare[:0], 0
 	s.mu.Unlock()
 	if dropped > 0 {
 		lines = fmt.Appendf(lines, `{"level":"WARN","msg":%q,"event":%d,"lines":%d}`+"\n", LinesDropped.Name(), LinesDropped.Number(), dropped)
 	}
 	for rest := lines; len(rest) > 0; {
-		piece := firstPiece(rest)
+		piece := firstChunk(rest)
 		// Nobody is left to tell if the log cannot be written.
 		_, _ = s.out.Write(piece)
 		rest = rest[len(piece):]
@@ -101,12 +101,12 @@
 	s.mu.Unlock()
 }
 
-// firstPiece returns as many whole lines as are written at once, one at least.
-func firstPiece(lines []byte) []byte {
-	if len(lines) <= sinkPiece {
+// firstChunk returns as many whole lines as are written at once, one at least.
+func firstChunk(lines []byte) []byte {
+	if len(lines) <= maxWriteBytes {
 		return lines
 	}
-	if n := bytes.LastIndexByte(lines[:sinkPiece], '\n'); n >= 0 {
+	if n := bytes.LastIndexByte(lines[:maxWriteBytes], '\n'); n >= 0 {
 		return lines[:n+1]
 	}
 	if n := bytes.IndexByte(lines, '\n'); n >= 0 {
--- a/memory/kv.go
+++ b/memory/kv.go
@@ -13,8 +13,8 @@
 // This file defines the store as a pointport.KV: transactions, ranges, watches
 // on prefixes, and leases that keys go with.
 
-// pageKeys is how many keys a page of a range holds at most.
-const pageKeys = 500
+// maxPageKeys is how many keys a page of a range holds at most.
+const maxPageKeys = 500
 
 // A grant is a lease that keys go with.
 type grant struct {
@@ -60,8 +60,8 @@
 // errDeaf is the cause of a call's end without an answer, errSilentWatch of a watch's that is
 // told only after its wait.
 var (
-	errDeaf        = errors.New("stand-in store gave no answer")
-	errSilentWatch = errors.New("stand-in store gave no answer to a watch")
+	errNoAnswer        = errors.New("stand-in store gave no answer")
+	errWatchTimeout = errors.New("stand-in store gave no answer to a watch")
 )
 
 // call runs one operation under its fault and returns its answer. A call without an
@@ -78,45 +78,45 @@
 	case FaultBusy:
 		return none, &pointport.UnavailableError{Op: op, Key: key, Busy: true, Err: errBusy}
 	case FaultLostCall:
-		return none, k.silence(ctx, op, key, changes)
+		return none, k.waitUnanswered(ctx, op, key, changes)
 	case FaultWatchTimeout:
-		return none, &pointport.UnavailableError{Op: op, Key: key, Ambiguous: changes, Err: errSilentWatch}
+		return none, &pointport.UnavailableError{Op: op, Key: key, Ambiguous: changes, Err: errWatchTimeout}
 	case FaultLate:
 		go func() {
-			<-k.store.clock.After(lateBy)
+			<-k.store.clock.After(lateDelay)
 			k.store.mu.Lock()
 			defer k.store.mu.Unlock()
-			k.store.expire()
+			k.store.expireLeases()
 			// Its caller has long gone and hears of no refusal.
 			_, _ = run()
 		}()
-		return none, k.silence(ctx, op, key, changes)
+		return none, k.waitUnanswered(ctx, op, key, changes)
 	}
 	k.store.mu.Lock()
-	if k.store.expire() {
-		k.store.wake() // watches hear of it as soon as any call shows it
+	if k.store.expireLeases() {
+		k.store.notifyWatches() // watches hear of it as soon as any call shows it
 	}
 	answer, err := run()
 	k.store.mu.Unlock()
 	if fault == FaultLostAnswer {
-		return none, k.silence(ctx, op, key, changes)
+		return none, k.waitUnanswered(ctx, op, key, changes)
 	}
 	return answer, err
 }
 
-// lateBy is how much later a late call is carried out.
-const lateBy = 1500 * time.Millisecond
+// lateDelay is how much later a late call is carried out.
+const lateDelay = 1500 * time.Millisecond
 
 // callTimeout is how long a caller waits for an answer, unless its context ends
 // sooner.
 const callTimeout = time.Second
 
-func (k *KV) silence(ctx context.Context, op, key string, changes bool) error {
+func (k *KV) waitUnanswered(ctx context.Context, op, key string, changes bool) error {
 	select {
 	case <-ctx.Done():
 	case <-k.store.clock.After(callTimeout):
 	}
-	return &pointport.UnavailableError{Op: op, Key: key, Ambiguous: changes, Err: errDeaf}
+	return &pointport.UnavailableError{Op: op, Key: key, Ambiguous: changes, Err: errNoAnswer}
 }
 
 func (k *KV) sleep(ctx context.Context, d time.Duration) error {
@@ -168,24 +168,24 @@
 		}
 	}
 	if len(txn.Put)+len(txn.Delete) == 0 {
-		return s.last, nil // a read under conditions
+		return s.revision, nil // a read under conditions
 	}
-	s.last++
+	s.revision++
 	for _, p := range txn.Put {
 		s.counts.BytesIn += int64(len(p.Value))
-		created := s.last
+		created := s.revision
 		if old := s.entry(p.Key); old.Exists() {
 			created = old.Created()
 		}
-		e := pointport.NewEntry(p.Key, append([]byte(nil), p.Value...), s.last).WithCreated(created).WithLease(p.Lease)
+		e := pointport.NewEntry(p.Key, append([]byte(nil), p.Value...), s.revision).WithCreated(created).WithLease(p.Lease)
 		s.entries[p.Key] = e
-		s.history = append(s.history, change{s.last, e})
+		s.history = append(s.history, change{s.revision, e})
 	}
 	for _, key := range txn.Delete {
 		s.remove(key)
 	}
-	s.wake()
-	return s.last, nil
+	s.notifyWatches()
+	return s.revision, nil
 }
 
 // remove deletes a key at the present revision. The lock is held.
@@ -194,7 +194,7 @@
 		return
 	}
 	delete(s.entries, key)
-	s.history = append(s.history, change{s.last, pointport.NewEntry(key, nil, 0)})
+	s.history = append(s.history, change{s.revision, pointport.NewEntry(key, nil, 0)})
 }
 
 func (s *Store) conflict(conditions []pointport.Condition) error {
@@ -216,21 +216,21 @@
 }
 
 func (s *Store) page(prefix, after string) pointport.Page {
-	page := pointport.Page{At: s.last}
+	page := pointport.Page{At: s.revision}
 	for key, e := range s.entries {
 		if strings.HasPrefix(key, prefix) && key > after {
 			page.Entries = append(page.Entries, e)
 		}
 	}
 	sort.Slice(page.Entries, func(a, b int) bool { return page.Entries[a].Key() < page.Entries[b].Key() })
-	if len(page.Entries) > pageKeys {
-		page.Entries, page.More = page.Entries[:pageKeys], true
+	if len(page.Entries) > maxPageKeys {
+		page.Entries, page.More = page.Entries[:maxPageKeys], true
 	}
 	return page
 }
 
-// A heardOf is what a watch has found, and when to look again.
-type heardOf struct {
+// A watchResult is what a watch has found, and when to look again.
+type watchResult struct {
 	changes pointport.Changes
 	next    <-chan struct{}
 }
@@ -239,18 +239,18 @@
 func (k *KV) WatchPrefix(ctx context.Context, prefix string, after pointport.Revision, wait time.Duration) (pointport.Changes, error) {
 	end := k.store.clock.After(wait)
 	for {
-		heard, err := call(ctx, k, "watch", prefix, false, func() (heardOf, error) {
+		heard, err := call(ctx, k, "watch", prefix, false, func() (watchResult, error) {
 			k.store.counts.Watches++
-			if after < k.store.forgotten {
-				return heardOf{}, &pointport.CompactedError{Prefix: prefix, After: after}
+			if after < k.store.compactedAt {
+				return watchResult{}, &pointport.CompactedError{Prefix: prefix, After: after}
 			}
-			if k.store.deaf {
+			if k.store.dropEvents {
 				// It says that it is up to date all the same.
-				return heardOf{pointport.Changes{At: k.store.last}, k.store.changed}, nil
+				return watchResult{pointport.Changes{At: k.store.revision}, k.store.changed}, nil
 			}
-			return heardOf{k.store.since(prefix, after), k.store.changed}, nil
+			return watchResult{k.store.changesAfter(prefix, after), k.store.changed}, nil
 		})
-		if errors.Is(err, errSilentWatch) {
+		if errors.Is(err, errWatchTimeout) {
 			_ = k.sleep(ctx, wait+callTimeout)
 		}
 		if err != nil || len(heard.changes.Entries) > 0 {
@@ -266,9 +266,9 @@
 	}
 }
 
-// since returns the changes under prefix after a revision. The lock is held.
-func (s *Store) since(prefix string, after pointport.Revision) pointport.Changes {
-	out := pointport.Changes{At: s.last}
+// changesAfter returns the changes under prefix after a revision. The lock is held.
+func (s *Store) changesAfter(prefix string, after pointport.Revision) pointport.Changes {
+	out := pointport.Changes{At: s.revision}
 	for _, c := range s.history {
 		if c.at > after && strings.HasPrefix(c.entry.Key(), prefix) {
 			out.Entries = append(out.Entries, c.entry)
@@ -282,25 +282,25 @@
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history, s.forgotten = nil, s.last
-	s.wake()
+	s.history, s.compactedAt = nil, s.revision
+	s.notifyWatches()
 }
 
 // DropWatchEvents makes watches hear nothing, or hear again.
 func (s *Store) DropWatchEvents(deaf bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deaf = deaf
-	s.wake()
+	s.dropEvents = deaf
+	s.notifyWatches()
 }
 
 // ExpireKey removes a key as if its lease had ended, while the lease lives on.
 func (s *Store) ExpireKey(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last++
+	s.revision++
 	s.remove(key)
-	s.wake()
+	s.notifyWatches()
 }
 
 // Grant makes a lease.
@@ -308,10 +308,10 @@
 	return call(ctx, k, "grant", "", true, func() (pointport.LeaseID, error) {
 		s := k.store
 		s.counts.Leases++
-		s.lastGrant++
-		s.grants[s.lastGrant] = &grant{ttl: ttl, until: s.clock.Now().Add(ttl)}
-		s.wakeAfter(ttl)
-		return s.lastGrant, nil
+		s.lastLease++
+		s.grants[s.lastLease] = &grant{ttl: ttl, until: s.clock.Now().Add(ttl)}
+		s.expireAfter(ttl)
+		return s.lastLease, nil
 	})
 }
 
@@ -325,7 +325,7 @@
 			return struct{}{}, &pointport.LeaseEndedError{Lease: lease}
 		}
 		g.until = s.clock.Now().Add(g.ttl)
-		s.wakeAfter(g.ttl)
+		s.expireAfter(g.ttl)
 		return struct{}{}, nil
 	})
 	return err
@@ -339,42 +339,42 @@
 		if s.grants[lease] == nil {
 			return struct{}{}, &pointport.LeaseEndedError{Lease: lease}
 		}
-		s.end(lease)
-		s.wake()
+		s.endLease(lease)
+		s.notifyWatches()
 		return struct{}{}, nil
 	})
 	return err
 }
 
-// wakeAfter has waiting watches look again once a lease may have ended.
-func (s *Store) wakeAfter(ttl time.Duration) {
+// expireAfter has waiting watches look again once a lease may have ended.
+func (s *Store) expireAfter(ttl time.Duration) {
 	over := s.clock.After(ttl + time.Millisecond)
 	go func() {
 		<-over
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.expire() {
-			s.wake()
+		if s.expireLeases() {
+			s.notifyWatches()
 		}
 	}()
 }
 
-// expire ends the leases that are over. The lock is held.
-func (s *Store) expire() bool {
+// expireLeases ends the leases that are over. The lock is held.
+func (s *Store) expireLeases() bool {
 	now, ended := s.clock.Now(), false
 	for id, g := range s.grants {
 		if now.After(g.until) {
-			s.end(id)
+			s.endLease(id)
 			ended = true
 		}
 	}
 	return ended
 }
 
-// end ends a lease and removes its keys. The lock is held.
-func (s *Store) end(lease pointport.LeaseID) {
+// endLease ends a lease and removes its keys. The lock is held.
+func (s *Store) endLease(lease pointport.LeaseID) {
 	delete(s.grants, lease)
-	s.last++
+	s.revision++
 	for key, e := range s.entries {
 		if e.Lease() == lease {
 			s.remove(key)
--- a/memory/store.go
+++ b/memory/store.go
@@ -38,8 +38,8 @@
 // errBusy is the cause of every refusal of a call as one of too many.
 var errBusy = errors.New("stand-in store has too many calls")
 
-// errLost is the cause of every lost answer.
-var errLost = errors.New("stand-in store lost the answer")
+// errLostAnswer is the cause of every lost answer.
+var errLostAnswer = errors.New("stand-in store lost the answer")
 
 // An Injector decides the fault of each call from its name ("get", "cas",
 // "delete", "watch", "lease", "release") and its key. It runs without the
@@ -63,17 +63,17 @@
 	inject Injector
 
 	mu      sync.Mutex
-	last    pointport.Revision
+	revision    pointport.Revision
 	entries map[string]pointport.Entry
 	leases  map[string]lease
 	changed chan struct{} // closed and replaced at every change
 	counts  Counts
 
 	grants    map[pointport.LeaseID]*grant
-	lastGrant pointport.LeaseID
+	lastLease pointport.LeaseID
 	history   []change
-	forgotten pointport.Revision // changes up to here are forgotten
-	deaf      bool               // watches hear nothing
+	compactedAt pointport.Revision // changes up to here are forgotten
+	dropEvents      bool               // watches hear nothing
 }
 
 type lease struct {
@@ -157,13 +157,13 @@
 	case FaultBusy:
 		return &pointport.UnavailableError{Op: op, Key: key, Busy: true, Err: errBusy}
 	case FaultLostCall:
-		return &pointport.UnavailableError{Op: op, Key: key, Ambiguous: true, Err: errLost}
+		return &pointport.UnavailableError{Op: op, Key: key, Ambiguous: true, Err: errLostAnswer}
 	}
 	s.mu.Lock()
 	err := run()
 	s.mu.Unlock()
 	if fault == FaultLostAnswer {
-		return &pointport.UnavailableError{Op: op, Key: key, Ambiguous: true, Err: errLost}
+		return &pointport.UnavailableError{Op: op, Key: key, Ambiguous: true, Err: errLostAnswer}
 	}
 	return err
 }
@@ -199,10 +199,10 @@
 		if err := s.check(key, have); err != nil {
 			return err
 		}
-		s.last++
-		rev = s.last
+		s.revision++
+		rev = s.revision
 		s.entries[key] = pointport.NewEntry(key, append([]byte(nil), value...), rev)
-		s.wake()
+		s.notifyWatches()
 		return nil
 	})
 	if err != nil {
@@ -219,7 +219,7 @@
 			return err
 		}
 		delete(s.entries, key)
-		s.wake()
+		s.notifyWatches()
 		return nil
 	})
 }
@@ -232,7 +232,7 @@
 	return nil
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
--- a/meter/calls.go
+++ b/meter/calls.go
@@ -21,49 +21,49 @@
 func (k *kv) Get(ctx context.Context, key string) (pointport.Entry, error) {
 	from := k.meter.clock.Now()
 	e, err := k.KV.Get(ctx, key)
-	k.meter.call(toStore, "get", from, 0, err)
+	k.meter.observeCall(toStore, "get", from, 0, err)
 	return e, err
 }
 
 func (k *kv) Commit(ctx context.Context, txn pointport.Txn) (pointport.Revision, error) {
 	from := k.meter.clock.Now()
 	at, err := k.KV.Commit(ctx, txn)
-	k.meter.call(toStore, "commit", from, 0, err)
+	k.meter.observeCall(toStore, "commit", from, 0, err)
 	return at, err
 }
 
 func (k *kv) Range(ctx context.Context, prefix, after string) (pointport.Page, error) {
 	from := k.meter.clock.Now()
 	page, err := k.KV.Range(ctx, prefix, after)
-	k.meter.call(toStore, "range", from, 0, err)
+	k.meter.observeCall(toStore, "range", from, 0, err)
 	return page, err
 }
 
 func (k *kv) WatchPrefix(ctx context.Context, prefix string, after pointport.Revision, wait time.Duration) (pointport.Changes, error) {
 	from := k.meter.clock.Now()
 	changes, err := k.KV.WatchPrefix(ctx, prefix, after, wait)
-	k.meter.call(toStore, "watch", from, wait, err)
+	k.meter.observeCall(toStore, "watch", from, wait, err)
 	return changes, err
 }
 
 func (k *kv) Grant(ctx context.Context, ttl time.Duration) (pointport.LeaseID, error) {
 	from := k.meter.clock.Now()
 	lease, err := k.KV.Grant(ctx, ttl)
-	k.meter.call(toStore, "grant", from, 0, err)
+	k.meter.observeCall(toStore, "grant", from, 0, err)
 	return lease, err
 }
 
 func (k *kv) Renew(ctx context.Context, lease pointport.LeaseID) error {
 	from := k.meter.clock.Now()
 	err := k.KV.Renew(ctx, lease)
-	k.meter.call(toStore, "renew", from, 0, err)
+	k.meter.observeCall(toStore, "renew", from, 0, err)
 	return err
 }
 
 func (k *kv) Revoke(ctx context.Context, lease pointport.LeaseID) error {
 	from := k.meter.clock.Now()
 	err := k.KV.Revoke(ctx, lease)
-	k.meter.call(toStore, "revoke", from, 0, err)
+	k.meter.observeCall(toStore, "revoke", from, 0, err)
 	return err
 }
 
@@ -79,28 +79,28 @@
 func (e *executor) Start(ctx context.Context, at pointport.Endpoint, o pointport.StartOrder) (pointport.InstanceClock, error) {
 	from := e.meter.clock.Now()
 	clock, err := e.next.Start(ctx, at, o)
-	e.meter.call(toInstance, "start", from, 0, err)
+	e.meter.observeCall(toInstance, "start", from, 0, err)
 	return clock, err
 }
 
 func (e *executor) Stop(ctx context.Context, at pointport.Endpoint, o pointport.StopOrder) (pointport.InstanceClock, error) {
 	from := e.meter.clock.Now()
 	clock, err := e.next.Stop(ctx, at, o)
-	e.meter.call(toInstance, "stop", from, 0, err)
+	e.meter.observeCall(toInstance, "stop", from, 0, err)
 	return clock, err
 }
 
 func (e *executor) Hold(ctx context.Context, at pointport.Endpoint, o pointport.HoldOrder) (pointport.Report, error) {
 	from := e.meter.clock.Now()
 	report, err := e.next.Hold(ctx, at, o)
-	e.meter.call(toInstance, "hold", from, o.Wait, err)
+	e.meter.observeCall(toInstance, "hold", from, o.Wait, err)
 	return report, err
 }
 
 func (e *executor) Pace(ctx context.Context, at pointport.Endpoint, o pointport.PaceOrder) error {
 	from := e.meter.clock.Now()
 	err := e.next.Pace(ctx, at, o)
-	e.meter.call(toInstance, "pace", from, 0, err)
+	e.meter.observeCall(toInstance, "pace", from, 0, err)
 	return err
 }
 
@@ -116,21 +116,21 @@
 func (c *machines) List(ctx context.Context) ([]pointport.Machine, error) {
 	from := c.meter.clock.Now()
 	list, err := c.next.List(ctx)
-	c.meter.call(toMachines, "list", from, 0, err)
+	c.meter.observeCall(toMachines, "list", from, 0, err)
 	return list, err
 }
 
 func (c *machines) Move(ctx context.Context, by pointport.Holder, id pointport.InstanceID, pool string) error {
 	from := c.meter.clock.Now()
 	err := c.next.Move(ctx, by, id, pool)
-	c.meter.call(toMachines, "move", from, 0, err)
+	c.meter.observeCall(toMachines, "move", from, 0, err)
 	return err
 }
 
 func (c *machines) Maintain(ctx context.Context, by pointport.Holder, id pointport.InstanceID, wave int64) error {
 	from := c.meter.clock.Now()
 	err := c.next.Maintain(ctx, by, id, wave)
-	c.meter.call(toMachines, "maintain", from, 0, err)
+	c.meter.observeCall(toMachines, "maintain", from, 0, err)
 	return err
 }
 
@@ -146,6 +146,6 @@
 func (a *advisor) Advise(ctx context.Context, step string, incarnations []pointport.IncarnationID) (map[pointport.IncarnationID]string, time.Duration, error) {
 	from := a.meter.clock.Now()
 	tickets, valid, err := a.next.Advise(ctx, step, incarnations)
-	a.meter.call(toAdvisor, "advise", from, 0, err)
+	a.meter.observeCall(toAdvisor, "advise", from, 0, err)
 	return tickets, valid, err
 }
--- a/meter/customers.go
+++ b/meter/customers.go
@@ -9,10 +9,10 @@
 
 // This file defines the figures of customers.
 
-// customersMost is how many customers have figures of their own. Beside a few that are busy or
+// maxCustomers is how many customers have figures of their own. Beside a few that are busy or
 // held back, the others of some hundred would only make each page longer: a line takes some 60
 // bytes, and collectors may take no more than the first kilobytes.
-const customersMost = 10
+const maxCustomers = 10
 
 // A Customer is what a customer uses of the pools that an entry instance owns, in cores.
 type Customer struct {
@@ -51,7 +51,7 @@
 
 // Collect gives the figures.
 func (c *customers) Collect(out chan<- prometheus.Metric) {
-	for _, x := range busiest(c.read(), customersMost) {
+	for _, x := range busiest(c.read(), maxCustomers) {
 		out <- prometheus.MustNewConstMetric(c.used, prometheus.GaugeValue, x.Used, x.Name)
 		out <- prometheus.MustNewConstMetric(c.heldBack, prometheus.GaugeValue, x.HeldBack, x.Name)
 	}
--- a/meter/events.go
+++ b/meter/events.go
@@ -12,14 +12,14 @@
 
 // This file defines the handler that counts events on their way to the log.
 
-// eventFigures are the figures of one event.
-type eventFigures struct {
+// eventMetrics are the figures of one event.
+type eventMetrics struct {
 	event   event.Event
-	outcome map[string]outcomeFigures
+	outcome map[string]outcomeMetrics
 }
 
-// outcomeFigures are the figures of one outcome of an event.
-type outcomeFigures struct {
+// outcomeMetrics are the figures of one outcome of an event.
+type outcomeMetrics struct {
 	count   prometheus.Counter
 	seconds prometheus.Observer // nil if the event tells no time
 }
@@ -27,16 +27,16 @@
 // otherOutcome stands for an outcome that the catalogue does not list.
 const otherOutcome = "other"
 
-func (m *Meter) eventFigures() map[int]*eventFigures {
-	all := make(map[int]*eventFigures)
+func (m *Meter) newEventMetrics() map[int]*eventMetrics {
+	all := make(map[int]*eventMetrics)
 	for _, e := range event.All() {
-		f := &eventFigures{event: e, outcome: make(map[string]outcomeFigures)}
+		f := &eventMetrics{event: e, outcome: make(map[string]outcomeMetrics)}
 		outcomes := []string{""}
 		if e.OutcomeAttr() != "" {
 			outcomes = append(slices.Clone(e.Outcomes()), otherOutcome)
 		}
 		for _, outcome := range outcomes {
-			figures := outcomeFigures{count: m.events.WithLabelValues(e.Name(), outcome)}
+			figures := outcomeMetrics{count: m.events.WithLabelValues(e.Name(), outcome)}
 			if e.DurationAttr() != "" {
 				figures.seconds = m.eventSeconds.WithLabelValues(e.Name(), outcome)
 			}
@@ -58,7 +58,7 @@
 
 // Handle counts a record and hands it on.
 func (h *handler) Handle(ctx context.Context, r slog.Record) error {
-	h.meter.count(r)
+	h.meter.countEvent(r)
 	return h.Handler.Handle(ctx, r)
 }
 
@@ -72,8 +72,8 @@
 	return &handler{h.Handler.WithGroup(name), h.meter}
 }
 
-func (m *Meter) count(r slog.Record) {
-	var f *eventFigures
+func (m *Meter) countEvent(r slog.Record) {
+	var f *eventMetrics
 	outcome := ""
 	var seconds float64
 	r.Attrs(func(a slog.Attr) bool {
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -36,7 +36,7 @@
 	calls        *prometheus.CounterVec
 	callSeconds  *prometheus.HistogramVec
 	received     *prometheus.CounterVec
-	byNumber     map[int]*eventFigures
+	byNumber     map[int]*eventMetrics
 }
 
 // New returns a meter.
@@ -62,7 +62,7 @@
 	}
 	m.registry.MustRegister(m.events, m.eventSeconds, m.calls, m.callSeconds, m.received,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	m.byNumber = m.eventFigures()
+	m.byNumber = m.newEventMetrics()
 	return m
 }
 
@@ -86,8 +86,8 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// ownPrefix begins the names of the figures that are not the runtime's.
-const ownPrefix = "pointport_"
+// productPrefix begins the names of the figures that are not the runtime's.
+const productPrefix = "pointport_"
 
 // BriefHandler serves the counts and gauges of the product alone, for collectors that take
 // only the first few kilobytes of a page: the histograms and the runtime's figures
@@ -96,7 +96,7 @@
 	brief := func() ([]*dto.MetricFamily, error) {
 		all, err := m.registry.Gather()
 		return slices.DeleteFunc(all, func(f *dto.MetricFamily) bool {
-			return f.GetType() == dto.MetricType_HISTOGRAM || !strings.HasPrefix(f.GetName(), ownPrefix)
+			return f.GetType() == dto.MetricType_HISTOGRAM || !strings.HasPrefix(f.GetName(), productPrefix)
 		}), err
 	}
 	return promhttp.HandlerFor(prometheus.GathererFunc(brief), promhttp.HandlerOpts{})
@@ -110,16 +110,16 @@
 	toAdvisor  = "advisor"
 )
 
-// call takes in a call that began at from and waited on purpose for up to wait.
-func (m *Meter) call(to, call string, from time.Time, wait time.Duration, err error) {
-	m.calls.WithLabelValues(to, call, answerOf(err)).Inc()
+// observeCall takes in a call that began at from and waited on purpose for up to wait.
+func (m *Meter) observeCall(to, call string, from time.Time, wait time.Duration, err error) {
+	m.calls.WithLabelValues(to, call, answerLabel(err)).Inc()
 	if wait == 0 {
 		m.callSeconds.WithLabelValues(to, call).Observe(m.clock.Now().Sub(from).Seconds())
 	}
 }
 
-// answerOf names what came of a call.
-func answerOf(err error) string {
+// answerLabel names what came of a call.
+func answerLabel(err error) string {
 	var (
 		rejected    *pointport.RejectedError
 		refused     *pointport.MachineRefusedError
