--- a/changelog/append.go
+++ b/changelog/append.go
@@ -11,39 +11,41 @@
 	"github.com/pointport/pointport/event"
 )
 
-// This file defines how a change is appended, settled and compacted.
+// This file defines how changes are appended, found after a lost answer, and
+// compacted.
 
-// An AmbiguousError says that a change may or may not be in force. Proposing
-// the same ID again settles it.
+// An AmbiguousError reports that a change may or may not be in force. Proposing
+// the same ID again finds out.
 type AmbiguousError struct {
-	ID  string // the change
-	Err error  // what came last
+	ID  string // of the change
+	Err error  // of the last call
 }
 
 func (e *AmbiguousError) Error() string {
 	return fmt.Sprintf("change %s may or may not be in force; propose the same ID again to settle it: %v", e.ID, e.Err)
 }
 
-// Unwrap returns what came last.
+// Unwrap returns the error of the last call.
 func (e *AmbiguousError) Unwrap() error { return e.Err }
 
-// Append makes a change. The prepare function is given the newest state and
-// returns the change called id for its next version, or an error that ends the
-// attempt; it may be called more than once. If a change called id was made
-// before and is still in reach, that one is returned and nothing is changed.
+// Append appends a change and returns it. The prepare function gets the newest
+// state and returns the change with the given id for the next version, or an error
+// that ends the attempt. It may be called more than once. If one of the last
+// segments already holds a change with that id, Append returns that one and writes
+// nothing.
 //
-// Append fails with prepare's error, with an *UnsettledError, or with an
+// Append fails with prepare's error, with an *AmbiguousError, or with a
 // *pointport.UnavailableError if nothing was changed.
 func (g *Log[S, C]) Append(ctx context.Context, id string, prepare func(S) (C, error)) (C, error) {
 	var none C
-	unsettled := false
+	ambiguous := false
 	for {
 		t, done, err := g.find(ctx, id)
 		if err != nil {
-			return none, wrapAmbiguous(unsettled, id, err)
+			return none, wrapAmbiguous(ambiguous, id, err)
 		}
 		if done != nil {
-			if unsettled {
+			if ambiguous {
 				event.ChangeSettled.Log(g.logger, slog.String("change", id), slog.Int64("version", int64((*done).ChangeVersion())))
 			}
 			return *done, nil
@@ -64,35 +66,37 @@
 			g.maybeCompact(ctx, t, next, bytes)
 			return c, nil
 		case errors.As(err, &conflict):
-			// Another author was first, or an earlier write of this very
-			// change was. Reading again tells which.
+			// The segment was changed by another author or by an earlier
+			// write of this change. The next iteration finds out which.
 		case isAmbiguous(err):
-			// The loop reads back. If the change is not there, the same
-			// revision is written again, so a late first write must fail.
-			unsettled = true
+			// The next iteration looks for the change. If it is not there,
+			// the retry writes on the same revision, so at most one of the
+			// two writes can succeed, even if the first arrives late.
+			ambiguous = true
 		default:
-			return none, wrapAmbiguous(unsettled, id, err)
+			return none, wrapAmbiguous(ambiguous, id, err)
 		}
 		if ctx.Err() != nil {
-			return none, wrapAmbiguous(unsettled, id, ctx.Err())
+			return none, wrapAmbiguous(ambiguous, id, ctx.Err())
 		}
 	}
 }
 
-// A StaleError says that a log has moved on since a decision was made on it.
-// Nothing was done.
+// A StaleError reports that a log has changed since the version that a decision
+// was based on. Nothing was written.
 type StaleError struct {
-	Log  string            // the name of the log
-	Read pointport.Version // the version that the decision read
-	Have pointport.Version // the version that the log had
+	Log  string            // name of the log
+	Read pointport.Version // version that the decision was based on
+	Have pointport.Version // version that the log had
 }
 
 func (e *StaleError) Error() string {
 	return fmt.Sprintf("log %s: decided on version %d, it has %d", e.Log, e.Read, e.Have)
 }
 
-// Commit makes a change that was decided on the version before its own. It fails
-// with a *StaleError if the log has moved on, and else as Append does.
+// Commit appends a change that was decided on the version before its own. It fails
+// with a *StaleError if the log has another version by now, and otherwise as Append
+// does.
 func (g *Log[S, C]) Commit(ctx context.Context, c C) error {
 	_, err := g.Append(ctx, c.ChangeID(), func(have S) (C, error) {
 		if read := c.ChangeVersion() - 1; have.Version() != read {
@@ -108,14 +112,17 @@
 	return err
 }
 
-func wrapAmbiguous(unsettled bool, id string, err error) error {
-	if unsettled {
+// wrapAmbiguous returns err as an *AmbiguousError if an earlier write of the change
+// may have taken effect.
+func wrapAmbiguous(ambiguous bool, id string, err error) error {
+	if ambiguous {
 		return &AmbiguousError{id, err}
 	}
 	return err
 }
 
-// find reads the log and looks for the change called id near its end.
+// find loads the log and looks for the change with the given id in its last
+// segments. It returns nil for the change if it is not there.
 func (g *Log[S, C]) find(ctx context.Context, id string) (*tail[S, C], *C, error) {
 	t, err := g.load(ctx)
 	if err != nil {
@@ -124,7 +131,7 @@
 	if c := findChange(t.changes, id); c != nil {
 		return t, c, nil
 	}
-	// The change may have filled its segment, or others may have since.
+	// The segment of the change may be sealed by now.
 	for n := t.number - 1; n >= 1 && n >= t.number-maxSearchedSegments; n-- {
 		e, err := g.store.Get(ctx, g.segmentKey(n))
 		if err != nil {
@@ -144,8 +151,8 @@
 	return t, nil, nil
 }
 
-// maxSearchedSegments is how many sealed segments are searched for a change whose
-// answer was lost.
+// maxSearchedSegments limits how many sealed segments are searched for a change
+// whose answer was lost.
 const maxSearchedSegments = 4
 
 func findChange[C Change](changes []C, id string) *C {
@@ -157,7 +164,7 @@
 	return nil
 }
 
-// write appends c to the tail and returns the size of the segment then.
+// write appends c to the segment at t and returns the segment's new size in bytes.
 func (g *Log[S, C]) write(ctx context.Context, t *tail[S, C], c C) (int, error) {
 	changes := append(append([]C(nil), t.changes...), c)
 	data, err := json.Marshal(segment[C]{changes})
@@ -168,8 +175,9 @@
 	return len(data), err
 }
 
-// maybeCompact writes a snapshot when enough segments have been sealed since
-// the last. It may fail or race: the next author tries again.
+// maybeCompact writes a snapshot if the change just appended sealed a segment and
+// enough segments were sealed since the last snapshot. It may fail, or compete with
+// another author's: a later author compacts again.
 func (g *Log[S, C]) maybeCompact(ctx context.Context, t *tail[S, C], state S, bytes int) {
 	if !g.sealed(len(t.changes)+1, bytes) || t.number%g.snapshotEvery != 0 {
 		return
@@ -181,8 +189,8 @@
 	event.LogCompacted.Log(g.logger, slog.Int64("next", t.number+1))
 }
 
-// compact writes a snapshot of state, which holds all segments before next,
-// and removes segments past the retention.
+// compact writes a snapshot of state, which includes all segments before next, and
+// removes segments past the retention.
 func (g *Log[S, C]) compact(ctx context.Context, next int64, state S) error {
 	old, rev, err := g.readSnapshot(ctx)
 	if err != nil {
@@ -202,7 +210,7 @@
 	return g.remove(ctx, old.Oldest, oldest)
 }
 
-// remove deletes the segments from first up to, not including, end.
+// remove deletes the segments from first up to but not including end.
 func (g *Log[S, C]) remove(ctx context.Context, first, end int64) error {
 	for n := first; n < end; n++ {
 		e, err := g.store.Get(ctx, g.segmentKey(n))
@@ -219,8 +227,8 @@
 	return nil
 }
 
-// History returns the changes that keep accepts, newest first, at most limit.
-// It reads backwards through the segments that are still kept.
+// History returns up to limit changes for which keep returns true, newest first.
+// It reads backwards through the segments that still exist.
 func (g *Log[S, C]) History(ctx context.Context, limit int, keep func(C) bool) ([]C, error) {
 	t, err := g.load(ctx)
 	if err != nil {
--- a/changelog/bench_test.go
+++ b/changelog/bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/pointport/pointport/memory"
 )
 
-// BenchmarkFollow measures what a change costs: bytes and calls for its author
-// and for each node that follows, by the number of objects that there are.
+// BenchmarkFollow reports the cost of a change to its author and to one following
+// node, in bytes and calls, and the node's heap, by the number of objects in the state.
 func BenchmarkFollow(b *testing.B) {
 	for _, objects := range []int{50, 200, 491} {
 		b.Run(fmt.Sprint("objects=", objects), func(b *testing.B) { follow(b, objects) })
@@ -27,19 +27,19 @@
 	store := memory.New(clock.System{})
 	author := newLog(store)
 	for n := range objects {
-		appendBench(b, author, document(b, n, 0))
+		appendObject(b, author, document(b, n, 0))
 	}
 	before := measure.Heap()
 	node := changelog.Start[*config.State, config.Change](ctx, store, clock.System{}, "config", config.NewState())
 	if err := node.Refresh(ctx); err != nil {
 		b.Fatal(err)
 	}
-	held := measure.Heap() - before
+	heap := measure.Heap() - before
 	const changes = 200
 	for b.Loop() {
 		from := store.Counts()
 		for n := range changes {
-			appendBench(b, author, document(b, n%objects, n+1))
+			appendObject(b, author, document(b, n%objects, n+1))
 			for node.State().Version() < author.State().Version() {
 				runtime.Gosched()
 			}
@@ -50,7 +50,7 @@
 		b.ReportMetric(float64(to.Writes-from.Writes)/changes, "writes/change")
 		b.ReportMetric(float64(to.Reads-from.Reads)/changes, "reads/change")
 		b.ReportMetric(float64(to.Watches-from.Watches)/changes, "watches/change")
-		b.ReportMetric(float64(held), "heap-B")
+		b.ReportMetric(float64(heap), "heap-B")
 	}
 	runtime.KeepAlive(node)
 }
@@ -59,7 +59,7 @@
 	return changelog.New[*config.State, config.Change](store, clock.System{}, "config", config.NewState())
 }
 
-// document returns a template for each ninth object and parameters for the rest.
+// document returns a template for every ninth n and parameters for the others.
 func document(b testing.TB, n, size int) config.Object {
 	text := fmt.Sprintf("kind: Parameters\nname: customer-%d\nweight: %d\nquotaCPUMilli: 64000\n", n, 1+size%9)
 	if n%9 == 0 {
@@ -72,7 +72,7 @@
 	return objects[0]
 }
 
-func appendBench(b testing.TB, log *changelog.Log[*config.State, config.Change], o config.Object) {
+func appendObject(b testing.TB, log *changelog.Log[*config.State, config.Change], o config.Object) {
 	id := fmt.Sprint(o.ID(), log.State().Version())
 	_, err := log.Append(context.Background(), id, func(s *config.State) (config.Change, error) {
 		return config.Change{ID: id, Version: s.Version() + 1, Author: "bench", Object: &o}, nil
--- a/changelog/log.go
+++ b/changelog/log.go
@@ -1,17 +1,19 @@
-// Package changelog keeps a state in the platform's service as a log of
-// changes, which is also the audit trail of who changed what. The
-// configuration, the assignment of instances and the jobs are kept this way.
+// Package changelog keeps a state in the platform's store as a log of changes,
+// which is also the audit trail of who changed what. The configuration, the
+// assignment of instances and the jobs are kept this way.
 //
-// The model: changes are appended to a small tail segment, one key. A full
-// segment is sealed by its length and the next key begins. Now and then the
-// whole state is written as a snapshot, and segments past the retention are
-// removed. A node follows the log by waiting on the tail segment.
+// Changes are appended to a small tail segment, which is one key. A segment is
+// sealed once it is full, and the next key begins. After every so many segments
+// the whole state is written as a snapshot, and segments past the retention are
+// removed. A node follows the log by watching the tail segment.
 //
-// Invariants: a change and its audit record are one compare-and-swap; versions
-// follow each other without a gap; a node never applies a version lower than
-// the one it has; a change whose answer was lost is settled by reading its ID
-// back, and the only thing ever repeated is the same compare-and-swap on the
-// same revision.
+// Invariants:
+//
+//   - A change and its audit record are written by one compare-and-swap.
+//   - Versions increase by one, without a gap.
+//   - A node never applies a version lower than the one that it has.
+//   - The outcome of a change whose answer was lost is found by reading its ID
+//     back. Only the same compare-and-swap on the same revision is ever retried.
 package changelog
 
 import (
@@ -28,33 +30,35 @@
 	"github.com/pointport/pointport/event"
 )
 
-// This file defines the log, its stored form and the follower.
+// This file defines the log, its stored form and how a node follows it.
 
 const (
-	// DefaultSegmentSize is how many changes a segment holds. A waiting node reads
-	// the tail again at every change, so a small segment saves bytes.
+	// DefaultSegmentSize is the number of changes in a segment. A following node
+	// reads the whole tail segment again at every change, so a small segment saves
+	// bytes.
 	DefaultSegmentSize = 8
-	// maxSegmentBytes is the size from which a segment takes no more changes, in bytes.
-	// Like the segment's length it belongs to the stored form, and must not change
-	// while nodes of an older version run.
+	// maxSegmentBytes is the size from which a segment is sealed, in bytes. Like
+	// the number of changes in a segment it is part of the stored form, so it must
+	// not change while nodes of an older version run.
 	maxSegmentBytes = 8 << 10
-	// DefaultSnapshotEvery is how many segments pass between snapshots.
+	// DefaultSnapshotEvery is the number of segments between snapshots.
 	DefaultSnapshotEvery = 64
-	// DefaultRetention is how many segments are kept for the audit trail.
+	// DefaultRetention is the number of segments that are kept for the audit trail.
 	DefaultRetention = 4096
-	// maxRemovedPerCompaction bounds how many old segments one compaction removes.
+	// maxRemovedPerCompaction limits how many old segments one compaction removes.
 	maxRemovedPerCompaction = 2 * DefaultSnapshotEvery
-	// maxSilence is the time without an answer after which a node looks if the
-	// log can still be read on from where it is. Waits are shorter, and segments
-	// are kept far longer.
+	// maxSilence is the time without an answer from the store after which a node
+	// checks whether it can still read the log on from its position. A watch ends
+	// sooner than that, and segments are kept far longer.
 	maxSilence = 5 * time.Minute
-	// behindLogDelay is how long only lower versions may be read before it is said.
+	// behindLogDelay is how long a node may read only versions lower than the one
+	// that it has applied before that is logged.
 	behindLogDelay = 5 * time.Second
-	// retryDelay is how long the follower waits after a failed call.
+	// retryDelay is how long a following node waits after a failed call.
 	retryDelay = 500 * time.Millisecond
 )
 
-// A Store is what the log needs of the platform's service.
+// A Store holds the segments and the snapshot of a log.
 type Store interface {
 	pointport.Store
 	pointport.Watcher
@@ -63,22 +67,23 @@
 
 // A Change is one entry of a log.
 type Change interface {
-	// ChangeID returns a name that no other change has. It settles whether a
-	// change whose answer was lost has taken effect.
+	// ChangeID returns an identifier that no other change has. It shows whether
+	// a change whose answer was lost has taken effect.
 	ChangeID() string
-	// ChangeVersion returns the version that the change makes.
+	// ChangeVersion returns the version of the state that the change leads to.
 	ChangeVersion() pointport.Version
 }
 
-// A State is what a log's changes add up to. It is never changed itself.
+// A State is the result of applying a log's changes in order. It is immutable.
 type State[S any, C Change] interface {
 	// Version returns the version of the state.
 	Version() pointport.Version
-	// Apply returns the state after c. It fails if c is not the next version.
+	// Apply returns the state after c. It fails if c's version does not follow the
+	// version of the state.
 	Apply(c C) (S, error)
 }
 
-// segment is the stored form of a part of a log.
+// segment is the stored form of consecutive changes of a log.
 type segment[C any] struct {
 	Changes []C `json:"changes"`
 }
@@ -86,21 +91,22 @@
 // snapshot is the stored form of the whole state.
 type snapshot[S any] struct {
 	State S `json:"state"`
-	// Next is the first segment whose changes the state does not hold.
+	// Next is the first segment whose changes the state does not include.
 	Next int64 `json:"next"`
 	// Oldest is the first segment that still exists.
 	Oldest int64 `json:"oldest"`
 }
 
-// tail is what a node knows of the log.
+// tail is a node's position in the log, and the state there.
 type tail[S any, C any] struct {
 	state    S
-	number   int64              // the segment to read next
-	revision pointport.Revision // the revision at which it was read
-	changes  []C                // what it held
+	number   int64              // of the segment to read next
+	revision pointport.Revision // of that segment when it was read; zero if it was not
+	changes  []C                // in that segment
 }
 
-// A Log is one node's view of a state. It is safe for concurrent use.
+// A Log is one node's view of a state that is stored as a log of changes. It is
+// safe for concurrent use.
 type Log[S State[S, C], C Change] struct {
 	settings
 	name  string
@@ -110,15 +116,16 @@
 
 	state atomic.Pointer[S]
 
-	mu      sync.Mutex
-	changed chan struct{} // closed and replaced when the state changes
+	mu           sync.Mutex
+	changed      chan struct{} // closed and replaced when the state changes
 	lastAnswerAt time.Time
-	// behindSince is since when only lower versions were read; zero if not.
+	// behindSince is when the first of an uninterrupted series of lower versions
+	// was read; zero if the last version read was not lower.
 	behindSince time.Time
-	furthest        *tail[S, C] // the furthest that was read, where the next load begins
+	furthest    *tail[S, C] // the latest tail that was read, where the next load begins
 }
 
-// settings are what options change.
+// settings hold what options set.
 type settings struct {
 	logger        *slog.Logger
 	segmentSize   int
@@ -129,17 +136,18 @@
 // An Option changes a Log.
 type Option func(*settings)
 
-// WithLogger sets where events go.
+// WithLogger sets the logger of events. By default they are discarded.
 func WithLogger(l *slog.Logger) Option { return func(s *settings) { s.logger = l } }
 
-// WithSegmentPolicy sets how many changes a segment holds, how many segments pass
-// between snapshots and how many are kept.
+// WithSegmentPolicy sets the number of changes in a segment, the number of
+// segments between snapshots, and the number of segments that are kept. The
+// number of changes must be the same on all nodes that use the log.
 func WithSegmentPolicy(changes int, snapshotEvery, retention int64) Option {
 	return func(s *settings) { s.segmentSize, s.snapshotEvery, s.retention = changes, snapshotEvery, retention }
 }
 
-// New returns the log called name over store, which has read nothing yet. The
-// name starts the keys that the log uses. The log begins with the state empty.
+// New returns the log called name in store, without reading it. The name is the
+// prefix of the keys that the log uses. A log without changes has the state empty.
 func New[S State[S, C], C Change](store Store, clock pointport.Clock, name string, empty S, options ...Option) *Log[S, C] {
 	g := &Log[S, C]{
 		settings: settings{
@@ -157,20 +165,21 @@
 	return g
 }
 
-// Start returns the log called name over store, and follows it until ctx ends.
+// Start returns the log called name in store, and follows it until ctx ends. See
+// New for the arguments.
 func Start[S State[S, C], C Change](ctx context.Context, store Store, clock pointport.Clock, name string, empty S, options ...Option) *Log[S, C] {
 	g := New[S, C](store, clock, name, empty, options...)
 	go func() { g.follow(ctx) }()
 	return g
 }
 
-// snapshotKey is the key that holds the whole state, from time to time.
+// snapshotKey returns the key of the newest snapshot.
 func (g *Log[S, C]) snapshotKey() string { return g.name + ".snapshot" }
 
-// segmentKey is the key of segment n.
+// segmentKey returns the key of segment n.
 func (g *Log[S, C]) segmentKey(n int64) string { return fmt.Sprintf("%s.log.%08d", g.name, n) }
 
-// State returns the state in force on this node.
+// State returns the newest state that this node has applied.
 func (g *Log[S, C]) State() S { return *g.state.Load() }
 
 // Changed returns a channel that is closed when the state next changes.
@@ -180,14 +189,15 @@
 	return g.changed
 }
 
-// LastAnswer returns when the store last answered the follower.
+// LastAnswer returns when the store last answered a call about the log, or the
+// zero time if it never did.
 func (g *Log[S, C]) LastAnswer() time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.lastAnswerAt
 }
 
-// apply puts state in force unless a higher version already is.
+// apply makes state the node's current one, unless that has a higher version.
 func (g *Log[S, C]) apply(state S) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -207,9 +217,10 @@
 	event.VersionApplied.Log(g.logger, slog.Int64("version", int64(state.Version())))
 }
 
-// noteBehind notes that a lower version was read than the one in force. For a moment
-// that is a reading that this node's own change has overtaken; if it lasts, the
-// store has gone back.
+// noteBehind records that the version read is lower than the one applied. For a
+// moment this happens when this node appends a change while it reads. If it lasts,
+// the store has returned to an older state, and noteBehind logs that. The lock is
+// held.
 func (g *Log[S, C]) noteBehind(read, applied pointport.Version) {
 	switch {
 	case g.behindSince.IsZero():
@@ -220,28 +231,29 @@
 	}
 }
 
-// follow reads the log and waits at its end, until ctx ends.
+// follow reads the log and watches its end, until ctx ends.
 func (g *Log[S, C]) follow(ctx context.Context) {
 	var t *tail[S, C]
-	cut := false
+	unavailable := false
 	for ctx.Err() == nil {
 		if g.clock.Now().Sub(g.LastAnswer()) > maxSilence {
-			// What this node waits for may have come and gone meanwhile.
+			// The segment that this node watches may have been filled and
+			// removed meanwhile.
 			t = nil
 		}
 		next, err := g.readNext(ctx, t)
 		if err != nil {
-			if !cut && ctx.Err() == nil {
+			if !unavailable && ctx.Err() == nil {
 				event.LogUnavailable.Log(g.logger, slog.Any("error", err))
 			}
-			cut = true
-			// What was read before an outage may be gone after it.
+			unavailable = true
+			// The segment read before an outage may be removed after it.
 			t = nil
 			g.pause(ctx)
 			continue
 		}
-		if cut {
-			cut = false
+		if unavailable {
+			unavailable = false
 			event.LogRecovered.Log(g.logger)
 		}
 		t = next
@@ -256,7 +268,8 @@
 	}
 }
 
-// readNext reads the whole log if t is nil, and else waits for its next change.
+// readNext loads the log if t is nil. Otherwise it waits for a change of the
+// segment at t.
 func (g *Log[S, C]) readNext(ctx context.Context, t *tail[S, C]) (*tail[S, C], error) {
 	if t == nil {
 		return g.load(ctx)
@@ -267,33 +280,33 @@
 	}
 	switch {
 	case e.Revision() == t.revision:
-		// The wait ended. The answer need not hold the value again.
+		// The watch ended without a change. Its answer may lack the value.
 		return t, nil
 	case !e.Exists():
-		// The segment was removed while this node slept.
+		// The segment was removed while this node was suspended.
 		return g.load(ctx)
 	}
 	return g.advance(t, e)
 }
 
-// Refresh reads the log up to its end and puts it in force. It serves queries
-// that must see what was accepted before they came.
+// Refresh reads the log up to its end and applies it. Queries that must see every
+// change accepted before them call it first.
 func (g *Log[S, C]) Refresh(ctx context.Context) error {
 	_, err := g.load(ctx)
 	return err
 }
 
-// load reads what came after the furthest that was read before, or the
-// snapshot and every segment after it.
+// load reads and applies the log up to its end: from the latest tail that was read
+// if the log can be read on from there, and otherwise from the snapshot.
 func (g *Log[S, C]) load(ctx context.Context) (*tail[S, C], error) {
 	g.mu.Lock()
 	t := g.furthest
 	g.mu.Unlock()
-	fresh, err := g.canResume(ctx, t)
+	resume, err := g.canResume(ctx, t)
 	if err != nil {
 		return nil, err
 	}
-	if !fresh {
+	if !resume {
 		snap, _, err := g.readSnapshot(ctx)
 		if err != nil {
 			return nil, err
@@ -314,7 +327,7 @@
 }
 
 // canResume reports whether the log can be read on from t without a snapshot:
-// either t's segment or the one before it still exists.
+// t's segment was already read, is the first one, or the one before it still exists.
 func (g *Log[S, C]) canResume(ctx context.Context, t *tail[S, C]) (bool, error) {
 	if t == nil {
 		return false, nil
@@ -326,7 +339,7 @@
 	return e.Exists(), err
 }
 
-// readForward reads every segment from t on.
+// readForward reads every segment from t to the end of the log.
 func (g *Log[S, C]) readForward(ctx context.Context, t *tail[S, C]) (*tail[S, C], error) {
 	for {
 		e, err := g.store.Get(ctx, g.segmentKey(t.number))
@@ -336,11 +349,11 @@
 		if !e.Exists() {
 			return t, nil
 		}
-		at := t.number
+		number := t.number
 		if t, err = g.advance(t, e); err != nil {
 			return nil, err
 		}
-		if t.number == at {
+		if t.number == number {
 			return t, nil
 		}
 	}
@@ -361,7 +374,9 @@
 	return s, e.Revision(), nil
 }
 
-// advance applies the changes of a segment that t does not hold yet.
+// advance applies those changes of the segment at t, which e holds, that t's state
+// does not include yet. If the segment is sealed, the tail that it returns is at the
+// next one.
 func (g *Log[S, C]) advance(t *tail[S, C], e pointport.Entry) (*tail[S, C], error) {
 	changes, err := decodeSegment[C](e)
 	if err != nil {
@@ -382,8 +397,8 @@
 	return next, nil
 }
 
-// sealed reports whether a segment takes no more changes. All nodes must agree
-// on it, so it follows from the stored value alone.
+// sealed reports whether a segment takes no more changes. All nodes must agree on
+// that, so it depends on the stored value alone.
 func (g *Log[S, C]) sealed(changes, bytes int) bool {
 	return changes >= g.segmentSize || bytes >= maxSegmentBytes
 }
@@ -396,7 +411,7 @@
 	return s.Changes, nil
 }
 
-// isAmbiguous reports whether err leaves open if a change has taken effect.
+// isAmbiguous reports whether err leaves open whether a change has taken effect.
 func isAmbiguous(err error) bool {
 	var u *pointport.UnavailableError
 	return errors.As(err, &u) && u.Ambiguous
--- a/changelog/log_test.go
+++ b/changelog/log_test.go
@@ -21,7 +21,7 @@
 
 type configLog = changelog.Log[*config.State, config.Change]
 
-func small(store *memory.Store) *configLog {
+func newSmallLog(store *memory.Store) *configLog {
 	return changelog.New[*config.State, config.Change](store, clock.System{}, "config", config.NewState(), changelog.WithSegmentPolicy(3, 2, 4))
 }
 
@@ -33,14 +33,14 @@
 	return command.Configure(context.Background(), log, clock.System{}, command.Proposal{ID: id, Author: "ana", Object: &objects[0], Read: read})
 }
 
-// TestOperatorsRace lets operators change objects through several nodes while
-// the store fails and loses answers. What was accepted stays, each accepted
-// change follows on the version that its author read, no change is made twice,
-// and a node never goes back.
-func TestOperatorsRace(t *testing.T) {
+// TestConcurrentChanges lets operators change objects through several nodes while
+// the store fails and loses answers. It guards against accepted changes that
+// disappear, changes accepted although the object changed since their author read
+// it, changes made twice by a retry, and nodes that return to a lower version.
+func TestConcurrentChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := memory.New(clock.System{})
-		nodes := []*configLog{small(store), small(store), small(store)}
+		nodes := []*configLog{newSmallLog(store), newSmallLog(store), newSmallLog(store)}
 		last := make([]config.Version, len(nodes))
 		accepted := make(map[string]config.Version)
 		for n := range rapid.IntRange(1, 40).Draw(t, "changes") {
@@ -55,32 +55,32 @@
 				faults = faults[1:]
 				return f
 			})
-			at := rapid.IntRange(0, len(nodes)-1).Draw(t, "node")
+			author := rapid.IntRange(0, len(nodes)-1).Draw(t, "node")
 			name := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "object")
-			_, read, _ := nodes[at].State().Get(config.KindParameters, name)
+			_, read, _ := nodes[author].State().Get(config.KindParameters, name)
 			if rapid.Bool().Draw(t, "any version") {
 				read = command.AnyVersion
 			}
 			id := fmt.Sprint("change-", n)
-			c, err := configure(nodes[at], id, name, 1+n%100, read)
+			c, err := configure(nodes[author], id, name, 1+n%100, read)
 			var race *config.RaceError
-			var unsettled *changelog.AmbiguousError
+			var ambiguous *changelog.AmbiguousError
 			switch {
 			case err == nil:
 				if read != command.AnyVersion && c.From != read {
-					t.Fatalf("%s was accepted from version %d, its author read %d", id, c.From, read)
+					t.Fatalf("%s was accepted on version %d of the object, its author read version %d", id, c.From, read)
 				}
 				accepted[id] = c.Version
-			case errors.As(err, &race), errors.As(err, &unsettled):
+			case errors.As(err, &race), errors.As(err, &ambiguous):
 			default:
-				var down *pointport.UnavailableError
-				if !errors.As(err, &down) {
+				var unavailable *pointport.UnavailableError
+				if !errors.As(err, &unavailable) {
 					t.Fatal(err)
 				}
 			}
 			for i, node := range nodes {
 				if v := node.State().Version(); v < last[i] {
-					t.Fatalf("node %d went back from version %d to %d", i, last[i], v)
+					t.Fatalf("node %d returned from version %d to %d", i, last[i], v)
 				}
 				last[i] = nodes[i].State().Version()
 			}
@@ -90,9 +90,10 @@
 	})
 }
 
-// checkAccepted reads everything back by a new node.
+// checkAccepted reads the log with a new node and checks that it holds every accepted
+// change at its version, and no change twice.
 func checkAccepted(t *rapid.T, store *memory.Store, accepted map[string]config.Version) {
-	node := small(store)
+	node := newSmallLog(store)
 	if err := node.Refresh(context.Background()); err != nil {
 		t.Fatal(err)
 	}
@@ -111,25 +112,26 @@
 		}
 		seen[c.ID] = true
 		if v, ok := accepted[c.ID]; ok && v != c.Version {
-			t.Fatalf("%s was accepted as version %d and stands as %d", c.ID, v, c.Version)
+			t.Fatalf("%s was accepted as version %d and is in the log as %d", c.ID, v, c.Version)
 		}
 	}
 	for id, v := range accepted {
 		if v >= oldest && !seen[id] {
-			t.Fatalf("%s was accepted as version %d and is gone", id, v)
+			t.Fatalf("%s was accepted as version %d and is not in the log", id, v)
 		}
 		if v > node.State().Version() {
-			t.Fatalf("%s was accepted as version %d, the newest is %d", id, v, node.State().Version())
+			t.Fatalf("%s was accepted as version %d, the newest version is %d", id, v, node.State().Version())
 		}
 	}
 }
 
-// TestFollowers counts how soon and at what cost followers see a change, also
-// after an outage and across sealed segments and snapshots.
+// TestFollowers checks that following nodes apply each change within a second, also
+// across sealed segments and snapshots and after an outage of the store, and that
+// they keep their state during the outage.
 func TestFollowers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New(clock.System{})
-		author := small(store)
+		author := newSmallLog(store)
 		var nodes []*configLog
 		for range 3 {
 			nodes = append(nodes, changelog.Start[*config.State, config.Change](t.Context(), store, clock.System{}, "config", config.NewState(), changelog.WithSegmentPolicy(3, 2, 4)))
@@ -151,7 +153,7 @@
 		store.SetInjector(func(string, string) memory.Fault { return memory.FaultDown })
 		time.Sleep(time.Hour)
 		if got := nodes[0].State().Version(); got != 20 {
-			t.Errorf("during the outage version %d is in force, want 20", got)
+			t.Errorf("during the outage version %d is applied, want 20", got)
 		}
 		store.SetInjector(func(string, string) memory.Fault { return memory.FaultNone })
 		if _, err := configure(author, "", "a", 50, command.AnyVersion); err != nil {
@@ -161,10 +163,11 @@
 	})
 }
 
-// TestNeverBack gives a node a store that has gone back to an older state.
-func TestNeverBack(t *testing.T) {
+// TestLowerVersionIsIgnored checks that a node keeps its version when the store
+// returns to an older state.
+func TestLowerVersionIsIgnored(t *testing.T) {
 	store := memory.New(clock.System{})
-	node := small(store)
+	node := newSmallLog(store)
 	for n := range 2 {
 		if _, err := configure(node, "", "a", 1+n, command.AnyVersion); err != nil {
 			t.Fatal(err)
@@ -174,7 +177,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	older := small(memory.New(clock.System{}))
+	older := newSmallLog(memory.New(clock.System{}))
 	if _, err := configure(older, "", "b", 9, command.AnyVersion); err != nil {
 		t.Fatal(err)
 	}
@@ -185,6 +188,6 @@
 		t.Fatal(err)
 	}
 	if v := node.State().Version(); v != 2 {
-		t.Errorf("the node went back to version %d", v)
+		t.Errorf("the node returned to version %d, want 2", v)
 	}
 }
--- a/clock/boot_time.go
+++ b/clock/boot_time.go
@@ -40,15 +40,15 @@
 // concurrent use.
 type BootTime struct {
 	System
-	start  time.Time     // of the process, with its steady reading
-	origin time.Duration // the boot time then
-	readBoot   func() (time.Duration, error)
-	onSuspension   func(Suspension)
-
-	mu        sync.Mutex
-	checkedAt   time.Duration // when the boot time was last read, since start
-	wallOffset     time.Duration // of the time of day before the steady clock then
-	suspended time.Duration // since start
+	start        time.Time     // of the process, with its steady reading
+	origin       time.Duration // the boot time then
+	readBoot     func() (time.Duration, error)
+	onSuspension func(Suspension)
+
+	mu         sync.Mutex
+	checkedAt  time.Duration // when the boot time was last read, since start
+	wallOffset time.Duration // of the time of day before the steady clock then
+	suspended  time.Duration // since start
 }
 
 var _ pointport.Clock = (*BootTime)(nil)
@@ -58,7 +58,9 @@
 
 // OnSuspension sets a function that is told of each suspension of a tenth of a second or
 // more, by whoever asks for the time first after it.
-func OnSuspension(tell func(Suspension)) BootTimeOption { return func(b *BootTime) { b.onSuspension = tell } }
+func OnSuspension(tell func(Suspension)) BootTimeOption {
+	return func(b *BootTime) { b.onSuspension = tell }
+}
 
 // WithBootTime sets how the boot time is read.
 func WithBootTime(read func() (time.Duration, error)) BootTimeOption {
--- a/config/template.go
+++ b/config/template.go
@@ -46,27 +46,27 @@
 
 // Bounds and defaults of what a template holds.
 const (
-	maxPoolSize             = 20000
-	maxRoutes           = 64
-	maxTimeout          = time.Hour
-	defaultTimeout      = 30 * time.Second
-	defaultMaxBody      = 8 << 20
-	maxBodyLimit          = 1 << 30
-	defaultQueueLength        = 512
-	defaultRetryBuffer       = 64 << 10
-	defaultSlots        = 8
-	defaultConnections  = 64
-	defaultRetryRatio   = 0.1
-	defaultMaxAttempts  = 3
-	defaultEjectFailures   = 5
-	defaultEjectFor     = 10 * time.Second
+	maxPoolSize          = 20000
+	maxRoutes            = 64
+	maxTimeout           = time.Hour
+	defaultTimeout       = 30 * time.Second
+	defaultMaxBody       = 8 << 20
+	maxBodyLimit         = 1 << 30
+	defaultQueueLength   = 512
+	defaultRetryBuffer   = 64 << 10
+	defaultSlots         = 8
+	defaultConnections   = 64
+	defaultRetryRatio    = 0.1
+	defaultMaxAttempts   = 3
+	defaultEjectFailures = 5
+	defaultEjectFor      = 10 * time.Second
 	defaultMaxEjected    = 0.5
-	defaultDrainQuiet   = 3 * time.Second
-	defaultDrainBound   = 10 * time.Minute
-	defaultReturnBound  = 15 * time.Minute
-	defaultStopAfter    = 3
-	defaultNotRunHeader = "X-Not-Run"
-	defaultLeavingHeader      = "X-Leaving"
+	defaultDrainQuiet    = 3 * time.Second
+	defaultDrainBound    = 10 * time.Minute
+	defaultReturnBound   = 15 * time.Minute
+	defaultStopAfter     = 3
+	defaultNotRunHeader  = "X-Not-Run"
+	defaultLeavingHeader = "X-Leaving"
 )
 
 // A Template describes one pool and the service that its instances run.
--- a/config/units.go
+++ b/config/units.go
@@ -56,10 +56,10 @@
 // A Count is a number of instances, written whole ("3") or as a part of a pool
 // ("10%"). What cannot be read is kept, so that the check can name the field.
 type Count struct {
-	raw     string
-	absolute   int
-	percent float64
-	bad     bool
+	raw      string
+	absolute int
+	percent  float64
+	bad      bool
 }
 
 // AbsoluteCount returns the Count of n instances.
--- a/event/event.go
+++ b/event/event.go
@@ -15,13 +15,13 @@
 
 // An Event is one kind of line in the log.
 type Event struct {
-	number   int
-	name     string
-	level    slog.Level
-	meaning  string
+	number       int
+	name         string
+	level        slog.Level
+	meaning      string
 	outcomeAttr  string
-	outcomes []string
-	durationAttr     string
+	outcomes     []string
+	durationAttr string
 }
 
 // An option says what else there is to an event.
--- a/event/rate_limiter.go
+++ b/event/rate_limiter.go
@@ -40,7 +40,7 @@
 
 // A tokenBucket is what one event may still write.
 type tokenBucket struct {
-	tokens   float64
+	tokens  float64
 	at      time.Time
 	leftOut int
 }
--- a/event/sink.go
+++ b/event/sink.go
@@ -33,14 +33,14 @@
 	out   io.Writer
 	clock pointport.Clock
 
-	mu      sync.Mutex
-	waiting []byte
-	spare   []byte
-	unreported int   // since lines were last written
-	droppedTotal    int64 // in all
-	wake    chan struct{}
-	closed  bool
-	done    chan struct{}
+	mu           sync.Mutex
+	waiting      []byte
+	spare        []byte
+	unreported   int   // since lines were last written
+	droppedTotal int64 // in all
+	wake         chan struct{}
+	closed       bool
+	done         chan struct{}
 }
 
 // StartSink returns a sink that writes to out until Close.
--- a/memory/kv.go
+++ b/memory/kv.go
@@ -60,7 +60,7 @@
 // errDeaf is the cause of a call's end without an answer, errSilentWatch of a watch's that is
 // told only after its wait.
 var (
-	errNoAnswer        = errors.New("stand-in store gave no answer")
+	errNoAnswer     = errors.New("stand-in store gave no answer")
 	errWatchTimeout = errors.New("stand-in store gave no answer to a watch")
 )
 
--- a/memory/store.go
+++ b/memory/store.go
@@ -62,18 +62,18 @@
 	clock  pointport.Clock
 	inject Injector
 
-	mu      sync.Mutex
-	revision    pointport.Revision
-	entries map[string]pointport.Entry
-	leases  map[string]lease
-	changed chan struct{} // closed and replaced at every change
-	counts  Counts
-
-	grants    map[pointport.LeaseID]*grant
-	lastLease pointport.LeaseID
-	history   []change
+	mu       sync.Mutex
+	revision pointport.Revision
+	entries  map[string]pointport.Entry
+	leases   map[string]lease
+	changed  chan struct{} // closed and replaced at every change
+	counts   Counts
+
+	grants      map[pointport.LeaseID]*grant
+	lastLease   pointport.LeaseID
+	history     []change
 	compactedAt pointport.Revision // changes up to here are forgotten
-	dropEvents      bool               // watches hear nothing
+	dropEvents  bool               // watches hear nothing
 }
 
 type lease struct {
