--- a/config/evacuation.go
+++ b/config/evacuation.go
@@ -5,14 +5,14 @@
 	"github.com/pointport/pointport/evacuation"
 )
 
-// This file defines the object by which operators have an availability zone left empty.
+// This file defines the object by which operators evacuate an availability zone.
 
-// An Evacuation asks that nothing more be sent to the instances of an availability zone for
-// as long as the object is there.
+// An Evacuation asks that no more work be sent to the instances of an availability zone
+// while the object exists.
 type Evacuation struct {
-	// Name is that of the availability zone.
+	// Name is the name of the availability zone.
 	Name string `json:"name"`
-	// Reason is kept for whoever asks why.
+	// Reason is the operator's explanation.
 	Reason string `json:"reason,omitempty"`
 }
 
@@ -20,7 +20,7 @@
 
 func (e *Evacuation) check(c *checker) { c.name("name", e.Name) }
 
-// Evacuations returns which availability zones are to be left empty.
+// Evacuations returns the availability zones that are evacuated.
 func (s *State) Evacuations() evacuation.Zones {
 	var requests []evacuation.Request
 	for _, o := range s.List(KindEvacuation) {
--- a/config/object.go
+++ b/config/object.go
@@ -12,10 +12,10 @@
 	"sigs.k8s.io/yaml"
 )
 
-// This file defines the object, which is one document of one kind, and how
-// documents are read.
+// This file defines the object, which is one document of one kind, and the parsing
+// of documents.
 
-// A Kind is a kind of object.
+// A Kind is a kind of object, as in the field "kind" of a document.
 type Kind string
 
 // The kinds of objects.
@@ -26,30 +26,32 @@
 	KindEvacuation Kind = "Evacuation"
 )
 
-// Kinds lists the kinds of objects.
+// Kinds returns all kinds of objects.
 func Kinds() []Kind { return []Kind{KindTemplate, KindParameters, KindWave, KindEvacuation} }
 
-// Parameters are what one customer fills in: what a template leaves to it, and
-// its own quota and share.
+// Parameters are the settings of one customer: values that replace a template's,
+// and the customer's own weight and quota.
 type Parameters struct {
 	Name string `json:"name"`
-	// Template names the template whose values are replaced; empty if the
-	// document only holds the customer's share and quota.
+	// Template is the name of the template whose values are replaced; empty if the
+	// document only holds the customer's weight and quota.
 	Template string `json:"template,omitempty"`
 	// Size, Spare, Speed and Spread replace the template's values.
 	Size   *int     `json:"size,omitempty"`
 	Spare  *Count   `json:"spare,omitempty"`
 	Speed  *Count   `json:"speed,omitempty"`
 	Spread []Domain `json:"spread,omitempty"`
-	// Customer names the customer whose requests and jobs have Weight and
-	// Quota; empty for the document's own name.
+	// Customer is the customer to whose requests and jobs Weight and QuotaCPUMilli
+	// apply; empty for the document's own name.
 	Customer string `json:"customer,omitempty"`
-	// Weight is the customer's share of what is scarce, against the others'.
+	// Weight is the customer's share of scarce capacity, relative to the weights
+	// of other customers.
 	Weight float64 `json:"weight"`
-	// Quota bounds what the customer's jobs use at once, in thousandths of a
-	// processor; zero for no bound.
+	// QuotaCPUMilli limits what the customer's jobs use at once, in thousandths of
+	// a CPU; zero for no limit.
 	QuotaCPUMilli int64 `json:"quotaCPUMilli"`
-	// From and Until bound when the values are in force; empty for always.
+	// From and Until are the start, inclusive, and the end, exclusive, of the time
+	// in which the values are in force; empty for no start or no end.
 	From  *time.Time `json:"from,omitempty"`
 	Until *time.Time `json:"until,omitempty"`
 }
@@ -96,10 +98,10 @@
 	}
 }
 
-// A WaveState is what an operator wants of a wave.
+// A WaveState is the state in which an operator wants a wave to be.
 type WaveState string
 
-// The states that an operator can ask for.
+// The states of a wave that an operator can ask for.
 const (
 	WaveRun    WaveState = "run"
 	WavePause  WaveState = "pause"
@@ -109,13 +111,13 @@
 // A Wave asks for every instance of a pool to be maintained once.
 type Wave struct {
 	Name string `json:"name"`
-	// Template names the pool.
+	// Template is the name of the pool's template.
 	Template string `json:"template"`
-	// State is what the operator wants.
+	// State is the state that the operator asks for.
 	State WaveState `json:"state"`
 	// Racks asks for whole racks at a time, as far as budget and spread allow.
 	Racks bool `json:"racks"`
-	// Reason is kept for whoever asks why.
+	// Reason is the operator's explanation.
 	Reason string `json:"reason,omitempty"`
 }
 
@@ -127,9 +129,11 @@
 	c.oneOf("state", string(w.State), string(WaveRun), string(WavePause), string(WaveCancel))
 }
 
-// body is what each kind of object can do.
+// body is the content of an object of any kind.
 type body interface {
+	// setDefaults sets the fields that the document omits.
 	setDefaults()
+	// check reports invalid fields to c.
 	check(c *checker)
 }
 
@@ -140,7 +144,7 @@
 	_ body = (*Evacuation)(nil)
 )
 
-// An Object is one checked document.
+// An Object is one document of one kind.
 type Object struct {
 	kind Kind
 	name string
@@ -153,19 +157,19 @@
 // Name returns the object's name, which is unique within its kind.
 func (o Object) Name() string { return o.name }
 
-// ID returns kind and name, such as "Template/payout".
+// ID returns the object's kind and name, such as "Template/payout".
 func (o Object) ID() string { return ID(o.kind, o.name) }
 
-// ID returns the identity of the object of kind called name.
+// ID returns the ID of an object, such as "Template/payout".
 func ID(kind Kind, name string) string { return string(kind) + "/" + name }
 
-// Template returns the object's template, or nil if it is of another kind.
+// Template returns the object as a template, or nil if it is of another kind.
 func (o Object) Template() *Template { return as[Template](o) }
 
-// Parameters returns the object's parameters, or nil if it is of another kind.
+// Parameters returns the object as parameters, or nil if it is of another kind.
 func (o Object) Parameters() *Parameters { return as[Parameters](o) }
 
-// Wave returns the object's wave, or nil if it is of another kind.
+// Wave returns the object as a wave, or nil if it is of another kind.
 func (o Object) Wave() *Wave { return as[Wave](o) }
 
 func as[T any](o Object) *T {
@@ -173,7 +177,7 @@
 	return t
 }
 
-// MarshalJSON writes the document with its kind.
+// MarshalJSON returns the document, with its kind as the first field.
 func (o Object) MarshalJSON() ([]byte, error) {
 	data, err := json.Marshal(o.body)
 	if err != nil {
@@ -183,9 +187,9 @@
 	return append([]byte(head), bytes.TrimPrefix(data, []byte("{"))...), nil
 }
 
-// UnmarshalJSON reads one document that was accepted before. It is not checked
-// again and may hold fields that this version does not know, because what was
-// accepted stays in force whatever the version of the program.
+// UnmarshalJSON reads a stored document, which was checked when it was accepted. It
+// is not checked again and may hold fields that this version of the program does not
+// know: an accepted document stays in force under every version.
 func (o *Object) UnmarshalJSON(data []byte) error {
 	b, err := newBody("stored object", data)
 	if err != nil {
@@ -199,32 +203,32 @@
 	return nil
 }
 
-// document is the part that every document has.
+// document is the part that documents of all kinds have in common.
 type document struct {
 	Kind Kind `json:"kind"`
 }
 
-// Parse reads the documents of a file in YAML or JSON, split by lines of
-// "---", and checks them. Its error is a *CheckError that names source, field
-// and value.
+// Parse reads and checks the documents of a file in YAML or JSON. Lines that begin
+// with "---" separate documents. The error is a *CheckError that names source, field
+// and value of what is invalid.
 func Parse(source string, data []byte) ([]Object, error) {
 	var objects []Object
-	var bad []*FieldError
+	var invalid []*FieldError
 	for n, part := range splitDocuments(data) {
-		where := source
+		partSource := source
 		if n > 0 {
-			where = fmt.Sprintf("%s (document %d)", source, n+1)
+			partSource = fmt.Sprintf("%s (document %d)", source, n+1)
 		}
-		o, err := parseYAML(where, part)
+		o, err := parseYAML(partSource, part)
 		var check *CheckError
 		if errors.As(err, &check) {
-			bad = append(bad, check.Fields...)
+			invalid = append(invalid, check.Fields...)
 			continue
 		}
 		objects = append(objects, o)
 	}
-	if len(bad) > 0 {
-		return nil, &CheckError{bad}
+	if len(invalid) > 0 {
+		return nil, &CheckError{invalid}
 	}
 	if len(objects) == 0 {
 		return nil, &CheckError{[]*FieldError{{source, "(file)", "", "holds no document"}}}
@@ -232,6 +236,7 @@
 	return objects, nil
 }
 
+// splitDocuments splits data at lines that begin with "---", without empty parts.
 func splitDocuments(data []byte) [][]byte {
 	var parts [][]byte
 	for _, p := range strings.Split("\n"+string(data), "\n---") {
@@ -250,7 +255,7 @@
 	return ParseObject(source, asJSON)
 }
 
-// newBody returns the empty body of the kind that data names.
+// newBody returns an empty body of the kind that data names.
 func newBody(source string, data []byte) (body, error) {
 	var d document
 	if err := json.Unmarshal(data, &d); err != nil {
@@ -269,7 +274,7 @@
 	return nil, singleError(source, "kind", string(d.Kind), "must be one of Template, Parameters, Wave, Evacuation")
 }
 
-// ParseObject reads and checks one document in JSON.
+// ParseObject reads and checks one document in JSON. The error is a *CheckError.
 func ParseObject(source string, data []byte) (Object, error) {
 	b, err := newBody(source, data)
 	if err != nil {
@@ -287,7 +292,8 @@
 	return NewObject(b), nil
 }
 
-// NewObject returns the object of a template, parameters, a wave or an evacuation.
+// NewObject returns the object of a document, which must be a *Template, *Parameters,
+// *Wave or *Evacuation. It panics for any other type.
 func NewObject(document any) Object {
 	switch b := document.(type) {
 	case *Template:
@@ -299,10 +305,10 @@
 	case *Evacuation:
 		return Object{KindEvacuation, b.Name, b}
 	}
-	panic(fmt.Sprintf("config: %T is no document", document))
+	panic(fmt.Sprintf("config: %T is not a document", document))
 }
 
-// decode reads data strictly into b.
+// decode reads data into b. It refuses fields that b does not have.
 func decode(source string, data []byte, b body) error {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(data, &fields); err != nil {
@@ -316,13 +322,13 @@
 	dec := json.NewDecoder(bytes.NewReader(rest))
 	dec.DisallowUnknownFields()
 	err = dec.Decode(b)
-	var wrong *json.UnmarshalTypeError
+	var typeError *json.UnmarshalTypeError
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &wrong):
-		last := wrong.Field[strings.LastIndex(wrong.Field, ".")+1:]
-		return singleError(source, wrong.Field, findValue(rest, last), "must be of type "+wrong.Type.String())
+	case errors.As(err, &typeError):
+		last := typeError.Field[strings.LastIndex(typeError.Field, ".")+1:]
+		return singleError(source, typeError.Field, findValue(rest, last), "must be of type "+typeError.Type.String())
 	}
 	if field, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
 		name := strings.Trim(field, `"`)
@@ -331,7 +337,8 @@
 	return singleError(source, "(document)", firstLine(data), err.Error())
 }
 
-// findValue finds the value of the first field called name, at any depth.
+// findValue returns the value of a field called name at any depth, as JSON, or "" if
+// there is none. It serves error messages, because the decoder reports only the name.
 func findValue(data []byte, name string) string {
 	var v any
 	if json.Unmarshal(data, &v) != nil {
--- a/config/parse_test.go
+++ b/config/parse_test.go
@@ -12,8 +12,8 @@
 	"github.com/pointport/pointport/config"
 )
 
-// TestParse reads every document in testdata/parse and compares what comes of
-// it with the golden file beside it.
+// TestParse parses every file in testdata/parse and compares the objects or the
+// error with the golden file beside it.
 func TestParse(t *testing.T) {
 	files, err := filepath.Glob("testdata/parse/*.yaml")
 	if err != nil || len(files) == 0 {
--- a/config/state.go
+++ b/config/state.go
@@ -11,40 +11,39 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines the change and the state, which is the whole configuration
-// at one version.
+// This file defines the whole configuration at one version, and its changes.
 
 // Version is the version of a configuration.
 type Version = pointport.Version
 
 // A Change replaces or removes one object.
 type Change struct {
-	// ID is unique for each attempt of an author to change something. It
-	// settles whether a change whose answer was lost has taken effect.
+	// ID is unique for each change that an author asks for. It shows whether a
+	// change whose answer was lost has taken effect.
 	ID string `json:"id"`
-	// Version is the version that the change made.
+	// Version is the version of the configuration that the change leads to.
 	Version Version `json:"version"`
-	// Author is who asked for the change.
+	// Author is the operator who asked for the change.
 	Author string `json:"author"`
 	// At is when the change was accepted.
 	At time.Time `json:"at"`
-	// Reason is the author's own words.
+	// Reason is the author's explanation.
 	Reason string `json:"reason,omitempty"`
 	// Object is the new document; nil if the object was removed.
 	Object *Object `json:"object,omitempty"`
-	// Removed is the identity of the object that was removed.
+	// Removed is the ID of the object that was removed.
 	Removed string `json:"removed,omitempty"`
-	// From is the version at which the object had last changed.
+	// From is the version at which the object had last changed before.
 	From Version `json:"from"`
 }
 
-// ChangeID returns the change's own name.
+// ChangeID returns the ID of the change.
 func (c Change) ChangeID() string { return c.ID }
 
-// ChangeVersion returns the version that the change made.
+// ChangeVersion returns the version that the change leads to.
 func (c Change) ChangeVersion() Version { return c.Version }
 
-// Target returns the identity of the object that the change is about.
+// Target returns the ID of the object that the change replaces or removes.
 func (c Change) Target() string {
 	if c.Object != nil {
 		return c.Object.ID()
@@ -52,40 +51,40 @@
 	return c.Removed
 }
 
-// A RaceError says that an object was changed by someone else since its author
+// A RaceError reports that an object was changed after the author of a new change
 // read it.
 type RaceError struct {
-	Object string  // the identity of the object
-	Read   Version // the version that the author had read
-	Have   Version // the version at which it has since changed
-	Author string  // who changed it
+	Object string  // ID of the object
+	Read   Version // version at which the author read the object
+	Have   Version // version at which the object last changed
+	Author string  // author of that last change
 }
 
 func (e *RaceError) Error() string {
 	return fmt.Sprintf("%s was read at version %d and changed at version %d by %s", e.Object, e.Read, e.Have, e.Author)
 }
 
-// A versioned is an object with the change that made it.
+// A versioned is an object with the version and author of its last change.
 type versioned struct {
 	Object  Object  `json:"object"`
 	Version Version `json:"version"`
 	Author  string  `json:"author"`
 }
 
-// A tombstone says when an object was removed, and by whom.
+// A tombstone holds the version and author of an object's removal.
 type tombstone struct {
 	Version Version `json:"version"`
 	Author  string  `json:"author"`
 }
 
-// A State is the whole configuration at one version. It is never changed.
+// A State is the whole configuration at one version. It is immutable.
 type State struct {
 	version Version
 	objects map[string]versioned
 	removed map[string]tombstone
 }
 
-// NewState returns the empty state.
+// NewState returns the empty state, which has version 0.
 func NewState() *State {
 	return &State{objects: map[string]versioned{}, removed: map[string]tombstone{}}
 }
@@ -93,7 +92,8 @@
 // Version returns the version of the state.
 func (s *State) Version() Version { return s.version }
 
-// Apply returns the state after c. It fails if c is not the next version.
+// Apply returns the state after c. It fails if c's version does not follow the
+// version of the state.
 func (s *State) Apply(c Change) (*State, error) {
 	if c.Version != s.version+1 {
 		return nil, fmt.Errorf("change %s has version %d, which does not follow %d", c.ID, c.Version, s.version)
@@ -109,8 +109,9 @@
 	return next, nil
 }
 
-// CheckVersion reports whether an object read at version may be changed now. A
-// version below zero skips the question of a race.
+// CheckVersion returns a *RaceError if the last change of an object was not at the
+// version at which the author of a new change read it: 0 if the object did not
+// exist. It checks nothing if read is negative.
 func (s *State) CheckVersion(id string, read Version) error {
 	last := s.removed[id]
 	if v, ok := s.objects[id]; ok {
@@ -128,13 +129,13 @@
 	return v.Object, v.Version, ok
 }
 
-// Has reports whether the object with an identity exists.
+// Has reports whether the object with an ID exists.
 func (s *State) Has(id string) bool {
 	_, ok := s.objects[id]
 	return ok
 }
 
-// List returns the objects of kind by name.
+// List returns the objects of a kind, sorted by name.
 func (s *State) List(kind Kind) []Object {
 	var out []Object
 	for _, v := range s.objects {
@@ -146,7 +147,7 @@
 	return out
 }
 
-// Templates returns the templates by name, without any customer's parameters.
+// Templates returns the templates, sorted by name, without any customer's parameters.
 func (s *State) Templates() []*Template {
 	var out []*Template
 	for _, o := range s.List(KindTemplate) {
@@ -155,8 +156,8 @@
 	return out
 }
 
-// Effective returns the templates by name with the parameters that are in
-// force at now. Where several documents set one value, the last by name wins.
+// Effective returns the templates, sorted by name, with the parameters applied that
+// are in force at now. If several documents set one value, the last by name wins.
 func (s *State) Effective(now time.Time) []*Template {
 	byName := make(map[string]*Template)
 	var out []*Template
@@ -174,7 +175,7 @@
 	return out
 }
 
-// override replaces the values of t that p sets.
+// override replaces those values of t that p sets.
 func (p *Parameters) override(t *Template) {
 	if p.Size != nil {
 		t.Pool.Size = *p.Size
@@ -190,7 +191,7 @@
 	}
 }
 
-// Waves returns the waves by name.
+// Waves returns the waves, sorted by name.
 func (s *State) Waves() []*Wave {
 	var out []*Wave
 	for _, o := range s.List(KindWave) {
@@ -199,7 +200,8 @@
 	return out
 }
 
-// Customers returns the parameters that name each customer, by customer.
+// Customers returns the parameters of each customer, by customer. If several
+// documents name one customer, the last by name wins.
 func (s *State) Customers() map[string]*Parameters {
 	out := make(map[string]*Parameters)
 	for _, o := range s.List(KindParameters) {
@@ -209,8 +211,8 @@
 	return out
 }
 
-// NextParameterChange returns when the set of parameters in force changes after now, or the
-// zero time if it never does.
+// NextParameterChange returns the first time after now at which the set of parameters
+// in force changes, or the zero time if there is none.
 func (s *State) NextParameterChange(now time.Time) time.Time {
 	var next time.Time
 	for _, o := range s.List(KindParameters) {
@@ -224,19 +226,19 @@
 	return next
 }
 
-// storedState is a State as it is stored.
+// storedState is the stored form of a State.
 type storedState struct {
 	Version Version              `json:"version"`
 	Objects map[string]versioned `json:"objects"`
 	Removed map[string]tombstone `json:"removed"`
 }
 
-// MarshalJSON writes the whole state.
+// MarshalJSON returns the stored form of the state.
 func (s *State) MarshalJSON() ([]byte, error) {
 	return json.Marshal(storedState{s.version, s.objects, s.removed})
 }
 
-// UnmarshalJSON reads a whole state.
+// UnmarshalJSON reads the stored form of a state.
 func (s *State) UnmarshalJSON(data []byte) error {
 	var d storedState
 	if err := json.Unmarshal(data, &d); err != nil {
--- a/config/state_test.go
+++ b/config/state_test.go
@@ -29,6 +29,8 @@
 
 const poolOfFour = "kind: Template\nname: shift\npool: {size: 4}\n"
 
+// TestEffectiveFollowsTime checks that parameters replace a template's values from
+// their start, inclusive, to their end, exclusive, and never change the template.
 func TestEffectiveFollowsTime(t *testing.T) {
 	s := apply(t, config.NewState(), parseOne(t, poolOfFour))
 	s = apply(t, s, parseOne(t, "kind: Parameters\nname: peak\ntemplate: shift\nsize: 9\nfrom: 2026-12-18T00:00:00Z\nuntil: 2027-01-07T00:00:00Z\n"))
@@ -54,7 +56,9 @@
 	}
 }
 
-func TestRaceIsNamed(t *testing.T) {
+// TestCheckVersionReportsRace checks that a change based on an outdated version of an
+// object fails with an error that names the versions and the other author.
+func TestCheckVersionReportsRace(t *testing.T) {
 	s := apply(t, config.NewState(), parseOne(t, poolOfFour))
 	err := s.CheckVersion("Template/shift", 0)
 	var race *config.RaceError
@@ -65,13 +69,14 @@
 		t.Errorf("got %+v, want versions 0 and 1 and author ana", race)
 	}
 	if err := s.CheckVersion("Template/shift", 1); err != nil {
-		t.Errorf("reading the newest version: %v", err)
+		t.Errorf("a change based on the newest version fails: %v", err)
 	}
 }
 
-// TestRemovedObjectStillRaces keeps an author who read nothing from reviving an
-// object that was created and removed meanwhile.
-func TestRemovedObjectStillRaces(t *testing.T) {
+// TestRemovalIsReportedAsRace guards against restoring a removed object by accident:
+// an author who read that an object did not exist may not create it if it was created
+// and removed meanwhile.
+func TestRemovalIsReportedAsRace(t *testing.T) {
 	s := apply(t, config.NewState(), parseOne(t, poolOfFour))
 	s, err := s.Apply(config.Change{ID: "d", Version: 2, Author: "bo", Removed: "Template/shift"})
 	if err != nil {
@@ -83,9 +88,11 @@
 	}
 }
 
-// TestStoredStateKeepsWhatIsAccepted reads back a state that holds a field that
-// this version does not know and a value that it would refuse today.
-func TestStoredStateKeepsWhatIsAccepted(t *testing.T) {
+// TestStoredStateIsNotCheckedAgain reads back a state that another version of the
+// program has written: with a field that this version does not know and with a value
+// that it refuses in new documents. Checking them would make the stored state
+// unreadable after an upgrade or a downgrade.
+func TestStoredStateIsNotCheckedAgain(t *testing.T) {
 	s := apply(t, config.NewState(), parseOne(t, poolOfFour))
 	data, err := json.Marshal(s)
 	if err != nil {
@@ -107,6 +114,6 @@
 		t.Fatal(err)
 	}
 	if got := back.Templates()[0].Pool.Size; got != 30000 {
-		t.Errorf("got size %d, want what was accepted: 30000", got)
+		t.Errorf("got size %d, want the stored size 30000", got)
 	}
 }
--- a/config/template.go
+++ b/config/template.go
@@ -10,17 +10,18 @@
 
 // This file defines the template of a pool and of the service on it.
 
-// A Priority orders requests and jobs that wait.
+// A Priority orders waiting requests and jobs.
 type Priority string
 
-// The priorities, from first to last.
+// The priorities, from the first to be served to the last.
 const (
 	Urgent Priority = "urgent"
 	Normal Priority = "normal"
 	Bulk   Priority = "bulk"
 )
 
-// Rank returns the priority's place, from 0 for the first to be served.
+// Rank returns the position of the priority, from 0 for the first to be served to
+// Ranks-1. A priority that is not known has the rank of Normal.
 func (p Priority) Rank() int {
 	switch p {
 	case Urgent:
@@ -31,7 +32,7 @@
 	return 1
 }
 
-// Ranks is how many ranks there are.
+// Ranks is the number of ranks of priorities.
 const Ranks = 3
 
 // A Domain is a kind of failure domain.
@@ -44,7 +45,7 @@
 	DomainRegion Domain = "region"
 )
 
-// Bounds and defaults of what a template holds.
+// Limits and defaults of a template's fields.
 const (
 	maxPoolSize          = 20000
 	maxRoutes            = 64
@@ -73,118 +74,126 @@
 type Template struct {
 	Name    string `json:"name"`
 	Service string `json:"service"`
-	// Routes say which requests go to the service.
+	// Routes match the requests that go to the service.
 	Routes []Route `json:"routes"`
-	// Pool says which instances the service has.
+	// Pool describes the instances that the service runs on.
 	Pool Pool `json:"pool"`
-	// Upstream says what one instance can take.
+	// Upstream describes the capacity of one instance.
 	Upstream Upstream `json:"upstream"`
-	// Retry bounds repeated attempts.
+	// Retry limits the attempts of a request.
 	Retry Retry `json:"retry"`
-	// Ejection says when a failing upstream is left alone.
+	// Ejection defines when a failing upstream is taken out of use.
 	Ejection Ejection `json:"ejection"`
-	// Maintenance bounds waves.
+	// Maintenance limits waves and moves.
 	Maintenance Maintenance `json:"maintenance"`
-	// Queue is how many requests of the service may wait in one entry instance.
+	// Queue is the maximum number of the service's requests that wait in one entry
+	// instance.
 	Queue int `json:"queue"`
 }
 
-// A Route says which requests go to a service, and how they are treated.
+// A Route matches requests that go to a service, and defines how they are handled.
 type Route struct {
 	// Host is the host that the request names, without a port; empty for any.
 	Host string `json:"host,omitempty"`
-	// PathPrefix starts the request's path, at a path segment's border.
+	// PathPrefix is a prefix of the request's path that ends at the boundary of a
+	// path segment.
 	PathPrefix string `json:"pathPrefix"`
 	// Methods are the request's methods; empty for any.
 	Methods []string `json:"methods,omitempty"`
-	// Repeatable says that the work may safely run more than once.
+	// Repeatable declares that the work may safely run more than once.
 	Repeatable bool `json:"repeatable"`
-	// RequireKey refuses requests without an Idempotency-Key.
+	// RequireKey has requests without an Idempotency-Key refused.
 	RequireKey bool `json:"requireKey"`
-	// Priority orders the requests that wait.
+	// Priority orders waiting requests.
 	Priority Priority `json:"priority"`
-	// Timeout bounds a request from its arrival to the end of its answer.
+	// Timeout limits the time from a request's arrival to the end of its answer.
 	Timeout Duration `json:"timeout"`
-	// MaxBody bounds the request's body, in bytes.
+	// MaxBody is the largest body of a request, in bytes.
 	MaxBody int64 `json:"maxBody"`
-	// AllowUnframed passes on answers that end with the connection. They
-	// cannot be told from an answer that was cut short.
+	// AllowUnframed has answers passed on whose end is marked only by the end of
+	// the connection. A complete answer of that kind cannot be distinguished from
+	// a truncated one.
 	AllowUnframed bool `json:"allowUnframed"`
 }
 
-// A Pool says which instances a service has.
+// A Pool describes the instances that a service runs on.
 type Pool struct {
-	// Size is how many instances should serve, over all availability zones.
+	// Size is the number of instances that should serve, in all availability zones
+	// together.
 	Size int `json:"size"`
-	// Shape is the least that each instance must have.
+	// Shape is the minimum capacity of each instance.
 	Shape pointport.Shape `json:"shape"`
 	// Spread lists the failure domains to spread across, widest first.
 	Spread []Domain `json:"spread,omitempty"`
-	// Spare is how many instances are held beyond Size.
+	// Spare is the number of instances that are held beyond Size.
 	Spare Count `json:"spare"`
-	// MoveWeight and BufferWeight say what a move and an idle spare instance
-	// for an hour cost against each other.
+	// MoveWeight and BufferWeight are the costs, relative to each other, of moving
+	// an instance and of keeping a spare instance idle for an hour.
 	MoveWeight   float64 `json:"moveWeight"`
 	BufferWeight float64 `json:"bufferWeight"`
 }
 
-// An Upstream says what one instance can take.
+// An Upstream describes the capacity of one instance and the headers of its answers.
 type Upstream struct {
-	// Slots is how many requests an instance runs at once.
+	// Slots is the number of requests that an instance runs at once.
 	Slots int `json:"slots"`
-	// Connections is how many connections an instance accepts from all entry
-	// instances together.
+	// Connections is the number of connections that an instance accepts from all
+	// entry instances together.
 	Connections int `json:"connections"`
-	// NotRunHeader is the header by which an instance says that it did not run
-	// a request.
+	// NotRunHeader is the header with which an instance answers a request that it
+	// did not run.
 	NotRunHeader string `json:"notRunHeader"`
-	// LeavingHeader is the header by which an instance says that it is leaving.
+	// LeavingHeader is the header with which an instance announces that it is
+	// leaving.
 	LeavingHeader string `json:"leavingHeader"`
 }
 
-// A Retry bounds repeated attempts.
+// A Retry limits the attempts of requests.
 type Retry struct {
-	// Ratio is how many retries are earned by one success.
+	// Ratio is the number of retries that each success adds to the retry budget.
 	Ratio float64 `json:"ratio"`
-	// MaxAttempts bounds the attempts of one request, the first included.
+	// MaxAttempts is the maximum number of attempts of one request, including the
+	// first.
 	MaxAttempts int `json:"maxAttempts"`
-	// Buffer is how much of an answer is held back before its first byte goes
-	// to the caller, in bytes, so that a cut answer can be asked for again.
+	// Buffer is how much of an answer is buffered before its first byte is sent to
+	// the caller, in bytes. The request can be retried if the answer is truncated
+	// within that part.
 	Buffer int `json:"buffer"`
 }
 
-// An Ejection says when a failing upstream is left alone.
+// An Ejection defines when a failing upstream is taken out of use for a while.
 type Ejection struct {
-	// Failures is how many failures in a row eject an upstream.
+	// Failures is the number of consecutive failures after which an upstream is
+	// ejected.
 	Failures int `json:"failures"`
-	// For is how long the first ejection lasts. Later ones last longer.
+	// For is the duration of the first ejection. Later ones last longer.
 	For Duration `json:"for"`
-	// Most is the largest part of a service's upstreams that may be ejected.
+	// Most is the largest fraction of a service's upstreams that may be ejected.
 	Most float64 `json:"most"`
 }
 
-// Maintenance bounds what waves and moves may do to a pool.
+// Maintenance limits what waves and moves may do to a pool.
 type Maintenance struct {
-	// Budget is how many of Size instances may be out of service at once, for
-	// any reason, over all availability zones.
+	// Budget is how many of the pool's Size instances may be out of service at
+	// once, for any reason, in all availability zones together.
 	Budget Count `json:"budget"`
-	// Speed is how many instances a wave may have out of service at once. The
-	// budget bounds it further.
+	// Speed is how many instances a wave may have out of service at once. Budget
+	// is a further limit.
 	Speed Count `json:"speed"`
-	// Period is how often every instance is maintained; zero for never.
+	// Period is the time between maintenances of an instance; zero for none.
 	Period Duration `json:"period"`
-	// DrainQuiet is how long an instance must be seen idle before it reboots.
+	// DrainQuiet is how long an instance must be observed idle before it reboots.
 	DrainQuiet Duration `json:"drainQuiet"`
-	// DrainBound is how long an instance may drain before the wave passes it by.
+	// DrainBound is how long an instance may drain before the wave skips it.
 	DrainBound Duration `json:"drainBound"`
-	// ReturnBound is how long an instance may take to come back before it
-	// counts as failed.
+	// ReturnBound is how long a reboot may take before the instance counts as
+	// failed.
 	ReturnBound Duration `json:"returnBound"`
-	// StopAfter is how many instances of a wave may fail before it stops.
+	// StopAfter is the number of failed instances at which a wave stops.
 	StopAfter int `json:"stopAfter"`
 }
 
-// setDefaults sets what a document leaves out.
+// setDefaults sets the fields that the document omits.
 func (t *Template) setDefaults() {
 	if t.Service == "" {
 		t.Service = t.Name
@@ -223,7 +232,7 @@
 	}
 }
 
-// setDefault sets *field to value if it has its zero value.
+// setDefault sets *field to value if it is zero.
 func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
--- a/config/units.go
+++ b/config/units.go
@@ -8,41 +8,44 @@
 	"time"
 )
 
-// This file defines the values with a unit: durations and fractions.
+// This file defines the values of documents that are written with a unit, the
+// errors of invalid documents, and the checks of fields.
 
 // A Duration is a length of time in a document, written with its unit, such as
-// "250ms". What cannot be read is kept, so that the check can name the field.
+// "250ms". Decoding keeps text that cannot be parsed, so that the check can name
+// the field.
 type Duration struct {
-	raw   string
-	value time.Duration
-	bad   bool
+	raw     string
+	value   time.Duration
+	invalid bool // raw cannot be parsed
 }
 
-// NewDuration returns the Duration of d.
+// NewDuration returns d as a Duration.
 func NewDuration(d time.Duration) Duration { return Duration{raw: d.String(), value: d} }
 
-// Value returns the length of time.
+// Value returns the length of time, zero if the text could not be parsed.
 func (d Duration) Value() time.Duration { return d.value }
 
-// String returns the value as it was written.
+// String returns the text of the duration as it was written.
 func (d Duration) String() string { return d.raw }
 
-// Valid reports whether what was written can be read.
-func (d Duration) Valid() bool { return !d.bad }
+// Valid reports whether the text of the duration could be parsed.
+func (d Duration) Valid() bool { return !d.invalid }
 
-// UnmarshalJSON reads a duration. It never fails; see Duration.
+// UnmarshalJSON reads a duration. It returns no error for text that cannot be
+// parsed: see Duration.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var s string
 	if err := json.Unmarshal(data, &s); err != nil {
-		*d = Duration{raw: string(data), bad: true}
+		*d = Duration{raw: string(data), invalid: true}
 		return nil
 	}
 	v, err := time.ParseDuration(s)
-	*d = Duration{raw: s, value: v, bad: err != nil}
+	*d = Duration{raw: s, value: v, invalid: err != nil}
 	return nil
 }
 
-// MarshalJSON writes the duration as it was read.
+// MarshalJSON returns the duration's text as it was written.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	if d.raw == "" {
 		return json.Marshal(d.value.String())
@@ -51,39 +54,40 @@
 }
 
 // IsZero reports whether the duration is absent or zero.
-func (d Duration) IsZero() bool { return d.value == 0 && !d.bad }
+func (d Duration) IsZero() bool { return d.value == 0 && !d.invalid }
 
-// A Count is a number of instances, written whole ("3") or as a part of a pool
-// ("10%"). What cannot be read is kept, so that the check can name the field.
+// A Count is a number of instances in a document, written as a number ("3") or as
+// a percentage of a pool's size ("10%"). Decoding keeps text that cannot be parsed,
+// so that the check can name the field.
 type Count struct {
 	raw      string
-	absolute int
-	percent  float64
-	bad      bool
+	absolute int     // zero for a percentage
+	percent  float64 // zero for an absolute count
+	invalid  bool    // raw cannot be parsed
 }
 
-// AbsoluteCount returns the Count of n instances.
+// AbsoluteCount returns a Count of n instances.
 func AbsoluteCount(n int) Count { return Count{raw: strconv.Itoa(n), absolute: n} }
 
-// Percent returns the Count of p hundredths of a pool.
+// Percent returns a Count of p percent of a pool's size.
 func Percent(p float64) Count {
 	return Count{raw: strconv.FormatFloat(p, 'g', -1, 64) + "%", percent: p}
 }
 
-// parseCount reads a Count.
 func parseCount(s string) Count {
 	if p, ok := strings.CutSuffix(s, "%"); ok {
 		v, err := strconv.ParseFloat(p, 64)
-		return Count{raw: s, percent: v, bad: err != nil}
+		return Count{raw: s, percent: v, invalid: err != nil}
 	}
 	n, err := strconv.Atoi(s)
-	return Count{raw: s, absolute: n, bad: err != nil}
+	return Count{raw: s, absolute: n, invalid: err != nil}
 }
 
-// RoundDown returns the count for a pool of size instances, rounded down.
+// RoundDown returns the number of instances in a pool of the given size, rounded
+// down.
 func (c Count) RoundDown(size int) int { return c.absolute + int(c.percent*float64(size)/100) }
 
-// RoundUp returns the count for a pool of size instances, rounded up.
+// RoundUp returns the number of instances in a pool of the given size, rounded up.
 func (c Count) RoundUp(size int) int {
 	part := c.percent * float64(size) / 100
 	n := int(part)
@@ -93,13 +97,14 @@
 	return c.absolute + n
 }
 
-// String returns the value as it was written.
+// String returns the text of the count as it was written.
 func (c Count) String() string { return c.raw }
 
 // IsZero reports whether the count is absent.
 func (c Count) IsZero() bool { return c.raw == "" }
 
-// UnmarshalJSON reads a count. It never fails; see Count.
+// UnmarshalJSON reads a count. It returns no error for text that cannot be parsed:
+// see Count.
 func (c *Count) UnmarshalJSON(data []byte) error {
 	var s string
 	if err := json.Unmarshal(data, &s); err == nil {
@@ -110,22 +115,22 @@
 	return nil
 }
 
-// MarshalJSON writes the count as it was read.
+// MarshalJSON returns the count's text as it was written.
 func (c Count) MarshalJSON() ([]byte, error) { return json.Marshal(c.raw) }
 
-// A FieldError says which field of which document is wrong, and how.
+// A FieldError reports an invalid field of a document.
 type FieldError struct {
-	Source string // the file or the request that held the document
-	Field  string // the path of the field, such as "routes[0].timeout"
-	Value  string // the value as it was written
-	Reason string // what is wrong with it
+	Source string // file or request that held the document
+	Field  string // path of the field, such as "routes[0].timeout"
+	Value  string // value as it was written
+	Reason string // why the value is invalid
 }
 
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("%s: %s: %q: %s", e.Source, e.Field, e.Value, e.Reason)
 }
 
-// A CheckError holds every field that is wrong.
+// A CheckError holds the errors of all invalid fields.
 type CheckError struct {
 	Fields []*FieldError
 }
@@ -138,7 +143,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap returns the fields' errors.
+// Unwrap returns the errors of the fields.
 func (e *CheckError) Unwrap() []error {
 	errs := make([]error, len(e.Fields))
 	for i, f := range e.Fields {
@@ -147,7 +152,7 @@
 	return errs
 }
 
-// A checker gathers what is wrong with one document.
+// A checker collects the errors of one document's fields.
 type checker struct {
 	source string
 	fields []*FieldError
@@ -194,7 +199,7 @@
 
 func (c *checker) duration(field string, value Duration, low, high time.Duration) {
 	switch {
-	case value.bad:
+	case value.invalid:
 		c.fail(field, value.raw, "must be a duration with its unit, such as \"250ms\"")
 	case value.value < low || value.value > high:
 		c.fail(field, value.raw, "must be from %v to %v", low, high)
@@ -203,7 +208,7 @@
 
 func (c *checker) count(field string, value Count) {
 	switch {
-	case value.bad:
+	case value.invalid:
 		c.fail(field, value.raw, "must be a whole number of instances or a part of the pool, such as \"3\" or \"10%%\"")
 	case value.absolute < 0 || value.absolute > maxPoolSize:
 		c.fail(field, value.raw, "must be from 0 to %d", maxPoolSize)
