--- a/memory/kv.go
+++ b/memory/kv.go
@@ -10,26 +10,27 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines the store as a pointport.KV: transactions, ranges, watches
-// on prefixes, and leases that keys go with.
+// This file defines access to the store as a pointport.KV: transactions, ranges,
+// watches of prefixes, and leases that keys are attached to.
 
-// maxPageKeys is how many keys a page of a range holds at most.
+// maxPageKeys limits the keys in a page of a range.
 const maxPageKeys = 500
 
-// A grant is a lease that keys go with.
+// A grant is a lease that keys can be attached to. They are removed when it ends.
 type grant struct {
 	ttl   time.Duration
 	until time.Time
 }
 
-// A change is a key as it was written at a revision.
+// A change is the entry of a key as of a revision. The entry of a removed key has
+// revision zero.
 type change struct {
 	at    pointport.Revision
 	entry pointport.Entry
 }
 
-// A KV is a Store as one caller reaches it, with the faults and the latency of
-// that caller's calls. It is safe for concurrent use.
+// A KV is a connection of one caller to a Store. Faults and latency are set for each
+// connection. It is safe for concurrent use.
 type KV struct {
 	store   *Store
 	inject  Injector
@@ -38,17 +39,17 @@
 
 var _ pointport.KV = (*KV)(nil)
 
-// A KVOption changes how a caller reaches the store.
+// A KVOption changes how a KV behaves.
 type KVOption func(*KV)
 
-// WithFaults makes a caller's calls fail as inject says. The names of the calls
-// are "get", "commit", "range", "watch", "grant", "renew" and "revoke".
+// WithFaults sets the function that chooses the fault of each call. The names of the
+// operations are "get", "commit", "range", "watch", "grant", "renew" and "revoke".
 func WithFaults(inject Injector) KVOption { return func(k *KV) { k.inject = inject } }
 
-// WithLatency sets how long each call takes at least.
+// WithLatency sets the minimum duration of each call.
 func WithLatency(d time.Duration) KVOption { return func(k *KV) { k.latency = d } }
 
-// KV returns the store as one caller reaches it.
+// KV returns a new connection to the store.
 func (s *Store) KV(options ...KVOption) *KV {
 	k := &KV{store: s, inject: func(string, string) Fault { return FaultNone }}
 	for _, o := range options {
@@ -57,15 +58,17 @@
 	return k
 }
 
-// errDeaf is the cause of a call's end without an answer, errSilentWatch of a watch's that is
-// told only after its wait.
+// errNoAnswer is the cause of the error of a call without an answer, and
+// errWatchTimeout that of a watch without an answer, which fails only after its wait.
 var (
 	errNoAnswer     = errors.New("stand-in store gave no answer")
 	errWatchTimeout = errors.New("stand-in store gave no answer to a watch")
 )
 
-// call runs one operation under its fault and returns its answer. A call without an
-// answer waits until its context ends, as on a network.
+// call runs one operation with the fault that is injected for it, and returns its
+// answer. A call without an answer waits for callTimeout or until its context ends, as
+// on a network. If changes is true, the operation may change the store, so that its
+// effect is ambiguous when no answer comes.
 func call[T any](ctx context.Context, k *KV, op, key string, changes bool, run func() (T, error)) (T, error) {
 	var none T
 	if err := k.sleep(ctx, k.latency); err != nil {
@@ -87,14 +90,14 @@
 			k.store.mu.Lock()
 			defer k.store.mu.Unlock()
 			k.store.expireLeases()
-			// Its caller has long gone and hears of no refusal.
+			// The caller has given up waiting, so nobody gets the result.
 			_, _ = run()
 		}()
 		return none, k.waitUnanswered(ctx, op, key, changes)
 	}
 	k.store.mu.Lock()
 	if k.store.expireLeases() {
-		k.store.notifyWatches() // watches hear of it as soon as any call shows it
+		k.store.notifyWatches() // any call that ends a lease shows that to watches
 	}
 	answer, err := run()
 	k.store.mu.Unlock()
@@ -104,13 +107,16 @@
 	return answer, err
 }
 
-// lateDelay is how much later a late call is carried out.
+// lateDelay is the delay after which a call with FaultLate takes effect. It is longer
+// than callTimeout.
 const lateDelay = 1500 * time.Millisecond
 
 // callTimeout is how long a caller waits for an answer, unless its context ends
 // sooner.
 const callTimeout = time.Second
 
+// waitUnanswered waits for callTimeout or until ctx ends, and returns the error of a
+// call without an answer.
 func (k *KV) waitUnanswered(ctx context.Context, op, key string, changes bool) error {
 	select {
 	case <-ctx.Done():
@@ -119,6 +125,7 @@
 	return &pointport.UnavailableError{Op: op, Key: key, Ambiguous: changes, Err: errNoAnswer}
 }
 
+// sleep waits for d, and returns the error of ctx if that ends first.
 func (k *KV) sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
@@ -131,7 +138,8 @@
 	}
 }
 
-// Get returns the state of key.
+// Get returns the entry of key. The entry of a key that does not exist has revision
+// zero.
 func (k *KV) Get(ctx context.Context, key string) (pointport.Entry, error) {
 	return call(ctx, k, "get", key, false, func() (pointport.Entry, error) {
 		k.store.counts.Reads++
@@ -139,7 +147,11 @@
 	})
 }
 
-// Commit makes a change of several keys.
+// Commit writes and deletes several keys in one transaction if all its conditions
+// hold, and returns the revision of the store afterwards. It fails with a
+// *pointport.TxnConflictError if a condition does not hold, with a
+// *pointport.LeaseEndedError if a key is to be attached to a lease that has ended, and
+// with a *pointport.UnavailableError if the transaction has too many entries.
 func (k *KV) Commit(ctx context.Context, txn pointport.Txn) (pointport.Revision, error) {
 	name := ""
 	if len(txn.Put) > 0 {
@@ -150,7 +162,7 @@
 	})
 }
 
-// commit makes a change. The lock is held.
+// commit carries out a transaction. The lock is held.
 func (s *Store) commit(txn pointport.Txn) (pointport.Revision, error) {
 	s.counts.Writes++
 	if txn.Entries() > pointport.MaxTxnEntries {
@@ -168,7 +180,7 @@
 		}
 	}
 	if len(txn.Put)+len(txn.Delete) == 0 {
-		return s.revision, nil // a read under conditions
+		return s.revision, nil // the transaction only checks its conditions
 	}
 	s.revision++
 	for _, p := range txn.Put {
@@ -188,7 +200,7 @@
 	return s.revision, nil
 }
 
-// remove deletes a key at the present revision. The lock is held.
+// remove deletes a key at the current revision. The lock is held.
 func (s *Store) remove(key string) {
 	if _, ok := s.entries[key]; !ok {
 		return
@@ -197,6 +209,8 @@
 	s.history = append(s.history, change{s.revision, pointport.NewEntry(key, nil, 0)})
 }
 
+// conflict returns an error with the current entries of the keys in conditions. The
+// lock is held.
 func (s *Store) conflict(conditions []pointport.Condition) error {
 	e := &pointport.TxnConflictError{}
 	for _, c := range conditions {
@@ -207,7 +221,8 @@
 	return e
 }
 
-// Range returns the keys under prefix that come after the key named.
+// Range returns the entries whose keys have the prefix and sort after the key after,
+// at most maxPageKeys of them.
 func (k *KV) Range(ctx context.Context, prefix, after string) (pointport.Page, error) {
 	return call(ctx, k, "range", prefix, false, func() (pointport.Page, error) {
 		k.store.counts.Reads++
@@ -215,6 +230,7 @@
 	})
 }
 
+// page returns a page of a range. The lock is held.
 func (s *Store) page(prefix, after string) pointport.Page {
 	page := pointport.Page{At: s.revision}
 	for key, e := range s.entries {
@@ -229,23 +245,26 @@
 	return page
 }
 
-// A watchResult is what a watch has found, and when to look again.
+// A watchResult holds the changes that a watch has found.
 type watchResult struct {
 	changes pointport.Changes
-	next    <-chan struct{}
+	next    <-chan struct{} // closed when there may be more changes
 }
 
-// WatchPrefix returns the changes of keys under prefix after a revision.
+// WatchPrefix returns the changes of keys with the prefix after a revision. It waits
+// for the first one, and returns none if there is none within wait. It fails with a
+// *pointport.CompactedError if the history after that revision is not complete.
 func (k *KV) WatchPrefix(ctx context.Context, prefix string, after pointport.Revision, wait time.Duration) (pointport.Changes, error) {
 	end := k.store.clock.After(wait)
 	for {
-		heard, err := call(ctx, k, "watch", prefix, false, func() (watchResult, error) {
+		found, err := call(ctx, k, "watch", prefix, false, func() (watchResult, error) {
 			k.store.counts.Watches++
 			if after < k.store.compactedAt {
 				return watchResult{}, &pointport.CompactedError{Prefix: prefix, After: after}
 			}
 			if k.store.dropEvents {
-				// It says that it is up to date all the same.
+				// The answer claims to include everything up to the current
+				// revision, so the caller cannot notice the omission.
 				return watchResult{pointport.Changes{At: k.store.revision}, k.store.changed}, nil
 			}
 			return watchResult{k.store.changesAfter(prefix, after), k.store.changed}, nil
@@ -253,20 +272,21 @@
 		if errors.Is(err, errWatchTimeout) {
 			_ = k.sleep(ctx, wait+callTimeout)
 		}
-		if err != nil || len(heard.changes.Entries) > 0 {
-			return heard.changes, err
+		if err != nil || len(found.changes.Entries) > 0 {
+			return found.changes, err
 		}
 		select {
-		case <-heard.next:
+		case <-found.next:
 		case <-end:
-			return pointport.Changes{At: max(heard.changes.At, after)}, nil
+			return pointport.Changes{At: max(found.changes.At, after)}, nil
 		case <-ctx.Done():
 			return pointport.Changes{}, &pointport.UnavailableError{Op: "watch", Key: prefix, Err: ctx.Err()}
 		}
 	}
 }
 
-// changesAfter returns the changes under prefix after a revision. The lock is held.
+// changesAfter returns the changes of keys with the prefix after a revision. The lock
+// is held.
 func (s *Store) changesAfter(prefix string, after pointport.Revision) pointport.Changes {
 	out := pointport.Changes{At: s.revision}
 	for _, c := range s.history {
@@ -277,8 +297,8 @@
 	return out
 }
 
-// Compact drops the history of changes, so that watches from before must read
-// anew.
+// Compact drops the history of changes. Watches from an older revision fail, and
+// their callers must read the keys again.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -286,15 +306,16 @@
 	s.notifyWatches()
 }
 
-// DropWatchEvents makes watches hear nothing, or hear again.
-func (s *Store) DropWatchEvents(deaf bool) {
+// DropWatchEvents sets whether watches of prefixes omit all changes although their
+// answers claim to be complete.
+func (s *Store) DropWatchEvents(drop bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dropEvents = deaf
+	s.dropEvents = drop
 	s.notifyWatches()
 }
 
-// ExpireKey removes a key as if its lease had ended, while the lease lives on.
+// ExpireKey removes a key as if its lease had ended, although the lease goes on.
 func (s *Store) ExpireKey(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -303,7 +324,7 @@
 	s.notifyWatches()
 }
 
-// Grant makes a lease.
+// Grant creates a lease that ends after ttl unless it is renewed.
 func (k *KV) Grant(ctx context.Context, ttl time.Duration) (pointport.LeaseID, error) {
 	return call(ctx, k, "grant", "", true, func() (pointport.LeaseID, error) {
 		s := k.store
@@ -315,7 +336,8 @@
 	})
 }
 
-// Renew starts a lease's time anew.
+// Renew extends a lease to its full TTL from now. It fails with a
+// *pointport.LeaseEndedError if the lease has ended.
 func (k *KV) Renew(ctx context.Context, lease pointport.LeaseID) error {
 	_, err := call(ctx, k, "renew", "", true, func() (struct{}, error) {
 		s := k.store
@@ -331,7 +353,8 @@
 	return err
 }
 
-// Revoke ends a lease; its keys go at once.
+// Revoke ends a lease and removes its keys at once. It fails with a
+// *pointport.LeaseEndedError if the lease has ended.
 func (k *KV) Revoke(ctx context.Context, lease pointport.LeaseID) error {
 	_, err := call(ctx, k, "revoke", "", true, func() (struct{}, error) {
 		s := k.store
@@ -346,11 +369,12 @@
 	return err
 }
 
-// expireAfter has waiting watches look again once a lease may have ended.
+// expireAfter ends leases after ttl if they are due by then, and notifies waiting
+// watches.
 func (s *Store) expireAfter(ttl time.Duration) {
-	over := s.clock.After(ttl + time.Millisecond)
+	due := s.clock.After(ttl + time.Millisecond)
 	go func() {
-		<-over
+		<-due
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.expireLeases() {
@@ -359,7 +383,8 @@
 	}()
 }
 
-// expireLeases ends the leases that are over. The lock is held.
+// expireLeases ends the leases whose time has passed, and reports whether there were
+// any. The lock is held.
 func (s *Store) expireLeases() bool {
 	now, ended := s.clock.Now(), false
 	for id, g := range s.grants {
--- a/memory/store.go
+++ b/memory/store.go
@@ -1,10 +1,10 @@
-// Package memory implements pointport.Store in memory. It is the stand-in for
-// the platform's service in tests and in the embedded default, and it can be
-// told to fail in the ways that the real service does.
+// Package memory implements pointport.Store and pointport.KV in memory. It stands
+// in for the platform's store in tests and in the embedded default, and can inject
+// the faults of the real one.
 //
-// Invariants: a revision grows with every change of any key and is never used
-// twice; a change that a fault makes ambiguous has either taken effect wholly
-// or not at all.
+// Invariants: each write of a value gets a higher revision than all writes before; a
+// change whose outcome a fault makes ambiguous has taken effect either completely or
+// not at all.
 package memory
 
 import (
@@ -21,40 +21,41 @@
 // A Fault is the way in which a call fails.
 type Fault int
 
-// The faults that can be brought about.
+// The faults that can be injected.
 const (
-	FaultNone         Fault = iota // the call works
+	FaultNone         Fault = iota // the call succeeds
 	FaultDown                      // the call fails and has no effect
 	FaultLostAnswer                // the call takes effect and its answer is lost
-	FaultLostCall                  // the call has no effect, and the caller cannot tell
-	FaultBusy                      // the call is refused because there are too many
-	FaultLate                      // the call takes effect seconds later, without an answer
-	FaultWatchTimeout              // a watch gets no answer, which its caller notices after its wait
+	FaultLostCall                  // the call has no effect, but the caller cannot know that
+	FaultBusy                      // the call is refused because of too many calls
+	FaultLate                      // a KV's call takes effect after lateDelay, without an answer
+	FaultWatchTimeout              // a KV's watch gets no answer, which the caller notices after its wait
 )
 
-// errDown is the cause of every failure that a fault brings about.
+// errDown is the cause of the error of a call with FaultDown.
 var errDown = errors.New("stand-in store is down")
 
-// errBusy is the cause of every refusal of a call as one of too many.
+// errBusy is the cause of the error of a call with FaultBusy.
 var errBusy = errors.New("stand-in store has too many calls")
 
-// errLostAnswer is the cause of every lost answer.
+// errLostAnswer is the cause of the error of a Store's call with FaultLostAnswer or
+// FaultLostCall.
 var errLostAnswer = errors.New("stand-in store lost the answer")
 
-// An Injector decides the fault of each call from its name ("get", "cas",
-// "delete", "watch", "lease", "release") and its key. It runs without the
-// store's lock held, so it may change the store.
+// An Injector chooses the fault of each call from the name of the operation ("get",
+// "cas", "delete", "watch", "lease", "release") and its key. It is called without
+// the store's lock held, so it may call the store.
 type Injector func(op, key string) Fault
 
-// Counts holds how many calls a store has had.
+// Counts holds statistics of a store's calls.
 type Counts struct {
-	Reads     int64 `json:"reads"`     // calls of Get
-	Writes    int64 `json:"writes"`    // calls of CompareAndSwap and Delete
-	Watches   int64 `json:"watches"`   // calls of Watch
-	Leases    int64 `json:"leases"`    // calls of Lease and Release
-	BytesOut  int64 `json:"bytesOut"`  // bytes of values returned
+	Reads     int64 `json:"reads"`     // calls of Get and Range
+	Writes    int64 `json:"writes"`    // calls of CompareAndSwap, Delete and Commit
+	Watches   int64 `json:"watches"`   // calls of Watch, and reads by WatchPrefix
+	Leases    int64 `json:"leases"`    // calls of Lease, Release, Grant, Renew and Revoke
+	BytesOut  int64 `json:"bytesOut"`  // bytes of values returned by Get and Watch of a Store
 	BytesIn   int64 `json:"bytesIn"`   // bytes of values written
-	Conflicts int64 `json:"conflicts"` // writes that another writer beat
+	Conflicts int64 `json:"conflicts"` // writes refused because of another write
 }
 
 // A Store is a key-value service in memory. It is safe for concurrent use.
@@ -66,14 +67,14 @@
 	revision pointport.Revision
 	entries  map[string]pointport.Entry
 	leases   map[string]lease
-	changed  chan struct{} // closed and replaced at every change
+	changed  chan struct{} // closed and replaced to make waiting watches read again
 	counts   Counts
 
 	grants      map[pointport.LeaseID]*grant
 	lastLease   pointport.LeaseID
 	history     []change
-	compactedAt pointport.Revision // changes up to here are forgotten
-	dropEvents  bool               // watches hear nothing
+	compactedAt pointport.Revision // history holds only changes after this revision
+	dropEvents  bool               // watches of prefixes return no changes
 }
 
 type lease struct {
@@ -91,10 +92,10 @@
 // An Option changes how a Store behaves.
 type Option func(*Store)
 
-// WithInjector makes the store fail as inject says.
+// WithInjector sets the function that chooses the fault of each call.
 func WithInjector(inject Injector) Option { return func(s *Store) { s.inject = inject } }
 
-// New returns an empty store whose leases run by clock.
+// New returns an empty store. Leases expire by clock.
 func New(clock pointport.Clock, options ...Option) *Store {
 	s := &Store{
 		clock:   clock,
@@ -110,28 +111,28 @@
 	return s
 }
 
-// SetInjector replaces the decision about faults.
+// SetInjector replaces the function that chooses the fault of each call.
 func (s *Store) SetInjector(inject Injector) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inject = inject
 }
 
-// Counts returns how many calls the store has had so far.
+// Counts returns the statistics of the store's calls so far.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// KeyCount returns how many keys exist.
+// KeyCount returns the number of keys.
 func (s *Store) KeyCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.entries)
 }
 
-// StoredBytes returns how many bytes all values have together.
+// StoredBytes returns the total size of all values, in bytes.
 func (s *Store) StoredBytes() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,7 +143,7 @@
 	return n
 }
 
-// call runs one operation under its fault.
+// call runs one operation with the fault that is injected for it.
 func (s *Store) call(ctx context.Context, op, key string, run func() error) error {
 	if err := ctx.Err(); err != nil {
 		return &pointport.UnavailableError{Op: op, Key: key, Err: err}
@@ -168,7 +169,8 @@
 	return err
 }
 
-// Get returns the state of key.
+// Get returns the entry of key. The entry of a key that does not exist has revision
+// zero.
 func (s *Store) Get(ctx context.Context, key string) (pointport.Entry, error) {
 	var e pointport.Entry
 	err := s.call(ctx, "get", key, func() error {
@@ -190,7 +192,9 @@
 	return pointport.NewEntry(key, nil, 0)
 }
 
-// CompareAndSwap sets key to value if its revision is still have.
+// CompareAndSwap sets key to value and returns its new revision. It fails with a
+// *pointport.ConflictError if the key's revision is not have, zero for a key that does
+// not exist.
 func (s *Store) CompareAndSwap(ctx context.Context, key string, have pointport.Revision, value []byte) (pointport.Revision, error) {
 	var rev pointport.Revision
 	err := s.call(ctx, "cas", key, func() error {
@@ -211,7 +215,8 @@
 	return rev, nil
 }
 
-// Delete removes key if its revision is still have.
+// Delete removes key. It fails with a *pointport.ConflictError if the key's revision
+// is not have.
 func (s *Store) Delete(ctx context.Context, key string, have pointport.Revision) error {
 	return s.call(ctx, "delete", key, func() error {
 		s.counts.Writes++
@@ -224,6 +229,8 @@
 	})
 }
 
+// check returns a *pointport.ConflictError if key's revision is not have. The lock is
+// held.
 func (s *Store) check(key string, have pointport.Revision) error {
 	if now := s.entry(key).Revision(); now != have {
 		s.counts.Conflicts++
@@ -232,14 +239,15 @@
 	return nil
 }
 
+// notifyWatches makes waiting watches read again. The lock is held.
 func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Watch waits until key has a revision greater than after, or ctx ends. A wait
-// that ends by ctx returns the unchanged state, as the real service does when
-// it ends a long wait.
+// Watch waits until key has a revision greater than after, and returns its entry. If
+// ctx ends first, Watch returns the unchanged entry without an error, as the real
+// store does when it ends a long wait.
 func (s *Store) Watch(ctx context.Context, key string, after pointport.Revision) (pointport.Entry, error) {
 	err := s.call(ctx, "watch", key, func() error {
 		s.counts.Watches++
@@ -265,7 +273,8 @@
 	}
 }
 
-// Lease grants or extends a lease.
+// Lease grants a lease to holder for ttl, or extends it. It fails with a
+// *pointport.HeldError while another holder has it.
 func (s *Store) Lease(ctx context.Context, name, holder string, ttl time.Duration) error {
 	return s.call(ctx, "lease", name, func() error {
 		s.counts.Leases++
@@ -278,7 +287,7 @@
 	})
 }
 
-// Release ends holder's lease, if it still has it.
+// Release ends the lease called name if holder has it.
 func (s *Store) Release(ctx context.Context, name, holder string) error {
 	return s.call(ctx, "release", name, func() error {
 		s.counts.Leases++
