--- a/clock/boot_time.go
+++ b/clock/boot_time.go
@@ -10,66 +10,72 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines the clock of a machine that may be suspended. The clock by which Go
-// reckons durations and timers stands still meanwhile; the kernel's boot time does not.
+// This file defines the clock of a machine that may be suspended. Go's monotonic clock,
+// which times durations and timers, stands still during a suspension. The kernel's boot
+// time, CLOCK_BOOTTIME, goes on.
 
 const (
-	// checkInterval is how often the boot time is read when nothing tells of a suspension.
-	// The clock of Go costs no system call and this one does.
+	// checkInterval is how often the boot time is read while nothing indicates a
+	// suspension. Reading it is a system call, and reading Go's clock is not.
 	checkInterval = time.Second
-	// wallStepThreshold is by how much the time of day must have left the steady clock for the
-	// boot time to be read at once: a suspension moves it by its whole length, and
-	// corrections of a clock in use are at most half a millisecond in a second.
+	// wallStepThreshold is how far the wall clock must have moved against the
+	// monotonic clock for the boot time to be read at once. A suspension moves it by
+	// the length of the suspension, whereas corrections of a running clock are at most
+	// half a millisecond per second.
 	wallStepThreshold = 20 * time.Millisecond
-	// readTolerance is by how much two readings made one after the other may differ.
+	// readTolerance is the time within which two readings count as made at the same
+	// moment, and the length below which a suspension is ignored.
 	readTolerance = 5 * time.Millisecond
-	// maxReads is how often they are made until they are near enough.
+	// maxReads is how often two readings are attempted until they are within
+	// readTolerance.
 	maxReads = 3
-	// minReported is how long a suspension must be to be told of; shorter ones count too.
+	// minReported is the length from which a suspension is reported. Shorter ones are
+	// only counted.
 	minReported = 100 * time.Millisecond
 )
 
-// A Suspension is a time for which the machine stood still.
+// A Suspension is a period during which the machine was suspended.
 type Suspension struct {
-	// Steady is how long the steady clock has counted since the process began, Boot how
-	// long it was, Lasted for how much of the difference this suspension stands.
+	// Steady is the time since the process began by the monotonic clock, Boot the same
+	// by the boot time, and Lasted the part of the difference that this suspension is.
 	Steady, Boot, Lasted time.Duration
 }
 
-// BootTime is the machine's clock, and counts suspended time where it says so. It is safe for
+// BootTime is the machine's clock, with suspended time counted by Steady. It is safe for
 // concurrent use.
 type BootTime struct {
 	System
-	start        time.Time     // of the process, with its steady reading
-	origin       time.Duration // the boot time then
+	start        time.Time     // when the clock was made, with its monotonic reading
+	origin       time.Duration // boot time at start
 	readBoot     func() (time.Duration, error)
 	onSuspension func(Suspension)
 
 	mu         sync.Mutex
 	checkedAt  time.Duration // when the boot time was last read, since start
-	wallOffset time.Duration // of the time of day before the steady clock then
-	suspended  time.Duration // since start
+	wallOffset time.Duration // by how much the wall clock was ahead of the monotonic clock then
+	suspended  time.Duration // in total since start
 }
 
 var _ pointport.Clock = (*BootTime)(nil)
 
-// A BootTimeOption changes a Boot.
+// A BootTimeOption changes how a BootTime behaves.
 type BootTimeOption func(*BootTime)
 
-// OnSuspension sets a function that is told of each suspension of a tenth of a second or
-// more, by whoever asks for the time first after it.
-func OnSuspension(tell func(Suspension)) BootTimeOption {
-	return func(b *BootTime) { b.onSuspension = tell }
+// OnSuspension sets a function that is called for each suspension of at least a tenth of
+// a second, by the first call of Steady that detects it.
+func OnSuspension(report func(Suspension)) BootTimeOption {
+	return func(b *BootTime) { b.onSuspension = report }
 }
 
-// WithBootTime sets how the boot time is read.
+// WithBootTime sets the function that reads the boot time. By default it reads
+// CLOCK_BOOTTIME.
 func WithBootTime(read func() (time.Duration, error)) BootTimeOption {
 	return func(b *BootTime) { b.readBoot = read }
 }
 
-// NewBootTime returns the machine's clock. Where the boot time cannot be read it returns the
-// error with a clock that counts no suspended time: what rests on it is then as good as
-// the steady clock, which a suspended machine must not be used with.
+// NewBootTime returns the machine's clock. If the boot time cannot be read, it returns an
+// error and a clock that counts no suspended time. What relies on that clock is only as
+// reliable as the monotonic clock, which must not be used on a machine that is suspended.
 func NewBootTime(options ...BootTimeOption) (*BootTime, error) {
 	b := &BootTime{start: time.Now(), readBoot: kernelBootTime, onSuspension: func(Suspension) {}}
 	for _, o := range options {
@@ -84,6 +90,7 @@
 	return b, nil
 }
 
+// kernelBootTime returns CLOCK_BOOTTIME.
 func kernelBootTime() (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
@@ -92,9 +99,10 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// readBoth returns the boot time and the steady time since start at one moment. A process
-// that is kept from running between two readings reads once more: the time would count as
-// suspended although the steady clock has gone on.
+// readBoth returns the boot time and the monotonic time since start at one moment. If the
+// process was kept from running between the two readings, readBoth reads again: otherwise
+// that time would count as suspended although the monotonic clock has gone on. It returns
+// false if no attempt succeeds.
 func (b *BootTime) readBoth() (boot, steady time.Duration, ok bool) {
 	for range maxReads {
 		before := time.Since(b.start)
@@ -106,32 +114,32 @@
 	return 0, 0, false
 }
 
-// Steady returns a time that has gone on while the machine was suspended.
+// Steady returns a time that includes the time during which the machine was suspended.
 func (b *BootTime) Steady() time.Time {
 	now := time.Now()
-	suspended, told := b.measure(now)
-	if told != nil {
-		b.onSuspension(*told)
+	suspended, detected := b.measure(now)
+	if detected != nil {
+		b.onSuspension(*detected)
 	}
 	return now.Add(suspended)
 }
 
-// measure returns for how long the machine has been suspended since the process began,
-// and what is to be told of it.
+// measure returns how long the machine has been suspended in total since start, and the
+// suspension to report, nil if there is none.
 func (b *BootTime) measure(now time.Time) (time.Duration, *Suspension) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	steady := now.Sub(b.start)
-	ahead := now.Round(0).Sub(b.start.Round(0)) - steady
-	moved := (ahead - b.wallOffset).Abs() > wallStepThreshold
+	offset := now.Round(0).Sub(b.start.Round(0)) - steady
+	moved := (offset - b.wallOffset).Abs() > wallStepThreshold
 	if b.readBoot == nil || !moved && steady-b.checkedAt < checkInterval {
 		return b.suspended, nil
 	}
 	boot, steady, ok := b.readBoth()
 	if !ok {
-		return b.suspended, nil // the next question tries again
+		return b.suspended, nil // the next call reads again
 	}
-	b.checkedAt, b.wallOffset = steady, ahead
+	b.checkedAt, b.wallOffset = steady, offset
 	lasted := boot - b.origin - steady - b.suspended
 	if lasted < readTolerance {
 		return b.suspended, nil
--- a/clock/boot_time_test.go
+++ b/clock/boot_time_test.go
@@ -9,16 +9,16 @@
 	"github.com/pointport/pointport/clock"
 )
 
-// A suspension shows as boot time that the steady clock has not counted. It counts from
-// the next check on, once, and is told of if it is long.
-func TestBootClockCountsSuspendedTime(t *testing.T) {
+// TestBootTimeCountsSuspensions checks that boot time beyond the monotonic clock is counted
+// once, from the next check on, and that only a long suspension is reported.
+func TestBootTimeCountsSuspensions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		suspended := time.Duration(0)
-		var told []clock.Suspension
+		var reported []clock.Suspension
 		c, err := clock.NewBootTime(
 			clock.WithBootTime(func() (time.Duration, error) { return time.Hour + time.Since(began) + suspended, nil }),
-			clock.OnSuspension(func(s clock.Suspension) { told = append(told, s) }))
+			clock.OnSuspension(func(s clock.Suspension) { reported = append(reported, s) }))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -35,21 +35,22 @@
 		suspended += 50 * time.Millisecond
 		time.Sleep(time.Second)
 		if got := c.Steady().Sub(first); got != 12*time.Second+50*time.Millisecond {
-			t.Errorf("%v have passed with a short suspension more, want 12.05s", got)
+			t.Errorf("%v have passed with another suspension of 50 ms, want 12.05s", got)
 		}
-		if len(told) != 1 || told[0].Lasted != 7*time.Second || told[0].Boot-told[0].Steady != 7*time.Second {
-			t.Errorf("told %+v, want the long suspension", told)
+		if len(reported) != 1 || reported[0].Lasted != 7*time.Second || reported[0].Boot-reported[0].Steady != 7*time.Second {
+			t.Errorf("reported %+v, want only the suspension of 7 s", reported)
 		}
 	})
 }
 
-// Boot time that runs behind, or cannot be read, takes nothing back.
-func TestBootClockNeverGoesBack(t *testing.T) {
+// TestBootTimeNeverGoesBack checks that the clock keeps the pace of the monotonic clock when
+// the boot time falls behind it, or can no longer be read.
+func TestBootTimeNeverGoesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		behind := time.Duration(0)
-		var fails error
-		c, err := clock.NewBootTime(clock.WithBootTime(func() (time.Duration, error) { return time.Since(began) - behind, fails }))
+		var readErr error
+		c, err := clock.NewBootTime(clock.WithBootTime(func() (time.Duration, error) { return time.Since(began) - behind, readErr }))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -58,7 +59,7 @@
 			time.Sleep(time.Second)
 			behind = time.Duration(n) * 100 * time.Millisecond
 			if n > 5 {
-				fails = errors.New("no such clock")
+				readErr = errors.New("no such clock")
 			}
 			now := c.Steady()
 			if got := now.Sub(last); got != time.Second {
@@ -69,37 +70,42 @@
 	})
 }
 
-func TestBootClockWithoutBootTime(t *testing.T) {
+// TestUnreadableBootTime checks that a clock whose boot time cannot be read from the start
+// is returned with an error, and follows the monotonic clock.
+func TestUnreadableBootTime(t *testing.T) {
 	c, err := clock.NewBootTime(clock.WithBootTime(func() (time.Duration, error) { return 0, errors.New("no such clock") }))
 	if err == nil {
 		t.Error("no error although the boot time cannot be read")
 	}
 	first := c.Steady()
 	if got := c.Steady().Sub(first); got < 0 || got > time.Second {
-		t.Errorf("%v have passed, want next to nothing", got)
+		t.Errorf("%v have passed, want 0 to 1s", got)
 	}
 }
 
-// The machine's own boot time agrees with its steady clock while it runs.
-func TestBootClockOfThisMachine(t *testing.T) {
+// TestBootTimeOfThisMachine checks that the real boot time and the monotonic clock agree
+// while the machine runs.
+func TestBootTimeOfThisMachine(t *testing.T) {
 	c, err := clock.NewBootTime(clock.OnSuspension(func(s clock.Suspension) { t.Errorf("suspended: %+v", s) }))
 	if err != nil {
 		t.Fatal(err)
 	}
-	steady, plain := c.Steady(), time.Now()
+	steady, monotonic := c.Steady(), time.Now()
 	time.Sleep(1200 * time.Millisecond)
-	if d := c.Steady().Sub(steady) - time.Since(plain); d.Abs() > 50*time.Millisecond {
-		t.Errorf("the clocks have parted by %v", d)
+	if d := c.Steady().Sub(steady) - time.Since(monotonic); d.Abs() > 50*time.Millisecond {
+		t.Errorf("the clocks differ by %v, want at most 50ms", d)
 	}
 }
 
-func TestIntervalTellsSuspensionsFromWaiting(t *testing.T) {
+// TestIntervalSeparatesSuspensions checks that an interval counts suspended time apart from
+// time that the machine was running, and none up to the tolerance.
+func TestIntervalSeparatesSuspensions(t *testing.T) {
 	c := clock.NewFake(time.Unix(1000, 0))
 	i := clock.NewInterval(c)
 	c.Advance(10 * time.Second)
 	c.Suspend(clock.SuspensionTolerance)
 	if got := i.Suspended(); got != 0 {
-		t.Errorf("suspended for %v, want none: the bound is not exceeded", got)
+		t.Errorf("suspended for %v, want 0: the tolerance is not exceeded", got)
 	}
 	c.Suspend(2 * time.Second)
 	if got, want := i.Suspended(), 2*time.Second+clock.SuspensionTolerance; got != want {
@@ -110,8 +116,10 @@
 	}
 }
 
-// A process that is kept from running between two readings has not been suspended.
-func TestBootClockIsNotMisledByAPause(t *testing.T) {
+// TestPausedProcessIsNotSuspended guards against counting a pause of the process as a
+// suspension: the process is kept from running between the readings of the two clocks, so
+// that the boot time seems to be ahead.
+func TestPausedProcessIsNotSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		pause := time.Duration(0)
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock implements pointport.Clock: System by the machine's clock, Boot by that of
-// a machine that may be suspended, and Fake by a clock that moves only when it is told to.
+// Package clock implements pointport.Clock: System is the machine's clock, BootTime the
+// clock of a machine that may be suspended, and Fake a clock that tests advance.
 package clock
 
 import (
@@ -17,18 +17,18 @@
 // Now returns the machine's time.
 func (System) Now() time.Time { return time.Now() }
 
-// Steady returns the machine's time. It counts no suspended time: Boot does.
+// Steady returns the machine's time. Unlike BootTime, it counts no suspended time.
 func (System) Steady() time.Time { return time.Now() }
 
 // After returns a channel that receives the time once, d from now.
 func (System) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
-// A Fake is a clock that moves only by Advance. It is safe for concurrent use.
+// A Fake is a clock that moves only by Advance and Suspend. It is safe for concurrent use.
 type Fake struct {
 	mu     sync.Mutex
 	now    time.Time
 	timers []timer
-	// suspended is how much more Steady has counted.
+	// suspended is the time that only Steady has counted.
 	suspended time.Duration
 }
 
@@ -39,24 +39,24 @@
 
 var _ pointport.Clock = (*Fake)(nil)
 
-// NewFake returns a clock that shows now.
+// NewFake returns a Fake whose time is now.
 func NewFake(now time.Time) *Fake { return &Fake{now: now} }
 
-// Now returns the time that the clock shows.
+// Now returns the clock's time, without the time that Suspend has added.
 func (f *Fake) Now() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.now
 }
 
-// Steady returns the time that the clock shows, and what Suspend has added.
+// Steady returns the clock's time, including the time that Suspend has added.
 func (f *Fake) Steady() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.now.Add(f.suspended)
 }
 
-// Suspend lets a time pass that only Steady counts.
+// Suspend moves the clock by d as a suspension of the machine does: only Steady counts it.
 func (f *Fake) Suspend(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -77,23 +77,23 @@
 	return c
 }
 
-// Advance moves the clock by d and wakes whoever waits for a time up to then.
+// Advance moves the clock by d and sends the time on the channels from After that are due.
 func (f *Fake) Advance(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.now = f.now.Add(d)
-	left := f.timers[:0]
-	for _, a := range f.timers {
-		if a.at.After(f.now) {
-			left = append(left, a)
+	pending := f.timers[:0]
+	for _, t := range f.timers {
+		if t.at.After(f.now) {
+			pending = append(pending, t)
 			continue
 		}
-		a.c <- f.now
+		t.c <- f.now
 	}
-	f.timers = left
+	f.timers = pending
 }
 
-// Waiting returns how many callers wait for the clock to move.
+// Waiting returns the number of channels from After that have not received a time.
 func (f *Fake) Waiting() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/clock/interval.go
+++ b/clock/interval.go
@@ -6,12 +6,14 @@
 	"github.com/pointport/pointport"
 )
 
-// SuspensionTolerance is how much suspended time is taken for none: two readings of a clock
-// are not made at once, and a process may be kept from running between them.
+// SuspensionTolerance is the suspended time up to which an interval counts as not
+// suspended. Two clocks are not read at the same moment, and the process may be kept from
+// running between the readings.
 const SuspensionTolerance = 100 * time.Millisecond
 
-// An Interval is the time since it began. What was asked before a suspension and answered
-// after it may be as old as the suspension was long.
+// An Interval measures the time since it began, including suspensions of the machine. An
+// answer to a request that was sent before a suspension may be as old as the suspension is
+// long, although the monotonic clock shows a short wait.
 type Interval struct {
 	clock       pointport.Clock
 	now, steady time.Time
@@ -22,8 +24,8 @@
 	return Interval{clock: c, now: c.Now(), steady: c.Steady()}
 }
 
-// Suspended returns for how long the machine was suspended since the interval began, zero
-// if that was no more than SuspensionBound.
+// Suspended returns how long the machine was suspended since the interval began, or zero if
+// that is at most SuspensionTolerance.
 func (i Interval) Suspended() time.Duration {
 	lasted := i.clock.Steady().Sub(i.steady) - i.clock.Now().Sub(i.now)
 	if lasted <= SuspensionTolerance {
@@ -32,6 +34,6 @@
 	return lasted
 }
 
-// Age returns how long ago the interval began, with the time for which the machine was
-// suspended.
+// Age returns how long ago the interval began, including the time during which the machine
+// was suspended.
 func (i Interval) Age() time.Duration { return i.clock.Steady().Sub(i.steady) }
--- a/memory/store.go
+++ b/memory/store.go
@@ -185,6 +185,7 @@
 	return e, nil
 }
 
+// entry returns the entry of key. The lock is held.
 func (s *Store) entry(key string) pointport.Entry {
 	if e, ok := s.entries[key]; ok {
 		return e
