--- a/clock/boot_time.go
+++ b/clock/boot_time.go
@@ -36,7 +36,7 @@
 
 // A Suspension is a period during which the machine was suspended.
 type Suspension struct {
-	// Steady is the time since the process began by the monotonic clock, Boot the same
+	// Steady is the time since the clock was made by the monotonic clock, Boot the same
 	// by the boot time, and Lasted the part of the difference that this suspension is.
 	Steady, Boot, Lasted time.Duration
 }
--- a/event/event.go
+++ b/event/event.go
@@ -1,8 +1,8 @@
 // Package event defines the numbered log events. docs/EVENTS.md is their
-// catalogue, and a test keeps both the same.
+// catalogue. A test checks that both list the same events.
 //
-// Invariant: a number is never used for another event, so that an operator's
-// alert on a number stays right.
+// Invariant: a number is never reused for another event, so that an operator's alert
+// on a number stays correct.
 package event
 
 import (
@@ -10,10 +10,10 @@
 	"log/slog"
 )
 
-// NumberAttr is the attribute of a line that holds its event's number.
+// NumberAttr is the key of the attribute that holds the number of a line's event.
 const NumberAttr = "event"
 
-// An Event is one kind of line in the log.
+// An Event is a kind of line in the log.
 type Event struct {
 	number       int
 	name         string
@@ -24,15 +24,17 @@
 	durationAttr string
 }
 
-// An option says what else there is to an event.
+// An option sets an optional property of an event.
 type option func(*Event)
 
-// withOutcomes says that an attribute tells the outcome, which is one of those named.
+// withOutcomes sets the key of the attribute that holds the outcome of the event, and
+// the possible outcomes.
 func withOutcomes(attr string, outcomes ...string) option {
 	return func(e *Event) { e.outcomeAttr, e.outcomes = attr, outcomes }
 }
 
-// withDuration says that an attribute tells how long something took.
+// withDuration sets the key of the attribute that holds the duration of what the event
+// reports.
 func withDuration(attr string) option { return func(e *Event) { e.durationAttr = attr } }
 
 // Number returns the event's number.
@@ -41,33 +43,35 @@
 // Name returns the event's short name.
 func (e Event) Name() string { return e.name }
 
-// Level returns how grave the event is.
+// Level returns the level at which the event is logged.
 func (e Event) Level() slog.Level { return e.level }
 
-// Meaning returns a sentence on what the event says.
+// Meaning returns the description of the event in the catalogue.
 func (e Event) Meaning() string { return e.meaning }
 
-// OutcomeAttr returns the attribute that tells the outcome, empty for none.
+// OutcomeAttr returns the key of the attribute that holds the outcome, empty if the
+// event has none.
 func (e Event) OutcomeAttr() string { return e.outcomeAttr }
 
-// Outcomes returns the values of the attribute that tells the outcome.
+// Outcomes returns the possible values of the attribute that holds the outcome.
 func (e Event) Outcomes() []string { return e.outcomes }
 
-// DurationAttr returns the attribute that tells how long something took, empty for
-// none.
+// DurationAttr returns the key of the attribute that holds a duration, empty if the
+// event has none.
 func (e Event) DurationAttr() string { return e.durationAttr }
 
-// Log writes the event with its attributes.
+// Log logs the event with its number and attrs.
 func (e Event) Log(logger *slog.Logger, attrs ...slog.Attr) {
 	all := append([]slog.Attr{slog.Int(NumberAttr, e.number)}, attrs...)
 	logger.LogAttrs(context.Background(), e.level, e.name, all...)
 }
 
-// All returns every event by number.
+// All returns all events, in the order of their definition.
 func All() []Event { return catalogue }
 
 var catalogue []Event
 
+// define adds an event to the catalogue and returns it.
 func define(number int, name string, level slog.Level, meaning string, options ...option) Event {
 	e := Event{number: number, name: name, level: level, meaning: meaning}
 	for _, o := range options {
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -9,8 +9,8 @@
 	"github.com/pointport/pointport/event"
 )
 
-// TestCatalogue keeps docs/EVENTS.md and the events in the code the same: each
-// event is a row there, and each row is an event.
+// TestCatalogue checks that docs/EVENTS.md has a row for each event in the code and no
+// other rows, and that no number is used twice.
 func TestCatalogue(t *testing.T) {
 	data, err := os.ReadFile("../docs/EVENTS.md")
 	if err != nil {
@@ -26,7 +26,7 @@
 	for _, e := range event.All() {
 		row := fmt.Sprintf("| %d | %s | %s | %s |", e.Number(), e.Name(), e.Level(), e.Meaning())
 		if !rows[row] {
-			t.Errorf("docs/EVENTS.md lacks the row\n%s", row)
+			t.Errorf("docs/EVENTS.md has no row\n%s", row)
 		}
 		delete(rows, row)
 		if seen[e.Number()] {
@@ -35,6 +35,6 @@
 		seen[e.Number()] = true
 	}
 	for row := range rows {
-		t.Errorf("docs/EVENTS.md has a row that is no event\n%s", row)
+		t.Errorf("docs/EVENTS.md has a row without an event in the code\n%s", row)
 	}
 }
--- a/event/rate_limiter_test.go
+++ b/event/rate_limiter_test.go
@@ -13,27 +13,27 @@
 	"github.com/pointport/pointport/event"
 )
 
-// A flood of one event is cut to its budget, other events pass, and the next line
-// of the flooding one says how many are missing.
-func TestLimit(t *testing.T) {
+// TestRateLimit checks that a burst of one event is limited, that other events are logged
+// meanwhile, and that the next line of the event holds the number of lines left out.
+func TestRateLimit(t *testing.T) {
 	var out bytes.Buffer
 	now := clock.NewFake(time.Unix(1000, 0))
-	limit := event.NewRateLimiter(slog.NewTextHandler(&out, nil), now)
-	logger := slog.New(limit).With(slog.String("node", "a"))
-	const flood = 2000
-	for range flood {
+	limiter := event.NewRateLimiter(slog.NewTextHandler(&out, nil), now)
+	logger := slog.New(limiter).With(slog.String("node", "a"))
+	const burst = 2000
+	for range burst {
 		event.TaskPlaced.Log(logger)
 	}
 	event.JobEnded.Log(logger)
 	passed := strings.Count(out.String(), "event=506")
-	if passed == 0 || passed > flood/2 {
-		t.Errorf("%d of %d lines pass", passed, flood)
+	if passed == 0 || passed > burst/2 {
+		t.Errorf("%d of %d lines are written, want at least 1 and at most half", passed, burst)
 	}
 	if !strings.Contains(out.String(), "event=502") {
 		t.Error("another event's line is left out")
 	}
-	if got := limit.LeftOut(); got != int64(flood-passed) {
-		t.Errorf("%d lines left out, want %d", got, flood-passed)
+	if got := limiter.LeftOut(); got != int64(burst-passed) {
+		t.Errorf("%d lines left out, want %d", got, burst-passed)
 	}
 	out.Reset()
 	now.Advance(time.Second)
@@ -41,55 +41,56 @@
 	event.TaskPlaced.Log(logger)
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if len(lines) != 2 || !strings.Contains(lines[0], "leftOut=1500") || strings.Contains(lines[1], "leftOut") {
-		t.Errorf("lines after the flood are %q, want the first to say what is missing", lines)
+		t.Errorf("lines after the burst are %q, want leftOut=1500 in the first only", lines)
 	}
 }
 
-// stuck is a writer that takes nothing until it is told to.
-type stuck struct {
+// blockedWriter is a writer that blocks until released is closed.
+type blockedWriter struct {
 	released chan struct{}
-	taken    bytes.Buffer
+	written  bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.released
-	return s.taken.Write(p)
+func (w *blockedWriter) Write(p []byte) (int, error) {
+	<-w.released
+	return w.written.Write(p)
 }
 
-// Callers go on while nobody reads the log, the memory that waiting lines take is
-// bounded, and what is lost is told once somebody reads again.
+// TestSinkNeverBlocks guards against a process that stops, or runs out of memory, because
+// nobody reads its log: callers go on, lines beyond a limit are dropped, and the log
+// contains the number of dropped lines once it is read again.
 func TestSinkNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &stuck{released: make(chan struct{})}
+		out := &blockedWriter{released: make(chan struct{})}
 		sink := event.StartSink(out, clock.System{})
 		line := []byte(strings.Repeat("x", 1000) + "\n")
 		from := time.Now()
-		const flood = 4000
-		for range flood {
+		const burst = 4000
+		for range burst {
 			if n, err := sink.Write(line); n != len(line) || err != nil {
-				t.Fatalf("a line is refused: %d, %v", n, err)
+				t.Fatalf("Write returns %d, %v, want %d, nil", n, err, len(line))
 			}
 		}
 		if took := time.Since(from); took != 0 {
 			t.Errorf("callers waited %v", took)
 		}
 		dropped := sink.Dropped()
-		if dropped == 0 || dropped == flood {
-			t.Errorf("%d of %d lines are dropped", dropped, flood)
+		if dropped == 0 || dropped == burst {
+			t.Errorf("%d of %d lines are dropped, want some but not all", dropped, burst)
 		}
 		close(out.released)
 		sink.Close()
-		written := strings.Count(out.taken.String(), string(line))
-		if int64(written) != flood-dropped {
-			t.Errorf("%d lines written and %d dropped, want %d in all", written, dropped, flood)
+		written := strings.Count(out.written.String(), string(line))
+		if int64(written) != burst-dropped {
+			t.Errorf("%d lines written and %d dropped, want %d in total", written, dropped, burst)
 		}
-		if !strings.Contains(out.taken.String(), event.LinesDropped.Name()) {
-			t.Error("the log does not say that lines are missing")
+		if !strings.Contains(out.written.String(), event.LinesDropped.Name()) {
+			t.Error("the log does not contain the number of dropped lines")
 		}
 	})
 }
 
-// A line that comes after Close is counted as dropped.
+// TestSinkAfterClose checks that a line written after Close is counted as dropped.
 func TestSinkAfterClose(t *testing.T) {
 	sink := event.StartSink(io.Discard, clock.System{})
 	sink.Close()
--- a/event/sink.go
+++ b/event/sink.go
@@ -10,37 +10,37 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines the sink: it takes log lines without ever blocking, and
-// writes many of them at once.
+// This file defines the sink, which accepts log lines without blocking and writes many of
+// them at once.
 
 const (
-	// maxWaitingBytes bounds the lines that wait to be written. Beyond it lines are
+	// maxWaitingBytes limits the lines that wait to be written. Further lines are
 	// dropped and counted.
 	maxWaitingBytes = 512 << 10
-	// flushDelay is how long lines wait for others before they are written. Each
-	// write is a system call, and those are dearer than the lines.
+	// flushDelay is how long lines wait for others before they are written. Each write
+	// is a system call, which costs more than adding the lines.
 	flushDelay = 100 * time.Millisecond
-	// maxWriteBytes is how many bytes are written at once, at most, unless one line is
-	// longer. Collectors take the first 8 KB of a write and cut the rest off: of a day
-	// with three outages of the store on 350 instances, 21,416 lines were collected in
-	// place of 39,210, and the missing ones were of its busiest tenths of a second.
+	// maxWriteBytes limits the bytes of one write, unless a single line is longer. Log
+	// collectors keep the first 8 KB of a write and cut off the rest: in a day with
+	// three outages of the store on 350 instances, they collected 21,416 of 39,210
+	// lines, and the missing ones were those of the busiest tenths of a second.
 	maxWriteBytes = 8 << 10
 )
 
-// A Sink is a writer of log lines that never blocks its callers. It is safe for
-// concurrent use.
+// A Sink is a writer of log lines that does not block its callers. It drops lines that come
+// faster than they can be written. It is safe for concurrent use.
 type Sink struct {
 	out   io.Writer
 	clock pointport.Clock
 
 	mu           sync.Mutex
-	waiting      []byte
-	spare        []byte
-	unreported   int   // since lines were last written
-	droppedTotal int64 // in all
-	wake         chan struct{}
+	waiting      []byte        // lines to write
+	spare        []byte        // buffer of lines that were written, for reuse
+	unreported   int           // lines dropped since the last flush
+	droppedTotal int64         // lines dropped since the start
+	wake         chan struct{} // receives a value when lines wait; closed by Close
 	closed       bool
-	done         chan struct{}
+	done         chan struct{} // closed after the last flush
 }
 
 // StartSink returns a sink that writes to out until Close.
@@ -57,7 +57,8 @@
 	return s
 }
 
-// Write takes a line. A line for which there is no room is dropped and counted.
+// Write accepts a line to be written later. If too many bytes wait already, or the sink is
+// closed, it drops and counts the line. It never fails.
 func (s *Sink) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,14 +75,15 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the total number of lines that were dropped.
 func (s *Sink) Dropped() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.droppedTotal
 }
 
-// flush writes what waits, and says how many lines were dropped.
+// flush writes the waiting lines, and a line with the number of dropped ones if there are
+// any.
 func (s *Sink) flush() {
 	s.mu.Lock()
 	lines, dropped := s.waiting, s.unreported
@@ -91,17 +93,17 @@
 		lines = fmt.Appendf(lines, `{"level":"WARN","msg":%q,"event":%d,"lines":%d}`+"\n", LinesDropped.Name(), LinesDropped.Number(), dropped)
 	}
 	for rest := lines; len(rest) > 0; {
-		piece := firstChunk(rest)
-		// Nobody is left to tell if the log cannot be written.
-		_, _ = s.out.Write(piece)
-		rest = rest[len(piece):]
+		chunk := firstChunk(rest)
+		// There is nowhere to report that the log cannot be written.
+		_, _ = s.out.Write(chunk)
+		rest = rest[len(chunk):]
 	}
 	s.mu.Lock()
 	s.spare = lines
 	s.mu.Unlock()
 }
 
-// firstChunk returns as many whole lines as are written at once, one at least.
+// firstChunk returns as many whole lines as may be written at once, and at least one.
 func firstChunk(lines []byte) []byte {
 	if len(lines) <= maxWriteBytes {
 		return lines
@@ -115,7 +117,7 @@
 	return lines
 }
 
-// Close writes what waits and takes no more lines.
+// Close writes the waiting lines. Lines that come later are dropped.
 func (s *Sink) Close() {
 	s.mu.Lock()
 	if s.closed {
--- a/event/sink_test.go
+++ b/event/sink_test.go
@@ -10,21 +10,21 @@
 	"github.com/pointport/pointport/event"
 )
 
-// A cutting writer keeps the first bytes of each write alone, as some collectors of
-// logs do.
-type cutting struct {
-	most int
-	kept bytes.Buffer
+// A truncatingWriter keeps only the first bytes of each write, as some log collectors do.
+type truncatingWriter struct {
+	limit int
+	kept  bytes.Buffer
 }
 
-func (c *cutting) Write(p []byte) (int, error) {
-	c.kept.Write(p[:min(len(p), c.most)])
+func (w *truncatingWriter) Write(p []byte) (int, error) {
+	w.kept.Write(p[:min(len(p), w.limit)])
 	return len(p), nil
 }
 
-// What an entry instance logs in its busiest moments is what is looked for later.
-func TestBusyMomentIsCollectedWhole(t *testing.T) {
-	collector := &cutting{most: 8 << 10}
+// TestWritesFitCollector guards against losing the lines of the busiest moments, which are
+// needed most later: a collector that keeps the first 8 KB of a write would cut them off.
+func TestWritesFitCollector(t *testing.T) {
+	collector := &truncatingWriter{limit: 8 << 10}
 	s := event.StartSink(collector, clock.System{})
 	var want strings.Builder
 	for n := range 1000 {
@@ -36,12 +36,13 @@
 	}
 	s.Close()
 	if collector.kept.String() != want.String() {
-		t.Errorf("%d of %d bytes were collected", collector.kept.Len(), want.Len())
+		t.Errorf("%d of %d bytes were collected, or the contents differ", collector.kept.Len(), want.Len())
 	}
 }
 
-// A line that is longer than what is written at once is written whole.
-func TestLongLineIsWrittenWhole(t *testing.T) {
+// TestLongLineIsNotSplit checks that a line longer than one write may be is written
+// completely.
+func TestLongLineIsNotSplit(t *testing.T) {
 	var out bytes.Buffer
 	s := event.StartSink(&out, clock.System{})
 	want := strings.Repeat("x", 20<<10) + "\nshort\n"
@@ -50,6 +51,6 @@
 	}
 	s.Close()
 	if out.String() != want {
-		t.Errorf("%d of %d bytes were written", out.Len(), len(want))
+		t.Errorf("%d of %d bytes were written, or the contents differ", out.Len(), len(want))
 	}
 }
