--- a/meter/customers.go
+++ b/meter/customers.go
@@ -7,24 +7,24 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// This file defines the figures of customers.
+// This file defines the metrics of customers.
 
-// maxCustomers is how many customers have figures of their own. Beside a few that are busy or
-// held back, the others of some hundred would only make each page longer: a line takes some 60
-// bytes, and collectors may take no more than the first kilobytes.
+// maxCustomers limits the customers with metrics of their own. Of some hundred customers, a
+// few are busy or held back by their caps. The others would only make each page of metrics
+// longer: a line takes some 60 bytes, and collectors may keep only the first kilobytes.
 const maxCustomers = 10
 
-// A Customer is what a customer uses of the pools that an entry instance owns, in cores.
+// A Customer is a customer's use of the pools that an entry instance owns, in cores.
 type Customer struct {
 	Name     string
 	Used     float64
-	HeldBack float64 // what waits for its cap alone
+	HeldBack float64 // wanted by tasks that only the customer's cap keeps from starting
 }
 
-// weight says how much a customer's figures tell.
+// weight is the key by which customers are ranked for metrics of their own.
 func (c Customer) weight() float64 { return c.Used + c.HeldBack }
 
-// customers collects the figures of the customers that read returns.
+// customers collects the metrics of the customers that read returns.
 type customers struct {
 	read           func() []Customer
 	used, heldBack *prometheus.Desc
@@ -32,8 +32,8 @@
 
 var _ prometheus.Collector = (*customers)(nil)
 
-// Customers adds the figures of customers, which are read whenever the figures are asked for.
-// The customers that use or want least are summed up under the empty name.
+// Customers adds the metrics of customers. It calls read whenever the metrics are requested.
+// Beyond maxCustomers, the customers that use and want least are summed under the empty name.
 func (m *Meter) Customers(read func() []Customer) {
 	label := []string{"customer"}
 	m.registry.MustRegister(&customers{
@@ -43,13 +43,13 @@
 	})
 }
 
-// Describe says which figures there are.
+// Describe sends the descriptions of the metrics.
 func (c *customers) Describe(out chan<- *prometheus.Desc) {
 	out <- c.used
 	out <- c.heldBack
 }
 
-// Collect gives the figures.
+// Collect sends the current metrics.
 func (c *customers) Collect(out chan<- prometheus.Metric) {
 	for _, x := range busiest(c.read(), maxCustomers) {
 		out <- prometheus.MustNewConstMetric(c.used, prometheus.GaugeValue, x.Used, x.Name)
@@ -57,20 +57,20 @@
 	}
 }
 
-// busiest returns so many customers at most that use and want most, and the sum of the others
-// under the empty name if there are any.
-func busiest(all []Customer, most int) []Customer {
+// busiest returns up to limit customers that use and want most, followed by the sum of the
+// others under the empty name if there are any.
+func busiest(all []Customer, limit int) []Customer {
 	all = slices.Clone(all)
 	slices.SortFunc(all, func(a, b Customer) int {
 		return cmp.Or(cmp.Compare(b.weight(), a.weight()), cmp.Compare(a.Name, b.Name))
 	})
-	if len(all) <= most {
+	if len(all) <= limit {
 		return all
 	}
 	rest := Customer{}
-	for _, c := range all[most:] {
+	for _, c := range all[limit:] {
 		rest.Used += c.Used
 		rest.HeldBack += c.HeldBack
 	}
-	return append(all[:most], rest)
+	return append(all[:limit], rest)
 }
--- a/meter/customers_test.go
+++ b/meter/customers_test.go
@@ -9,9 +9,10 @@
 	"github.com/pointport/pointport/meter"
 )
 
-// However many customers there are, those that use or want most have figures of their own, and
-// the others are summed up.
-func TestFiguresOfCustomersAreBounded(t *testing.T) {
+// TestCustomerMetricsAreBounded checks that only the customers that use or want most have
+// metrics of their own, and that the others are summed. Otherwise a page of metrics grows with
+// the number of customers.
+func TestCustomerMetricsAreBounded(t *testing.T) {
 	m := meter.New(clock.System{})
 	m.Customers(func() []meter.Customer {
 		all := []meter.Customer{{Name: "busy", Used: 40}, {Name: "held back", HeldBack: 12.5}}
@@ -26,7 +27,7 @@
 		`pointport_customer_cores{customer="small-007"} 0.5`,
 		`pointport_customer_cores{customer=""} 196`,
 	)
-	if n := strings.Count(figures(m), "pointport_customer_cores{"); n != 11 {
-		t.Errorf("%d customers have figures, want ten and the rest", n)
+	if n := strings.Count(servedMetrics(m), "pointport_customer_cores{"); n != 11 {
+		t.Errorf("%d lines of customers' cores, want 10 of customers and 1 of the others", n)
 	}
 }
--- a/meter/events.go
+++ b/meter/events.go
@@ -12,95 +12,98 @@
 
 // This file defines the handler that counts events on their way to the log.
 
-// eventMetrics are the figures of one event.
+// eventMetrics are the metrics of one event, by outcome.
 type eventMetrics struct {
 	event   event.Event
 	outcome map[string]outcomeMetrics
 }
 
-// outcomeMetrics are the figures of one outcome of an event.
+// outcomeMetrics are the metrics of one outcome of an event.
 type outcomeMetrics struct {
 	count   prometheus.Counter
-	seconds prometheus.Observer // nil if the event tells no time
+	seconds prometheus.Observer // nil if the event has no duration
 }
 
-// otherOutcome stands for an outcome that the catalogue does not list.
+// otherOutcome is the label of outcomes that the catalogue does not list.
 const otherOutcome = "other"
 
+// newEventMetrics returns the metrics of all events, by number.
 func (m *Meter) newEventMetrics() map[int]*eventMetrics {
 	all := make(map[int]*eventMetrics)
 	for _, e := range event.All() {
-		f := &eventMetrics{event: e, outcome: make(map[string]outcomeMetrics)}
+		metrics := &eventMetrics{event: e, outcome: make(map[string]outcomeMetrics)}
 		outcomes := []string{""}
 		if e.OutcomeAttr() != "" {
 			outcomes = append(slices.Clone(e.Outcomes()), otherOutcome)
 		}
 		for _, outcome := range outcomes {
-			figures := outcomeMetrics{count: m.events.WithLabelValues(e.Name(), outcome)}
+			ofOutcome := outcomeMetrics{count: m.events.WithLabelValues(e.Name(), outcome)}
 			if e.DurationAttr() != "" {
-				figures.seconds = m.eventSeconds.WithLabelValues(e.Name(), outcome)
+				ofOutcome.seconds = m.eventSeconds.WithLabelValues(e.Name(), outcome)
 			}
-			f.outcome[outcome] = figures
+			metrics.outcome[outcome] = ofOutcome
 		}
-		all[e.Number()] = f
+		all[e.Number()] = metrics
 	}
 	return all
 }
 
-// A handler counts the events that pass it.
+// A handler counts the events of the records that it handles.
 type handler struct {
 	slog.Handler
 	meter *Meter
 }
 
-// Events returns next with the events that pass it counted.
+// Events returns a wrapper of next that counts the events of records.
 func (m *Meter) Events(next slog.Handler) slog.Handler { return &handler{next, m} }
 
-// Handle counts a record and hands it on.
+// Handle counts a record's event and passes the record on.
 func (h *handler) Handle(ctx context.Context, r slog.Record) error {
 	h.meter.countEvent(r)
 	return h.Handler.Handle(ctx, r)
 }
 
-// WithAttrs returns a handler whose records have further attributes.
+// WithAttrs returns a handler that adds attrs to its records.
 func (h *handler) WithAttrs(attrs []slog.Attr) slog.Handler {
 	return &handler{h.Handler.WithAttrs(attrs), h.meter}
 }
 
-// WithGroup returns a handler whose records' attributes are in a group.
+// WithGroup returns a handler that puts its records' attributes in a group.
 func (h *handler) WithGroup(name string) slog.Handler {
 	return &handler{h.Handler.WithGroup(name), h.meter}
 }
 
+// countEvent counts the event of a record, if it has one. Among the record's attributes,
+// the event's number must come before the outcome and the duration.
 func (m *Meter) countEvent(r slog.Record) {
-	var f *eventMetrics
+	var metrics *eventMetrics
 	outcome := ""
 	var seconds float64
 	r.Attrs(func(a slog.Attr) bool {
 		switch {
 		case a.Key == event.NumberAttr:
-			f = m.byNumber[int(a.Value.Int64())]
-			return f != nil
-		case f == nil:
-		case a.Key == f.event.OutcomeAttr():
+			metrics = m.byNumber[int(a.Value.Int64())]
+			return metrics != nil
+		case metrics == nil:
+		case a.Key == metrics.event.OutcomeAttr():
 			outcome = a.Value.String()
-		case a.Key == f.event.DurationAttr() && a.Value.Kind() == slog.KindDuration:
+		case a.Key == metrics.event.DurationAttr() && a.Value.Kind() == slog.KindDuration:
 			seconds = a.Value.Duration().Seconds()
 		}
 		return true
 	})
-	if f == nil {
+	if metrics == nil {
 		return
 	}
-	figures, ok := f.outcome[outcome]
+	ofOutcome, ok := metrics.outcome[outcome]
 	if !ok {
-		figures = f.outcome[otherOutcome]
+		ofOutcome = metrics.outcome[otherOutcome]
 	}
-	if figures.count == nil {
+	if ofOutcome.count == nil {
 		return
 	}
-	figures.count.Inc()
-	if figures.seconds != nil {
-		figures.seconds.Observe(seconds)
+	ofOutcome.count.Inc()
+	if ofOutcome.seconds != nil {
+		ofOutcome.seconds.Observe(seconds)
 	}
 }
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -16,18 +16,18 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines the meter and its figures. docs/operators/job-metrics.md
+// This file defines the meter and its metrics. docs/operators/job-metrics.md
 // lists them.
 
-// The buckets of the histograms, in seconds. The store answers in 4 ms and in a
-// quarter of a second when it is slow; orders time out after 0.4 s; jobs take
-// from one second to a minute.
+// The buckets of the histograms, in seconds. The store answers in 4 ms, or in a
+// quarter of a second when it is slow. Orders time out after 0.4 s. Jobs take from
+// one second to a minute.
 var (
 	callBuckets  = []float64{.002, .005, .01, .025, .05, .1, .25, .5, 1, 2.5}
 	eventBuckets = []float64{.01, .05, .1, .25, .5, 1, 2.5, 5, 10, 20, 60}
 )
 
-// A Meter holds an entry instance's figures. It is safe for concurrent use.
+// A Meter holds an entry instance's metrics. It is safe for concurrent use.
 type Meter struct {
 	registry     *prometheus.Registry
 	clock        pointport.Clock
@@ -39,7 +39,7 @@
 	byNumber     map[int]*eventMetrics
 }
 
-// New returns a meter.
+// New returns a meter that times calls by clock.
 func New(clock pointport.Clock) *Meter {
 	m := &Meter{
 		registry: prometheus.NewRegistry(),
@@ -66,32 +66,34 @@
 	return m
 }
 
-// Gauge adds a figure that is read whenever the figures are asked for.
+// Gauge adds a gauge. It calls read for the value whenever the metrics are requested.
 func (m *Meter) Gauge(name, help string, read func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, read))
 }
 
-// Counter adds a count that is read whenever the figures are asked for.
+// Counter adds a counter. It calls read for the value whenever the metrics are
+// requested.
 func (m *Meter) Counter(name, help string, read func() float64) {
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, read))
 }
 
-// AddStoreBytes takes in how many bytes of the store's answer to a call came.
+// AddStoreBytes counts bytes that were received of the store's answer to a call.
 func (m *Meter) AddStoreBytes(call string, bytes int) {
 	m.received.WithLabelValues(toStore, call).Add(float64(bytes))
 }
 
-// Handler serves the figures.
+// Handler returns a handler that serves all metrics.
 func (m *Meter) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// productPrefix begins the names of the figures that are not the runtime's.
+// productPrefix is the prefix of the names of metrics that are not the Go runtime's or the
+// process collector's.
 const productPrefix = "pointport_"
 
-// BriefHandler serves the counts and gauges of the product alone, for collectors that take
-// only the first few kilobytes of a page: the histograms and the runtime's figures
-// would fill them.
+// BriefHandler returns a handler that serves only the product's counters and gauges, for
+// collectors that keep only the first few kilobytes of a page. Histograms and the
+// runtime's metrics would fill those.
 func (m *Meter) BriefHandler() http.Handler {
 	brief := func() ([]*dto.MetricFamily, error) {
 		all, err := m.registry.Gather()
@@ -102,7 +104,7 @@
 	return promhttp.HandlerFor(prometheus.GathererFunc(brief), promhttp.HandlerOpts{})
 }
 
-// The sides that are called.
+// The values of the label "to".
 const (
 	toStore    = "store"
 	toInstance = "instance"
@@ -110,15 +112,16 @@
 	toAdvisor  = "advisor"
 )
 
-// observeCall takes in a call that began at from and waited on purpose for up to wait.
-func (m *Meter) observeCall(to, call string, from time.Time, wait time.Duration, err error) {
+// observeCall counts a call that began at start. It also observes the call's duration if
+// wait is zero, that is, if the call did not ask the other side to delay its answer.
+func (m *Meter) observeCall(to, call string, start time.Time, wait time.Duration, err error) {
 	m.calls.WithLabelValues(to, call, answerLabel(err)).Inc()
 	if wait == 0 {
-		m.callSeconds.WithLabelValues(to, call).Observe(m.clock.Now().Sub(from).Seconds())
+		m.callSeconds.WithLabelValues(to, call).Observe(m.clock.Now().Sub(start).Seconds())
 	}
 }
 
-// answerLabel names what came of a call.
+// answerLabel returns the value of the label "answer" for the outcome of a call.
 func answerLabel(err error) string {
 	var (
 		rejected    *pointport.RejectedError
--- a/meter/meter_test.go
+++ b/meter/meter_test.go
@@ -18,8 +18,8 @@
 	"github.com/pointport/pointport/meter"
 )
 
-// figures returns what a meter serves.
-func figures(m *meter.Meter) string {
+// servedMetrics returns the page of metrics that m serves.
+func servedMetrics(m *meter.Meter) string {
 	w := httptest.NewRecorder()
 	m.Handler().ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 	return w.Body.String()
@@ -27,22 +27,25 @@
 
 func wantLines(t *testing.T, m *meter.Meter, lines ...string) {
 	t.Helper()
-	got := figures(m)
+	got := servedMetrics(m)
 	for _, line := range lines {
 		if !strings.Contains(got, line+"\n") {
-			t.Errorf("figures lack %s", line)
+			t.Errorf("the metrics lack %s", line)
 		}
 	}
 }
 
+// TestEventsAreCounted checks that events are counted by name and outcome and timed, that an
+// outcome outside the catalogue counts as "other", and that lines without an event are not
+// counted.
 func TestEventsAreCounted(t *testing.T) {
 	m := meter.New(clock.System{})
-	quiet := slog.NewTextHandler(new(strings.Builder), &slog.HandlerOptions{Level: slog.LevelDebug})
-	logger := slog.New(m.Events(quiet)).With(slog.String("node", "a"))
+	unread := slog.NewTextHandler(new(strings.Builder), &slog.HandlerOptions{Level: slog.LevelDebug})
+	logger := slog.New(m.Events(unread)).With(slog.String("node", "a"))
 	event.JobEnded.Log(logger, slog.String("job", "j"), slog.String("state", "completed"), slog.Duration("after", 3*time.Second))
 	event.JobEnded.Log(logger, slog.String("job", "j"), slog.String("state", "unheard of"), slog.Duration("after", time.Second))
 	event.TaskPlaced.Log(logger)
-	logger.Info("no event")
+	logger.Info("not an event")
 	wantLines(t, m,
 		`pointport_events_total{event="job ended",outcome="completed"} 1`,
 		`pointport_events_total{event="job ended",outcome="other"} 1`,
@@ -52,34 +55,37 @@
 	)
 }
 
-// An event whose line is left out is counted all the same.
+// TestEventsLeftOutOfTheLogAreCounted checks that an event is counted even if the rate limit
+// leaves its line out of the log.
 func TestEventsLeftOutOfTheLogAreCounted(t *testing.T) {
 	m := meter.New(clock.System{})
-	limit := event.NewRateLimiter(slog.NewTextHandler(new(strings.Builder), nil), clock.NewFake(time.Unix(1000, 0)))
-	logger := slog.New(m.Events(limit))
+	limiter := event.NewRateLimiter(slog.NewTextHandler(new(strings.Builder), nil), clock.NewFake(time.Unix(1000, 0)))
+	logger := slog.New(m.Events(limiter))
 	for range 3000 {
 		event.TaskPlaced.Log(logger)
 	}
-	if limit.LeftOut() == 0 {
+	if limiter.LeftOut() == 0 {
 		t.Fatal("no line is left out")
 	}
 	wantLines(t, m, `pointport_events_total{event="task placed",outcome=""} 3000`)
 }
 
+// TestCallsAreCounted checks that calls are counted by their outcome and timed, including
+// those that fail.
 func TestCallsAreCounted(t *testing.T) {
 	m := meter.New(clock.System{})
-	fate := memory.FaultNone
-	kv := m.KV(memory.New(clock.System{}).KV(memory.WithFaults(func(string, string) memory.Fault { return fate })))
+	fault := memory.FaultNone
+	kv := m.KV(memory.New(clock.System{}).KV(memory.WithFaults(func(string, string) memory.Fault { return fault })))
 	ctx := context.Background()
 	put := pointport.Txn{If: []pointport.Condition{{Key: "a"}}, Put: []pointport.Put{{Key: "a"}}}
 	for range 2 {
-		_, _ = kv.Commit(ctx, put) // the second finds the key
+		_, _ = kv.Commit(ctx, put) // the second conflicts: the key exists
 	}
-	fate = memory.FaultLostAnswer
+	fault = memory.FaultLostAnswer
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Millisecond)
 	defer cancel()
 	if _, err := kv.Commit(ctx, put); err == nil {
-		t.Fatal("a lost answer is no error")
+		t.Fatal("Commit returns no error although its answer is lost")
 	}
 	wantLines(t, m,
 		`pointport_calls_total{answer="ok",call="commit",to="store"} 1`,
@@ -88,9 +94,9 @@
 	)
 }
 
-// What a collector keeps of a page may be four kilobytes; the brief page spends none
-// of them on the runtime or on histograms.
-func TestBriefPageHoldsOwnCountsAlone(t *testing.T) {
+// TestBriefMetrics checks that the brief page holds neither histograms nor the runtime's
+// metrics. A collector may keep only four kilobytes of a page, and those would fill them.
+func TestBriefMetrics(t *testing.T) {
 	m := meter.New(clock.System{})
 	m.AddStoreBytes("range", 1000)
 	if _, err := m.KV(memory.New(clock.System{}).KV()).Get(context.Background(), "a"); err != nil {
@@ -108,8 +114,8 @@
 	}
 }
 
-// TestMetricsPage keeps the page of figures and what is served the same; the
-// gauges of a running node are listed beside.
+// TestMetricsPage checks that docs/operators/job-metrics.md lists exactly the metrics that a
+// meter serves and those that cli/join.go adds for a running node.
 func TestMetricsPage(t *testing.T) {
 	data, err := os.ReadFile("../docs/operators/job-metrics.md")
 	if err != nil {
@@ -127,7 +133,7 @@
 		t.Fatal(err)
 	}
 	var names []string
-	for _, found := range regexp.MustCompile(`(?m)^# TYPE (pointport_\w+) `).FindAllStringSubmatch(figures(m), -1) {
+	for _, found := range regexp.MustCompile(`(?m)^# TYPE (pointport_\w+) `).FindAllStringSubmatch(servedMetrics(m), -1) {
 		names = append(names, found[1])
 	}
 	for _, found := range regexp.MustCompile(`m\.(?:Gauge|Counter)\("(pointport_\w+)"`).FindAllStringSubmatch(string(code), -1) {
@@ -140,6 +146,6 @@
 	slices.Sort(names)
 	slices.Sort(listed)
 	if !slices.Equal(names, listed) {
-		t.Errorf("the page lists\n%v\nand served are\n%v", listed, names)
+		t.Errorf("the page lists\n%v\nand the metrics are\n%v", listed, names)
 	}
 }
