--- a/changelog/log.go
+++ b/changelog/log.go
@@ -349,11 +349,11 @@
 		if !e.Exists() {
 			return t, nil
 		}
-		number := t.number
+		current := t.number
 		if t, err = g.advance(t, e); err != nil {
 			return nil, err
 		}
-		if t.number == number {
+		if t.number == current {
 			return t, nil
 		}
 	}
--- a/clock/boot_time.go
+++ b/clock/boot_time.go
@@ -63,8 +63,8 @@
 
 // OnSuspension sets a function that is called for each suspension of at least a tenth of
 // a second, by the first call of Steady that detects it.
-func OnSuspension(report func(Suspension)) BootTimeOption {
-	return func(b *BootTime) { b.onSuspension = report }
+func OnSuspension(onSuspension func(Suspension)) BootTimeOption {
+	return func(b *BootTime) { b.onSuspension = onSuspension }
 }
 
 // WithBootTime sets the function that reads the boot time. By default it reads
@@ -130,8 +130,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	steady := now.Sub(b.start)
-	offset := now.Round(0).Sub(b.start.Round(0)) - steady
-	moved := (offset - b.wallOffset).Abs() > wallStepThreshold
+	wallOffset := now.Round(0).Sub(b.start.Round(0)) - steady
+	moved := (wallOffset - b.wallOffset).Abs() > wallStepThreshold
 	if b.readBoot == nil || !moved && steady-b.checkedAt < checkInterval {
 		return b.suspended, nil
 	}
@@ -139,7 +139,7 @@
 	if !ok {
 		return b.suspended, nil // the next call reads again
 	}
-	b.checkedAt, b.wallOffset = steady, offset
+	b.checkedAt, b.wallOffset = steady, wallOffset
 	lasted := boot - b.origin - steady - b.suspended
 	if lasted < readTolerance {
 		return b.suspended, nil
--- a/event/rate_limiter_test.go
+++ b/event/rate_limiter_test.go
@@ -48,12 +48,12 @@
 // blockedWriter is a writer that blocks until released is closed.
 type blockedWriter struct {
 	released chan struct{}
-	written  bytes.Buffer
+	contents bytes.Buffer
 }
 
 func (w *blockedWriter) Write(p []byte) (int, error) {
 	<-w.released
-	return w.written.Write(p)
+	return w.contents.Write(p)
 }
 
 // TestSinkNeverBlocks guards against a process that stops, or runs out of memory, because
@@ -80,11 +80,11 @@
 		}
 		close(out.released)
 		sink.Close()
-		written := strings.Count(out.written.String(), string(line))
+		written := strings.Count(out.contents.String(), string(line))
 		if int64(written) != burst-dropped {
 			t.Errorf("%d lines written and %d dropped, want %d in total", written, dropped, burst)
 		}
-		if !strings.Contains(out.written.String(), event.LinesDropped.Name()) {
+		if !strings.Contains(out.contents.String(), event.LinesDropped.Name()) {
 			t.Error("the log does not contain the number of dropped lines")
 		}
 	})
--- a/event/sink.go
+++ b/event/sink.go
@@ -86,11 +86,11 @@
 // any.
 func (s *Sink) flush() {
 	s.mu.Lock()
-	lines, dropped := s.waiting, s.unreported
+	lines, unreported := s.waiting, s.unreported
 	s.waiting, s.unreported = s.spare[:0], 0
 	s.mu.Unlock()
-	if dropped > 0 {
-		lines = fmt.Appendf(lines, `{"level":"WARN","msg":%q,"event":%d,"lines":%d}`+"\n", LinesDropped.Name(), LinesDropped.Number(), dropped)
+	if unreported > 0 {
+		lines = fmt.Appendf(lines, `{"level":"WARN","msg":%q,"event":%d,"lines":%d}`+"\n", LinesDropped.Name(), LinesDropped.Number(), unreported)
 	}
 	for rest := lines; len(rest) > 0; {
 		chunk := firstChunk(rest)
--- a/memory/kv.go
+++ b/memory/kv.go
@@ -308,10 +308,10 @@
 
 // DropWatchEvents sets whether watches of prefixes omit all changes although their
 // answers claim to be complete.
-func (s *Store) DropWatchEvents(drop bool) {
+func (s *Store) DropWatchEvents(dropEvents bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dropEvents = drop
+	s.dropEvents = dropEvents
 	s.notifyWatches()
 }
 
