--- a/event/rate_limiter_test.go
+++ b/event/rate_limiter_test.go
@@ -68,7 +68,7 @@
 		const burst = 4000
 		for range burst {
 			if n, err := sink.Write(line); n != len(line) || err != nil {
-				t.Fatalf("Write returns %d, %v, want %d, nil", n, err, len(line))
+				t.Fatalf("Write returns %d, %v, want the length of the line and no error", n, err)
 			}
 		}
 		if took := time.Since(from); took != 0 {
