--- a/config/object.go
+++ b/config/object.go
@@ -89,7 +89,7 @@
 	for i, d := range p.Spread {
 		c.oneOf(fmt.Sprintf("spread[%d]", i), string(d), string(DomainRack), string(DomainZone), string(DomainRegion))
 	}
-	c.ratio("weight", p.Weight, 0.01, 1000)
+	c.betweenFloat("weight", p.Weight, 0.01, 1000)
 	if p.QuotaCPUMilli < 0 {
 		c.fail("quotaCPUMilli", strconv.FormatInt(p.QuotaCPUMilli, 10), "must not be negative")
 	}
--- a/config/template.go
+++ b/config/template.go
@@ -252,12 +252,12 @@
 	t.Pool.check(c)
 	c.between("upstream.slots", t.Upstream.Slots, 1, 10000)
 	c.between("upstream.connections", t.Upstream.Connections, 1, 10000)
-	c.ratio("retry.ratio", t.Retry.Ratio, 0, 1)
+	c.betweenFloat("retry.ratio", t.Retry.Ratio, 0, 1)
 	c.between("retry.maxAttempts", t.Retry.MaxAttempts, 1, 10)
 	c.between("retry.buffer", t.Retry.Buffer, 0, 1<<20)
 	c.between("ejection.failures", t.Ejection.Failures, 1, 1000)
 	c.duration("ejection.for", t.Ejection.For, time.Second, time.Hour)
-	c.ratio("ejection.most", t.Ejection.Most, 0, 0.9)
+	c.betweenFloat("ejection.most", t.Ejection.Most, 0, 0.9)
 	t.Maintenance.check(c)
 	c.between("queue", t.Queue, 1, 100000)
 }
@@ -291,8 +291,8 @@
 		c.fail("pool.shape", fmt.Sprint(p.Shape), "must not be negative")
 	}
 	c.count("pool.spare", p.Spare)
-	c.ratio("pool.moveWeight", p.MoveWeight, 0, 1e6)
-	c.ratio("pool.bufferWeight", p.BufferWeight, 0, 1e6)
+	c.betweenFloat("pool.moveWeight", p.MoveWeight, 0, 1e6)
+	c.betweenFloat("pool.bufferWeight", p.BufferWeight, 0, 1e6)
 }
 
 func (m *Maintenance) check(c *checker) {
--- a/config/units.go
+++ b/config/units.go
@@ -152,7 +152,8 @@
 	return errs
 }
 
-// A checker collects the errors of one document's fields.
+// A checker collects the errors of one document's fields. Its methods add an error if the
+// value of a field is invalid.
 type checker struct {
 	source string
 	fields []*FieldError
@@ -191,7 +192,7 @@
 	}
 }
 
-func (c *checker) ratio(field string, value, low, high float64) {
+func (c *checker) betweenFloat(field string, value, low, high float64) {
 	if !(value >= low && value <= high) {
 		c.fail(field, strconv.FormatFloat(value, 'g', -1, 64), "must be from %g to %g", low, high)
 	}
--- a/event/catalogue.go
+++ b/event/catalogue.go
@@ -15,16 +15,16 @@
 	LinesDropped    = define(107, "log lines dropped", slog.LevelWarn, "Lines were dropped because more came than could be written; lines is their number.")
 	ReloadFailed    = define(106, "settings kept", slog.LevelError, "The settings file cannot be used; the settings stay unchanged.")
 	ReadyChanged    = define(108, "readiness changed", slog.LevelInfo, "The process has changed whether it reports to the load balancer that it accepts connections; ready is the new value, and version, store and leaving are the values it depends on.")
-	MemoryLow       = define(109, "near its memory", slog.LevelWarn, "The process uses at least four fifths of its memory limit; it accepts no new jobs as long as a peer can. used, live and limit are in bytes; live is the part of used that is in use.")
+	MemoryLow       = define(109, "near its memory", slog.LevelWarn, "The process uses at least four fifths of its memory limit; it accepts no new jobs as long as a peer can. used, live and limit are in bytes; live is the part of used that live objects take.")
 	MemoryRecovered = define(110, "memory clear", slog.LevelInfo, "The process is no longer near its memory limit and accepts jobs again.")
-	Suspended       = define(111, "suspended", slog.LevelWarn, "The machine was suspended: its monotonic clock has counted less than the boot time, by lasted. Leases, ownerships and the configuration are confirmed again before they are relied on.", withDuration("lasted"))
+	Suspended       = define(111, "suspended", slog.LevelWarn, "The machine was suspended: its monotonic clock has fallen behind the boot time by the time in lasted. Leases, ownerships and the configuration are confirmed again before they are relied on.", withDuration("lasted"))
 	NoBootTime      = define(112, "no boot time", slog.LevelError, "The boot time cannot be read, so a suspension of the machine would not be noticed; do not suspend it.")
 	Failed          = define(104, "failed", slog.LevelError, "A part of the process ended with an error.")
 )
 
 // Events of the logs in the store: configuration, assignment and jobs.
 var (
-	VersionApplied = define(201, "version applied", slog.LevelInfo, "This node has applied a version of the log that log names.")
+	VersionApplied = define(201, "version applied", slog.LevelInfo, "This node has applied a version of the log named in log.")
 	LogBehind      = define(202, "log behind", slog.LevelWarn, "The store returned a lower version than this node has applied; it is ignored.")
 	LogUnavailable = define(203, "log cut off", slog.LevelWarn, "A log cannot be read or compacted; the last version that was applied stays in force.")
 	LogRecovered   = define(204, "log back", slog.LevelInfo, "A log can be read again.")
@@ -72,7 +72,7 @@
 	PlannerElected = define(401, "planner elected", slog.LevelInfo, "This entry instance now holds the planner's lease of its availability zone.")
 	PlannerLost    = define(402, "planner lost", slog.LevelInfo, "This entry instance no longer holds the planner's lease.")
 	StepDecided    = define(403, "step decided", slog.LevelInfo, "The planner changed an instance's pool or state; reason is the cause.")
-	StepLost       = define(404, "step lost", slog.LevelInfo, "Another planner changed the assignment first; nothing was changed.")
+	StepLost       = define(404, "step lost", slog.LevelInfo, "Another planner changed the assignment first; this step was not taken.")
 	PlanFailed     = define(405, "plan failed", slog.LevelWarn, "The planner could not read or write what it needs; it takes no new step.")
 	WaveStopped    = define(406, "wave stopped", slog.LevelWarn, "The planner stopped a wave; reason is the cause.")
 )
@@ -97,7 +97,7 @@
 // Events of jobs.
 var (
 	JobPlaced = define(501, "job placed", slog.LevelInfo, "A job was placed on an instance.")
-	JobEnded  = define(502, "job ended", slog.LevelInfo, "A job has ended with a result or a reason; after is how long it took, and objective is the time in which it should have ended.",
+	JobEnded  = define(502, "job ended", slog.LevelInfo, "A job has ended, with a result or with a reason why it has none; after is how long it took, and objective is the time in which it should have ended.",
 		withOutcomes("state", "completed", "failed", "cancelled"), withDuration("after"))
 	JobSetAside          = define(503, "job set aside", slog.LevelWarn, "A job failed on too many instances and is not retried.")
 	PlacementUnavailable = define(504, "placement cut off", slog.LevelWarn, "Jobs cannot be read or written; nothing is started.")
@@ -116,17 +116,17 @@
 	StopRefused              = define(552, "stop refused", slog.LevelWarn, "An instance refused to stop a run and did nothing; the stop is ordered again, and until it succeeds, a start order in flight may still be carried out. reason is the cause.", withOutcomes("reason", "fence", "late", "room", "ticket", "unhealthy", "invalid"))
 	IncarnationAlive         = define(550, "incarnation lives", slog.LevelWarn, "The platform shows that an incarnation has ended, but it has answered since it was silent, so it counts as alive.")
 	InstanceAnsweredPeer     = define(551, "instance heard through peer", slog.LevelInfo, "An instance that was silent has answered a poll through a peer; its orders go through peers for a while.", withDuration("after"))
-	OwnerSuspectsIsolation   = define(553, "owner doubts itself", slog.LevelWarn, "The owner of a pool gets no answers from so many of the instances that it polls that it suspects a fault of its own connection; it gives no run up and starts little. doubts is true when this begins, and false when the instances answer again.", withOutcomes("doubts", "true", "false"), withDuration("after"))
+	OwnerSuspectsIsolation   = define(553, "owner doubts itself", slog.LevelWarn, "The owner of a pool gets no answers from so many of the instances that it polls that it suspects a fault of its own connection; it gives up no run and starts little. doubts is true when this begins, and false when the instances answer again.", withOutcomes("doubts", "true", "false"), withDuration("after"))
 	RunEndAlreadySeen        = define(554, "known end of a present run", slog.LevelError, "An instance lists the end of a run that is placed there under a number that counts as already received, so the numbers of two incarnations were taken for those of one. number is that of the end, and seen is the highest received.")
 	RunMayHaveFollowed       = define(555, "run may have followed", slog.LevelInfo, "An incarnation that was ordered to start a run has ended, and none of its reports listed the run. The incarnation in later has the same addressee and may have received the order, so it is polled before the task starts again.")
-	EndedIncarnationAnswered = define(549, "ended incarnation answers", slog.LevelError, "An incarnation that counted as ended has answered, when since had passed after its end: its runs may run beside those that were started in their place.")
+	EndedIncarnationAnswered = define(549, "ended incarnation answers", slog.LevelError, "An incarnation has answered although it had counted as ended for the time in since: its runs may run beside those that were started in their place.")
 	WorkerDraining           = define(515, "instance draining", slog.LevelInfo, "An instance is about to leave; it gets no new tasks, and its serving tasks move to other instances.")
 	JobTaken                 = define(516, "job taken", slog.LevelInfo, "The owner of a pool has received a job; inherited is whether an earlier owner had begun it.",
 		withOutcomes("inherited", "true", "false"), withDuration("after"))
 	JobUnreadable = define(517, "job unreadable", slog.LevelError, "A stored job cannot be read; it is left as it is.")
 	JobAccepted   = define(518, "job accepted", slog.LevelInfo, "A job is stored, and its customer gets the answer that it is accepted; known is whether it was stored before.",
 		withOutcomes("known", "true", "false"), withDuration("took"))
-	JobRefused = define(519, "job refused", slog.LevelWarn, "A job was not accepted; reason is the cause, and sure is whether it certainly never runs because of this submission.",
+	JobRefused = define(519, "job refused", slog.LevelWarn, "A job was not accepted; reason is the cause, and sure is whether it is certain that this submission never makes it run.",
 		withOutcomes("sure", "true", "false"))
 	JobCancelled    = define(520, "job cancelled", slog.LevelInfo, "A customer's cancellation of a job is stored; by is whether the pool's owner stored it or this member wrote it to the store.", withOutcomes("by", "owner", "store"))
 	PeerSilent      = define(521, "peer silent", slog.LevelWarn, "Another entry instance did not answer a message about a job; it will learn of the job from the store.")
@@ -146,17 +146,17 @@
 	StartsHeldBack  = define(536, "starts held back", slog.LevelWarn, "Instances answer start orders late because the owner of their pool is short of CPU time or its network link is saturated; from now on it has fewer start orders in flight. window is how many, and took is how late the answer was.")
 	OrdersDelegated = define(537, "orders delegated", slog.LevelInfo, "From now on the owner of a pool sends its orders through peers, or directly again, as through shows; workers and window are the numbers that this depends on.")
 	DelegateLost    = define(538, "delegate lost", slog.LevelWarn, "A peer that carries an owner's orders, or the owner whose orders are carried, cannot be reached; orders without a result have an unknown effect.")
-	OwnerLate       = define(539, "owner late", slog.LevelWarn, "Work waits for the owner of a pool for longer than it should, as lag shows; workers, messages that wait, window of start orders and duration of the last plan show the cause.", withDuration("lag"))
+	OwnerLate       = define(539, "owner late", slog.LevelWarn, "Work waits for the owner of a pool for longer than it should, as lag shows; the values that may explain it are workers, messages (that wait), window (of start orders) and plan (duration of the last one).", withDuration("lag"))
 	RunLost         = define(540, "run lost", slog.LevelInfo, "A run of a task ended with its instance; cause is that of the instance's end, sinceSeen is how long the run was known to run, beside is the number of other runs there, and crashes is the number of instances that have crashed under the task.",
 		withOutcomes("cause", "crashed", "left", "ordered"), withDuration("sinceSeen"))
-	TaskGivenUp     = define(541, "task given up", slog.LevelWarn, "A task is not started again because as many instances as in crashes have crashed under it; alone is whether nothing else ran on the last one, and jobFails is whether its job fails with it or goes on without it.")
-	InstanceResized = define(542, "instance resized", slog.LevelInfo, "An instance reports more or less capacity than before, while it runs; if free is below zero, nothing is started there until enough runs have ended.")
+	TaskGivenUp     = define(541, "task given up", slog.LevelWarn, "A task is not started again, because instances have crashed under it as often as crashes shows; alone is whether nothing else ran on the last one, and jobFails is whether its job fails with it or goes on without it.")
+	InstanceResized = define(542, "instance resized", slog.LevelInfo, "An instance reports more or less capacity than before, while it runs; if a free value is below zero, nothing is started there until enough runs have ended.")
 	CallerRefused   = define(543, "caller refused", slog.LevelInfo, "A call was refused because its key is unknown, or because it had none; key is the key's fingerprint, and version is that of the configuration.",
 		withOutcomes("reason", "missing", "malformed", "twice", "unknown"))
 	CapReached      = define(544, "customer at its cap", slog.LevelInfo, "Tasks of a customer wait because they would exceed what may be used of its cap in this pool; used, allowed and heldBack are the amounts. It is logged again every few seconds.")
 	CapMoved        = define(545, "cap moved", slog.LevelInfo, "An owner holds another part of a customer's cap than before for its pool, or has stored what it uses of a lowered one; made is whether that was stored, and took is how long it took.", withOutcomes("made", "true", "false"), withDuration("took"))
 	QuotaUnreadable = define(546, "quota account unreadable", slog.LevelError, "What the pools hold of a customer's cap cannot be read; it counts as nothing held.")
-	CustomerExcess  = define(547, "customer in excess", slog.LevelInfo, "The jobs that a customer has waiting in a pool would take longer, at its share of the pool, than they are of use, so members refuse more of them, or no longer do, as refused shows.", withOutcomes("refused", "true", "false"))
+	CustomerExcess  = define(547, "customer in excess", slog.LevelInfo, "At its share of a pool, a customer's waiting jobs would take longer than its jobs are of use, so members refuse more of them; refused is false when they accept them again.", withOutcomes("refused", "true", "false"))
 	JobExcess       = define(548, "job in excess", slog.LevelInfo, "A job was refused at once, and never runs, because its customer has too much waiting in its pool; after is the time after which the customer was asked to try again.")
 	StartSkipped    = define(556, "start forgone", slog.LevelInfo, "A start order was not sent because its instance's availability zone is evacuated, or may be, as standing shows. sentBefore is whether it was sent before without an answer; then a stop order rules it out.",
 		withOutcomes("standing", "evacuated", "unknown"))
