--- a/capacity/list.go
+++ b/capacity/list.go
@@ -143,7 +143,7 @@
 		if !slices.Contains(m.pastAddressees, known) || m.addressee == known {
 			continue
 		}
-		goneForLong := m.state != pointport.MachineUp && (!l.Incarnation.Shares() || l.Known > maxListRegression)
+		goneForLong := m.state != pointport.MachineUp && (!l.Incarnation.SharesAddressee() || l.Known > maxListRegression)
 		if m.addressee != "" || goneForLong {
 			out = append(out, EndedIncarnation{ID: l.Incarnation, Instance: l.Instance, Addressee: m.addressee, State: m.state, ListedAt: p.listedAt, KnownFor: l.Known})
 		}
--- a/changelog/log_test.go
+++ b/changelog/log_test.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return config.Change{}, err
 	}
-	return command.Configure(context.Background(), log, clock.System{}, command.Proposal{ID: id, Author: "ana", Object: &objects[0], Read: read})
+	return command.Configure(context.Background(), log, clock.System{}, command.Proposal{ID: id, Author: "ana", Object: &objects[0], ReadVersion: read})
 }
 
 // TestConcurrentChanges lets operators change objects through several nodes while
--- a/cli/serve.go
+++ b/cli/serve.go
@@ -89,7 +89,7 @@
 		zones[i] = pointport.ZoneID(z)
 	}
 	fleet, err := standin.NewFleet(clock.System{}, standin.WithZones(f.perZone, zones...), standin.WithSlots(f.slots),
-		standin.WithServiceTime(f.service), standin.WithRebootTime(f.reboot), standin.WithLag(f.lag))
+		standin.WithServiceTime(f.service), standin.WithRebootTime(f.reboot), standin.WithListLag(f.lag))
 	if err != nil {
 		return err
 	}
--- a/command/config.go
+++ b/command/config.go
@@ -35,9 +35,9 @@
 	// Object is the new document, or nil to remove the object called Removed.
 	Object  *config.Object
 	Removed string
-	// Read is the version at which the author read the object: zero if it did
+	// ReadVersion is the version at which the author read the object: zero if it did
 	// not exist, and AnyVersion to skip the question.
-	Read config.Version
+	ReadVersion config.Version
 }
 
 func (p Proposal) target() string {
@@ -74,7 +74,7 @@
 		p.ID = uuid.NewString()
 	}
 	return log.Append(ctx, p.ID, func(s *config.State) (config.Change, error) {
-		if err := s.CheckVersion(p.target(), p.Read); err != nil {
+		if err := s.CheckVersion(p.target(), p.ReadVersion); err != nil {
 			return config.Change{}, err
 		}
 		if err := checkReferences(s, p); err != nil {
@@ -82,7 +82,7 @@
 		}
 		return config.Change{
 			ID: p.ID, Version: s.Version() + 1, Author: p.Author, At: clock.Now().UTC(),
-			Reason: p.Reason, Object: p.Object, Removed: p.Removed, From: max(p.Read, 0),
+			Reason: p.Reason, Object: p.Object, Removed: p.Removed, From: max(p.ReadVersion, 0),
 		}, nil
 	})
 }
--- a/command/job.go
+++ b/command/job.go
@@ -74,13 +74,13 @@
 	return nil
 }
 
-// A SameKeyError says that a key was used before for another job.
-type SameKeyError struct {
+// A KeyReusedError says that a key was used before for another job.
+type KeyReusedError struct {
 	Key string
 	Job string // the job that it named
 }
 
-func (e *SameKeyError) Error() string {
+func (e *KeyReusedError) Error() string {
 	return fmt.Sprintf("key: %q: was used before for job %s, which asks for something else", e.Key, e.Job)
 }
 
@@ -117,7 +117,7 @@
 func (e *foundJob) same(s Submission, j job.Job) (job.Job, error) {
 	old := e.job
 	if old.Kind != j.Kind || old.Service != j.Service || old.Need != j.Need || old.Billed != j.Billed {
-		return job.Job{}, &SameKeyError{s.Key, old.ID}
+		return job.Job{}, &KeyReusedError{s.Key, old.ID}
 	}
 	return old, nil
 }
--- a/daemon/listen.go
+++ b/daemon/listen.go
@@ -54,12 +54,12 @@
 	s := e.settings
 	api, err := operator.New(e.clock, &query.Source{
 		Node: s.name, Zone: pointport.ZoneID(s.zone), Zones: s.zoneIDs(), Clock: e.clock,
-		Config: e.configs, Assign: e.assigns, Jobs: e.jobs, Services: e.gateway, Plans: e.held,
+		Config: e.configs, Assign: e.assigns, Jobs: e.jobs, Services: e.gateway, IsPlanner: e.held,
 	})
 	if err != nil {
 		return err
 	}
-	relayed := remote.New(e.platform.Base(), remote.WithWatch(relay.StoreWait))
+	relayed := remote.New(e.platform.Base(), remote.WithWatchTimeout(relay.StoreWait))
 	operators := http.NewServeMux()
 	operators.Handle(relay.Path, relay.NewServer(ctx, relayed, e.clock))
 	operators.Handle("/", api)
--- a/delegate/delegate_test.go
+++ b/delegate/delegate_test.go
@@ -28,7 +28,7 @@
 type recorder struct {
 	mu     sync.Mutex
 	starts []pointport.StartOrder
-	holds  []pointport.HoldOrder
+	holds  []pointport.PollOrder
 	report pointport.Report
 	err    error
 	block  chan struct{} // if not nil, orders wait until it is closed
@@ -48,7 +48,7 @@
 }
 
 // Start records the order.
-func (r *recorder) Start(ctx context.Context, _ pointport.Endpoint, o pointport.StartOrder) (pointport.InstanceClock, error) {
+func (r *recorder) Start(ctx context.Context, _ pointport.Endpoint, o pointport.StartOrder) (pointport.InstanceTime, error) {
 	r.mu.Lock()
 	r.starts = append(r.starts, o)
 	r.mu.Unlock()
@@ -56,7 +56,7 @@
 }
 
 // Stop only answers.
-func (r *recorder) Stop(ctx context.Context, _ pointport.Endpoint, _ pointport.StopOrder) (pointport.InstanceClock, error) {
+func (r *recorder) Stop(ctx context.Context, _ pointport.Endpoint, _ pointport.StopOrder) (pointport.InstanceTime, error) {
 	return 43, r.answer(ctx)
 }
 
@@ -65,8 +65,8 @@
 	return r.answer(ctx)
 }
 
-// Hold records the order and returns the configured report.
-func (r *recorder) Hold(ctx context.Context, _ pointport.Endpoint, o pointport.HoldOrder) (pointport.Report, error) {
+// Poll records the order and returns the configured report.
+func (r *recorder) Poll(ctx context.Context, _ pointport.Endpoint, o pointport.PollOrder) (pointport.Report, error) {
 	r.mu.Lock()
 	r.holds = append(r.holds, o)
 	r.mu.Unlock()
@@ -144,7 +144,7 @@
 // Orders must go directly until the delegate has accepted the stream, and through it after that.
 func TestOrdersGoDirectlyUntilStreamIsOpen(t *testing.T) {
 	p := newPair(t)
-	order := pointport.StartOrder{TaskRun: pointport.TaskRun{Task: "a.0.0.0", Run: 1}, Payload: "x", Fence: 7, Until: 99, Checkpoint: "c", Ticket: "t"}
+	order := pointport.StartOrder{TaskRun: pointport.TaskRun{Task: "a.0.0.0", Run: 1}, Payload: "x", Fence: 7, LeaseUntil: 99, Checkpoint: "c", Ticket: "t"}
 	if _, err := p.owner.Start(t.Context(), endpoint, order); err != nil {
 		t.Fatal(err)
 	}
@@ -172,7 +172,7 @@
 		Ended:   []pointport.TaskEnd{{Number: 3, TaskRun: pointport.TaskRun{Task: "a.0.0.0", Run: 1}, Kind: pointport.EndDone}},
 	}
 	p.delegate.report = want
-	got, err := p.owner.Hold(t.Context(), endpoint, pointport.HoldOrder{Fence: 7, Until: 9, Acknowledged: 2, Wait: time.Second})
+	got, err := p.owner.Poll(t.Context(), endpoint, pointport.PollOrder{Fence: 7, LeaseUntil: 9, Acknowledged: 2, Wait: time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -191,10 +191,10 @@
 		cause := errors.New(rapid.String().Draw(t, "cause"))
 		err := rapid.SampledFrom([]error{
 			nil,
-			&pointport.RejectedError{Incarnation: "i-1", Reason: pointport.RejectRoom},
+			&pointport.RejectedError{Incarnation: "i-1", Reason: pointport.RejectNoCapacity},
 			&pointport.RejectedError{Incarnation: "i-1", Reason: pointport.RejectFence},
 			&pointport.GoneError{Incarnation: "i-1"},
-			&pointport.GoneError{Incarnation: "i-1", By: "i-1@5"},
+			&pointport.GoneError{Incarnation: "i-1", AnsweredBy: "i-1@5"},
 			&pointport.UnavailableError{Op: "stop", Key: "a.0.0.0", Err: cause},
 			&pointport.UnavailableError{Op: "stop", Key: "a.0.0.0", Ambiguous: true, Err: cause},
 		}).Draw(t, "err")
@@ -229,7 +229,7 @@
 	text := strings.Repeat("x", payload)
 	before := p.sent.Load()
 	for n := range tasks {
-		o := pointport.StartOrder{TaskRun: pointport.TaskRun{Task: "5c0e7a21d94b36f8.0.1.17", Run: n}, Payload: text, Fence: 12345, Until: 1e12}
+		o := pointport.StartOrder{TaskRun: pointport.TaskRun{Task: "5c0e7a21d94b36f8.0.1.17", Run: n}, Payload: text, Fence: 12345, LeaseUntil: 1e12}
 		if _, err := p.owner.Start(t.Context(), endpoint, o); err != nil {
 			t.Fatal(err)
 		}
@@ -347,7 +347,7 @@
 	p.delegate.err = &pointport.UnavailableError{Op: "hold", Ambiguous: true, Err: errors.New("no route")}
 	p.delegate.mu.Unlock()
 	p.direct.report = pointport.Report{Clock: 8}
-	report, err := p.owner.Hold(t.Context(), endpoint, pointport.HoldOrder{Wait: time.Second})
+	report, err := p.owner.Poll(t.Context(), endpoint, pointport.PollOrder{Wait: time.Second})
 	if err != nil || report.Clock != 8 {
 		t.Fatalf("the poll returned %+v, %v, want a report with clock 8", report, err)
 	}
@@ -369,7 +369,7 @@
 	p.direct.err = silent
 	p.direct.mu.Unlock()
 	var unavailable *pointport.UnavailableError
-	if _, err := p.owner.Hold(t.Context(), endpoint, pointport.HoldOrder{}); !errors.As(err, &unavailable) {
+	if _, err := p.owner.Poll(t.Context(), endpoint, pointport.PollOrder{}); !errors.As(err, &unavailable) {
 		t.Fatalf("the poll ended with %v, want an unavailable error", err)
 	}
 	p.owner.mu.Lock()
--- a/delegate/executor.go
+++ b/delegate/executor.go
@@ -66,9 +66,9 @@
 }
 
 // Start starts a run.
-func (e *Executor) Start(ctx context.Context, at pointport.Endpoint, o pointport.StartOrder) (pointport.InstanceClock, error) {
+func (e *Executor) Start(ctx context.Context, at pointport.Endpoint, o pointport.StartOrder) (pointport.InstanceTime, error) {
 	line := newOrderLine(opStart, at, o.TaskRun, o.Fence)
-	line.Start = &startLine{Checkpoint: o.Checkpoint, Ticket: o.Ticket, Until: o.Until}
+	line.Start = &startLine{Checkpoint: o.Checkpoint, Ticket: o.Ticket, Until: o.LeaseUntil}
 	r, err := e.send(ctx, line, o.Payload, orderTimeout)
 	if errors.Is(err, errNotSent) {
 		return e.direct.Start(ctx, at, o)
@@ -77,7 +77,7 @@
 }
 
 // Stop stops a run.
-func (e *Executor) Stop(ctx context.Context, at pointport.Endpoint, o pointport.StopOrder) (pointport.InstanceClock, error) {
+func (e *Executor) Stop(ctx context.Context, at pointport.Endpoint, o pointport.StopOrder) (pointport.InstanceTime, error) {
 	r, err := e.send(ctx, newOrderLine(opStop, at, o.TaskRun, o.Fence), "", orderTimeout)
 	if errors.Is(err, errNotSent) {
 		return e.direct.Stop(ctx, at, o)
@@ -96,16 +96,16 @@
 	return err
 }
 
-// Hold extends the execution leases of the instance's runs, and returns its running and ended
+// Poll extends the execution leases of the instance's runs, and returns its running and ended
 // runs.
-func (e *Executor) Hold(ctx context.Context, at pointport.Endpoint, o pointport.HoldOrder) (pointport.Report, error) {
+func (e *Executor) Poll(ctx context.Context, at pointport.Endpoint, o pointport.PollOrder) (pointport.Report, error) {
 	line := newOrderLine(opHold, at, pointport.TaskRun{}, o.Fence)
-	line.Hold = &holdLine{Until: o.Until, Acknowledged: o.Acknowledged, Wait: o.Wait, Patience: o.Patience}
-	r, err := e.send(ctx, line, "", orderTimeout+o.Wait+o.Patience)
+	line.Hold = &holdLine{Until: o.LeaseUntil, Acknowledged: o.Acknowledged, Wait: o.Wait, Patience: o.ExtraTimeout}
+	r, err := e.send(ctx, line, "", orderTimeout+o.Wait+o.ExtraTimeout)
 	var unavailable *pointport.UnavailableError
 	switch {
 	case errors.Is(err, errNotSent):
-		return e.direct.Hold(ctx, at, o)
+		return e.direct.Poll(ctx, at, o)
 	case r.Failed != nil && errors.As(err, &unavailable):
 		return e.pollDirectly(ctx, at, o, err)
 	case err != nil:
@@ -117,9 +117,9 @@
 // pollDirectly polls an instance that did not answer the delegate. If it answers here, the
 // delegate is cut off, and its stream is dropped. Otherwise the instance would be considered
 // silent, and the execution leases of its tasks would expire.
-func (e *Executor) pollDirectly(ctx context.Context, at pointport.Endpoint, o pointport.HoldOrder, cause error) (pointport.Report, error) {
+func (e *Executor) pollDirectly(ctx context.Context, at pointport.Endpoint, o pointport.PollOrder, cause error) (pointport.Report, error) {
 	o.Wait = 0
-	report, err := e.direct.Hold(ctx, at, o)
+	report, err := e.direct.Poll(ctx, at, o)
 	if err != nil {
 		return pointport.Report{}, cause
 	}
--- a/delegate/serve.go
+++ b/delegate/serve.go
@@ -133,7 +133,7 @@
 	case o.Op == opStart && o.Start != nil:
 		result.Clock, err = e.Start(ctx, o.at(), pointport.StartOrder{
 			TaskRun: o.run(), Payload: payload, Checkpoint: o.Start.Checkpoint,
-			Ticket: o.Start.Ticket, Fence: o.Fence, Until: o.Start.Until,
+			Ticket: o.Start.Ticket, Fence: o.Fence, LeaseUntil: o.Start.Until,
 		})
 	case o.Op == opStop:
 		result.Clock, err = e.Stop(ctx, o.at(), pointport.StopOrder{TaskRun: o.run(), Fence: o.Fence})
@@ -141,8 +141,8 @@
 		err = e.Pace(ctx, o.at(), pointport.PaceOrder{TaskRun: o.run(), Percent: o.Percent, Fence: o.Fence})
 	case o.Op == opHold && o.Hold != nil:
 		var report pointport.Report
-		report, err = e.Hold(ctx, o.at(), pointport.HoldOrder{
-			Fence: o.Fence, Until: o.Hold.Until, Acknowledged: o.Hold.Acknowledged, Wait: o.Hold.Wait, Patience: o.Hold.Patience,
+		report, err = e.Poll(ctx, o.at(), pointport.PollOrder{
+			Fence: o.Fence, LeaseUntil: o.Hold.Until, Acknowledged: o.Hold.Acknowledged, Wait: o.Hold.Wait, ExtraTimeout: o.Hold.Patience,
 		})
 		result.Clock, result.Report = report.Clock, reportLineOf(report)
 	default:
--- a/delegate/wire.go
+++ b/delegate/wire.go
@@ -64,28 +64,28 @@
 // A startLine contains the additional parameters of a start. Its payload is in a slot of the
 // stream.
 type startLine struct {
-	Checkpoint string                  `json:"c,omitempty"`
-	Ticket     string                  `json:"t,omitempty"`
-	Until      pointport.InstanceClock `json:"u"`
-	Slot       int                     `json:"k"`
+	Checkpoint string                 `json:"c,omitempty"`
+	Ticket     string                 `json:"t,omitempty"`
+	Until      pointport.InstanceTime `json:"u"`
+	Slot       int                    `json:"k"`
 	// Payload is the new content of the slot, nil if the slot has the payload already.
 	Payload *string `json:"v,omitempty"`
 }
 
 // A holdLine contains the additional parameters of a poll.
 type holdLine struct {
-	Until        pointport.InstanceClock `json:"u,omitempty"`
-	Acknowledged int64                   `json:"a,omitempty"`
-	Wait         time.Duration           `json:"w,omitempty"`
-	Patience     time.Duration           `json:"p,omitempty"`
+	Until        pointport.InstanceTime `json:"u,omitempty"`
+	Acknowledged int64                  `json:"a,omitempty"`
+	Wait         time.Duration          `json:"w,omitempty"`
+	Patience     time.Duration          `json:"p,omitempty"`
 }
 
 // A resultLine is the result of an order.
 type resultLine struct {
-	Number int64                   `json:"n"`
-	Clock  pointport.InstanceClock `json:"c,omitempty"`
-	Report *reportLine             `json:"r,omitempty"` // of a poll
-	Failed *failure                `json:"e,omitempty"`
+	Number int64                  `json:"n"`
+	Clock  pointport.InstanceTime `json:"c,omitempty"`
+	Report *reportLine            `json:"r,omitempty"` // of a poll
+	Failed *failure               `json:"e,omitempty"`
 }
 
 // A reportLine is an instance's report without its clock, which is in the resultLine.
@@ -164,7 +164,7 @@
 	case errors.As(err, &rejected):
 		return &failure{Rejected: rejected.Reason}
 	case errors.As(err, &gone):
-		return &failure{Gone: true, By: gone.By}
+		return &failure{Gone: true, By: gone.AnsweredBy}
 	case errors.As(err, &unavailable):
 		return &failure{Ambiguous: unavailable.Ambiguous, Cause: unavailable.Err.Error()}
 	}
@@ -179,7 +179,7 @@
 	case f.Rejected != "":
 		return &pointport.RejectedError{Incarnation: o.Incarnation, Reason: f.Rejected}
 	case f.Gone:
-		return &pointport.GoneError{Incarnation: o.Incarnation, By: f.By}
+		return &pointport.GoneError{Incarnation: o.Incarnation, AnsweredBy: f.By}
 	}
 	return o.unavailable(f.Ambiguous, errors.New(f.Cause))
 }
--- a/executor.go
+++ b/executor.go
@@ -26,9 +26,9 @@
 	Run  int
 }
 
-// An InstanceClock is a time on the steady clock of one incarnation, which may
+// An InstanceTime is a time on the steady clock of one incarnation, which may
 // run a few percent slow.
-type InstanceClock time.Duration
+type InstanceTime time.Duration
 
 // A StartOrder asks an incarnation to run a task.
 type StartOrder struct {
@@ -37,9 +37,9 @@
 	Checkpoint string // to resume from, empty for none
 	Ticket     string // a permission to use this incarnation, empty for none
 	Fence      Fence
-	// Until is when everything on the incarnation ends unless it is extended.
+	// LeaseUntil is when everything on the incarnation ends unless it is extended.
 	// It never shortens what an earlier order gave.
-	Until InstanceClock
+	LeaseUntil InstanceTime
 }
 
 // A StopOrder asks an incarnation to stop a run, or never to start it.
@@ -55,23 +55,23 @@
 	Fence   Fence
 }
 
-// A HoldOrder extends the time of everything on an incarnation and asks what it
+// A PollOrder extends the time of everything on an incarnation and asks what it
 // runs.
-type HoldOrder struct {
+type PollOrder struct {
 	Fence Fence
-	// Until extends the time of everything there, unless it is zero.
-	Until InstanceClock
+	// LeaseUntil extends the time of everything there, unless it is zero.
+	LeaseUntil InstanceTime
 	// Acknowledged is the number of the last end that may be forgotten.
 	Acknowledged int64
 	// Wait is how long the answer may wait for a task to end.
 	Wait time.Duration
-	// Patience is how much longer than usual to wait for the answer.
-	Patience time.Duration
+	// ExtraTimeout is how much longer than usual to wait for the answer.
+	ExtraTimeout time.Duration
 }
 
 // A Report is what an incarnation says of its tasks.
 type Report struct {
-	Clock   InstanceClock
+	Clock   InstanceTime
 	Running []RunningTask
 	Ended   []TaskEnd
 }
@@ -92,12 +92,12 @@
 
 // The ways in which a run ends.
 const (
-	EndDone       EndKind = "done"
-	EndFailed     EndKind = "failed"     // by its own fault or its instance's
-	EndStopped    EndKind = "stopped"    // by an order
-	EndLapsed     EndKind = "lapsed"     // its time was not extended
-	EndGangBroken EndKind = "gangBroken" // another member of its gang ended
-	EndGangAlone  EndKind = "gangAlone"  // its gang did not gather in time
+	EndDone         EndKind = "done"
+	EndFailed       EndKind = "failed"     // by its own fault or its instance's
+	EndStopped      EndKind = "stopped"    // by an order
+	EndLeaseExpired EndKind = "lapsed"     // its time was not extended
+	EndGangBroken   EndKind = "gangBroken" // another member of its gang ended
+	EndGangTimeout  EndKind = "gangAlone"  // its gang did not gather in time
 )
 
 // A TaskEnd is a run that has ended.
@@ -119,13 +119,13 @@
 // them, are of whoever has its addressee when they arrive, which may be a later life.
 type Executor interface {
 	// Start starts a run. Starting a run that is there already changes nothing.
-	Start(ctx context.Context, at Endpoint, order StartOrder) (InstanceClock, error)
+	Start(ctx context.Context, at Endpoint, order StartOrder) (InstanceTime, error)
 
 	// Stop stops a run; a run that is not there yet will never start there.
-	Stop(ctx context.Context, at Endpoint, order StopOrder) (InstanceClock, error)
+	Stop(ctx context.Context, at Endpoint, order StopOrder) (InstanceTime, error)
 
-	// Hold extends the time of what runs and returns what runs and has ended.
-	Hold(ctx context.Context, at Endpoint, order HoldOrder) (Report, error)
+	// Poll extends the time of what runs and returns what runs and has ended.
+	Poll(ctx context.Context, at Endpoint, order PollOrder) (Report, error)
 
 	// Pace sets the share of its work that a run may do.
 	Pace(ctx context.Context, at Endpoint, order PaceOrder) error
@@ -136,13 +136,13 @@
 
 // The reasons for which an incarnation refuses an order.
 const (
-	RejectFence     RejectReason = "fence"     // it has seen a higher fence
-	RejectOldRun    RejectReason = "oldRun"    // that run or a later one has ended there
-	RejectLate      RejectReason = "late"      // the order's time had passed
-	RejectRoom      RejectReason = "room"      // the task does not fit
-	RejectTicket    RejectReason = "ticket"    // it may not run that step
-	RejectUnhealthy RejectReason = "unhealthy" // it is not well and has done nothing
-	RejectInvalid   RejectReason = "invalid"   // it does not understand the order
+	RejectFence      RejectReason = "fence"     // it has seen a higher fence
+	RejectOldRun     RejectReason = "oldRun"    // that run or a later one has ended there
+	RejectExpired    RejectReason = "late"      // the order's time had passed
+	RejectNoCapacity RejectReason = "room"      // the task does not fit
+	RejectTicket     RejectReason = "ticket"    // it may not run that step
+	RejectUnhealthy  RejectReason = "unhealthy" // it is not well and has done nothing
+	RejectInvalid    RejectReason = "invalid"   // it does not understand the order
 )
 
 // A RejectedError says that an incarnation refused an order and did nothing.
@@ -159,16 +159,16 @@
 // has ended.
 type GoneError struct {
 	Incarnation IncarnationID
-	// By is the incarnation that answered if it has the addressee of the one that was meant,
+	// AnsweredBy is the incarnation that answered if it has the addressee of the one that was meant,
 	// and so may have taken orders to it; empty if it has another one.
-	By IncarnationID
+	AnsweredBy IncarnationID
 }
 
 func (e *GoneError) Error() string {
-	if e.By == "" {
+	if e.AnsweredBy == "" {
 		return fmt.Sprintf("incarnation %s is gone", e.Incarnation)
 	}
-	return fmt.Sprintf("incarnation %s is gone: %s answers", e.Incarnation, e.By)
+	return fmt.Sprintf("incarnation %s is gone: %s answers", e.Incarnation, e.AnsweredBy)
 }
 
 // An Advisor knows which incarnations may run a step, where a queue's policy
--- a/incarnation.go
+++ b/incarnation.go
@@ -54,8 +54,8 @@
 	return func(i *Incarnation) { i.draining, i.left = true, left }
 }
 
-// WithCold says for how long it is slow yet.
-func WithCold(d time.Duration) IncarnationOption { return func(i *Incarnation) { i.cold = d } }
+// WithColdRemaining says for how long it is slow yet.
+func WithColdRemaining(d time.Duration) IncarnationOption { return func(i *Incarnation) { i.cold = d } }
 
 // ID returns the identity of this life.
 func (i Incarnation) ID() IncarnationID { return i.id }
@@ -75,13 +75,13 @@
 // Draining reports whether it is about to end on purpose.
 func (i Incarnation) Draining() bool { return i.draining }
 
-// Left returns how long a draining incarnation stays at least, counted from its
+// Remaining returns how long a draining incarnation stays at least, counted from its
 // registration.
-func (i Incarnation) Left() time.Duration { return i.left }
+func (i Incarnation) Remaining() time.Duration { return i.left }
 
-// Cold returns for how long the incarnation is slow yet, as after its start, counted from its
+// ColdRemaining returns for how long the incarnation is slow yet, as after its start, counted from its
 // registration.
-func (i Incarnation) Cold() time.Duration { return i.cold }
+func (i Incarnation) ColdRemaining() time.Duration { return i.cold }
 
 // Capacity returns its size.
 func (i Incarnation) Capacity() Shape { return i.capacity }
--- a/life.go
+++ b/incarnation_id.go
@@ -40,9 +40,9 @@
 	return Addressee(to)
 }
 
-// Born returns when the life began, false if its addressee alone names it: no other life has
+// StartedAt returns when the life began, false if its addressee alone names it: no other life has
 // that one then.
-func (id IncarnationID) Born() (time.Time, bool) {
+func (id IncarnationID) StartedAt() (time.Time, bool) {
 	_, born, ok := strings.Cut(string(id), bornMark)
 	if !ok {
 		return time.Time{}, false
@@ -51,5 +51,5 @@
 	return time.UnixMilli(at), err == nil
 }
 
-// Shares reports whether other lives may have the addressee of this one.
-func (id IncarnationID) Shares() bool { return strings.Contains(string(id), bornMark) }
+// SharesAddressee reports whether other lives may have the addressee of this one.
+func (id IncarnationID) SharesAddressee() bool { return strings.Contains(string(id), bornMark) }
--- a/job/state.go
+++ b/job/state.go
@@ -76,8 +76,8 @@
 // idBytes is how many bytes of the digest name a job.
 const idBytes = 16
 
-// Home returns the zone that keeps the job called id.
-func Home(id string, zones []pointport.ZoneID) pointport.ZoneID {
+// HomeZone returns the zone that keeps the job called id.
+func HomeZone(id string, zones []pointport.ZoneID) pointport.ZoneID {
 	n := 0
 	for _, c := range []byte(id) {
 		n = (n*31 + int(c)) % len(zones)
@@ -172,8 +172,8 @@
 	return nil
 }
 
-// Open reports whether any job has not ended.
-func (s *State) Open() bool {
+// HasUnfinished reports whether any job has not ended.
+func (s *State) HasUnfinished() bool {
 	for _, j := range s.jobs {
 		if !j.Phase.Ended() {
 			return true
--- a/kv.go
+++ b/kv.go
@@ -46,16 +46,16 @@
 // A Page is a part of the keys under a prefix, in the order of their keys.
 // Pages of one range form no snapshot.
 type Page struct {
-	Entries []Entry
-	More    bool     // whether further keys follow
-	At      Revision // the service's revision when the page was read
+	Entries  []Entry
+	More     bool     // whether further keys follow
+	Revision Revision // the service's revision when the page was read
 }
 
 // Changes are what a watch has seen, in order. A deleted key is an Entry that
 // does not exist.
 type Changes struct {
-	Entries []Entry
-	At      Revision // from where the next watch goes on
+	Entries  []Entry
+	Revision Revision // from where the next watch goes on
 }
 
 // A KV is the platform's key-value service with all that jobs need of it.
--- a/member/follow.go
+++ b/member/follow.go
@@ -188,7 +188,7 @@
 		// revision, so it returns what was missed, or fails because that has been compacted.
 		return nil
 	}
-	f.watchFrom = max(f.watchFrom, changes.At)
+	f.watchFrom = max(f.watchFrom, changes.Revision)
 	f.apply(changes.Entries)
 	sleep(ctx, f.clock, f.pauseAfter(changes.Entries))
 	return nil
@@ -217,7 +217,7 @@
 			return nil, 0, err
 		}
 		if at == 0 {
-			at = page.At
+			at = page.Revision
 		}
 		all = append(all, page.Entries...)
 		if !page.More || len(page.Entries) == 0 {
--- a/member/follow_key.go
+++ b/member/follow_key.go
@@ -152,7 +152,7 @@
 	if err != nil {
 		return err
 	}
-	f.watchFrom, f.checkedAt = max(f.watchFrom, page.At), from
+	f.watchFrom, f.checkedAt = max(f.watchFrom, page.Revision), from
 	if e := f.find(page.Entries); e.Exists() {
 		f.update(e)
 	}
@@ -166,7 +166,7 @@
 	if err != nil || len(changes.Entries) == 0 {
 		return err
 	}
-	f.watchFrom = max(f.watchFrom, changes.At)
+	f.watchFrom = max(f.watchFrom, changes.Revision)
 	for _, e := range changes.Entries {
 		if e.Key() == f.key {
 			f.update(e)
--- a/memory/kv.go
+++ b/memory/kv.go
@@ -232,7 +232,7 @@
 
 // page returns a page of a range. The lock is held.
 func (s *Store) page(prefix, after string) pointport.Page {
-	page := pointport.Page{At: s.revision}
+	page := pointport.Page{Revision: s.revision}
 	for key, e := range s.entries {
 		if strings.HasPrefix(key, prefix) && key > after {
 			page.Entries = append(page.Entries, e)
@@ -265,7 +265,7 @@
 			if k.store.dropEvents {
 				// The answer claims to include everything up to the current
 				// revision, so the caller cannot notice the omission.
-				return watchResult{pointport.Changes{At: k.store.revision}, k.store.changed}, nil
+				return watchResult{pointport.Changes{Revision: k.store.revision}, k.store.changed}, nil
 			}
 			return watchResult{k.store.changesAfter(prefix, after), k.store.changed}, nil
 		})
@@ -278,7 +278,7 @@
 		select {
 		case <-found.next:
 		case <-end:
-			return pointport.Changes{At: max(found.changes.At, after)}, nil
+			return pointport.Changes{Revision: max(found.changes.Revision, after)}, nil
 		case <-ctx.Done():
 			return pointport.Changes{}, &pointport.UnavailableError{Op: "watch", Key: prefix, Err: ctx.Err()}
 		}
@@ -288,7 +288,7 @@
 // changesAfter returns the changes of keys with the prefix after a revision. The lock
 // is held.
 func (s *Store) changesAfter(prefix string, after pointport.Revision) pointport.Changes {
-	out := pointport.Changes{At: s.revision}
+	out := pointport.Changes{Revision: s.revision}
 	for _, c := range s.history {
 		if c.at > after && strings.HasPrefix(c.entry.Key(), prefix) {
 			out.Entries = append(out.Entries, c.entry)
--- a/meter/calls.go
+++ b/meter/calls.go
@@ -76,23 +76,23 @@
 // Executor returns a wrapper of next that measures its orders.
 func (m *Meter) Executor(next pointport.Executor) pointport.Executor { return &executor{next, m} }
 
-func (e *executor) Start(ctx context.Context, at pointport.Endpoint, o pointport.StartOrder) (pointport.InstanceClock, error) {
+func (e *executor) Start(ctx context.Context, at pointport.Endpoint, o pointport.StartOrder) (pointport.InstanceTime, error) {
 	start := e.meter.clock.Now()
 	clock, err := e.next.Start(ctx, at, o)
 	e.meter.observeCall(toInstance, "start", start, 0, err)
 	return clock, err
 }
 
-func (e *executor) Stop(ctx context.Context, at pointport.Endpoint, o pointport.StopOrder) (pointport.InstanceClock, error) {
+func (e *executor) Stop(ctx context.Context, at pointport.Endpoint, o pointport.StopOrder) (pointport.InstanceTime, error) {
 	start := e.meter.clock.Now()
 	clock, err := e.next.Stop(ctx, at, o)
 	e.meter.observeCall(toInstance, "stop", start, 0, err)
 	return clock, err
 }
 
-func (e *executor) Hold(ctx context.Context, at pointport.Endpoint, o pointport.HoldOrder) (pointport.Report, error) {
+func (e *executor) Poll(ctx context.Context, at pointport.Endpoint, o pointport.PollOrder) (pointport.Report, error) {
 	start := e.meter.clock.Now()
-	report, err := e.next.Hold(ctx, at, o)
+	report, err := e.next.Poll(ctx, at, o)
 	e.meter.observeCall(toInstance, "hold", start, o.Wait, err)
 	return report, err
 }
--- a/node/bench_test.go
+++ b/node/bench_test.go
@@ -24,7 +24,7 @@
 		storeFate: func(string, string) memory.Fault { return memory.FaultNone },
 	}
 	c.kv = store.KV()
-	c.fleet = testbed.New(clock.System{}, testbed.WithRegister(c.register))
+	c.fleet = testbed.New(clock.System{}, testbed.WithRegistrationObserver(c.register))
 	for n := range instances {
 		c.fleet.Add(pointport.InstanceID(fmt.Sprintf("m-%02d", n)), "shift", "north", "r-1", pointport.Shape{CPUMilli: 16000, MemoryMiB: 32768})
 	}
--- a/node/cap_test.go
+++ b/node/cap_test.go
@@ -210,7 +210,7 @@
 					t.Errorf("at most %d cores ran of a cap of 12", w.worst)
 				}
 			}, withWork(func(pointport.StartOrder) testbed.Work {
-				return testbed.Work{Room: pointport.Shape{CPUMilli: 1000, MemoryMiB: 16}, Duration: task}
+				return testbed.Work{Reservation: pointport.Shape{CPUMilli: 1000, MemoryMiB: 16}, Duration: task}
 			}))
 		})
 	}
--- a/node/capacity_test.go
+++ b/node/capacity_test.go
@@ -58,7 +58,7 @@
 					c.eventually(n, q, fmt.Sprintf("%016x", i), workload.Completed, time.Minute)
 				}
 			}, append(k.guards, withWork(func(pointport.StartOrder) testbed.Work {
-				return testbed.Work{Room: room, Duration: time.Second}
+				return testbed.Work{Reservation: room, Duration: time.Second}
 			}))...)
 		})
 	}
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -149,16 +149,16 @@
 // withReturns has instances come back under the addressee that they had, in so many percent of
 // their returns.
 func withReturns(percent int) clusterOption {
-	return func(_ *cluster, o *[]testbed.Option) { *o = append(*o, testbed.WithReturns(percent)) }
+	return func(_ *cluster, o *[]testbed.Option) { *o = append(*o, testbed.WithAddresseeReuse(percent)) }
 }
 
 // withLinger has the registration of an instance stay for a while that ends without having said so.
 func withLinger(d time.Duration) clusterOption {
-	return func(_ *cluster, o *[]testbed.Option) { *o = append(*o, testbed.WithLinger(d)) }
+	return func(_ *cluster, o *[]testbed.Option) { *o = append(*o, testbed.WithDeregistrationDelay(d)) }
 }
 
 func withoutGuards() clusterOption {
-	return func(_ *cluster, o *[]testbed.Option) { *o = append(*o, testbed.WithGuards(false)) }
+	return func(_ *cluster, o *[]testbed.Option) { *o = append(*o, testbed.WithCapacityEnforcement(false)) }
 }
 
 // newCluster returns a cluster without nodes: two pools of four instances and
@@ -170,7 +170,7 @@
 		peersCut:  make(map[string]bool), full: make(map[string]bool), nodes: make(map[string]*running), logs: &logs{}, written: &logs{}, latency: time.Millisecond,
 	}
 	c.kv = c.store.KV()
-	fleetOptions := []testbed.Option{testbed.WithSpare(spareName), testbed.WithRegister(c.register), testbed.WithReturns(returns)}
+	fleetOptions := []testbed.Option{testbed.WithSparePool(spareName), testbed.WithRegistrationObserver(c.register), testbed.WithAddresseeReuse(returns)}
 	for _, o := range options {
 		o(c, &fleetOptions)
 	}
@@ -231,7 +231,7 @@
 		return
 	}
 	value, err := json.Marshal(registrationDocument{
-		inc.ID(), inc.Instance(), inc.Pool(), inc.Address(), inc.Zone(), inc.Rack(), inc.Labels(), inc.Capacity(), inc.Draining(), inc.Left(),
+		inc.ID(), inc.Instance(), inc.Pool(), inc.Address(), inc.Zone(), inc.Rack(), inc.Labels(), inc.Capacity(), inc.Draining(), inc.Remaining(),
 	})
 	if err != nil {
 		c.t.Error(err)
@@ -330,7 +330,7 @@
 		}
 		return c.storeFate(name, op)
 	}
-	network := func(op string, to pointport.InstanceID) testbed.Fate {
+	network := func(op string, to pointport.InstanceID) testbed.Delivery {
 		machine.gate()
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -365,9 +365,9 @@
 	n, err := node.Start(ctx, services, node.Parameters{
 		Name: name, Zone: "north", Addresses: node.Addresses{Peers: ""}, LeaseTTL: member.DefaultTTL,
 		TaskLease: 4 * time.Second, Grace: 6 * time.Second, HolderTime: holderTime, PeerName: name, MachineOrdersPerSecond: c.perSecond,
-		GangTimeout: testbed.DefaultGangTime, RemoteDataSlowdown: 2,
+		GangTimeout: testbed.DefaultGangTimeout, RemoteDataSlowdown: 2,
 		ConfigApplyTime: c.configTime,
-		Capacity:        capacity.Settings{MoveTime: testbed.DefaultMoveTime, UpkeepTime: testbed.DefaultUpkeep}, Keys: c.keys,
+		Capacity:        capacity.Settings{MoveTime: testbed.DefaultMoveTime, UpkeepTime: testbed.DefaultUpkeepTime}, Keys: c.keys,
 		LowMemory: func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
@@ -452,7 +452,7 @@
 	if err != nil {
 		c.t.Error(err)
 	}
-	c.fleet.SetBound(id, bound)
+	c.fleet.SetWaveBound(id, bound)
 	c.put(fmt.Sprintf("%s%d", wavePrefix, id), value)
 }
 
@@ -464,7 +464,7 @@
 
 // open takes that back.
 func (c *cluster) open(zone pointport.ZoneID) {
-	c.fleet.Open(zone)
+	c.fleet.EndEvacuation(zone)
 	if _, err := c.kv.Commit(context.Background(), pointport.Txn{Delete: []string{evacuationPrefix + string(zone)}}); err != nil {
 		c.t.Error(err)
 	}
--- a/node/crash_test.go
+++ b/node/crash_test.go
@@ -33,7 +33,7 @@
 // crashing is what tasks do where the first one of the poison job crashes its instance.
 func crashing(change func(*testbed.Work)) testbed.WorkSource {
 	return func(o pointport.StartOrder) testbed.Work {
-		w := testbed.Work{Room: crashRoom, Duration: 800 * time.Millisecond, Serves: strings.HasPrefix(o.Task, besideServing)}
+		w := testbed.Work{Reservation: crashRoom, Duration: 800 * time.Millisecond, Service: strings.HasPrefix(o.Task, besideServing)}
 		if strings.HasPrefix(o.Task, poison) {
 			w.Crashes = strings.HasSuffix(o.Task, ".0")
 			change(&w)
@@ -63,7 +63,7 @@
 		{name: "of a gang",
 			step: func(s *workload.Step) { s.Gang = true }, work: func(w *testbed.Work) { w.Gang = crashTasks }},
 		{name: "that serves",
-			step: func(s *workload.Step) { s.Service = true }, work: func(w *testbed.Work) { w.Serves = true }, left: crashTasks - 1},
+			step: func(s *workload.Step) { s.Service = true }, work: func(w *testbed.Work) { w.Service = true }, left: crashTasks - 1},
 		{name: "where nobody says that an instance is over",
 			options: []clusterOption{withoutSteward()}},
 		{name: "whose owners die in turn",
--- a/node/cut_test.go
+++ b/node/cut_test.go
@@ -32,9 +32,9 @@
 		if got := c.fleet.Running(); got != 3 {
 			t.Fatalf("%d tasks run, want 3", got)
 		}
-		cut := c.fleet.Holding()
-		c.setNetwork(func(_ string, to pointport.InstanceID) testbed.Fate {
-			return testbed.Fate{Latency: time.Millisecond, Lost: slices.Contains(cut, to)}
+		cut := c.fleet.BusyMachines()
+		c.setNetwork(func(_ string, to pointport.InstanceID) testbed.Delivery {
+			return testbed.Delivery{Latency: time.Millisecond, OrderLost: slices.Contains(cut, to)}
 		})
 		time.Sleep(12 * time.Second)
 		if got := c.fleet.Running(); got != 3 {
@@ -64,16 +64,16 @@
 	submit(t, c.nodes["n0"].node, q, kept, twoSteps(8*time.Second))
 	submit(t, c.nodes["n0"].node, q, cancelled, twoSteps(8*time.Second))
 	time.Sleep(time.Second)
-	owner, cut := c.owner("shift"), c.fleet.Holding()
+	owner, cut := c.owner("shift"), c.fleet.BusyMachines()
 	heals := time.Now().Add(lasts)
 	const looksLag = 700 * time.Millisecond
-	c.setNetwork(func(op string, to pointport.InstanceID) testbed.Fate {
+	c.setNetwork(func(op string, to pointport.InstanceID) testbed.Delivery {
 		inside, across := strings.HasPrefix(op, owner+" "), slices.Contains(cut, to)
 		lost := inside != across && time.Now().Before(heals)
 		if strings.HasSuffix(op, " hold") && !inside && across {
 			lost = time.Now().Before(heals.Add(looksLag))
 		}
-		return testbed.Fate{Latency: time.Millisecond, Lost: lost}
+		return testbed.Delivery{Latency: time.Millisecond, OrderLost: lost}
 	})
 	c.setStoreFate(func(node, _ string) memory.Fault {
 		if node == owner && time.Now().Before(heals) {
@@ -115,7 +115,7 @@
 				q := queue(t, n, "shift-close")
 				submit(t, n, q, "00000000000000cc", twoSteps(30*time.Second))
 				time.Sleep(time.Second)
-				for _, id := range k.fleet.Holding() {
+				for _, id := range k.fleet.BusyMachines() {
 					k.fleet.Crash(id, 0)
 				}
 				time.Sleep(3 * time.Second)
@@ -128,16 +128,16 @@
 }
 
 func TestOrdersWithoutAnswers(t *testing.T) {
-	for _, fate := range []testbed.Fate{{Lost: true}, {Mute: true}, {Late: 3 * time.Second}} {
+	for _, fate := range []testbed.Delivery{{OrderLost: true}, {AnswerLost: true}, {LateBy: 3 * time.Second}} {
 		t.Run(fmt.Sprintf("%+v", fate), func(t *testing.T) {
 			bubble(t, 3, func(c *cluster) {
 				calls := 0
-				c.setNetwork(func(string, pointport.InstanceID) testbed.Fate {
+				c.setNetwork(func(string, pointport.InstanceID) testbed.Delivery {
 					calls++
 					if calls%4 == 0 {
 						return fate
 					}
-					return testbed.Fate{Latency: time.Millisecond}
+					return testbed.Delivery{Latency: time.Millisecond}
 				})
 				n := c.nodes["n0"].node
 				q := queue(t, n, "shift-close")
@@ -161,15 +161,15 @@
 		q := queue(t, n, "shift-close")
 		const cutFor = 8 * time.Second
 		cut := time.Now().Add(cutFor)
-		c.setNetwork(func(op string, to pointport.InstanceID) testbed.Fate {
+		c.setNetwork(func(op string, to pointport.InstanceID) testbed.Delivery {
 			switch {
 			case time.Now().After(cut) || to != "m-00":
-				return testbed.Fate{Latency: time.Millisecond}
+				return testbed.Delivery{Latency: time.Millisecond}
 			case op == "n0 start":
 				// Held up until just after the first looks that get through.
-				return testbed.Fate{Late: time.Until(cut) + 700*time.Millisecond}
+				return testbed.Delivery{LateBy: time.Until(cut) + 700*time.Millisecond}
 			}
-			return testbed.Fate{Lost: true}
+			return testbed.Delivery{OrderLost: true}
 		})
 		submit(t, n, q, "00000000000000cc", twoSteps(10*time.Second))
 		c.eventually(n, q, "00000000000000cc", workload.Completed, 60*time.Second)
--- a/node/deaf_test.go
+++ b/node/deaf_test.go
@@ -59,15 +59,15 @@
 			submit(t, asked, q, ids[n], spec)
 		}
 		time.Sleep(300 * time.Millisecond)
-		busy := c.fleet.Holding()
+		busy := c.fleet.BusyMachines()
 		if idle := 4 + deafMore - len(busy); idle < heardStill {
 			t.Fatalf("%d instances run nothing, want %d at least", idle, heardStill)
 		}
 		until := time.Now().Add(lasts)
-		c.setNetwork(func(op string, to pointport.InstanceID) testbed.Fate {
+		c.setNetwork(func(op string, to pointport.InstanceID) testbed.Delivery {
 			node, _, _ := strings.Cut(op, " ")
 			if time.Now().Before(until) && slices.Contains(busy, to) && deaf(node, owner) {
-				return testbed.Fate{Mute: true}
+				return testbed.Delivery{AnswerLost: true}
 			}
 			return testbed.Reliable(op, to)
 		})
@@ -83,7 +83,7 @@
 		time.Sleep(lasts)
 		c.wantStartedOnce(ids)
 	}, withoutSteward(), withWork(func(pointport.StartOrder) testbed.Work {
-		return testbed.Work{Room: room, Duration: time.Second}
+		return testbed.Work{Reservation: room, Duration: time.Second}
 	}))
 }
 
@@ -139,7 +139,7 @@
 			}
 			return memory.FaultNone
 		})
-		entries := c.registrationsOf(c.fleet.Holding())
+		entries := c.registrationsOf(c.fleet.BusyMachines())
 		time.AfterFunc(lapse, func() {
 			for _, e := range entries {
 				c.commit(pointport.Txn{Delete: []string{e.Key()}})
--- a/node/entries_test.go
+++ b/node/entries_test.go
@@ -30,7 +30,7 @@
 				})
 				jobs++
 				time.Sleep(100 * time.Millisecond)
-				for _, id := range c.fleet.Holding() {
+				for _, id := range c.fleet.BusyMachines() {
 					held[id] = true
 				}
 			}
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -21,7 +21,7 @@
 
 // shortWork is what tasks of a load do.
 func shortWork(pointport.StartOrder) testbed.Work {
-	return testbed.Work{Room: pointport.Shape{CPUMilli: 500, MemoryMiB: 128}, Duration: 500 * time.Millisecond}
+	return testbed.Work{Reservation: pointport.Shape{CPUMilli: 500, MemoryMiB: 128}, Duration: 500 * time.Millisecond}
 }
 
 // A zoneLoad hands in a job of so many tasks each tenth of a second.
--- a/node/failure_test.go
+++ b/node/failure_test.go
@@ -208,7 +208,7 @@
 // days: a new steward did not know what its predecessor had taken down).
 func TestWaveWhileStewardsChange(t *testing.T) {
 	work := func(pointport.StartOrder) testbed.Work {
-		return testbed.Work{Room: pointport.Shape{CPUMilli: 500}, Serves: true, MayMiss: 1}
+		return testbed.Work{Reservation: pointport.Shape{CPUMilli: 500}, Service: true, MayMiss: 1}
 	}
 	bubble(t, 3, func(c *cluster) {
 		q := queue(t, c.nodes["n0"].node, "shift-close")
@@ -254,27 +254,27 @@
 		n := c.nodes["n0"].node
 		q := queue(t, n, "shift-close")
 		time.Sleep(4 * time.Second)
-		if got := c.fleet.Size("shift") + c.fleet.Size("payout"); got != 8 {
+		if got := c.fleet.PoolSize("shift") + c.fleet.PoolSize("payout"); got != 8 {
 			t.Errorf("pools of which nothing is known have %d instances, want their 8", got)
 		}
 		submit(t, n, q, "00000000000000aa", twoSteps(100*time.Millisecond))
 		submit(t, n, queue(t, n, "payout-close"), "00000000000000bb", twoSteps(100*time.Millisecond))
 		time.Sleep(6 * time.Second)
-		if got := c.fleet.Size("shift") + c.fleet.Size("payout"); got > 4 {
+		if got := c.fleet.PoolSize("shift") + c.fleet.PoolSize("payout"); got > 4 {
 			t.Errorf("idle pools have %d instances", got)
 		}
 		for i := range 60 {
 			submit(t, n, q, fmt.Sprintf("%016x", i), twoSteps(900*time.Millisecond))
 			time.Sleep(60 * time.Millisecond)
 		}
-		if got := c.fleet.Size("shift"); got < 5 {
+		if got := c.fleet.PoolSize("shift"); got < 5 {
 			t.Errorf("pool at its peak has %d instances", got)
 		}
 		for i := range 60 {
 			c.eventually(n, q, fmt.Sprintf("%016x", i), workload.Completed, 20*time.Second)
 		}
 		time.Sleep(6 * time.Second)
-		if got := c.fleet.Size("shift"); got > 2 {
+		if got := c.fleet.PoolSize("shift"); got > 2 {
 			t.Errorf("pool has %d instances after its peak", got)
 		}
 	})
@@ -282,7 +282,7 @@
 
 func TestGangGathersOrGivesUp(t *testing.T) {
 	work := func(pointport.StartOrder) testbed.Work {
-		return testbed.Work{Room: pointport.Shape{CPUMilli: 1500}, Duration: 500 * time.Millisecond, Gang: 5}
+		return testbed.Work{Reservation: pointport.Shape{CPUMilli: 1500}, Duration: 500 * time.Millisecond, Gang: 5}
 	}
 	bubble(t, 2, func(c *cluster) {
 		n := c.nodes["n0"].node
@@ -290,11 +290,11 @@
 		spec := &workload.Spec{Steps: []workload.Step{{
 			Count: 5, Need: pointport.Shape{CPUMilli: 1500}, Estimate: 500 * time.Millisecond, Gang: true,
 		}}}
-		c.setNetwork(func(op string, to pointport.InstanceID) testbed.Fate {
+		c.setNetwork(func(op string, to pointport.InstanceID) testbed.Delivery {
 			if to == "m-02" && strings.HasSuffix(op, "start") {
-				return testbed.Fate{Lost: true}
+				return testbed.Delivery{OrderLost: true}
 			}
-			return testbed.Fate{Latency: time.Millisecond}
+			return testbed.Delivery{Latency: time.Millisecond}
 		})
 		submit(t, n, q, "00000000000000aa", spec)
 		time.Sleep(3 * time.Second)
--- a/node/handover_random_test.go
+++ b/node/handover_random_test.go
@@ -77,7 +77,7 @@
 
 // A mishap decides the fate of orders and of calls to the store while it lasts.
 type mishap struct {
-	order func(op string, to pointport.InstanceID) (testbed.Fate, bool)
+	order func(op string, to pointport.InstanceID) (testbed.Delivery, bool)
 	call  func(node, op, key string) (memory.Fault, bool)
 }
 
@@ -97,7 +97,7 @@
 	c.setStoreFate(m.call)
 }
 
-func (m *mishaps) order(op string, to pointport.InstanceID) testbed.Fate {
+func (m *mishaps) order(op string, to pointport.InstanceID) testbed.Delivery {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, x := range m.all {
@@ -164,9 +164,9 @@
 
 // hearsOnly has an instance hear nobody but one node.
 func hearsOnly(id pointport.InstanceID, node string) mishap {
-	return mishap{order: func(op string, to pointport.InstanceID) (testbed.Fate, bool) {
+	return mishap{order: func(op string, to pointport.InstanceID) (testbed.Delivery, bool) {
 		cut := to == id && !strings.HasPrefix(op, node+" ")
-		return testbed.Fate{Latency: time.Millisecond, Lost: true}, cut
+		return testbed.Delivery{Latency: time.Millisecond, OrderLost: true}, cut
 	}}
 }
 
@@ -207,9 +207,9 @@
 			c.store.ExpireKey(member.OwnerKey(pool))
 		}
 	case "lateStarts":
-		p.mishaps.during(tr.lasts, mishap{order: func(op string, _ pointport.InstanceID) (testbed.Fate, bool) {
+		p.mishaps.during(tr.lasts, mishap{order: func(op string, _ pointport.InstanceID) (testbed.Delivery, bool) {
 			calls++
-			return testbed.Fate{Late: time.Duration(500+400*tr.index) * time.Millisecond}, strings.HasSuffix(op, " start") && calls%2 == 0
+			return testbed.Delivery{LateBy: time.Duration(500+400*tr.index) * time.Millisecond}, strings.HasSuffix(op, " start") && calls%2 == 0
 		}})
 	case "storeLosesAnswers", "storeIsLate":
 		fault := map[string]memory.Fault{"storeLosesAnswers": memory.FaultLostAnswer, "storeIsLate": memory.FaultLate}[tr.kind]
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -82,11 +82,11 @@
 	bubble(t, 1, func(c *cluster) {
 		time.Sleep(4 * time.Second) // until its pools may be given away
 		n := c.nodes["n0"].node
-		c.setNetwork(func(op string, _ pointport.InstanceID) testbed.Fate {
+		c.setNetwork(func(op string, _ pointport.InstanceID) testbed.Delivery {
 			if op == "n0 start" {
-				return testbed.Fate{Late: late}
+				return testbed.Delivery{LateBy: late}
 			}
-			return testbed.Fate{Latency: time.Millisecond}
+			return testbed.Delivery{Latency: time.Millisecond}
 		})
 		submit(t, n, queue(t, n, "shift-close"), id, twoSteps(5*time.Second))
 		time.Sleep(200 * time.Millisecond)
--- a/node/hearsay_test.go
+++ b/node/hearsay_test.go
@@ -117,8 +117,8 @@
 	if got := c.fleet.Running(); got != 4 {
 		t.Fatalf("%d tasks run, want 4", got)
 	}
-	c.setNetwork(func(op string, _ pointport.InstanceID) testbed.Fate {
-		return testbed.Fate{Latency: time.Millisecond, Mute: strings.HasSuffix(op, " hold")}
+	c.setNetwork(func(op string, _ pointport.InstanceID) testbed.Delivery {
+		return testbed.Delivery{Latency: time.Millisecond, AnswerLost: strings.HasSuffix(op, " hold")}
 	})
 	time.Sleep(3 * time.Second)
 	c.setNetwork(testbed.Reliable)
--- a/node/moved_test.go
+++ b/node/moved_test.go
@@ -44,7 +44,7 @@
 			}
 		}
 	}, withLinger(linger), withWork(func(pointport.StartOrder) testbed.Work {
-		return testbed.Work{Room: room, Duration: time.Second}
+		return testbed.Work{Reservation: room, Duration: time.Second}
 	}))
 }
 
--- a/node/overload_test.go
+++ b/node/overload_test.go
@@ -75,6 +75,6 @@
 		}
 		t.Logf("%d of %d in time", inTime.Load(), steady)
 	}, withWork(func(pointport.StartOrder) testbed.Work {
-		return testbed.Work{Room: room, Duration: work}
+		return testbed.Work{Reservation: room, Duration: work}
 	}))
 }
--- a/node/pressed_test.go
+++ b/node/pressed_test.go
@@ -33,7 +33,7 @@
 )
 
 // carry returns what becomes of an order that is sent now. The caller holds a lock.
-func (l *orderLink) carry(op string) testbed.Fate {
+func (l *orderLink) carry(op string) testbed.Delivery {
 	now := time.Now()
 	if l.free.Before(now) {
 		l.free = now
@@ -46,9 +46,9 @@
 	l.orders++
 	delay := l.free.Sub(now) + time.Millisecond
 	if delay > answerWait {
-		return testbed.Fate{Late: delay}
+		return testbed.Delivery{LateBy: delay}
 	}
-	return testbed.Fate{Latency: delay}
+	return testbed.Delivery{Latency: delay}
 }
 
 // What users saw: on entry instances with 2 Mbit/s, half of the jobs came late and one in
@@ -112,7 +112,7 @@
 		time.Sleep(time.Second)
 		owner := c.owner("shift")
 		link := &orderLink{}
-		c.setNetwork(func(op string, to pointport.InstanceID) testbed.Fate {
+		c.setNetwork(func(op string, to pointport.InstanceID) testbed.Delivery {
 			if !strings.HasPrefix(op, owner+" ") {
 				return testbed.Reliable(op, to)
 			}
@@ -154,7 +154,7 @@
 		}
 		t.Logf("%s", c.logs.about("orders delegated"))
 	}, withoutSteward(), withWork(func(pointport.StartOrder) testbed.Work {
-		return testbed.Work{Room: room, Duration: 500 * time.Millisecond}
+		return testbed.Work{Reservation: room, Duration: 500 * time.Millisecond}
 	}))
 }
 
--- a/node/random_test.go
+++ b/node/random_test.go
@@ -127,7 +127,7 @@
 		return testbed.Work{}
 	}
 	step := s.jobs[n].Steps[ref.Step]
-	w := testbed.Work{Room: step.Reservation(), Duration: step.Estimate * time.Duration(2+(ref.Index+n)%3) / 3, Serves: step.Service, Copies: step.Copies, MayMiss: step.MayMiss}
+	w := testbed.Work{Reservation: step.Reservation(), Duration: step.Estimate * time.Duration(2+(ref.Index+n)%3) / 3, Service: step.Service, Copies: step.Copies, MayMiss: step.MayMiss}
 	if _, cancelled := s.cancels[n]; cancelled {
 		w.MayMiss = 0 // all its tasks are stopped at once
 	}
@@ -135,9 +135,9 @@
 		w.Gang, w.Duration = step.Count, step.Estimate
 	}
 	first := ref == workload.TaskRef{} || step.Gang && ref.Step == 0 // a gang fails as one
-	w.Fails, w.Attempts = n == s.hopeless && first, 3
+	w.Fails, w.MaxAttempts = n == s.hopeless && first, 3
 	if step.Service {
-		w.Attempts = 0 // it may fail as often as it does
+		w.MaxAttempts = 0 // it may fail as often as it does
 	}
 	w.Crashes = n == s.poison && ref == workload.TaskRef{}
 	for _, before := range step.After {
@@ -327,7 +327,9 @@
 	c := p.cluster
 	name := fmt.Sprintf("n%d", tr.index%3)
 	id := c.fleet.IDs()[tr.index]
-	none := func(string, pointport.InstanceID) testbed.Fate { return testbed.Fate{Latency: time.Millisecond} }
+	none := func(string, pointport.InstanceID) testbed.Delivery {
+		return testbed.Delivery{Latency: time.Millisecond}
+	}
 	switch tr.kind {
 	case "kill", "stop":
 		if !p.busy[tr.index%3].CompareAndSwap(false, true) {
@@ -350,9 +352,9 @@
 		time.Sleep(tr.lasts)
 		c.fleet.SetFailing(id, false)
 	case "unwell":
-		c.fleet.SetUnwell(id, true)
+		c.fleet.SetUnhealthy(id, true)
 		time.Sleep(tr.lasts)
-		c.fleet.SetUnwell(id, false)
+		c.fleet.SetUnhealthy(id, false)
 	case "storeForgets":
 		c.store.DropWatchEvents(true)
 		time.Sleep(time.Second)
@@ -378,22 +380,22 @@
 		time.Sleep(tr.lasts)
 		c.setStoreFate(storeWorks)
 	case "cutInstance":
-		c.setNetwork(func(_ string, to pointport.InstanceID) testbed.Fate {
-			return testbed.Fate{Latency: time.Millisecond, Lost: to == id}
+		c.setNetwork(func(_ string, to pointport.InstanceID) testbed.Delivery {
+			return testbed.Delivery{Latency: time.Millisecond, OrderLost: to == id}
 		})
 		time.Sleep(tr.lasts)
 		c.setNetwork(none)
 	case "lateOrders", "muteOrders":
 		calls := 0
-		c.setNetwork(func(string, pointport.InstanceID) testbed.Fate {
+		c.setNetwork(func(string, pointport.InstanceID) testbed.Delivery {
 			calls++
 			switch {
 			case calls%7 != 0:
-				return testbed.Fate{Latency: time.Millisecond}
+				return testbed.Delivery{Latency: time.Millisecond}
 			case tr.kind == "muteOrders":
-				return testbed.Fate{Mute: true}
+				return testbed.Delivery{AnswerLost: true}
 			}
-			return testbed.Fate{Late: time.Duration(2+tr.index) * time.Second}
+			return testbed.Delivery{LateBy: time.Duration(2+tr.index) * time.Second}
 		})
 		time.Sleep(tr.lasts)
 		c.setNetwork(none)
@@ -445,7 +447,7 @@
 // by itself. From the second crash on the platform allows that, and nothing tells the two
 // apart where the task was alone on the last one.
 func (p *play) givenUpByChance(n int) bool {
-	return p.script.poison >= 0 && n != p.script.poison && p.cluster.fleet.HitByChance(jobID(n))
+	return p.script.poison >= 0 && n != p.script.poison && p.cluster.fleet.LostRunToInjectedCrash(jobID(n))
 }
 
 // unsettled says which job is not as it should be in the end, empty if all are.
--- a/node/reborn_test.go
+++ b/node/reborn_test.go
@@ -26,7 +26,7 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		work := func(pointport.StartOrder) testbed.Work {
-			return testbed.Work{Room: crashRoom, Duration: 300 * time.Millisecond}
+			return testbed.Work{Reservation: crashRoom, Duration: 300 * time.Millisecond}
 		}
 		c := newCluster(t, withWork(work), withoutSteward(), withReturns(100))
 		defer c.close()
--- a/node/storm_test.go
+++ b/node/storm_test.go
@@ -132,6 +132,6 @@
 		}
 		t.Logf("in time %v of %v, %d of the storm refused", inTime, asked, refused)
 	}, withWork(func(pointport.StartOrder) testbed.Work {
-		return testbed.Work{Room: room, Duration: work}
+		return testbed.Work{Reservation: room, Duration: work}
 	}))
 }
--- a/node/suspend_test.go
+++ b/node/suspend_test.go
@@ -232,7 +232,7 @@
 					c.eventually(c.nodes[other].node, q, id, workload.Completed, 30*time.Second)
 				}
 			}, withWork(func(pointport.StartOrder) testbed.Work {
-				return testbed.Work{Room: room, Duration: time.Second}
+				return testbed.Work{Reservation: room, Duration: time.Second}
 			}))
 		})
 	}
@@ -267,8 +267,8 @@
 	const id = "00000000000000cc"
 	owner, cut := c.owner("shift"), c.fleet.IDs()[0]
 	n := c.another(owner)
-	c.setNetwork(func(op string, to pointport.InstanceID) testbed.Fate {
-		return testbed.Fate{Latency: time.Millisecond, Lost: to == cut && !strings.HasPrefix(op, owner+" ")}
+	c.setNetwork(func(op string, to pointport.InstanceID) testbed.Delivery {
+		return testbed.Delivery{Latency: time.Millisecond, OrderLost: to == cut && !strings.HasPrefix(op, owner+" ")}
 	})
 	machine, once := c.nodes[owner].clock, sync.Once{}
 	c.mu.Lock()
--- a/node/unstored_test.go
+++ b/node/unstored_test.go
@@ -35,7 +35,7 @@
 			Steps:   []workload.Step{{Count: 3, Need: room, Estimate: time.Second, MaxPerInstance: 1}},
 		})
 		time.Sleep(300 * time.Millisecond)
-		held := c.fleet.Holding()
+		held := c.fleet.BusyMachines()
 		// From now on the owner reads and renews, but its changes get nowhere.
 		c.setStoreFate(func(node, op string) memory.Fault {
 			if node == owner && op == "commit" {
@@ -63,7 +63,7 @@
 		}
 		t.Errorf("%d of %d instances are maintained half a minute later", c.fleet.Maintained(1), len(held))
 	}, withWork(func(o pointport.StartOrder) testbed.Work {
-		w := testbed.Work{Room: room, Duration: 500 * time.Millisecond}
+		w := testbed.Work{Reservation: room, Duration: 500 * time.Millisecond}
 		if strings.HasSuffix(o.Task, ".0") {
 			w.Duration = 8 * time.Second
 		}
--- a/operator/api.go
+++ b/operator/api.go
@@ -105,7 +105,7 @@
 	var check *config.CheckError
 	var field *command.FieldError
 	var reference *command.ReferenceError
-	var sameKey *command.SameKeyError
+	var sameKey *command.KeyReusedError
 	var missing *pointport.NotFoundError
 	var unsettled *changelog.AmbiguousError
 	var down *pointport.UnavailableError
@@ -179,14 +179,14 @@
 // proposal reads the parts of a change that both commands share.
 func (a *API) proposal(c iris.Context) (command.Proposal, error) {
 	p := command.Proposal{
-		ID: c.URLParam("id"), Author: c.URLParam("author"), Reason: c.URLParam("reason"), Read: command.AnyVersion,
+		ID: c.URLParam("id"), Author: c.URLParam("author"), Reason: c.URLParam("reason"), ReadVersion: command.AnyVersion,
 	}
 	if v := c.URLParam("read"); v != "" {
 		n, err := strconv.ParseInt(v, 10, 64)
 		if err != nil || n < 0 {
 			return p, &command.FieldError{Field: "read", Value: v, Reason: "must be a version, from 0"}
 		}
-		p.Read = config.Version(n)
+		p.ReadVersion = config.Version(n)
 	}
 	return p, nil
 }
@@ -237,7 +237,7 @@
 	return command.Configure(c.Request().Context(), a.source.Config, a.clock, p)
 }
 
-func (a *API) status(iris.Context) (any, error) { return a.source.StatusOf(), nil }
+func (a *API) status(iris.Context) (any, error) { return a.source.Status(), nil }
 
 func (a *API) audit(c iris.Context) (any, error) {
 	f := query.Filter{Author: c.URLParam("author"), Object: c.URLParam("object"), Limit: c.URLParamIntDefault("limit", 0)}
@@ -289,9 +289,9 @@
 
 // jobLog returns the log that keeps the job called id.
 func (a *API) jobLog(id string) (*query.JobLog, error) {
-	log := a.source.Jobs[job.Home(id, a.source.Zones)]
+	log := a.source.Jobs[job.HomeZone(id, a.source.Zones)]
 	if log == nil {
-		return nil, &pointport.NotFoundError{Kind: "zone", Name: string(job.Home(id, a.source.Zones))}
+		return nil, &pointport.NotFoundError{Kind: "zone", Name: string(job.HomeZone(id, a.source.Zones))}
 	}
 	return log, nil
 }
--- a/operator/workloads.go
+++ b/operator/workloads.go
@@ -18,8 +18,8 @@
 // steps: it hands jobs in, follows and cancels them, and explains what they wait
 // for.
 
-// A Desk takes jobs.
-type Desk interface {
+// A JobService takes jobs.
+type JobService interface {
 	Submit(ctx context.Context, q *workload.Queue, id string, spec *workload.Spec) error
 	Cancel(ctx context.Context, q *workload.Queue, id string) error
 	Status(ctx context.Context, q *workload.Queue, id string) (workload.Status, error)
@@ -55,14 +55,14 @@
 
 // workloads is the API.
 type workloads struct {
-	desk    Desk
+	desk    JobService
 	explain Explainer
 	catalog func() *workload.Catalog
 }
 
 // NewWorkloads returns the handler of the API. catalog returns the configuration
 // in force, nil while there is none.
-func NewWorkloads(desk Desk, explain Explainer, catalog func() *workload.Catalog) http.Handler {
+func NewWorkloads(desk JobService, explain Explainer, catalog func() *workload.Catalog) http.Handler {
 	a := &workloads{desk, explain, catalog}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/queues", a.answer(a.queues))
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -114,7 +114,7 @@
 // Round reads, decides, commits, and starts and stops tasks, once.
 func (p *Placer) Round(ctx context.Context) error {
 	state := p.log.State()
-	if !state.Open() {
+	if !state.HasUnfinished() {
 		return nil
 	}
 	tasks, err := p.runner.Tasks(ctx, p.zone)
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -263,7 +263,7 @@
 	if err != nil || again.ID != first.ID {
 		t.Errorf("got %v, %v, want job %s", again.ID, err, first.ID)
 	}
-	var same *command.SameKeyError
+	var same *command.KeyReusedError
 	if _, err := g.submit("tip", 2000, true); !errors.As(err, &same) {
 		t.Errorf("got %v, want a SameKeyError", err)
 	}
--- a/query/query.go
+++ b/query/query.go
@@ -35,15 +35,15 @@
 
 // A Source is where answers come from.
 type Source struct {
-	Node     string
-	Zone     pointport.ZoneID
-	Zones    []pointport.ZoneID
-	Clock    pointport.Clock
-	Config   *ConfigLog
-	Assign   map[pointport.ZoneID]*AssignLog
-	Jobs     map[pointport.ZoneID]*JobLog
-	Services Services
-	Plans    func() bool // whether this node plans its zone now
+	Node      string
+	Zone      pointport.ZoneID
+	Zones     []pointport.ZoneID
+	Clock     pointport.Clock
+	Config    *ConfigLog
+	Assign    map[pointport.ZoneID]*AssignLog
+	Jobs      map[pointport.ZoneID]*JobLog
+	Services  Services
+	IsPlanner func() bool // whether this node plans its zone now
 }
 
 // A PoolStatus counts a pool's instances in a zone by phase.
@@ -68,12 +68,12 @@
 	Services      []dispatch.Status `json:"services"`
 }
 
-// StatusOf returns how things stand.
-func (s *Source) StatusOf() Status {
+// Status returns how things stand.
+func (s *Source) Status() Status {
 	cfg := s.Config.State()
 	st := Status{
 		Node: s.Node, Zone: s.Zone, ConfigVersion: cfg.Version(), ConfigHeard: s.Config.LastAnswer(),
-		Planner: s.Plans(), Jobs: make(map[job.Phase]int), Services: s.Services.Status(),
+		Planner: s.IsPlanner(), Jobs: make(map[job.Phase]int), Services: s.Services.Status(),
 		Pools: []PoolStatus{}, Waves: []assign.Wave{},
 	}
 	slices.SortFunc(st.Services, func(a, b dispatch.Status) int { return strings.Compare(a.Service, b.Service) })
@@ -107,7 +107,7 @@
 
 // Job returns a job from its home zone, as the store has it now.
 func (s *Source) Job(ctx context.Context, id string) (job.Job, error) {
-	log := s.Jobs[job.Home(id, s.Zones)]
+	log := s.Jobs[job.HomeZone(id, s.Zones)]
 	if err := log.Refresh(ctx); err != nil {
 		return job.Job{}, err
 	}
@@ -120,7 +120,7 @@
 
 // WaitJob returns a job once it has ended, or as it stands when ctx ends.
 func (s *Source) WaitJob(ctx context.Context, id string) (job.Job, error) {
-	log := s.Jobs[job.Home(id, s.Zones)]
+	log := s.Jobs[job.HomeZone(id, s.Zones)]
 	for {
 		changed := log.Changed()
 		j, err := s.Job(ctx, id)
--- a/schedule/crash_test.go
+++ b/schedule/crash_test.go
@@ -78,7 +78,7 @@
 }
 
 // reportOfFirstRuns returns a report that lists the first runs of job a's first tasks.
-func reportOfFirstRuns(tasks int, clock pointport.InstanceClock) pointport.Report {
+func reportOfFirstRuns(tasks int, clock pointport.InstanceTime) pointport.Report {
 	report := pointport.Report{Clock: clock}
 	for i := range tasks {
 		report.Running = append(report.Running, pointport.RunningTask{TaskRun: pointport.TaskRun{Task: taskName(i), Run: 1}})
@@ -186,7 +186,7 @@
 			continue
 		}
 		w.ExtendLease(s.now, settings.Lease)
-		report := pointport.Report{Clock: pointport.InstanceClock(s.now.Sub(start)), Ended: s.ends[id]}
+		report := pointport.Report{Clock: pointport.InstanceTime(s.now.Sub(start)), Ended: s.ends[id]}
 		for task, run := range runs {
 			report.Running = append(report.Running, pointport.RunningTask{TaskRun: pointport.TaskRun{Task: task, Run: run}, Progress: 10})
 		}
@@ -210,7 +210,7 @@
 			s.answerStart(o)
 		default:
 			delete(runs, o.TaskRun.Task)
-			s.scheduler.OrderAnswered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
+			s.scheduler.OrderAnswered(o, s.now, pointport.InstanceTime(s.now.Sub(start)), nil)
 		}
 	}
 }
@@ -218,7 +218,7 @@
 // answerStart answers a start, or crashes the instance if the start is of the poison task.
 func (s *crashSim) answerStart(o schedule.Order) {
 	if o.TaskRun.Task != poisonTask {
-		s.scheduler.OrderAnswered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
+		s.scheduler.OrderAnswered(o, s.now, pointport.InstanceTime(s.now.Sub(start)), nil)
 		return
 	}
 	if s.crashes >= 3 {
--- a/schedule/drain.go
+++ b/schedule/drain.go
@@ -17,7 +17,7 @@
 // off, and so do those that would not be done in time.
 func (b *Scheduler) handleDraining(now time.Time, w *Worker) {
 	event.WorkerDraining.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
-		slog.Duration("left", w.inc.Left()), slog.Int("runs", len(w.runs)))
+		slog.Duration("left", w.inc.Remaining()), slog.Int("runs", len(w.runs)))
 	for _, r := range w.runs {
 		if r.step().Service {
 			b.stop(now, r, "its instance is leaving")
@@ -27,7 +27,7 @@
 			continue
 		}
 		left := b.remaining(now, r)
-		if left > w.inc.Left()-drainReserve {
+		if left > w.inc.Remaining()-drainReserve {
 			b.stop(now, r, "its instance is leaving before it would be done")
 		}
 	}
--- a/schedule/evacuate_test.go
+++ b/schedule/evacuate_test.go
@@ -285,7 +285,7 @@
 // warm.
 func TestZoneThatComesBackColdGetsWorkGradually(t *testing.T) {
 	b := newTestScheduler()
-	cold := []pointport.IncarnationOption{pointport.WithZone("north"), pointport.WithCold(2 * time.Second)}
+	cold := []pointport.IncarnationOption{pointport.WithZone("north"), pointport.WithColdRemaining(2 * time.Second)}
 	registerIdle(b, start, incarnation(0, cold...), incarnation(2, cold...), south(1), south(3))
 	few, many := step(8, 1000, nil), step(12, 1000, nil)
 	b.Add(start, job("few", policy, few))
--- a/schedule/execution_lease.go
+++ b/schedule/execution_lease.go
@@ -32,10 +32,10 @@
 	// answeredAt is when the last answer came that showed a clock, zero before the first; clock is
 	// what it showed.
 	answeredAt time.Time
-	clock      pointport.InstanceClock
+	clock      pointport.InstanceTime
 	// extendedTo is the latest time on that clock to which this owner has extended the instance's
 	// tasks; it is only valid if extended is set.
-	extendedTo pointport.InstanceClock
+	extendedTo pointport.InstanceTime
 	extended   bool
 	// lastExtension is when an order last carried an extension.
 	lastExtension time.Time
@@ -58,7 +58,7 @@
 
 // observeClock records an answer that came at now and showed clock. An answer that is older than one
 // recorded before is ignored.
-func (l *executionLease) observeClock(now time.Time, clock pointport.InstanceClock) {
+func (l *executionLease) observeClock(now time.Time, clock pointport.InstanceTime) {
 	if l.clockKnown() && clock < l.clock {
 		return
 	}
@@ -67,9 +67,9 @@
 
 // extend returns the time on the instance's clock that is lease after now, and records that its
 // tasks may run until then. The clock must be known.
-func (l *executionLease) extend(now time.Time, lease time.Duration) pointport.InstanceClock {
+func (l *executionLease) extend(now time.Time, lease time.Duration) pointport.InstanceTime {
 	l.lastExtension = now
-	extendedTo := l.clockAt(now) + pointport.InstanceClock(lease)
+	extendedTo := l.clockAt(now) + pointport.InstanceTime(lease)
 	if !l.extended || extendedTo > l.extendedTo {
 		l.extendedTo, l.extended = extendedTo, true
 	}
@@ -78,16 +78,16 @@
 
 // clockAt returns what the instance's clock shows at now, extrapolated from its last answer; zero
 // before the first.
-func (l *executionLease) clockAt(now time.Time) pointport.InstanceClock {
+func (l *executionLease) clockAt(now time.Time) pointport.InstanceTime {
 	if !l.clockKnown() {
 		return 0
 	}
-	return l.clock + pointport.InstanceClock(now.Sub(l.answeredAt))
+	return l.clock + pointport.InstanceTime(now.Sub(l.answeredAt))
 }
 
 // extendedUntil returns the furthest extension by this owner, zero if there is none. Zero asks an
 // instance to extend nothing.
-func (l *executionLease) extendedUntil() pointport.InstanceClock {
+func (l *executionLease) extendedUntil() pointport.InstanceTime {
 	if !l.extended {
 		return 0
 	}
--- a/schedule/instance_model_test.go
+++ b/schedule/instance_model_test.go
@@ -65,11 +65,11 @@
 
 // clockAtBoot returns what the clock of the next incarnation shows at its start, which may be
 // less than that of the previous one.
-func (m *modelInstance) clockAtBoot() pointport.InstanceClock {
+func (m *modelInstance) clockAtBoot() pointport.InstanceTime {
 	if !m.sim.sharedAddressees {
-		return pointport.InstanceClock(time.Duration(m.incarnations) * time.Minute)
+		return pointport.InstanceTime(time.Duration(m.incarnations) * time.Minute)
 	}
-	return pointport.InstanceClock(time.Duration(m.sim.drawBelow("clock", 8)) * time.Minute)
+	return pointport.InstanceTime(time.Duration(m.sim.drawBelow("clock", 8)) * time.Minute)
 }
 
 // crash ends the current incarnation.
@@ -98,11 +98,11 @@
 	instance    *modelInstance
 	id          pointport.IncarnationID
 	booted      time.Time
-	clockAtBoot pointport.InstanceClock
+	clockAtBoot pointport.InstanceTime
 	clockRate   float64 // speed of its clock, which may run 2% slow
 
 	fence         pointport.Fence
-	extendedTo    pointport.InstanceClock
+	extendedTo    pointport.InstanceTime
 	runs          map[string]*modelRun
 	ruledOut      map[string]int // the highest run that was stopped or has ended, by task
 	ended         []pointport.TaskEnd
@@ -132,18 +132,18 @@
 
 // A modelHeldPoll is a poll that waits for the end of a run.
 type modelHeldPoll struct {
-	order  pointport.HoldOrder
+	order  pointport.PollOrder
 	until  time.Time
 	answer func(pointport.Report)
 }
 
 // clock returns what the clock of the incarnation shows at a time.
-func (l *modelIncarnation) clock(at time.Time) pointport.InstanceClock {
-	return l.clockAtBoot + pointport.InstanceClock(float64(at.Sub(l.booted))*l.clockRate)
+func (l *modelIncarnation) clock(at time.Time) pointport.InstanceTime {
+	return l.clockAtBoot + pointport.InstanceTime(float64(at.Sub(l.booted))*l.clockRate)
 }
 
 // timeAt returns the time at which the clock shows c.
-func (l *modelIncarnation) timeAt(c pointport.InstanceClock) time.Time {
+func (l *modelIncarnation) timeAt(c pointport.InstanceTime) time.Time {
 	return l.booted.Add(time.Duration(float64(c-l.clockAtBoot) / l.clockRate))
 }
 
@@ -205,7 +205,7 @@
 		return
 	}
 	for _, r := range l.sorted() {
-		l.end(r, lapse, pointport.EndLapsed)
+		l.end(r, lapse, pointport.EndLeaseExpired)
 		l.instance.sim.breakGang(r)
 	}
 	l.lapsedAt = now
@@ -218,7 +218,7 @@
 	case !r.stopsAt.IsZero():
 		l.end(r, at, pointport.EndStopped)
 	case r.began.IsZero():
-		l.end(r, at, pointport.EndGangAlone)
+		l.end(r, at, pointport.EndGangTimeout)
 	case r.work.fails:
 		l.end(r, at, pointport.EndFailed)
 	default:
@@ -249,11 +249,11 @@
 
 // admit checks the fencing token of an order and extends the execution lease as the order
 // asks, to at most the maximum hold time from now.
-func (l *modelIncarnation) admit(fence pointport.Fence, until pointport.InstanceClock) error {
+func (l *modelIncarnation) admit(fence pointport.Fence, until pointport.InstanceTime) error {
 	if fence < l.fence {
 		return l.reject(pointport.RejectFence)
 	}
-	most := l.clock(l.instance.sim.now) + pointport.InstanceClock(settings.MaxHold)
+	most := l.clock(l.instance.sim.now) + pointport.InstanceTime(settings.MaxHold)
 	l.fence, l.extendedTo = fence, max(l.extendedTo, min(until, most))
 	return nil
 }
@@ -269,7 +269,7 @@
 	if l.instance.unhealthy {
 		return l.reject(pointport.RejectUnhealthy)
 	}
-	if err := l.admit(o.Fence, o.Until); err != nil {
+	if err := l.admit(o.Fence, o.LeaseUntil); err != nil {
 		return err
 	}
 	if r := l.runs[o.Task]; r != nil && r.Run == o.Run {
@@ -282,12 +282,12 @@
 	}
 	switch {
 	case l.extendedTo <= l.clock(w.now):
-		return l.reject(pointport.RejectLate)
+		return l.reject(pointport.RejectExpired)
 	case l.ruledOut[o.Task] >= o.Run || l.runs[o.Task] != nil:
 		return l.reject(pointport.RejectOldRun)
 	case !free.Fits(work.step.Reservation()):
 		w.checkFull(l, o.TaskRun)
-		return l.reject(pointport.RejectRoom)
+		return l.reject(pointport.RejectNoCapacity)
 	}
 	r := &modelRun{TaskRun: o.TaskRun, on: l, work: work, arrived: w.now, began: w.now}
 	w.checkStart(r)
@@ -323,21 +323,21 @@
 }
 
 // hold carries out a poll, whose answer may wait for the end of a run.
-func (l *modelIncarnation) hold(meant pointport.IncarnationID, o pointport.HoldOrder, answer func(pointport.Report, error)) {
+func (l *modelIncarnation) hold(meant pointport.IncarnationID, o pointport.PollOrder, answer func(pointport.Report, error)) {
 	w := l.instance.sim
 	if l.id != meant {
 		// The order is carried out nevertheless.
-		if err := l.admit(o.Fence, o.Until); err == nil {
+		if err := l.admit(o.Fence, o.LeaseUntil); err == nil {
 			l.acknowledge(o.Acknowledged)
 		}
-		answer(pointport.Report{}, &pointport.GoneError{Incarnation: meant, By: l.id})
+		answer(pointport.Report{}, &pointport.GoneError{Incarnation: meant, AnsweredBy: l.id})
 		return
 	}
 	if l.instance.unhealthy && l.instance.refusesPolls {
 		answer(pointport.Report{}, l.reject(pointport.RejectUnhealthy))
 		return
 	}
-	if err := l.admit(o.Fence, o.Until); err != nil {
+	if err := l.admit(o.Fence, o.LeaseUntil); err != nil {
 		answer(pointport.Report{}, err)
 		return
 	}
--- a/schedule/isolation_test.go
+++ b/schedule/isolation_test.go
@@ -101,7 +101,7 @@
 			now = now.Add(100 * time.Millisecond)
 		}
 		for _, w := range b.Workers() {
-			b.Report(w, now, now, pointport.Report{Clock: pointport.InstanceClock(now.Sub(start))})
+			b.Report(w, now, now, pointport.Report{Clock: pointport.InstanceTime(now.Sub(start))})
 		}
 		b.Plan(now)
 	}
@@ -157,7 +157,7 @@
 				now = now.Add(100 * time.Millisecond)
 			}
 			for _, w := range silent[1:] {
-				b.Report(w, now, now, pointport.Report{Clock: pointport.InstanceClock(now.Sub(start))})
+				b.Report(w, now, now, pointport.Report{Clock: pointport.InstanceTime(now.Sub(start))})
 			}
 			again := 0
 			for range 20 {
--- a/schedule/later_incarnation.go
+++ b/schedule/later_incarnation.go
@@ -35,7 +35,7 @@
 
 // uncertain reports whether a later incarnation may have the run, because the addressee of its
 // worker can be shared.
-func (r *Run) uncertain() bool { return r.worker.inc.ID().Shares() && r.mayBeOnLater() }
+func (r *Run) uncertain() bool { return r.worker.inc.ID().SharesAddressee() && r.mayBeOnLater() }
 
 // sharesAddressee reports whether orders meant for one of two workers may have been carried out by
 // the other.
@@ -45,7 +45,7 @@
 
 // replaced handles an answer that came from another incarnation than the worker's.
 func (b *Scheduler) replaced(w *Worker, now time.Time, gone *pointport.GoneError) {
-	b.workerEnded(w, now, "another incarnation answered", b.laterIncarnation(w, now, gone.By))
+	b.workerEnded(w, now, "another incarnation answered", b.laterIncarnation(w, now, gone.AnsweredBy))
 }
 
 // laterIncarnation returns the worker for id, the incarnation that answered in place of w, or nil if
@@ -139,7 +139,7 @@
 // noteMisdirected records until when orders to a worker that has ended may extend what later
 // incarnations of its addressee run.
 func (b *Scheduler) noteMisdirected(w *Worker) {
-	if !w.inc.ID().Shares() {
+	if !w.inc.ID().SharesAddressee() {
 		return
 	}
 	to, until := w.inc.ID().Addressee(), b.misdirectedUntil(w.lease.lastExtension)
@@ -190,7 +190,7 @@
 // rememberStart records that a start may still be in flight to a later incarnation of a worker
 // although the run is no longer wanted.
 func (b *Scheduler) rememberStart(now time.Time, w *Worker, run pointport.TaskRun) {
-	if !w.inc.ID().Shares() {
+	if !w.inc.ID().SharesAddressee() {
 		return
 	}
 	to := w.inc.ID().Addressee()
--- a/schedule/later_incarnation_test.go
+++ b/schedule/later_incarnation_test.go
@@ -27,7 +27,7 @@
 // replacedBy returns the error of a poll of a former incarnation that a later one has
 // answered.
 func replacedBy(former, by pointport.Incarnation) error {
-	return &pointport.GoneError{Incarnation: former.ID(), By: by.ID()}
+	return &pointport.GoneError{Incarnation: former.ID(), AnsweredBy: by.ID()}
 }
 
 // workerOf returns the worker of an incarnation.
@@ -276,7 +276,7 @@
 // ignored, because the answer may come from a later incarnation. Taken for the clock of the
 // earlier one, it makes the execution lease expire at once or far too late.
 func TestClockInAnswerToStartIsIgnored(t *testing.T) {
-	for _, clock := range []pointport.InstanceClock{0, pointport.InstanceClock(time.Hour)} {
+	for _, clock := range []pointport.InstanceTime{0, pointport.InstanceTime(time.Hour)} {
 		b, first, _ := schedulerWithStart(t)
 		now := start.Add(time.Second)
 		before := first.Worker.ExtendLease(now, settings.Lease)
--- a/schedule/memory_test.go
+++ b/schedule/memory_test.go
@@ -26,9 +26,9 @@
 		now = now.Add(20 * time.Millisecond)
 		b.Add(now, job(fmt.Sprintf("%016x", first+n), policy, step(4, 100, nil)))
 		for _, o := range orders(b, now) {
-			b.OrderAnswered(o, now, pointport.InstanceClock(now.Sub(start)), nil)
+			b.OrderAnswered(o, now, pointport.InstanceTime(now.Sub(start)), nil)
 			end := pointport.TaskEnd{Number: o.Worker.NextPoll().Acknowledged + 1, TaskRun: o.TaskRun, Kind: pointport.EndDone}
-			b.Report(o.Worker, now, now, pointport.Report{Clock: pointport.InstanceClock(now.Sub(start)), Ended: []pointport.TaskEnd{end}})
+			b.Report(o.Worker, now, now, pointport.Report{Clock: pointport.InstanceTime(now.Sub(start)), Ended: []pointport.TaskEnd{end}})
 			b.Stored(b.TakeBatch(everything), now)
 		}
 	}
--- a/schedule/order.go
+++ b/schedule/order.go
@@ -49,11 +49,11 @@
 )
 
 // OrderAnswered handles the answer to an order; err is nil if the order was carried out.
-func (b *Scheduler) OrderAnswered(o Order, now time.Time, clock pointport.InstanceClock, err error) {
+func (b *Scheduler) OrderAnswered(o Order, now time.Time, clock pointport.InstanceTime, err error) {
 	w := o.Worker
 	if w.ended {
 		var rejected *pointport.RejectedError
-		if (err == nil || errors.As(err, &rejected)) && !w.inc.ID().Shares() {
+		if (err == nil || errors.As(err, &rejected)) && !w.inc.ID().SharesAddressee() {
 			b.noteAnswerAfterEnd(w, now)
 		}
 		return
@@ -63,7 +63,7 @@
 		b.replaced(w, now, gone)
 		return
 	}
-	if err == nil && o.Kind != OrderPace && !w.inc.ID().Shares() { // the answer to a pace has no clock
+	if err == nil && o.Kind != OrderPace && !w.inc.ID().SharesAddressee() { // the answer to a pace has no clock
 		w.lease.observeClock(now, clock)
 	}
 	b.checkFence(err)
@@ -83,12 +83,12 @@
 	}
 }
 
-func (b *Scheduler) startAnswered(r *Run, now time.Time, clock pointport.InstanceClock, err error) {
+func (b *Scheduler) startAnswered(r *Run, now time.Time, clock pointport.InstanceTime, err error) {
 	if r.state != runSent {
 		return
 	}
 	if err == nil {
-		if r.worker.inc.ID().Shares() {
+		if r.worker.inc.ID().SharesAddressee() {
 			clock = r.worker.lease.clockAt(now) // a later incarnation may have answered
 		}
 		b.markLive(r, now, clock)
@@ -107,7 +107,7 @@
 	case pointport.RejectFence:
 		// Another owner decides about the task now.
 	default:
-		if rejected.Reason == pointport.RejectRoom || rejected.Reason == pointport.RejectUnhealthy {
+		if rejected.Reason == pointport.RejectNoCapacity || rejected.Reason == pointport.RejectUnhealthy {
 			r.worker.refusingUntil = now.Add(refusalBackoff)
 		}
 		b.startRefused(r, now)
--- a/schedule/owner_model_test.go
+++ b/schedule/owner_model_test.go
@@ -210,7 +210,7 @@
 	o.scheduler.MarkSending(order)
 	until := order.Worker.ExtendLease(w.now, settings.Lease)
 	w.checkSending(order)
-	handleAnswer := func(clock pointport.InstanceClock, err error) {
+	handleAnswer := func(clock pointport.InstanceTime, err error) {
 		w.t.Logf("%v handled: %s of %v at %s: %v", w.since(), kindName(order.Kind), order.TaskRun, order.Worker.Endpoint().Incarnation, err)
 		l.inFlight--
 		o.scheduler.OrderAnswered(order, w.now, clock, err)
@@ -219,16 +219,16 @@
 	w.call(kindName(order.Kind), order.TaskRun, order.Worker.Endpoint(), modelOrderTimeout, func(at *modelIncarnation, answer func(any, error)) {
 		switch order.Kind {
 		case schedule.OrderStart:
-			err := at.start(pointport.StartOrder{TaskRun: order.TaskRun, Fence: modelFence, Until: millis(until)})
+			err := at.start(pointport.StartOrder{TaskRun: order.TaskRun, Fence: modelFence, LeaseUntil: millis(until)})
 			answer(millis(at.clock(w.now)), err)
 		case schedule.OrderStop:
 			err := at.stop(pointport.StopOrder{TaskRun: order.TaskRun, Fence: modelFence})
 			answer(millis(at.clock(w.now)), err)
 		default:
-			answer(pointport.InstanceClock(0), at.admit(modelFence, 0))
+			answer(pointport.InstanceTime(0), at.admit(modelFence, 0))
 		}
 	}, func(a any, err error) {
-		clock, _ := a.(pointport.InstanceClock)
+		clock, _ := a.(pointport.InstanceTime)
 		if err != nil {
 			clock = 0
 		}
@@ -237,8 +237,8 @@
 }
 
 // millis returns a clock reading as it is encoded in messages, in whole milliseconds.
-func millis(c pointport.InstanceClock) pointport.InstanceClock {
-	return pointport.InstanceClock(time.Duration(c).Truncate(time.Millisecond))
+func millis(c pointport.InstanceTime) pointport.InstanceTime {
+	return pointport.InstanceTime(time.Duration(c).Truncate(time.Millisecond))
 }
 
 // kindName returns the name of a kind of order.
@@ -300,7 +300,7 @@
 	if !plan.MayWait {
 		wait = 0
 	}
-	order := pointport.HoldOrder{Fence: modelFence, Until: millis(w.ExtendLease(sent, settings.Lease)), Acknowledged: plan.Acknowledged, Wait: wait}
+	order := pointport.PollOrder{Fence: modelFence, LeaseUntil: millis(w.ExtendLease(sent, settings.Lease)), Acknowledged: plan.Acknowledged, Wait: wait}
 	sim.call("poll", pointport.TaskRun{}, w.Endpoint(), modelOrderTimeout+wait, func(at *modelIncarnation, answer func(any, error)) {
 		at.hold(w.Endpoint().Incarnation, order, func(r pointport.Report, err error) {
 			r.Clock = millis(r.Clock)
--- a/schedule/report.go
+++ b/schedule/report.go
@@ -65,7 +65,7 @@
 
 // markLive marks r as running at now; clock is the time on the instance's clock in the answer that
 // shows it.
-func (b *Scheduler) markLive(r *Run, now time.Time, clock pointport.InstanceClock) {
+func (b *Scheduler) markLive(r *Run, now time.Time, clock pointport.InstanceTime) {
 	if r.state == runAwaitingReport || r.state == runLive {
 		return
 	}
--- a/schedule/resize_test.go
+++ b/schedule/resize_test.go
@@ -45,7 +45,7 @@
 func (s *capacitySim) report() {
 	for _, w := range s.scheduler.Workers() {
 		id := w.Incarnation().ID()
-		r := pointport.Report{Clock: pointport.InstanceClock(s.now.Sub(start)), Ended: s.ends[id]}
+		r := pointport.Report{Clock: pointport.InstanceTime(s.now.Sub(start)), Ended: s.ends[id]}
 		for run := range s.runs[id] {
 			r.Running = append(r.Running, pointport.RunningTask{TaskRun: run, Progress: int(s.now.Sub(start)/time.Millisecond) % 100})
 		}
@@ -68,7 +68,7 @@
 			s.carryOut(o)
 		}
 		if fate == "answered" {
-			s.scheduler.OrderAnswered(o, s.now, pointport.InstanceClock(s.now.Sub(start)), nil)
+			s.scheduler.OrderAnswered(o, s.now, pointport.InstanceTime(s.now.Sub(start)), nil)
 			continue
 		}
 		s.scheduler.OrderAnswered(o, s.now, 0, &pointport.UnavailableError{Op: "order", Ambiguous: true})
--- a/schedule/ruled_out_test.go
+++ b/schedule/ruled_out_test.go
@@ -56,7 +56,7 @@
 			b.OrderAnswered(stops[0], now, 0, refusal(first, reason))
 			for range 20 { // until the stop has been ordered again
 				now = now.Add(100 * time.Millisecond)
-				b.Report(first.Worker, now.Add(-time.Millisecond), now, pointport.Report{Clock: pointport.InstanceClock(now.Sub(start))})
+				b.Report(first.Worker, now.Add(-time.Millisecond), now, pointport.Report{Clock: pointport.InstanceTime(now.Sub(start))})
 				all := orders(b, now)
 				if got := startsByIncarnation(all); len(got) != 0 {
 					t.Fatalf("starts %v, %v after a start that may still be carried out, want none", got, now.Sub(start))
@@ -68,9 +68,9 @@
 			if len(stops) == 0 {
 				t.Fatal("the stop is not ordered again")
 			}
-			b.OrderAnswered(stops[0], now, pointport.InstanceClock(now.Sub(start)), nil)
+			b.OrderAnswered(stops[0], now, pointport.InstanceTime(now.Sub(start)), nil)
 			now = now.Add(time.Millisecond)
-			b.Report(first.Worker, now, now, pointport.Report{Clock: pointport.InstanceClock(now.Sub(start))})
+			b.Report(first.Worker, now, now, pointport.Report{Clock: pointport.InstanceTime(now.Sub(start))})
 			if got := startsByIncarnation(orders(b, now)); len(got) != 1 {
 				t.Errorf("starts %v once the start is ruled out, want one", got)
 			}
@@ -118,11 +118,11 @@
 // leaseExtended reports whether an instance would carry out a start in flight, because its
 // execution lease reaches beyond now.
 func leaseExtended(w *schedule.Worker, now time.Time) bool {
-	return w.ExtendLease(now, settings.Lease) > pointport.InstanceClock(now.Sub(start))
+	return w.ExtendLease(now, settings.Lease) > pointport.InstanceTime(now.Sub(start))
 }
 
 // clockAt returns what the clock of an instance shows at a time.
-func clockAt(now time.Time) pointport.InstanceClock { return pointport.InstanceClock(now.Sub(start)) }
+func clockAt(now time.Time) pointport.InstanceTime { return pointport.InstanceTime(now.Sub(start)) }
 
 // TestRefusedStopDoesNotRuleOutReplacedRun checks that a refused stop does not count
 // as carried out where the run was replaced, so that a task never has two runs at once. A
--- a/schedule/run.go
+++ b/schedule/run.go
@@ -40,7 +40,7 @@
 	// liveAt is when the instance first reported the run as running, liveClock what the instance's
 	// clock showed then.
 	liveAt    time.Time
-	liveClock pointport.InstanceClock
+	liveClock pointport.InstanceTime
 	// inherited reports whether the run began under an earlier owner, at an unknown time.
 	inherited bool
 	// from is the first progress seen. It is above zero for a run that resumes from a checkpoint or
@@ -80,7 +80,7 @@
 	// movedAt is when a report first showed the present progress, movedClock what the instance's
 	// clock showed then. shownAt is the instance's clock in the newest report of the run.
 	movedAt             time.Time
-	movedClock, shownAt pointport.InstanceClock
+	movedClock, shownAt pointport.InstanceTime
 	// pace is the share of its work that the run was last ordered to do, in percent.
 	pace int
 	// ticket is the advisor's permission to use the worker.
--- a/schedule/scheduler.go
+++ b/schedule/scheduler.go
@@ -277,7 +277,7 @@
 // longest time for which an instance runs anything without a further order.
 func (b *Scheduler) predecessorBound(id pointport.IncarnationID) time.Duration {
 	bound := b.settings.PredecessorBound
-	if id.Shares() && b.settings.MaxHold > b.settings.Lease {
+	if id.SharesAddressee() && b.settings.MaxHold > b.settings.Lease {
 		bound += time.Duration(float64(b.settings.MaxHold-b.settings.Lease) * slowClock)
 	}
 	return bound
@@ -465,8 +465,8 @@
 	}
 	b.resize(w, inc.Capacity())
 	leaving := inc.Draining() && !w.inc.Draining()
-	if inc.Cold() != w.inc.Cold() { // each change of the registration gives the remaining cold time
-		w.coldUntil = now.Add(inc.Cold())
+	if inc.ColdRemaining() != w.inc.ColdRemaining() { // each change of the registration gives the remaining cold time
+		w.coldUntil = now.Add(inc.ColdRemaining())
 	}
 	w.inc = inc
 	if leaving {
--- a/schedule/share_test.go
+++ b/schedule/share_test.go
@@ -58,7 +58,7 @@
 // step advances the time by 20 ms.
 func (c *shareSim) step() {
 	c.now = c.now.Add(20 * time.Millisecond)
-	clock := pointport.InstanceClock(c.now.Sub(start).Milliseconds())
+	clock := pointport.InstanceTime(c.now.Sub(start).Milliseconds())
 	for _, o := range orders(c.scheduler, c.now) {
 		c.scheduler.OrderAnswered(o, c.now, clock, nil)
 		if o.Kind == schedule.OrderStart {
--- a/schedule/stall.go
+++ b/schedule/stall.go
@@ -104,7 +104,7 @@
 
 // observeProgress records the progress in a report that was made when the instance's clock showed
 // clock. A report that is older than one handled before is ignored.
-func (r *Run) observeProgress(now time.Time, clock pointport.InstanceClock, progress int) {
+func (r *Run) observeProgress(now time.Time, clock pointport.InstanceTime, progress int) {
 	if clock < r.shownAt {
 		return
 	}
--- a/schedule/takeover_test.go
+++ b/schedule/takeover_test.go
@@ -59,7 +59,7 @@
 	b, old := inheritingScheduler(t)
 	b.PollFailed(old, start.Add(500*time.Millisecond), &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 	answered := start.Add(2 * time.Second)
-	b.OrderAnswered(stopOfUnknownRun(old), answered, pointport.InstanceClock(time.Hour), nil)
+	b.OrderAnswered(stopOfUnknownRun(old), answered, pointport.InstanceTime(time.Hour), nil)
 	for now := answered; now.Before(start.Add(settings.PredecessorBound)); now = now.Add(50 * time.Millisecond) {
 		reportOthersIdle(b, old, now)
 		if got := startsByIncarnation(orders(b, now)); len(got) != 0 {
@@ -80,17 +80,17 @@
 type inheritedInstance struct {
 	booted time.Time
 	rate   float64 // speed of its clock, at most 2% slow
-	until  pointport.InstanceClock
+	until  pointport.InstanceTime
 	fenced bool // has seen the fencing token of the new owner
 }
 
 // clock returns what the clock of the instance shows.
-func (i *inheritedInstance) clock(now time.Time) pointport.InstanceClock {
-	return pointport.InstanceClock(float64(now.Sub(i.booted)) * i.rate)
+func (i *inheritedInstance) clock(now time.Time) pointport.InstanceTime {
+	return pointport.InstanceTime(float64(now.Sub(i.booted)) * i.rate)
 }
 
 // extend extends the execution lease, unless it has expired.
-func (i *inheritedInstance) extend(now time.Time, until pointport.InstanceClock) {
+func (i *inheritedInstance) extend(now time.Time, until pointport.InstanceTime) {
 	if i.runs(now) {
 		i.until = max(i.until, until)
 	}
@@ -106,7 +106,7 @@
 	if i.runs(now) {
 		r.Running = []pointport.RunningTask{{TaskRun: run, Progress: 10}}
 	} else {
-		r.Ended = []pointport.TaskEnd{{Number: 1, TaskRun: run, Kind: pointport.EndLapsed}}
+		r.Ended = []pointport.TaskEnd{{Number: 1, TaskRun: run, Kind: pointport.EndLeaseExpired}}
 	}
 	return r
 }
@@ -132,7 +132,7 @@
 		// The earlier owner extends by the same lease, and only for as long after its last proof of
 		// ownership as the bound allows. The instance refuses its orders once it has seen the new
 		// fencing token.
-		i.until = i.clock(start) + pointport.InstanceClock(settings.Lease)
+		i.until = i.clock(start) + pointport.InstanceTime(settings.Lease)
 		last := start.Add(time.Duration(rapid.IntRange(0, 1300).Draw(t, "lastOrderMs")) * time.Millisecond)
 		cutFrom := start.Add(time.Duration(rapid.IntRange(0, 14000).Draw(t, "cutFromMs")) * time.Millisecond)
 		type answer struct {
@@ -143,7 +143,7 @@
 		for now := start; now.Before(start.Add(14 * time.Second)); {
 			now = now.Add(time.Duration(rapid.IntRange(20, 700).Draw(t, "gapMs")) * time.Millisecond)
 			if !i.fenced {
-				i.extend(now, i.clock(earlier(now, last))+pointport.InstanceClock(settings.Lease))
+				i.extend(now, i.clock(earlier(now, last))+pointport.InstanceTime(settings.Lease))
 			}
 			event := rapid.IntRange(0, 3).Draw(t, "event")
 			if now.After(cutFrom) {
--- a/schedule/worker.go
+++ b/schedule/worker.go
@@ -121,7 +121,7 @@
 // answered at once. Without these rules, a late acknowledgement destroyed the ends of runs that
 // began and ended while it was in flight.
 func (w *Worker) NextPoll() Poll {
-	if !w.inc.ID().Shares() {
+	if !w.inc.ID().SharesAddressee() {
 		return Poll{w.acked, true}
 	}
 	if !w.mayAcknowledge() {
@@ -159,13 +159,13 @@
 		}
 		return answered
 	}
-	return answered && w.inc.ID().Shares() && w.mayAcknowledge()
+	return answered && w.inc.ID().SharesAddressee() && w.mayAcknowledge()
 }
 
 // anyUncertain reports whether a later incarnation may have taken a start that was meant for this
 // one.
 func (w *Worker) anyUncertain() bool {
-	if !w.inc.ID().Shares() {
+	if !w.inc.ID().SharesAddressee() {
 		return false
 	}
 	if len(w.startsToRuleOut) > 0 {
@@ -213,9 +213,9 @@
 // extension again: the instance may receive orders although its answers are lost, and its runs
 // would never expire. It returns zero for a silent instance whose addressee a later incarnation may
 // share.
-func (w *Worker) ExtendLease(now time.Time, lease time.Duration) pointport.InstanceClock {
+func (w *Worker) ExtendLease(now time.Time, lease time.Duration) pointport.InstanceTime {
 	switch {
-	case w.silent && w.inc.ID().Shares():
+	case w.silent && w.inc.ID().SharesAddressee():
 		return 0 // a later incarnation may receive it and read the time by its own clock
 	case !w.lease.clockKnown() || w.silent || len(w.startsToRuleOut) > 0:
 		return w.lease.extendedUntil()
--- a/shard/orders.go
+++ b/shard/orders.go
@@ -185,7 +185,7 @@
 	o.starts.inFlight--
 }
 
-func (o *Owner) execute(ctx context.Context, executor pointport.Executor, at pointport.Endpoint, order schedule.Order, until pointport.InstanceClock) (pointport.InstanceClock, error) {
+func (o *Owner) execute(ctx context.Context, executor pointport.Executor, at pointport.Endpoint, order schedule.Order, until pointport.InstanceTime) (pointport.InstanceTime, error) {
 	switch order.Kind {
 	case schedule.OrderStop:
 		return executor.Stop(ctx, at, pointport.StopOrder{TaskRun: order.TaskRun, Fence: o.ownership.Fence})
@@ -194,6 +194,6 @@
 	}
 	return executor.Start(ctx, at, pointport.StartOrder{
 		TaskRun: order.TaskRun, Payload: order.Payload, Checkpoint: order.Checkpoint,
-		Ticket: order.Ticket, Fence: o.ownership.Fence, Until: until,
+		Ticket: order.Ticket, Fence: o.ownership.Fence, LeaseUntil: until,
 	})
 }
--- a/shard/orders_test.go
+++ b/shard/orders_test.go
@@ -21,7 +21,7 @@
 }
 
 // Start passes the order to the channel.
-func (s *startRecorder) Start(_ context.Context, _ pointport.Endpoint, o pointport.StartOrder) (pointport.InstanceClock, error) {
+func (s *startRecorder) Start(_ context.Context, _ pointport.Endpoint, o pointport.StartOrder) (pointport.InstanceTime, error) {
 	s.started <- o
 	return 1, nil
 }
--- a/shard/peer_poll.go
+++ b/shard/peer_poll.go
@@ -41,9 +41,9 @@
 	}
 	s.peerPolling = true
 	// The poll acknowledges nothing, because an order through a peer may arrive late.
-	order := pointport.HoldOrder{Fence: o.ownership.Fence, Until: w.ExtendLease(now, o.lease), Patience: o.scheduler.ExtraPollTimeout(w)}
+	order := pointport.PollOrder{Fence: o.ownership.Fence, LeaseUntil: w.ExtendLease(now, o.lease), ExtraTimeout: o.scheduler.ExtraPollTimeout(w)}
 	go func() {
-		report, err := o.delegates.Hold(ctx, at, order)
+		report, err := o.delegates.Poll(ctx, at, order)
 		o.enqueue(func(done time.Time) {
 			s.peerPolling = false
 			o.peerPollAnswered(w, s, now, done, report, err)
--- a/shard/poll.go
+++ b/shard/poll.go
@@ -73,11 +73,11 @@
 	if !plan.MayWait {
 		waitFor = 0
 	}
-	order := pointport.HoldOrder{Fence: o.ownership.Fence, Until: w.ExtendLease(now, o.lease), Acknowledged: plan.Acknowledged, Wait: waitFor, Patience: o.scheduler.ExtraPollTimeout(w)}
+	order := pointport.PollOrder{Fence: o.ownership.Fence, LeaseUntil: w.ExtendLease(now, o.lease), Acknowledged: plan.Acknowledged, Wait: waitFor, ExtraTimeout: o.scheduler.ExtraPollTimeout(w)}
 	at := w.Endpoint()
 	executor := o.executorFor(now, w)
 	go func() {
-		report, err := executor.Hold(ctx, at, order)
+		report, err := executor.Poll(ctx, at, order)
 		o.enqueue(func(done time.Time) {
 			s.inFlight--
 			if err != nil {
--- a/soak/customer_test.go
+++ b/soak/customer_test.go
@@ -83,7 +83,7 @@
 		return testbed.Work{}
 	}
 	step := &t.spec.Steps[ref.Step]
-	w := testbed.Work{Room: step.Reservation(), Duration: step.Estimate, Serves: step.Service}
+	w := testbed.Work{Reservation: step.Reservation(), Duration: step.Estimate, Service: step.Service}
 	w.Crashes = t.crashes && ref == workload.TaskRef{}
 	for _, a := range step.After {
 		for i := range t.spec.Steps[a].Count {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -108,7 +108,7 @@
 	t.Cleanup(s.closeWays)
 	g, err := grid.Start(clock.System{}, grid.Settings{
 		Pools: []string{"shift", "payout"}, PerPool: 4, Zones: soakZones, Host: host, HolderTime: holderTime,
-		Capacity: soakCapacity, Work: s.jobs.work, Customers: soakCustomers(), Keys: soakKeys(), Front: s.front,
+		Capacity: soakCapacity, Work: s.jobs.work, Customers: soakCustomers(), Keys: soakKeys(), AdvertisedAddress: s.front,
 	}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -326,7 +326,7 @@
 	fleet.Go(func() { s.evacuateZones(ctx, rand.New(rand.NewPCG(seed, 6))) })
 	s.disturb(ctx, t, r, troubles)
 	fleet.Wait()
-	s.grid.SetList(0, 0)
+	s.grid.SetListFaults(0, 0)
 	stop()
 	wg.Wait()
 	s.tell("core-seconds to be done: %v", s.toDo())
--- a/soak/strain_test.go
+++ b/soak/strain_test.go
@@ -43,35 +43,35 @@
 	{"some instances refuse orders", func(s *soak, _ *testing.T, r *rand.Rand, d time.Duration) {
 		some, percent := s.instances(r), 20+r.IntN(80)
 		for _, id := range some {
-			s.grid.SetRefusing(id, percent)
+			s.grid.SetRefusalPercent(id, percent)
 		}
 		time.Sleep(d)
 		for _, id := range some {
-			s.grid.SetRefusing(id, 0)
+			s.grid.SetRefusalPercent(id, 0)
 		}
 	}},
 	{"some instances refuse orders behind slow ways", func(s *soak, _ *testing.T, r *rand.Rand, d time.Duration) {
 		some, percent := s.instances(r), 20+r.IntN(80)
 		for _, id := range some {
 			s.treatWay(id, scattered)
-			s.grid.SetRefusing(id, percent)
+			s.grid.SetRefusalPercent(id, percent)
 		}
 		time.Sleep(d)
 		for _, id := range some {
 			s.treatWay(id, pass)
-			s.grid.SetRefusing(id, 0)
+			s.grid.SetRefusalPercent(id, 0)
 		}
 	}},
 	{"registration goes", func(s *soak, _ *testing.T, r *rand.Rand, d time.Duration) {
-		s.grid.Fleet().Unlist(s.instance(r), d)
+		s.grid.Fleet().DropRegistration(s.instance(r), d)
 	}},
 	{"some registrations go", func(s *soak, _ *testing.T, r *rand.Rand, d time.Duration) {
 		for _, id := range s.instances(r) {
-			s.grid.Fleet().Unlist(id, d)
+			s.grid.Fleet().DropRegistration(id, d)
 		}
 	}},
 	{"list of machines lags otherwise", func(s *soak, _ *testing.T, r *rand.Rand, _ time.Duration) {
-		s.grid.SetList(time.Duration(r.Int64N(int64(lagMost))), time.Duration(r.Int64N(int64(listMost))))
+		s.grid.SetListFaults(time.Duration(r.Int64N(int64(lagMost))), time.Duration(r.Int64N(int64(listMost))))
 	}},
 	{"short of the processor", func(s *soak, _ *testing.T, r *rand.Rand, d time.Duration) {
 		s.pick(r).starve(d)
@@ -133,7 +133,7 @@
 
 // strain has the clocks of half of the instances run slow, and the list of machines lag.
 func (s *soak) strain() {
-	s.grid.SetList(lagMost, 0)
+	s.grid.SetListFaults(lagMost, 0)
 	for n, id := range s.grid.Fleet().IDs() {
 		if n%2 == 0 {
 			s.grid.Fleet().SetClockRate(id, slowRate)
@@ -165,11 +165,11 @@
 // treatWay sets what becomes of connections to an instance.
 func (s *soak) treatWay(id pointport.InstanceID, t treatment) {
 	if t != pass {
-		s.grid.Fleet().SetUnheard(id, true)
+		s.grid.Fleet().SetAnswersMayBeLost(id, true)
 	}
 	s.ways[id].set(t)
 	if t == pass {
-		s.grid.Fleet().SetUnheard(id, false)
+		s.grid.Fleet().SetAnswersMayBeLost(id, false)
 	}
 }
 
--- a/soak/trouble_test.go
+++ b/soak/trouble_test.go
@@ -125,7 +125,7 @@
 		s.grid.Evacuate(zone)
 		pause(ctx, time.Duration(4000+r.IntN(most))*time.Millisecond)
 		s.tell("zone %s open", zone)
-		s.grid.Open(zone)
+		s.grid.EndEvacuation(zone)
 	}
 }
 
--- a/standin/fleet.go
+++ b/standin/fleet.go
@@ -65,8 +65,8 @@
 // WithRebootTime sets how long an instance takes to come back.
 func WithRebootTime(d time.Duration) FleetOption { return func(f *Fleet) { f.rebootTime = d } }
 
-// WithLag sets how far the list of instances is behind.
-func WithLag(d time.Duration) FleetOption { return func(f *Fleet) { f.lag = d } }
+// WithListLag sets how far the list of instances is behind.
+func WithListLag(d time.Duration) FleetOption { return func(f *Fleet) { f.lag = d } }
 
 // NewFleet starts the instances.
 func NewFleet(clock pointport.Clock, options ...FleetOption) (*Fleet, error) {
--- a/standin/grid/grid.go
+++ b/standin/grid/grid.go
@@ -64,9 +64,9 @@
 	Keys      map[string][]string
 	// Work is what tasks do; nil reads that from their payload.
 	Work testbed.WorkSource
-	// Front returns the address that an instance registers in place of its own, where
+	// AdvertisedAddress returns the address that an instance registers in place of its own, where
 	// something stands in front of it; nil leaves its own.
-	Front func(id pointport.InstanceID, address string) (string, error)
+	AdvertisedAddress func(id pointport.InstanceID, address string) (string, error)
 }
 
 // A Grid is a running stand-in. It is safe for concurrent use.
@@ -93,7 +93,7 @@
 func Start(clock pointport.Clock, s Settings, logger *slog.Logger) (*Grid, error) {
 	g := &Grid{clock: clock, settings: s, logger: logger, store: memory.New(clock), addresses: make(map[pointport.InstanceID]string), refusing: make(map[pointport.InstanceID]int), random: rand.New(rand.NewPCG(1, 2))}
 	g.kv = g.store.KV()
-	options := []testbed.Option{testbed.WithSpare(SparePool), testbed.WithRegister(g.register), testbed.WithAddresses(g.addressOf), testbed.WithReturns(returns)}
+	options := []testbed.Option{testbed.WithSparePool(SparePool), testbed.WithRegistrationObserver(g.register), testbed.WithAddresses(g.addressOf), testbed.WithAddresseeReuse(returns)}
 	if s.Work != nil {
 		options = append(options, testbed.WithWork(s.Work))
 	}
@@ -128,8 +128,8 @@
 		if err != nil {
 			return err
 		}
-		if g.settings.Front != nil {
-			if at, err = g.settings.Front(id, at); err != nil {
+		if g.settings.AdvertisedAddress != nil {
+			if at, err = g.settings.AdvertisedAddress(id, at); err != nil {
 				return err
 			}
 		}
@@ -164,7 +164,7 @@
 }
 
 // fate decides what becomes of an order that has reached its instance.
-func (g *Grid) fate(_ string, to pointport.InstanceID) testbed.Fate {
+func (g *Grid) fate(_ string, to pointport.InstanceID) testbed.Delivery {
 	const whole = 100 // percent
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -173,16 +173,16 @@
 	return fate
 }
 
-// SetRefusing has an instance answer to so many percent of all orders that it is not well,
+// SetRefusalPercent has an instance answer to so many percent of all orders that it is not well,
 // having done nothing.
-func (g *Grid) SetRefusing(id pointport.InstanceID, percent int) {
+func (g *Grid) SetRefusalPercent(id pointport.InstanceID, percent int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.refusing[id] = percent
 }
 
-// SetList has the list of machines show how they were so long ago, and take so long.
-func (g *Grid) SetList(lag, takes time.Duration) { g.list.set(lag, takes) }
+// SetListFaults has the list of machines show how they were so long ago, and take so long.
+func (g *Grid) SetListFaults(lag, takes time.Duration) { g.list.set(lag, takes) }
 
 // Close ends the grid.
 func (g *Grid) Close() {
@@ -250,7 +250,7 @@
 
 // StartWave asks for a wave of maintenance.
 func (g *Grid) StartWave(w capacity.Wave) {
-	g.fleet.SetBound(w.ID, w.Bound)
+	g.fleet.SetWaveBound(w.ID, w.Bound)
 	g.commit(pointport.Txn{Put: []pointport.Put{platform.EncodeWave(w)}})
 }
 
@@ -260,9 +260,9 @@
 	g.fleet.Evacuate(zone)
 }
 
-// Open takes that back.
-func (g *Grid) Open(zone pointport.ZoneID) {
-	g.fleet.Open(zone)
+// EndEvacuation takes that back.
+func (g *Grid) EndEvacuation(zone pointport.ZoneID) {
+	g.fleet.EndEvacuation(zone)
 	g.commit(pointport.Txn{Delete: []string{platform.EncodeEvacuation(zone).Key}})
 }
 
@@ -294,8 +294,8 @@
 		Name: name, Zone: zone, Store: g.storeAt, Machines: g.machineAt, MachineCalls: 64,
 		Clients: at(2), Readiness: at(3), Peers: at(0), Metrics: at(1),
 		MemoryBytes: 284 << 20, CPU: 0.4, Bandwidth: 1000,
-		MaxHold: testbed.MaxHold, StopTime: testbed.DefaultStopTime, GangTime: testbed.DefaultGangTime,
-		StatusTime: 2 * time.Minute, Grace: 6 * time.Second, MoveTime: testbed.DefaultMoveTime, UpkeepTime: testbed.DefaultUpkeep,
+		MaxHold: testbed.MaxHold, StopTime: testbed.DefaultStopTime, GangTime: testbed.DefaultGangTimeout,
+		StatusTime: 2 * time.Minute, Grace: 6 * time.Second, MoveTime: testbed.DefaultMoveTime, UpkeepTime: testbed.DefaultUpkeepTime,
 		Notice: 4500 * time.Millisecond, HolderTime: g.settings.HolderTime, MinLeaseTTL: time.Second, FarFactor: 2,
 		EvacuationTime: testbed.EvacuationTime,
 	}
--- a/testbed/attempts.go
+++ b/testbed/attempts.go
@@ -48,7 +48,7 @@
 // held.
 func (f *Fleet) checkAttempts(now time.Time, r *run) {
 	ends := f.failed[r.Task]
-	if r.work.Attempts > 0 && len(ends) >= r.work.Attempts {
+	if r.work.MaxAttempts > 0 && len(ends) >= r.work.MaxAttempts {
 		f.beyond = append(f.beyond, startBeyond{now, r, append([]*failedEnd(nil), ends...)})
 	}
 }
@@ -64,7 +64,7 @@
 				told++
 			}
 		}
-		if told >= s.run.work.Attempts {
+		if told >= s.run.work.MaxAttempts {
 			out = append(out, Violation{s.when, s.run.Task, fmt.Sprintf("starts as run %d after %d failed ones", s.run.Run, told)})
 		}
 	}
--- a/testbed/evacuate.go
+++ b/testbed/evacuate.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// Open notes that an availability zone may be used again.
-func (f *Fleet) Open(zone pointport.ZoneID) {
+// EndEvacuation notes that an availability zone may be used again.
+func (f *Fleet) EndEvacuation(zone pointport.ZoneID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.evacuated, zone)
--- a/testbed/strain.go
+++ b/testbed/faults.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// Unlist has a machine's registration go although it lives, and come back after a while.
-func (f *Fleet) Unlist(id pointport.InstanceID, d time.Duration) {
+// DropRegistration has a machine's registration go although it lives, and come back after a while.
+func (f *Fleet) DropRegistration(id pointport.InstanceID, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.machines[id]
@@ -68,9 +68,9 @@
 	}
 }
 
-// SetUnheard says whether what a machine answers may be lost on its way. What it lists then
+// SetAnswersMayBeLost says whether what a machine answers may be lost on its way. What it lists then
 // is not known to be heard, nor what it has just listed.
-func (f *Fleet) SetUnheard(id pointport.InstanceID, unheard bool) {
+func (f *Fleet) SetAnswersMayBeLost(id pointport.InstanceID, unheard bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.machines[id]
--- a/testbed/fleet.go
+++ b/testbed/fleet.go
@@ -93,24 +93,24 @@
 // WithWork sets what tasks do.
 func WithWork(work WorkSource) Option { return func(f *Fleet) { f.work = work } }
 
-// WithGuards sets whether instances refuse what does not fit.
-func WithGuards(guards bool) Option { return func(f *Fleet) { f.guards = guards } }
+// WithCapacityEnforcement sets whether instances refuse what does not fit.
+func WithCapacityEnforcement(guards bool) Option { return func(f *Fleet) { f.guards = guards } }
 
-// WithSpare names the pool whose machines are off.
-func WithSpare(pool string) Option { return func(f *Fleet) { f.spare = pool } }
+// WithSparePool names the pool whose machines are off.
+func WithSparePool(pool string) Option { return func(f *Fleet) { f.spare = pool } }
 
-// WithReturns sets in how many percent of its returns a machine comes back under the addressee
+// WithAddresseeReuse sets in how many percent of its returns a machine comes back under the addressee
 // that it had: its new life then knows nothing of before, and its clock and the numbers of its
 // ends begin anew. With none, no two lives have one addressee, and that alone tells them apart.
-func WithReturns(percent int) Option { return func(f *Fleet) { f.returning = percent } }
+func WithAddresseeReuse(percent int) Option { return func(f *Fleet) { f.returning = percent } }
 
-// WithLinger sets for how long the registration of a life stays that ends without having said
+// WithDeregistrationDelay sets for how long the registration of a life stays that ends without having said
 // so, as one that goes only once heartbeats were missed.
-func WithLinger(d time.Duration) Option { return func(f *Fleet) { f.lingers = d } }
+func WithDeregistrationDelay(d time.Duration) Option { return func(f *Fleet) { f.lingers = d } }
 
-// WithRegister sets a function that is told of each registration, and of its end
+// WithRegistrationObserver sets a function that is told of each registration, and of its end
 // with false.
-func WithRegister(register func(pointport.Incarnation, bool)) Option {
+func WithRegistrationObserver(register func(pointport.Incarnation, bool)) Option {
 	return func(f *Fleet) { f.register = register }
 }
 
@@ -128,18 +128,18 @@
 
 // The times of a fleet, as the users' platform has them.
 const (
-	DefaultGangTime = 3 * time.Second
-	DefaultStopTime = 200 * time.Millisecond
-	DefaultMoveTime = 1500 * time.Millisecond
-	DefaultUpkeep   = 2 * time.Second
-	MaxHold         = 10 * time.Second
+	DefaultGangTimeout = 3 * time.Second
+	DefaultStopTime    = 200 * time.Millisecond
+	DefaultMoveTime    = 1500 * time.Millisecond
+	DefaultUpkeepTime  = 2 * time.Second
+	MaxHold            = 10 * time.Second
 )
 
 // New returns a fleet without machines.
 func New(clock pointport.Clock, options ...Option) *Fleet {
 	f := &Fleet{
 		clock: clock, work: PayloadWork, guards: true,
-		gangTime: DefaultGangTime, stopTime: DefaultStopTime, moveTime: DefaultMoveTime, upkeep: DefaultUpkeep,
+		gangTime: DefaultGangTimeout, stopTime: DefaultStopTime, moveTime: DefaultMoveTime, upkeep: DefaultUpkeepTime,
 		random: rand.New(rand.NewPCG(1, 2)), address: noAddress,
 		machines: make(map[pointport.InstanceID]*Machine), present: make(map[pointport.Addressee]*incarnation),
 		changed: make(chan struct{}), done: make(map[string]bool), ends: make(map[*incarnation]map[int64]string), told: make(map[string]time.Time),
@@ -201,11 +201,11 @@
 
 // zeroOf returns what the clock of a new life shows at its start: where machines keep their
 // identity, less than that of the life before, or more. The lock is held.
-func (f *Fleet) zeroOf() pointport.InstanceClock {
+func (f *Fleet) zeroOf() pointport.InstanceTime {
 	if f.returning == 0 {
-		return pointport.InstanceClock(time.Duration(f.born) * time.Minute)
+		return pointport.InstanceTime(time.Duration(f.born) * time.Minute)
 	}
-	return pointport.InstanceClock(time.Duration(f.random.IntN(60)) * time.Minute)
+	return pointport.InstanceTime(time.Duration(f.random.IntN(60)) * time.Minute)
 }
 
 func (f *Fleet) registration(m *Machine) pointport.Incarnation {
@@ -266,9 +266,9 @@
 	}
 }
 
-// HitByChance reports whether a run of a job's tasks has died with an instance that no task
+// LostRunToInjectedCrash reports whether a run of a job's tasks has died with an instance that no task
 // has crashed.
-func (f *Fleet) HitByChance(job string) bool {
+func (f *Fleet) LostRunToInjectedCrash(job string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for task := range f.chance {
@@ -332,9 +332,9 @@
 	}
 }
 
-// SetUnwell makes a machine refuse what it is told to start or to stop, or heal. It does
+// SetUnhealthy makes a machine refuse what it is told to start or to stop, or heal. It does
 // nothing of what it refuses: what it had stopped or started goes on as before.
-func (f *Fleet) SetUnwell(id pointport.InstanceID, unwell bool) {
+func (f *Fleet) SetUnhealthy(id pointport.InstanceID, unwell bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m := f.machines[id]; m != nil {
@@ -461,8 +461,8 @@
 	return out
 }
 
-// Size returns how many machines of a pool are on.
-func (f *Fleet) Size(pool string) int {
+// PoolSize returns how many machines of a pool are on.
+func (f *Fleet) PoolSize(pool string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
@@ -474,8 +474,8 @@
 	return n
 }
 
-// Holding returns the machines on which something runs, sorted.
-func (f *Fleet) Holding() []pointport.InstanceID {
+// BusyMachines returns the machines on which something runs, sorted.
+func (f *Fleet) BusyMachines() []pointport.InstanceID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []pointport.InstanceID
--- a/testbed/incarnation.go
+++ b/testbed/incarnation.go
@@ -26,13 +26,13 @@
 	machine *Machine
 	// born is when its clock showed zero; it runs at rate, 1 being right.
 	born time.Time
-	zero pointport.InstanceClock
+	zero pointport.InstanceTime
 	rate float64
 	// stalled is until when it handles nothing.
 	stalled time.Time
 
 	fence  pointport.Fence
-	until  pointport.InstanceClock
+	until  pointport.InstanceTime
 	runs   map[string]*run
 	burned map[string]int // by task, the highest run that was stopped or has ended
 	ended  []pointport.TaskEnd
@@ -50,12 +50,12 @@
 	from    int       // progress that it resumed with
 }
 
-func (i *incarnation) clock(now time.Time) pointport.InstanceClock {
-	return i.zero + pointport.InstanceClock(float64(now.Sub(i.born))*i.rate)
+func (i *incarnation) clock(now time.Time) pointport.InstanceTime {
+	return i.zero + pointport.InstanceTime(float64(now.Sub(i.born))*i.rate)
 }
 
 // localTime returns the time at which the incarnation's clock shows c.
-func (i *incarnation) localTime(c pointport.InstanceClock) time.Time {
+func (i *incarnation) localTime(c pointport.InstanceTime) time.Time {
 	return i.born.Add(time.Duration(float64(c-i.zero) / i.rate))
 }
 
@@ -65,7 +65,7 @@
 	if !r.stops.IsZero() {
 		return r.stops
 	}
-	if r.work.Serves || r.work.Crashes || r.began.IsZero() {
+	if r.work.Service || r.work.Crashes || r.began.IsZero() {
 		return time.Time{}
 	}
 	left := r.work.Duration * time.Duration(wholeProgress-r.from) / wholeProgress
@@ -87,7 +87,7 @@
 	}
 	if len(i.runs) > 0 && now.After(lapse) {
 		for _, r := range i.sorted() {
-			i.end(r, pointport.EndLapsed)
+			i.end(r, pointport.EndLeaseExpired)
 			i.fleet.breakGang(r)
 		}
 	}
@@ -122,7 +122,7 @@
 	case !r.stops.IsZero():
 		i.end(r, pointport.EndStopped)
 	case r.work.Gang > 1 && r.began.IsZero():
-		i.end(r, pointport.EndGangAlone)
+		i.end(r, pointport.EndGangTimeout)
 	case r.work.Fails:
 		i.end(r, pointport.EndFailed)
 		i.fleet.noteFailed(r.Task, i)
@@ -150,12 +150,12 @@
 
 // admit takes in the fence and the time of an order. A longer time than an instance grants is cut
 // to that.
-func (i *incarnation) admit(fence pointport.Fence, until pointport.InstanceClock) *pointport.RejectedError {
+func (i *incarnation) admit(fence pointport.Fence, until pointport.InstanceTime) *pointport.RejectedError {
 	if fence < i.fence {
 		return i.reject(pointport.RejectFence)
 	}
 	i.fence = fence
-	i.until = max(i.until, min(until, i.clock(i.fleet.clock.Now())+pointport.InstanceClock(MaxHold)))
+	i.until = max(i.until, min(until, i.clock(i.fleet.clock.Now())+pointport.InstanceTime(MaxHold)))
 	return nil
 }
 
@@ -168,7 +168,7 @@
 	if i.machine.unwell {
 		return i.reject(pointport.RejectUnhealthy)
 	}
-	if err := i.admit(o.Fence, o.Until); err != nil {
+	if err := i.admit(o.Fence, o.LeaseUntil); err != nil {
 		return err
 	}
 	if r := i.runs[o.Task]; r != nil && r.Run == o.Run {
@@ -176,16 +176,16 @@
 	}
 	switch {
 	case i.until <= i.clock(now):
-		return i.reject(pointport.RejectLate)
+		return i.reject(pointport.RejectExpired)
 	case i.burned[o.Task] >= o.Run || i.runs[o.Task] != nil:
 		return i.reject(pointport.RejectOldRun)
 	}
 	work := i.fleet.work(o)
-	if !i.free().Fits(work.Room) {
+	if !i.free().Fits(work.Reservation) {
 		if i.fleet.guards {
-			return i.reject(pointport.RejectRoom)
+			return i.reject(pointport.RejectNoCapacity)
 		}
-		if !i.machine.justShrunk(now) || !i.freeOf(i.machine.former).Fits(work.Room) {
+		if !i.machine.justShrunk(now) || !i.freeOf(i.machine.former).Fits(work.Reservation) {
 			i.fleet.violate(now, o.Task, "is started beyond the room of "+string(i.id))
 		}
 	}
@@ -219,7 +219,7 @@
 
 func (i *incarnation) freeOf(free pointport.Shape) pointport.Shape {
 	for _, r := range i.runs {
-		free = free.Minus(r.work.Room)
+		free = free.Minus(r.work.Reservation)
 	}
 	return free
 }
@@ -244,8 +244,8 @@
 }
 
 // report carries out a hold.
-func (i *incarnation) report(now time.Time, o pointport.HoldOrder) (pointport.Report, error) {
-	if err := i.admit(o.Fence, o.Until); err != nil {
+func (i *incarnation) report(now time.Time, o pointport.PollOrder) (pointport.Report, error) {
+	if err := i.admit(o.Fence, o.LeaseUntil); err != nil {
 		return pointport.Report{}, err
 	}
 	i.fleet.noteAcknowledged(i, o.Acknowledged)
@@ -272,7 +272,7 @@
 		return 0
 	}
 	whole := r.work.Duration
-	if r.work.Serves {
+	if r.work.Service {
 		whole = serveStart
 	}
 	if whole <= 0 {
--- a/testbed/machines.go
+++ b/testbed/machines.go
@@ -88,7 +88,7 @@
 		x.life.advance(f.clock.Now())
 		f.noteDestroyed(f.clock.Now(), x.life)
 		for _, r := range x.life.runs {
-			if r.work.Serves {
+			if r.work.Service {
 				f.violate(f.clock.Now(), r.Task, fmt.Sprintf("is ended by an order about machine %s", id))
 			}
 		}
@@ -114,8 +114,8 @@
 	x.holder, x.ordered = by, now
 }
 
-// SetBound sets how many machines may be away for a wave at once.
-func (f *Fleet) SetBound(wave int64, bound int) {
+// SetWaveBound sets how many machines may be away for a wave at once.
+func (f *Fleet) SetWaveBound(wave int64, bound int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.bounds[wave] = bound
--- a/testbed/network.go
+++ b/testbed/network.go
@@ -10,24 +10,24 @@
 
 // This file defines how orders reach incarnations.
 
-// A Fate says what becomes of an order.
-type Fate struct {
+// A Delivery says what becomes of an order.
+type Delivery struct {
 	Latency time.Duration
-	// Lost says that the order is not carried out and gets no answer.
-	Lost bool
-	// Late says that the order gets no answer and is carried out so much later.
-	Late time.Duration
-	// Mute says that the order is carried out and gets no answer.
-	Mute bool
+	// OrderLost says that the order is not carried out and gets no answer.
+	OrderLost bool
+	// LateBy says that the order gets no answer and is carried out so much later.
+	LateBy time.Duration
+	// AnswerLost says that the order is carried out and gets no answer.
+	AnswerLost bool
 	// Refused says that the instance answers that it is not well, and has done nothing.
 	Refused bool
 }
 
 // A Network decides the fate of each order to a machine.
-type Network func(op string, to pointport.InstanceID) Fate
+type Network func(op string, to pointport.InstanceID) Delivery
 
 // Reliable is a network on which every order takes a millisecond.
-func Reliable(string, pointport.InstanceID) Fate { return Fate{Latency: time.Millisecond} }
+func Reliable(string, pointport.InstanceID) Delivery { return Delivery{Latency: time.Millisecond} }
 
 // answerTimeout is how long a caller waits for an answer.
 const answerTimeout = 400 * time.Millisecond
@@ -59,11 +59,11 @@
 	if !sleep(ctx, f.clock, fate.Latency) {
 		return none, e.silent(ctx, op, at, 0)
 	}
-	if fate.Lost {
+	if fate.OrderLost {
 		return none, e.silent(ctx, op, at, answerTimeout)
 	}
-	if fate.Late > 0 {
-		taker, wake := f.lifeAt(at), f.clock.After(fate.Late)
+	if fate.LateBy > 0 {
+		taker, wake := f.lifeAt(at), f.clock.After(fate.LateBy)
 		go func() {
 			<-wake
 			f.awaitStall(taker)
@@ -93,7 +93,7 @@
 	life.advance(now)
 	answer, err := carryOut(life, now)
 	f.mu.Unlock()
-	if fate.Mute {
+	if fate.AnswerLost {
 		return none, e.silent(ctx, op, at, answerTimeout)
 	}
 	return answer, err
@@ -126,16 +126,16 @@
 }
 
 // Start starts a run.
-func (e *Executor) Start(ctx context.Context, at pointport.Endpoint, o pointport.StartOrder) (pointport.InstanceClock, error) {
+func (e *Executor) Start(ctx context.Context, at pointport.Endpoint, o pointport.StartOrder) (pointport.InstanceTime, error) {
 	sent := e.fleet.clock.Now()
-	return call(ctx, e, "start", at, func(i *incarnation, now time.Time) (pointport.InstanceClock, error) {
+	return call(ctx, e, "start", at, func(i *incarnation, now time.Time) (pointport.InstanceTime, error) {
 		return i.clock(now), i.start(now, sent, o)
 	})
 }
 
 // Stop stops a run.
-func (e *Executor) Stop(ctx context.Context, at pointport.Endpoint, o pointport.StopOrder) (pointport.InstanceClock, error) {
-	return call(ctx, e, "stop", at, func(i *incarnation, now time.Time) (pointport.InstanceClock, error) {
+func (e *Executor) Stop(ctx context.Context, at pointport.Endpoint, o pointport.StopOrder) (pointport.InstanceTime, error) {
+	return call(ctx, e, "stop", at, func(i *incarnation, now time.Time) (pointport.InstanceTime, error) {
 		return i.clock(now), i.stop(now, o)
 	})
 }
@@ -162,9 +162,9 @@
 	next    time.Duration
 }
 
-// Hold extends the time of what runs, and returns what runs and has ended once
+// Poll extends the time of what runs, and returns what runs and has ended once
 // something has ended or the wait is over.
-func (e *Executor) Hold(ctx context.Context, at pointport.Endpoint, o pointport.HoldOrder) (pointport.Report, error) {
+func (e *Executor) Poll(ctx context.Context, at pointport.Endpoint, o pointport.PollOrder) (pointport.Report, error) {
 	end := e.fleet.clock.After(o.Wait)
 	var by *incarnation // who has taken it
 	for first := true; ; first = false {
@@ -175,7 +175,7 @@
 			}
 			report, err := i.report(now, o)
 			if err == nil && i.id != at.Incarnation {
-				err = &pointport.GoneError{Incarnation: at.Incarnation, By: i.id}
+				err = &pointport.GoneError{Incarnation: at.Incarnation, AnsweredBy: i.id}
 			}
 			return held{i, report, e.fleet.changed, i.untilNext(now)}, err
 		})
@@ -203,7 +203,7 @@
 	if first {
 		return e
 	}
-	return &Executor{e.fleet, func(string, pointport.InstanceID) Fate { return Fate{} }}
+	return &Executor{e.fleet, func(string, pointport.InstanceID) Delivery { return Delivery{} }}
 }
 
 // untilNext returns how long it is until something ends by itself.
--- a/testbed/work.go
+++ b/testbed/work.go
@@ -13,17 +13,17 @@
 
 // Work is what a task does once it is started.
 type Work struct {
-	Room     pointport.Shape
-	Duration time.Duration
+	Reservation pointport.Shape
+	Duration    time.Duration
 	// Fails says that the run ends as failed.
 	Fails bool
-	// Attempts is after how many runs that have ended as failed the task may not start
+	// MaxAttempts is after how many runs that have ended as failed the task may not start
 	// again; zero leaves that unchecked.
-	Attempts int
+	MaxAttempts int
 	// Crashes says that the run ends its instance a moment after its start.
 	Crashes bool
-	// Serves says that the task runs until it is stopped.
-	Serves bool
+	// Service says that the task runs until it is stopped.
+	Service bool
 	// Copies says that the task may run more than once at a time.
 	Copies bool
 	// Gang is how many tasks must be present to work, zero or one for a task that
@@ -52,15 +52,15 @@
 				w.Duration = d
 			}
 		case "cpu":
-			w.Room.CPUMilli, _ = strconv.ParseInt(value, 10, 64)
+			w.Reservation.CPUMilli, _ = strconv.ParseInt(value, 10, 64)
 		case "memory":
-			w.Room.MemoryMiB, _ = strconv.ParseInt(value, 10, 64)
+			w.Reservation.MemoryMiB, _ = strconv.ParseInt(value, 10, 64)
 		case "fails":
 			w.Fails = value == "true"
 		case "crashes":
 			w.Crashes = value == "true"
 		case "serves":
-			w.Serves = value == "true"
+			w.Service = value == "true"
 		}
 	}
 	return w
--- a/workload/codec.go
+++ b/workload/codec.go
@@ -240,7 +240,7 @@
 func extraSettled(t *Task) []int    { return unlessZero(t.Settled) }
 
 func extraBorn(t *Task) []int {
-	born, ok := t.On.Born()
+	born, ok := t.On.StartedAt()
 	if !ok {
 		return nil
 	}
