--- a/meter/calls.go
+++ b/meter/calls.go
@@ -78,16 +78,16 @@
 
 func (e *executor) Start(ctx context.Context, at pointport.Endpoint, o pointport.StartOrder) (pointport.InstanceTime, error) {
 	start := e.meter.clock.Now()
-	clock, err := e.next.Start(ctx, at, o)
+	instanceTime, err := e.next.Start(ctx, at, o)
 	e.meter.observeCall(toInstance, "start", start, 0, err)
-	return clock, err
+	return instanceTime, err
 }
 
 func (e *executor) Stop(ctx context.Context, at pointport.Endpoint, o pointport.StopOrder) (pointport.InstanceTime, error) {
 	start := e.meter.clock.Now()
-	clock, err := e.next.Stop(ctx, at, o)
+	instanceTime, err := e.next.Stop(ctx, at, o)
 	e.meter.observeCall(toInstance, "stop", start, 0, err)
-	return clock, err
+	return instanceTime, err
 }
 
 func (e *executor) Poll(ctx context.Context, at pointport.Endpoint, o pointport.PollOrder) (pointport.Report, error) {
