--- a/remote/client.go
+++ b/remote/client.go
@@ -1,9 +1,9 @@
-// Package remote is the client of the platform: its key-value service, its list
-// of instances and its tasks, over HTTP with JSON.
+// Package remote is the client of the platform's key-value store, instances and
+// tasks, with JSON over HTTP.
 //
-// Invariants: no call is ever repeated by the client, because only its caller
-// knows whether a change may be made twice; an error says whether the change
-// may have taken effect.
+// The client never retries a call, because only its caller knows whether a change
+// may be made twice. The error of a failed call states whether the change may have
+// taken effect.
 package remote
 
 import (
@@ -26,25 +26,26 @@
 	"github.com/pointport/pointport/internal/stall"
 )
 
-// This file defines the client and the way a call is made.
+// This file defines the client, how it makes calls, and the calls to the key-value store.
 
 const (
-	// DefaultTimeout bounds how long an answer may take to begin, but for a watch, and
-	// how long it may pause.
+	// DefaultTimeout bounds the time until a response begins, except that of a watch,
+	// which may take longer. It also bounds how long a response may pause.
 	DefaultTimeout = 2 * time.Second
-	// DefaultWatchTimeout is how long the service is asked to hold a watch.
+	// DefaultWatchTimeout is how long the server is asked to wait for a change before it
+	// ends a watch.
 	DefaultWatchTimeout = 30 * time.Second
-	// maxAnswer bounds what is read of an answer, in bytes: a value of a
-	// megabyte in base64, and some room.
-	maxAnswer = 2 << 20
+	// maxResponseBytes bounds the body of a response, as it is received. The largest holds
+	// a value of a megabyte in base64; the rest is a reserve.
+	maxResponseBytes = 2 << 20
 )
 
-// A Client calls one platform. It is safe for concurrent use.
+// Client is a client of one platform. It is safe for concurrent use.
 type Client struct {
-	base    string
-	http    *http.Client
-	timeout time.Duration
-	watch   time.Duration
+	base         string
+	http         *http.Client
+	timeout      time.Duration
+	watchTimeout time.Duration
 
 	calls, sent, received, listBytes atomic.Int64
 }
@@ -59,21 +60,23 @@
 	_ pointport.TaskRunner = (*Client)(nil)
 )
 
-// An Option changes how a Client calls.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithTimeout bounds the time until an answer begins, but for a watch.
+// WithTimeout bounds the time until a response begins. For a watch, the time for which
+// the server may hold it is added.
 func WithTimeout(d time.Duration) Option { return func(c *Client) { c.timeout = d } }
 
-// WithWatchTimeout sets how long the service is asked to hold a watch.
-func WithWatchTimeout(d time.Duration) Option { return func(c *Client) { c.watch = d } }
+// WithWatchTimeout sets how long the server is asked to wait for a change before it ends
+// a watch.
+func WithWatchTimeout(d time.Duration) Option { return func(c *Client) { c.watchTimeout = d } }
 
-// New returns a client of the platform at base, such as http://10.0.0.1:7000.
+// New returns a client of the platform with the URL base, such as http://10.0.0.1:7000.
 func New(base string, options ...Option) *Client {
 	c := &Client{
-		base:    strings.TrimSuffix(base, "/"),
-		timeout: DefaultTimeout,
-		watch:   DefaultWatchTimeout,
+		base:         strings.TrimSuffix(base, "/"),
+		timeout:      DefaultTimeout,
+		watchTimeout: DefaultWatchTimeout,
 	}
 	c.http = &http.Client{Transport: &http.Transport{
 		DialContext:         c.dial,
@@ -91,18 +94,20 @@
 
 // A call is one request to the platform.
 type call struct {
-	op, key string // as named in errors
-	method  string
-	path    string
-	query   url.Values
-	body    []byte
-	timeout time.Duration
-	changes bool // whether the call changes something
-	// compressed asks for a compressed answer and notes its size.
+	op, key  string // for errors
+	method   string
+	path     string
+	query    url.Values
+	body     []byte
+	timeout  time.Duration // until the response begins, zero for the client's timeout
+	mutating bool          // whether the call changes the platform's state
+	// compressed requests a compressed response, whose size becomes ListBytes.
 	compressed bool
 }
 
-// do makes a call and decodes its answer into out, unless out is nil.
+// do makes a call and decodes its response into out, unless out is nil. It fails with a
+// *pointport.UnavailableError, *pointport.NotFoundError, *pointport.HeldError or
+// *pointport.ConflictError.
 func (c *Client) do(ctx context.Context, k call, out any) error {
 	if k.timeout == 0 {
 		k.timeout = c.timeout
@@ -117,7 +122,7 @@
 	if err != nil {
 		return &pointport.UnavailableError{Op: k.op, Key: k.key, Err: err}
 	}
-	// A request with GetBody set may be sent twice by the transport.
+	// The transport may send a request with GetBody set twice.
 	req.GetBody = nil
 	if k.compressed {
 		req.Header.Set("Accept-Encoding", "gzip")
@@ -125,27 +130,28 @@
 	c.calls.Add(1)
 	res, err := c.http.Do(req)
 	if err != nil {
-		return &pointport.UnavailableError{Op: k.op, Key: k.key, Ambiguous: k.changes && !dialFailed(err), Err: guard.Cause(err)}
+		return &pointport.UnavailableError{Op: k.op, Key: k.key, Ambiguous: k.mutating && !dialFailed(err), Err: guard.Cause(err)}
 	}
 	defer res.Body.Close()
-	data, err := guard.ReadAll(res.Body, maxAnswer, DefaultTimeout, func() { pointport.Progress(ctx) })
+	data, err := guard.ReadAll(res.Body, maxResponseBytes, DefaultTimeout, func() { pointport.Progress(ctx) })
 	if err != nil {
-		return &pointport.UnavailableError{Op: k.op, Key: k.key, Ambiguous: k.changes, Err: err}
+		return &pointport.UnavailableError{Op: k.op, Key: k.key, Ambiguous: k.mutating, Err: err}
 	}
 	if k.compressed {
 		c.listBytes.Store(int64(len(data)))
-		if data, err = expand(res, data); err != nil {
+		if data, err = decompress(res, data); err != nil {
 			return &pointport.UnavailableError{Op: k.op, Key: k.key, Err: err}
 		}
 	}
 	return k.decode(res.StatusCode, data, out)
 }
 
-// maxList bounds a list of instances once it is expanded, in bytes.
-const maxList = 64 << 20
+// maxListBytes bounds a list of instances after decompression.
+const maxListBytes = 64 << 20
 
-// expand returns the body of an answer that may be compressed.
-func expand(res *http.Response, data []byte) ([]byte, error) {
+// decompress returns the decompressed body of a response, or data if the response is not
+// compressed.
+func decompress(res *http.Response, data []byte) ([]byte, error) {
 	if res.Header.Get("Content-Encoding") != "gzip" {
 		return data, nil
 	}
@@ -153,42 +159,47 @@
 	if err != nil {
 		return nil, err
 	}
-	return io.ReadAll(io.LimitReader(z, maxList))
+	return io.ReadAll(io.LimitReader(z, maxListBytes))
 }
 
-// dialFailed reports whether err came before a connection stood.
+// dialFailed reports whether err occurred before a connection was established.
 func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// refusal is what the platform says beside a status of 409.
-type refusal struct {
+// conflictBody is the body of a response with status 409. Holder is set if another
+// holder has the lease, otherwise the revisions are set.
+type conflictBody struct {
 	Have   pointport.Revision `json:"have"`
 	Want   pointport.Revision `json:"want"`
 	Holder string             `json:"holder"`
 }
 
+// decode decodes the body of a response into out, unless out is nil, or returns the
+// error for the response's status. A 5xx status other than 503 makes a mutating call
+// ambiguous.
 func (k call) decode(status int, data []byte, out any) error {
 	switch {
 	case status == http.StatusConflict:
-		return k.refused(data)
+		return k.conflictError(data)
 	case status == http.StatusNotFound:
 		return &pointport.NotFoundError{Kind: k.op, Name: k.key}
 	case status != http.StatusOK:
 		err := fmt.Errorf("status %d: %s", status, bytes.TrimSpace(data))
-		return &pointport.UnavailableError{Op: k.op, Key: k.key, Ambiguous: k.changes && status >= 500 && status != http.StatusServiceUnavailable, Err: err}
+		return &pointport.UnavailableError{Op: k.op, Key: k.key, Ambiguous: k.mutating && status >= 500 && status != http.StatusServiceUnavailable, Err: err}
 	case out == nil:
 		return nil
 	}
 	if err := json.Unmarshal(data, out); err != nil {
-		return &pointport.UnavailableError{Op: k.op, Key: k.key, Ambiguous: k.changes, Err: err}
+		return &pointport.UnavailableError{Op: k.op, Key: k.key, Ambiguous: k.mutating, Err: err}
 	}
 	return nil
 }
 
-func (k call) refused(data []byte) error {
-	var r refusal
+// conflictError returns the error for the body of a response with status 409.
+func (k call) conflictError(data []byte) error {
+	var r conflictBody
 	if err := json.Unmarshal(data, &r); err != nil {
 		return &pointport.UnavailableError{Op: k.op, Key: k.key, Err: err}
 	}
@@ -198,15 +209,15 @@
 	return &pointport.ConflictError{Key: k.key, Want: r.Want, Have: r.Have}
 }
 
-// value is a key's state on the wire.
-type value struct {
+// keyState is the JSON form of a key's state.
+type keyState struct {
 	Revision pointport.Revision `json:"revision"`
 	Value    []byte             `json:"value,omitempty"`
 }
 
 // Get returns the state of key.
 func (c *Client) Get(ctx context.Context, key string) (pointport.Entry, error) {
-	var v value
+	var v keyState
 	err := c.do(ctx, call{op: "get", key: key, method: http.MethodGet, path: kvPath(key)}, &v)
 	if err != nil {
 		return pointport.Entry{}, err
@@ -214,14 +225,14 @@
 	return pointport.NewEntry(key, v.Value, v.Revision), nil
 }
 
-// Watch waits until key has a revision greater than after, or until the
-// service ends the wait.
+// Watch waits until key has a revision greater than after, or until the watch timeout
+// has passed, and returns the state of key.
 func (c *Client) Watch(ctx context.Context, key string, after pointport.Revision) (pointport.Entry, error) {
-	q := url.Values{"after": {formatRevision(after)}, "wait": {c.watch.String()}}
-	var v value
+	q := url.Values{"after": {formatRevision(after)}, "wait": {c.watchTimeout.String()}}
+	var v keyState
 	err := c.do(ctx, call{
 		op: "watch", key: key, method: http.MethodGet, path: kvPath(key),
-		query: q, timeout: c.watch + c.timeout,
+		query: q, timeout: c.watchTimeout + c.timeout,
 	}, &v)
 	if err != nil {
 		return pointport.Entry{}, err
@@ -231,10 +242,10 @@
 
 // CompareAndSwap sets key to val if its revision is still have.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, have pointport.Revision, val []byte) (pointport.Revision, error) {
-	var v value
+	var v keyState
 	err := c.do(ctx, call{
 		op: "cas", key: key, method: http.MethodPut, path: kvPath(key),
-		query: url.Values{"have": {formatRevision(have)}}, body: val, changes: true,
+		query: url.Values{"have": {formatRevision(have)}}, body: val, mutating: true,
 	}, &v)
 	return v.Revision, err
 }
@@ -243,7 +254,7 @@
 func (c *Client) Delete(ctx context.Context, key string, have pointport.Revision) error {
 	return c.do(ctx, call{
 		op: "delete", key: key, method: http.MethodDelete, path: kvPath(key),
-		query: url.Values{"have": {formatRevision(have)}}, changes: true,
+		query: url.Values{"have": {formatRevision(have)}}, mutating: true,
 	}, nil)
 }
 
@@ -251,7 +262,7 @@
 func (c *Client) Lease(ctx context.Context, name, holder string, ttl time.Duration) error {
 	return c.do(ctx, call{
 		op: "lease", key: name, method: http.MethodPut, path: "/v1/leases/" + url.PathEscape(name),
-		query: url.Values{"holder": {holder}, "ttl": {ttl.String()}}, changes: true,
+		query: url.Values{"holder": {holder}, "ttl": {ttl.String()}}, mutating: true,
 	}, nil)
 }
 
@@ -259,7 +270,7 @@
 func (c *Client) Release(ctx context.Context, name, holder string) error {
 	return c.do(ctx, call{
 		op: "release", key: name, method: http.MethodDelete, path: "/v1/leases/" + url.PathEscape(name),
-		query: url.Values{"holder": {holder}}, changes: true,
+		query: url.Values{"holder": {holder}}, mutating: true,
 	}, nil)
 }
 
--- a/remote/client_test.go
+++ b/remote/client_test.go
@@ -16,27 +16,28 @@
 	"github.com/pointport/pointport/standin"
 )
 
-// TestWhatAFailureSays checks for each way in which a write can fail whether the
-// client says that it may have taken effect, and that nothing is sent twice.
-func TestWhatAFailureSays(t *testing.T) {
+// TestWriteErrorAmbiguity checks, for each way in which a write can fail, that the error
+// states whether the write may have taken effect, and that the write is sent only once.
+// The transport would otherwise send a request again after some failures.
+func TestWriteErrorAmbiguity(t *testing.T) {
 	var calls atomic.Int64
-	answer := func(status int) http.HandlerFunc {
-		return func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "as the test wants", status) }
+	respond := func(status int) http.HandlerFunc {
+		return func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "injected failure", status) }
 	}
 	for _, c := range []struct {
 		name      string
 		handler   http.HandlerFunc
 		ambiguous bool
 	}{
-		{"refused in an outage", answer(http.StatusServiceUnavailable), false},
-		{"too large", answer(http.StatusRequestEntityTooLarge), false},
-		{"internal error", answer(http.StatusInternalServerError), true},
+		{"refused in an outage", respond(http.StatusServiceUnavailable), false},
+		{"too large", respond(http.StatusRequestEntityTooLarge), false},
+		{"internal error", respond(http.StatusInternalServerError), true},
 		{"connection closed", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, true},
-		{"answer cut", func(w http.ResponseWriter, _ *http.Request) {
+		{"truncated response", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "100")
 			_, _ = w.Write([]byte("{"))
 		}, true},
-		{"answer that is no JSON", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) }, true},
+		{"response that is not JSON", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			calls.Store(0)
@@ -46,8 +47,8 @@
 			}))
 			defer srv.Close()
 			_, err := remote.New(srv.URL).CompareAndSwap(t.Context(), "key", 1, []byte("value"))
-			var down *pointport.UnavailableError
-			if !errors.As(err, &down) || down.Ambiguous != c.ambiguous {
+			var unavailable *pointport.UnavailableError
+			if !errors.As(err, &unavailable) || unavailable.Ambiguous != c.ambiguous {
 				t.Errorf("got %v, want ambiguous %v", err, c.ambiguous)
 			}
 			if n := calls.Load(); n != 1 {
@@ -57,7 +58,9 @@
 	}
 }
 
-func TestNobodyListens(t *testing.T) {
+// TestRefusedConnectionIsNotAmbiguous checks that a write to a port on which no process
+// listens is known to have had no effect.
+func TestRefusedConnectionIsNotAmbiguous(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -65,14 +68,15 @@
 	address := l.Addr().String()
 	_ = l.Close()
 	_, err = remote.New("http://"+address).CompareAndSwap(t.Context(), "key", 1, nil)
-	var down *pointport.UnavailableError
-	if !errors.As(err, &down) || down.Ambiguous {
-		t.Errorf("got %v, want that nothing can have taken effect", err)
+	var unavailable *pointport.UnavailableError
+	if !errors.As(err, &unavailable) || unavailable.Ambiguous {
+		t.Errorf("got %v, want an UnavailableError that is not ambiguous", err)
 	}
 }
 
-// TestAgainstTheStandin takes every call of the store through the stand-in.
-func TestAgainstTheStandin(t *testing.T) {
+// TestClientWithStandin makes the calls to the store and to the instances against the
+// stand-in, which guards against a client and a server that differ in their protocol.
+func TestClientWithStandin(t *testing.T) {
 	fleet, err := standin.NewFleet(clock.System{}, standin.WithZones(2, "zone-a"))
 	if err != nil {
 		t.Fatal(err)
@@ -82,7 +86,7 @@
 	defer srv.Close()
 	c, ctx := remote.New(srv.URL), context.Background()
 	if e, err := c.Get(ctx, "a/b c"); err != nil || e.Exists() {
-		t.Fatalf("a missing key: %v, %v", e, err)
+		t.Fatalf("missing key: got %v, %v, want an entry that does not exist", e, err)
 	}
 	rev, err := c.CompareAndSwap(ctx, "a/b c", 0, []byte{0, 1, 255})
 	if err != nil {
@@ -103,7 +107,7 @@
 	}
 	var held *pointport.HeldError
 	if err := c.Lease(ctx, "planner/a", "two", remote.DefaultTimeout); !errors.As(err, &held) || held.Holder != "one" {
-		t.Errorf("got %v, want that one holds it", err)
+		t.Errorf("got %v, want a HeldError with the holder \"one\"", err)
 	}
 	list, err := c.Instances(ctx, "zone-a")
 	if err != nil || len(list) != 2 || c.ListBytes() == 0 {
@@ -113,10 +117,10 @@
 		t.Error(err)
 	}
 	if list, _ = c.Instances(ctx, "zone-a"); list[0].State != pointport.InstanceLive {
-		t.Error("a drain with another boot count took effect")
+		t.Error("a drain with a wrong boot count took effect")
 	}
 	var missing *pointport.NotFoundError
 	if err := c.Reboot(ctx, "nobody", 1); !errors.As(err, &missing) {
-		t.Errorf("got %v, want that it does not exist", err)
+		t.Errorf("got %v, want a NotFoundError", err)
 	}
 }
--- a/remote/fleet.go
+++ b/remote/fleet.go
@@ -12,8 +12,8 @@
 
 // This file defines the calls about instances and tasks.
 
-// Instances returns the platform's list for zone, or all of it. The list is
-// asked for in compressed form, since most of it repeats itself.
+// Instances returns the instances of zone, or all instances if zone is empty. It requests
+// a compressed list, because most of its text is repeated from entry to entry.
 func (c *Client) Instances(ctx context.Context, zone pointport.ZoneID) ([]pointport.Instance, error) {
 	var list []pointport.Instance
 	err := c.do(ctx, call{
@@ -23,26 +23,27 @@
 	return list, err
 }
 
-// Drain tells the platform that an instance is leaving.
+// Drain marks an instance as leaving if its boot count is still boots.
 func (c *Client) Drain(ctx context.Context, id pointport.InstanceID, boots int64) error {
-	return c.steer(ctx, "drain", id, boots)
+	return c.postAction(ctx, "drain", id, boots)
 }
 
-// Restore takes a Drain back.
+// Restore marks a leaving instance as live if its boot count is still boots.
 func (c *Client) Restore(ctx context.Context, id pointport.InstanceID, boots int64) error {
-	return c.steer(ctx, "restore", id, boots)
+	return c.postAction(ctx, "restore", id, boots)
 }
 
 // Reboot restarts an instance if its boot count is still boots.
 func (c *Client) Reboot(ctx context.Context, id pointport.InstanceID, boots int64) error {
-	return c.steer(ctx, "reboot", id, boots)
+	return c.postAction(ctx, "reboot", id, boots)
 }
 
-func (c *Client) steer(ctx context.Context, op string, id pointport.InstanceID, boots int64) error {
+// postAction requests an action on an instance.
+func (c *Client) postAction(ctx context.Context, op string, id pointport.InstanceID, boots int64) error {
 	return c.do(ctx, call{
 		op: op, key: string(id), method: http.MethodPost,
 		path:  "/v1/instances/" + url.PathEscape(string(id)) + "/" + op,
-		query: url.Values{"boots": {strconv.FormatInt(boots, 10)}}, changes: true,
+		query: url.Values{"boots": {strconv.FormatInt(boots, 10)}}, mutating: true,
 	}, nil)
 }
 
@@ -54,11 +55,11 @@
 	}
 	return c.do(ctx, call{
 		op: "start", key: string(task.ID), method: http.MethodPost,
-		path: "/v1/tasks", body: body, changes: true,
+		path: "/v1/tasks", body: body, mutating: true,
 	}, nil)
 }
 
-// Tasks returns what the instances of zone say of their tasks.
+// Tasks returns the tasks that the instances of zone report.
 func (c *Client) Tasks(ctx context.Context, zone pointport.ZoneID) ([]pointport.Task, error) {
 	var list []pointport.Task
 	err := c.do(ctx, call{
@@ -68,11 +69,11 @@
 	return list, err
 }
 
-// StopTask stops a task.
+// StopTask stops a task on an instance.
 func (c *Client) StopTask(ctx context.Context, instance pointport.InstanceID, id pointport.TaskID) error {
 	return c.do(ctx, call{
 		op: "stop", key: string(id), method: http.MethodPost,
 		path:  "/v1/tasks/" + url.PathEscape(string(id)) + "/stop",
-		query: url.Values{"instance": {string(instance)}}, changes: true,
+		query: url.Values{"instance": {string(instance)}}, mutating: true,
 	}, nil)
 }
