--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,9 +1,9 @@
 // Package settings reads a program's settings from flags and environment
-// variables, and checks all of them before anything starts.
+// variables, and validates all of them before the program starts anything.
 //
-// The model: a Set holds settings by name. The flag -zone and the environment
-// variable POINTPORT_ZONE are the same setting; the flag wins. Every setting is
-// kept as text until Load, which reports everything that is wrong at once.
+// A Set holds settings by name. The flag -zone and the environment variable
+// POINTPORT_ZONE are the same setting; the flag takes precedence. Every setting is
+// kept as text until Set.Load parses all of them and reports all errors at once.
 package settings
 
 import (
@@ -18,36 +18,36 @@
 	"time"
 )
 
-// This file defines the set of settings and their types.
+// This file defines sets of settings and the types of settings.
 
-// Prefix starts the name of every environment variable.
+// Prefix is the prefix of the names of all environment variables.
 const Prefix = "POINTPORT_"
 
-// A setting is one value that a user may set.
+// setting is one setting. It implements flag.Value.
 type setting struct {
 	name  string
 	help  string
 	text  string
 	parse func(text string) error
-	// alone says that the flag may stand without a value, for true.
-	alone bool
+	// isBool is whether the flag may be given without a value, which means true.
+	isBool bool
 }
 
 var _ flag.Value = (*setting)(nil)
 
 // String returns the value as text.
-func (e *setting) String() string { return e.text }
+func (st *setting) String() string { return st.text }
 
-// Set takes a value as text. It is checked with all others, by Load.
-func (e *setting) Set(text string) error {
-	e.text = text
+// Set sets the value as text. It never fails: Load validates the value with all others.
+func (st *setting) Set(text string) error {
+	st.text = text
 	return nil
 }
 
-// IsBoolFlag reports whether the flag may stand without a value.
-func (e *setting) IsBoolFlag() bool { return e.alone }
+// IsBoolFlag reports whether the flag may be given without a value.
+func (st *setting) IsBoolFlag() bool { return st.isBool }
 
-// A Set is the settings of one subcommand.
+// Set holds the settings of one subcommand.
 type Set struct {
 	byName map[string]*setting
 }
@@ -55,9 +55,9 @@
 // New returns an empty set.
 func New() *Set { return &Set{byName: make(map[string]*setting)} }
 
-// An Error says which setting is wrong, and how.
+// Error describes an invalid value of a setting.
 type Error struct {
-	Name   string // as a flag, without its dash
+	Name   string // of the flag, without the dash
 	Value  string
 	Reason string
 }
@@ -66,13 +66,14 @@
 	return fmt.Sprintf("-%s (%s): %q: %s", e.Name, Env(e.Name), e.Value, e.Reason)
 }
 
-// Env returns the environment variable of a setting.
+// Env returns the name of a setting's environment variable.
 func Env(name string) string {
 	return Prefix + strings.ToUpper(strings.ReplaceAll(name, "-", "_"))
 }
 
-// Add defines a setting that parse reads. The error of parse is the reason that
-// a user is told.
+// Add defines a setting with a default value, a help text and a function that parses and
+// stores the value. The error of parse becomes the Reason of an Error. Add panics if the
+// set has a setting of this name.
 func (s *Set) Add(name, value, help string, parse func(text string) error) {
 	if s.byName[name] != nil {
 		panic("settings: " + name + " is defined twice")
@@ -88,7 +89,7 @@
 	})
 }
 
-// Name defines a setting that must be a name: letters, digits, '-', '.', '_'.
+// Name defines a setting that must be a name of letters, digits, '-', '.' and '_'.
 func (s *Set) Name(target *string, name, value, help string) {
 	s.Add(name, value, help, func(text string) error {
 		*target = text
@@ -96,22 +97,22 @@
 	})
 }
 
-var errName = errors.New("must be a name of letters, digits, '-', '.' and '_'")
+var errInvalidName = errors.New("must be a name of letters, digits, '-', '.' and '_'")
 
 func checkName(text string) error {
 	if text == "" {
-		return errName
+		return errInvalidName
 	}
 	for _, r := range text {
 		ok := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || strings.ContainsRune("-._", r)
 		if !ok {
-			return errName
+			return errInvalidName
 		}
 	}
 	return nil
 }
 
-// Names defines a setting that is a list of names with commas between them.
+// Names defines a setting that is a comma-separated list of names.
 func (s *Set) Names(target *[]string, name, value, help string) {
 	s.Add(name, value, help, func(text string) error {
 		*target = nil
@@ -148,32 +149,34 @@
 	return nil
 }
 
-// URL defines a setting that is an HTTP URL, or empty if empty is allowed.
-func (s *Set) URL(target *string, name, value, help string, words ...string) {
+// URL defines a setting that is an HTTP URL or one of the other values in allowed, such as
+// "".
+func (s *Set) URL(target *string, name, value, help string, allowed ...string) {
 	s.Add(name, value, help, func(text string) error {
 		*target = text
-		for _, w := range words {
-			if text == w {
+		for _, a := range allowed {
+			if text == a {
 				return nil
 			}
 		}
 		u, err := url.Parse(text)
 		if err != nil || u.Scheme != "http" || u.Host == "" {
-			return fmt.Errorf("must be a URL such as http://10.0.0.1:7000%s", orWords(words))
+			return fmt.Errorf("must be a URL such as http://10.0.0.1:7000%s", alternatives(allowed))
 		}
 		return nil
 	})
 }
 
-func orWords(words []string) string {
+// alternatives formats values as further options, to be appended to an error message.
+func alternatives(values []string) string {
 	out := ""
-	for _, w := range words {
-		out += fmt.Sprintf(", or %q", w)
+	for _, v := range values {
+		out += fmt.Sprintf(", or %q", v)
 	}
 	return out
 }
 
-// Duration defines a setting that is a length of time with its unit.
+// Duration defines a setting that is a duration with its unit, from low to high.
 func (s *Set) Duration(target *time.Duration, name string, value time.Duration, help string, low, high time.Duration) {
 	s.Add(name, value.String(), help, func(text string) error {
 		d, err := time.ParseDuration(text)
@@ -188,7 +191,7 @@
 	})
 }
 
-// Int defines a setting that is a whole number.
+// Int defines a setting that is a whole number from low to high.
 func (s *Set) Int(target *int, name string, value int, help string, low, high int) {
 	s.Add(name, strconv.Itoa(value), help, func(text string) error {
 		n, err := strconv.Atoi(text)
@@ -203,7 +206,7 @@
 	})
 }
 
-// Float defines a setting that is a number.
+// Float defines a setting that is a number from low to high.
 func (s *Set) Float(target *float64, name string, value float64, help string, low, high float64) {
 	s.Add(name, strconv.FormatFloat(value, 'g', -1, 64), help, func(text string) error {
 		n, err := strconv.ParseFloat(text, 64)
@@ -225,63 +228,65 @@
 		*target = b
 		return nil
 	})
-	s.byName[name].alone = true
+	s.byName[name].isBool = true
 }
 
-// OneOf defines a setting that is one of a few words.
-func (s *Set) OneOf(target *string, name, value, help string, words ...string) {
-	s.Add(name, value, help+" ("+strings.Join(words, ", ")+")", func(text string) error {
-		for _, w := range words {
-			if text == w {
+// OneOf defines a setting that is one of the allowed values, which are appended to the help
+// text.
+func (s *Set) OneOf(target *string, name, value, help string, allowed ...string) {
+	s.Add(name, value, help+" ("+strings.Join(allowed, ", ")+")", func(text string) error {
+		for _, a := range allowed {
+			if text == a {
 				*target = text
 				return nil
 			}
 		}
-		return fmt.Errorf("must be one of %s", strings.Join(words, ", "))
+		return fmt.Errorf("must be one of %s", strings.Join(allowed, ", "))
 	})
 }
 
-// Register adds the settings to a subcommand's flags.
+// Register adds the settings to a subcommand's flags. The help text of each flag ends with
+// its environment variable.
 func (s *Set) Register(f *flag.FlagSet) {
-	for _, e := range s.sorted() {
-		f.Var(e, e.name, e.help+" ["+Env(e.name)+"]")
+	for _, st := range s.sorted() {
+		f.Var(st, st.name, st.help+" ["+Env(st.name)+"]")
 	}
 }
 
 func (s *Set) sorted() []*setting {
 	var out []*setting
-	for _, e := range s.byName {
-		out = append(out, e)
+	for _, st := range s.byName {
+		out = append(out, st)
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].name < out[b].name })
 	return out
 }
 
-// AllNames returns the names of every setting, sorted.
+// AllNames returns the names of all settings, sorted.
 func (s *Set) AllNames() []string {
 	var out []string
-	for _, e := range s.sorted() {
-		out = append(out, e.name)
+	for _, st := range s.sorted() {
+		out = append(out, st.name)
 	}
 	return out
 }
 
-// Help returns what a setting is for.
+// Help returns the help text of a setting. The set must have a setting of this name.
 func (s *Set) Help(name string) string { return s.byName[name].help }
 
-// Load reads every setting: from f if the flag was given, else from the
-// environment, else its default. Its error joins an *Error for each setting
-// that is wrong.
+// Load parses every setting: the flag's value in f if the flag was given, otherwise the
+// environment variable's value if lookup finds one, otherwise the default. Its error joins
+// an *Error for each setting whose value is invalid.
 func (s *Set) Load(f *flag.FlagSet, lookup func(string) (string, bool)) error {
 	given := make(map[string]bool)
 	f.Visit(func(g *flag.Flag) { given[g.Name] = true })
 	var errs []error
-	for _, e := range s.sorted() {
-		if v, ok := lookup(Env(e.name)); ok && !given[e.name] {
-			e.text = v
+	for _, st := range s.sorted() {
+		if v, ok := lookup(Env(st.name)); ok && !given[st.name] {
+			st.text = v
 		}
-		if err := e.parse(e.text); err != nil {
-			errs = append(errs, &Error{e.name, e.text, err.Error()})
+		if err := st.parse(st.text); err != nil {
+			errs = append(errs, &Error{st.name, st.text, err.Error()})
 		}
 	}
 	return errors.Join(errs...)
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -10,8 +10,8 @@
 	"github.com/pointport/pointport/settings"
 )
 
-// load reads settings from arguments and an environment.
-func load(t *testing.T, define func(*settings.Set), args []string, env map[string]string) error {
+// loadSettings loads the settings that define adds, from arguments and an environment.
+func loadSettings(t *testing.T, define func(*settings.Set), args []string, env map[string]string) error {
 	t.Helper()
 	set := settings.New()
 	define(set)
@@ -27,7 +27,9 @@
 	})
 }
 
-func TestFlagWins(t *testing.T) {
+// TestFlagOverridesEnvironment checks the precedence of the flag, the environment variable
+// and the default. An invalid variable is no error if the flag is given.
+func TestFlagOverridesEnvironment(t *testing.T) {
 	for _, c := range []struct {
 		args []string
 		env  map[string]string
@@ -39,28 +41,31 @@
 		{[]string{"-stop-notice=3s"}, map[string]string{"POINTPORT_STOP_NOTICE": "wrong"}, 3 * time.Second},
 	} {
 		var got time.Duration
-		err := load(t, func(s *settings.Set) { s.Duration(&got, "stop-notice", time.Second, "", 0, time.Minute) }, c.args, c.env)
+		err := loadSettings(t, func(s *settings.Set) { s.Duration(&got, "stop-notice", time.Second, "", 0, time.Minute) }, c.args, c.env)
 		if err != nil || got != c.want {
 			t.Errorf("%v, %v: got %v, %v, want %v", c.args, c.env, got, err, c.want)
 		}
 	}
 }
 
-func TestBoolAlone(t *testing.T) {
+// TestBoolFlagWithoutValue checks that a boolean flag without a value means true.
+func TestBoolFlagWithoutValue(t *testing.T) {
 	for arg, want := range map[string]bool{"-keyed": true, "-keyed=true": true, "-keyed=false": false} {
 		got := !want
-		if err := load(t, func(s *settings.Set) { s.Bool(&got, "keyed", false, "") }, []string{arg}, nil); err != nil || got != want {
+		if err := loadSettings(t, func(s *settings.Set) { s.Bool(&got, "keyed", false, "") }, []string{arg}, nil); err != nil || got != want {
 			t.Errorf("%s: got %v, %v", arg, got, err)
 		}
 	}
 }
 
-func TestWrongValues(t *testing.T) {
+// TestInvalidValues checks that one call of Load reports every invalid value, with its flag,
+// its environment variable and the reason.
+func TestInvalidValues(t *testing.T) {
 	var text string
 	var list []string
 	var n int
 	var x float64
-	err := load(t, func(s *settings.Set) {
+	err := loadSettings(t, func(s *settings.Set) {
 		s.Address(&text, "host", "example.org:80", "")
 		s.Address(&text, "port", "127.0.0.1:70000", "")
 		s.URL(&text, "scheme", "https://10.0.0.1", "", "embedded")
@@ -70,7 +75,7 @@
 		s.OneOf(&text, "word", "c", "", "a", "b")
 	}, nil, nil)
 	if err == nil {
-		t.Fatal("wrong values were taken")
+		t.Fatal("invalid values were accepted")
 	}
 	for _, want := range []string{
 		`-host (POINTPORT_HOST): "example.org:80": must name an IP address`,
@@ -82,7 +87,7 @@
 		`-word (POINTPORT_WORD): "c": must be one of a, b`,
 	} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("the error does not say %s:\n%v", want, err)
+			t.Errorf("the error does not contain %s:\n%v", want, err)
 		}
 	}
 }
