--- a/trace/doc.go
+++ b/trace/doc.go
@@ -1,12 +1,10 @@
-// Package trace puts the lines that several entry instances have logged about one
-// job together to one story, oldest first.
+// Package trace merges the log lines that several entry instances wrote about one job into
+// a timeline, oldest line first.
 //
-// The model: Read takes the lines of one process's log. A Story has the lines
-// that name the job or one of its tasks, and those about what the job depended
-// on: who owned its pool, and which nodes that took part had lost the store,
-// started or stopped. It names the gaps in which nothing was logged, and says
-// plainly if lines were left out.
+// Log.Read reads the log of one process. A Timeline has the lines that name the job or one
+// of its tasks or steps, and the lines about what the job depended on: who owned its pool,
+// and whether a node involved lost the store, started or stopped. It also shows the gaps
+// during which nothing was logged, and how many lines were omitted from the logs.
 //
-// Invariant: a line that cannot be read is counted and never passed over in
-// silence.
+// Lines that cannot be read are counted, and the timeline reports how many there are.
 package trace
--- a/trace/log.go
+++ b/trace/log.go
@@ -11,27 +11,27 @@
 	"github.com/pointport/pointport/event"
 )
 
-// This file defines the lines of a log and how they are read.
+// This file defines log lines and how they are parsed.
 
-// maxLine bounds a line of a log, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds the length of a log line.
+const maxLineBytes = 1 << 20
 
-// A Line is one line of a log.
+// Line is one line of a log.
 type Line struct {
 	At     time.Time
 	Node   string
-	Name   string // the event's
-	Number int    // the event's
-	// Attrs are the other attributes, in the order of the line.
+	Name   string // of the event
+	Number int    // of the event
+	// Attrs holds the other attributes, in their order in the line.
 	Attrs []Attr
 }
 
-// An Attr is an attribute of a line.
+// Attr is an attribute of a line.
 type Attr struct {
 	Key, Value string
 }
 
-// attr returns the value of an attribute, empty if the line has none.
+// attr returns the value of an attribute, or "" if the line does not have it.
 func (l *Line) attr(key string) string {
 	for _, a := range l.Attrs {
 		if a.Key == key {
@@ -41,25 +41,26 @@
 	return ""
 }
 
-// A Log is what was read of some logs.
+// Log holds the lines read from one or more logs.
 type Log struct {
 	lines      []Line
 	unreadable int
 }
 
-// Unreadable returns how many lines could not be read.
+// Unreadable returns how many lines could not be parsed.
 func (l *Log) Unreadable() int { return l.unreadable }
 
-// Read takes in the lines of one process's log. It fails only if the reader does.
+// Read adds the lines of one process's log. It fails if r fails or if a line is longer
+// than a mebibyte; it counts other lines that it cannot parse.
 func (l *Log) Read(r io.Reader) error {
 	in := bufio.NewScanner(r)
-	in.Buffer(nil, maxLine)
+	in.Buffer(nil, maxLineBytes)
 	for in.Scan() {
 		text := strings.TrimSpace(in.Text())
 		if text == "" {
 			continue
 		}
-		line, err := parse(text)
+		line, err := parseLine(text)
 		if err != nil {
 			l.unreadable++
 			continue
@@ -69,11 +70,12 @@
 	return in.Err()
 }
 
-// parse reads a line. What precedes the first brace is a collector's prefix.
-func parse(text string) (Line, error) {
+// parseLine parses a line. Text before the first brace is a prefix added by a log
+// collector, and is ignored.
+func parseLine(text string) (Line, error) {
 	start := strings.IndexByte(text, '{')
 	if start < 0 {
-		return Line{}, fmt.Errorf("no JSON in line %q", text)
+		return Line{}, fmt.Errorf("line %q contains no JSON object", text)
 	}
 	d := json.NewDecoder(strings.NewReader(text[start:]))
 	d.UseNumber()
@@ -90,7 +92,7 @@
 		if err := d.Decode(&value); err != nil {
 			return Line{}, err
 		}
-		if err := line.set(key.(string), value); err != nil {
+		if err := line.setAttr(key.(string), value); err != nil {
 			return Line{}, err
 		}
 	}
@@ -98,8 +100,8 @@
 	return line, err
 }
 
-// set takes in one attribute of a line.
-func (l *Line) set(key string, value any) error {
+// setAttr stores one attribute of a line in the field for it, or in Attrs.
+func (l *Line) setAttr(key string, value any) error {
 	text := fmt.Sprint(value)
 	switch key {
 	case "time":
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -10,8 +10,9 @@
 	"github.com/pointport/pointport/trace"
 )
 
-// read reads the logs in testdata, the second one first.
-func read(t *testing.T) *trace.Log {
+// readLogs reads the logs in testdata, the later one first, so that the lines are not read
+// in the order of their times.
+func readLogs(t *testing.T) *trace.Log {
 	t.Helper()
 	log := &trace.Log{}
 	for _, name := range []string{"entry-2.log", "entry-1.log"} {
@@ -27,15 +28,16 @@
 	return log
 }
 
-// The story has the job's lines of all processes, oldest first, and what its pool
-// and its nodes went through; it names the gap, and what is missing.
-func TestStory(t *testing.T) {
+// TestTimeline checks that a timeline has the job's lines from all processes, oldest first,
+// and the lines about its pool and its nodes, and that it shows the gap and what is missing.
+// The second job is mentioned in no line.
+func TestTimeline(t *testing.T) {
 	for _, id := range []string{"00000000000000aa", "00000000000000ff"} {
-		story := read(t).Timeline(id)
+		timeline := readLogs(t).Timeline(id)
 		var out strings.Builder
-		if err := story.Write(&out); err != nil {
+		if err := timeline.Write(&out); err != nil {
 			t.Fatal(err)
 		}
-		goldie.New(t, goldie.WithFixtureDir("testdata")).Assert(t, "story-"+id, []byte(out.String()))
+		goldie.New(t, goldie.WithFixtureDir("testdata")).Assert(t, "timeline-"+id, []byte(out.String()))
 	}
 }
