--- a/experiments/bubbletimers/bubbletimers_test.go
+++ b/experiments/bubbletimers/bubbletimers_test.go
@@ -1,9 +1,9 @@
-// Package bubbletimers shows whether a toolchain's race detector bears timers of a
-// synctest bubble that fire on several threads at once. The detector keeps one state
-// for all timers of a bubble; two threads that use it at a time make it crash.
+// Package bubbletimers tests whether a toolchain's race detector supports timers of a
+// synctest bubble that fire on several threads at once. The race detector keeps a single
+// state for all timers of a bubble, and crashes if two threads use it at the same time.
 //
-// Of ten runs of each test under the detector, go1.26.8 and go1.26.11 crash in all,
-// go1.27.4 in none:
+// In ten runs of each test with the race detector, go1.26.8 and go1.26.11 crash in all of
+// them, go1.27.4 in none:
 //
 //	GOTOOLCHAIN=go1.26.8 go test -race ./experiments/bubbletimers
 package bubbletimers_test
@@ -16,17 +16,17 @@
 )
 
 const (
-	goroutines = 8
-	timersEach = 5000
+	goroutines         = 8
+	timersPerGoroutine = 5000
 )
 
-// together runs f in a bubble, in several goroutines many times.
-func together(t *testing.T, f func(i int)) {
+// runConcurrently calls f in a bubble, many times in each of several goroutines.
+func runConcurrently(t *testing.T, f func(i int)) {
 	synctest.Test(t, func(*testing.T) {
 		var wg sync.WaitGroup
 		for range goroutines {
 			wg.Go(func() {
-				for i := range timersEach {
+				for i := range timersPerGoroutine {
 					f(i)
 				}
 			})
@@ -35,14 +35,16 @@
 	})
 }
 
-// A timer that is due when its channel is asked fires in the goroutine that asks.
-func TestDueTimers(t *testing.T) {
-	together(t, func(int) { <-time.After(0) })
+// TestExpiredTimers covers timers that have expired when their channel is read. They fire
+// in the goroutine that reads.
+func TestExpiredTimers(t *testing.T) {
+	runConcurrently(t, func(int) { <-time.After(0) })
 }
 
-// Timers with a function fire beside the goroutines that run.
-func TestTimersWithFunction(t *testing.T) {
-	together(t, func(i int) {
+// TestAfterFuncTimers covers timers with a function, which fire concurrently with the
+// bubble's running goroutines.
+func TestAfterFuncTimers(t *testing.T) {
+	runConcurrently(t, func(i int) {
 		fired := make(chan struct{})
 		time.AfterFunc(time.Duration(i%3), func() { close(fired) })
 		if i%2 == 0 {
--- a/experiments/capacity.sh
+++ b/experiments/capacity.sh
@@ -1,8 +1,11 @@
 #!/usr/bin/env bash
-# Measures what an entry instance spends at rest for control, for
-# docs/CAPACITY.md: processor time by the process's own clock, memory, calls and
-# bytes to the platform, by the number of instances in its availability zone.
-# Prints a row for each size and role. REST is how long it measures, in seconds.
+# Measures what control costs an entry instance that serves no requests, for
+# docs/CAPACITY.md: the processor time that the kernel accounts to the process,
+# memory, and calls and bytes to the platform, for several numbers of instances in
+# its availability zone. Prints a table row for each number and role.
+#
+# Environment variables: SIZES lists the numbers of instances, and REST is how long
+# each measurement lasts, in seconds.
 source "$(dirname "$0")/lib.sh"
 rest=${REST:-30}
 tick=$(getconf CLK_TCK)
@@ -11,7 +14,7 @@
 cpu() { awk '{ print $14 + $15 }' "/proc/$1/stat"; }
 memory() { awk -v k="$2:" '$1 == k { print $2 }' "/proc/$1/status"; }
 
-# measure SIZE ROLE PID METRICS_PORT prints a row.
+# measure SIZE ROLE PID METRICS_PORT measures for $rest seconds and prints a table row.
 measure() {
 	local c0 b0 k0 c1 b1 k1
 	c0=$(cpu "$3") b0=$(metric "$4" pointport_platform_bytes_total) k0=$(metric "$4" pointport_platform_calls_total)
@@ -42,9 +45,9 @@
 	done | "$bin/pointport" apply -server=http://127.0.0.1:7411 -f - >/dev/null
 	sleep 10
 	measure "$size" "entry instance that plans" "$planner" 7412 &
-	m=$!
+	planner_row=$!
 	measure "$size" "entry instance" "$entry" 7422
-	wait "$m"
+	wait "$planner_row"
 	stop_processes
 	wait 2>/dev/null || true
 	pids=()
--- a/experiments/claims.py
+++ b/experiments/claims.py
@@ -1,4 +1,4 @@
-"""Prints a row of the table of claims from counts before and after a load."""
+"""Prints a table row about claims from the store's counts before and after a load."""
 import json
 import sys
 
--- a/experiments/inforce.py
+++ b/experiments/inforce.py
@@ -1,10 +1,11 @@
-"""Measures how soon a change of the configuration is in force everywhere.
+"""Measures how long a configuration change takes to be in force everywhere.
 
 Usage: inforce.py CHANGES OPERATORS_URL...
 
-Sends changes through the first entry instance and asks all of them for their
-version until each has it. Prints a row with the times from the answer to the
-author until the last entry instance had the change, in milliseconds.
+Sends the changes through the entry instances in turn, and polls all of them for
+their configuration version until each has the change. Prints a table row with the
+median and the longest time from the response to the change until the last entry
+instance had it, in milliseconds.
 """
 import json
 import sys
@@ -12,7 +13,8 @@
 import urllib.request
 
 
-def put(base, n):
+def put_change(base, n):
+    """Changes the configuration and returns its new version."""
     doc = {"kind": "Parameters", "name": "measure", "weight": 1 + n % 9}
     req = urllib.request.Request(
         f"{base}/v1/config/Parameters/measure?author=inforce", json.dumps(doc).encode(), method="PUT"
@@ -21,20 +23,21 @@
         return json.load(res)["version"]
 
 
-def version(base):
+def config_version(base):
+    """Returns the version of the configuration at an entry instance."""
     with urllib.request.urlopen(f"{base}/v1/status") as res:
         return json.load(res)["configVersion"]
 
 
 changes, bases = int(sys.argv[1]), sys.argv[2:]
-took = []
+durations = []
 for n in range(changes):
-    want = put(bases[n % len(bases)], n)
+    want = put_change(bases[n % len(bases)], n)
     start = time.monotonic()
-    waiting = set(bases)
-    while waiting:
-        waiting = {b for b in waiting if version(b) < want}
-    took.append(1000 * (time.monotonic() - start))
+    outdated = set(bases)
+    while outdated:
+        outdated = {b for b in outdated if config_version(b) < want}
+    durations.append(1000 * (time.monotonic() - start))
     time.sleep(0.2)
-took.sort()
-print(f"| {changes} | {len(bases)} | {took[len(took) // 2]:.0f} | {took[-1]:.0f} |")
+durations.sort()
+print(f"| {changes} | {len(bases)} | {durations[len(durations) // 2]:.0f} | {durations[-1]:.0f} |")
--- a/experiments/lib.sh
+++ b/experiments/lib.sh
@@ -1,5 +1,6 @@
-# What the experiments share: it builds both programs into $bin, and ends every
-# process whose id is in $pids when the script ends. Sourced, not run.
+# Functions that the experiments share; source it, don't run it. It builds both
+# programs into $bin, and kills every process whose ID is in $pids when the script
+# ends.
 set -euo pipefail
 cd "$(dirname "${BASH_SOURCE[0]}")/.."
 bin=$(mktemp -d)
--- a/experiments/run.sh
+++ b/experiments/run.sh
@@ -1,14 +1,16 @@
 #!/usr/bin/env bash
-# Runs the experiments of docs/MEASUREMENTS.md on loopback: a stand-in platform
-# with 48 instances of 8 slots in four availability zones, and nine entry
-# instances as processes of their own. Prints rows for the page's tables.
+# Runs the experiments of docs/MEASUREMENTS.md on loopback, with a stand-in platform
+# of 48 instances of 8 slots in four availability zones, and nine entry instances
+# as separate processes. Prints rows for the tables of that page.
 #
-#   experiments/run.sh NAME...    names: steady burst zone-loss drain claims config
-#   faults wave-burst
+#   experiments/run.sh NAME...
 #
-# CHOOSER, OWN, OTHER, SERVICE_TIME and SECONDS_EACH change the entry instances'
-# chooser and fixed shares of connections, how long an instance runs a request,
-# and how long each load lasts.
+# NAME is one of steady, burst, zone-loss, drain, claims, config, faults and
+# wave-burst.
+#
+# Environment variables: CHOOSER sets the entry instances' chooser, OWN and OTHER
+# their fixed shares of connections, SERVICE_TIME how long an instance runs a
+# request, and SECONDS_EACH how long each load lasts, in seconds.
 source "$(dirname "$0")/lib.sh"
 
 platform_port=7300
@@ -20,7 +22,7 @@
 declare -A entry_pid
 targets=
 
-# start_cluster starts the stand-in and the entry instances.
+# start_cluster starts the stand-in and the entry instances, and applies the template.
 start_cluster() {
 	"$bin/pointport" standin -listen=127.0.0.1:$platform_port -zones=$zones -instances=12 \
 		-service-time="$service_time" -reboot-time=2s 2>"$bin/standin.log" &
@@ -55,7 +57,7 @@
 	"$bin/pointport" load -targets="$targets" -path=/tips -rate="$rate" -for="${seconds}s" -o=row -label="$label" "$@"
 }
 
-# send_direct LABEL RATE sends load straight to the upstreams, in turn.
+# send_direct LABEL RATE sends load to the upstreams directly, in turn.
 send_direct() {
 	"$bin/pointport" load -direct=http://127.0.0.1:$platform_port -path=/tips -rate="$2" -for="${seconds}s" -o=row -label="$1"
 }
@@ -110,10 +112,10 @@
 	header
 	"$bin/pointport" wave -server=http://127.0.0.1:8301 -template=tips start rolling >/dev/null
 	SECONDS=0
-	local old=$seconds
+	local previous=$seconds
 	seconds=60
 	send "wave over all 48 instances, 1500/s" 1500
-	seconds=$old
+	seconds=$previous
 	"$bin/pointport" status -server=http://127.0.0.1:8301 | grep -E 'WAVE|rolling'
 	runs
 	stop_cluster
@@ -151,7 +153,7 @@
 	"$bin/pointport" wave -server=http://127.0.0.1:8381 -template=tips start faults >/dev/null
 	(
 		sleep 5
-		kill -STOP "${entry_pid[0]}" # an entry instance sleeps past its lease
+		kill -STOP "${entry_pid[0]}" # suspends an entry instance until after its lease has expired
 		sleep 15
 		kill -CONT "${entry_pid[0]}"
 		sleep 4
@@ -159,13 +161,13 @@
 		sleep 10
 		curl -s -X POST "http://127.0.0.1:$platform_port/standin/outage" >/dev/null
 		sleep 4
-		kill -9 "${entry_pid[3]}" # an entry instance dies
+		kill -9 "${entry_pid[3]}" # crashes an entry instance
 	) &
 	header
 	send "repeatable, 500/s" 500 >"$bin/repeatable.row" &
-	local other=$!
+	local repeatable=$!
 	send "keyed, 100/s, a fifth twice" 100 -path=/payout -method=POST -keyed -repeat=0.2
-	wait "$other"
+	wait "$repeatable"
 	cat "$bin/repeatable.row"
 	sleep 5
 	"$bin/pointport" status -server=http://127.0.0.1:8381 | grep -E 'WAVE|faults'
--- a/experiments/serving.sh
+++ b/experiments/serving.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Measures what one entry instance spends on callers' requests, for
-# docs/CAPACITY.md: processor time by the process's own clock for each request,
-# and memory, by the rate of requests. A keyed run shows what a claim adds.
+# Measures what callers' requests cost one entry instance, for docs/CAPACITY.md:
+# the processor time that the kernel accounts to the process per request, and
+# memory, for several request rates. The keyed runs show the cost of a claim.
 source "$(dirname "$0")/lib.sh"
 tick=$(getconf CLK_TCK)
 "$bin/pointport" standin -listen=127.0.0.1:7700 -instances=48 -service-time=20ms 2>/dev/null &
@@ -17,7 +17,7 @@
 echo "| requests | rate | answered | ms of processor a request | resident MB | p50 ms | p99 ms |"
 echo "| --- | --- | --- | --- | --- | --- | --- |"
 
-# measure LABEL RATE FLAGS... prints a row.
+# measure LABEL RATE FLAGS... sends load and prints a table row.
 measure() {
 	local label=$1 rate=$2 c0 c1 row
 	shift 2
