--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,6 +1,6 @@
-// Package fixedseed gives property tests a fixed seed, so that they come to the
-// same verdict every time. A test package imports it for its effect alone. The
-// flags -rapid.seed and -rapid.checks still decide when they are given.
+// Package fixedseed sets a fixed seed for property tests, so that every run tests the same
+// cases. A test package imports it only for its side effect. The flags -rapid.seed and
+// -rapid.checks override it.
 package fixedseed
 
 import (
@@ -9,7 +9,6 @@
 	_ "pgregory.net/rapid" // defines the flags
 )
 
-// seed is no special number.
 const seed = "20261202"
 
 func init() {
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -1,11 +1,11 @@
-// Package measure helps benchmarks to measure memory.
+// Package measure contains helpers for benchmarks that measure memory.
 package measure
 
 import "runtime"
 
-// Heap returns the bytes of the heap that are in use after a collection.
+// Heap returns the number of heap bytes in use after a garbage collection.
 func Heap() int64 {
-	// The second collection frees what finalizers of the first let go.
+	// The second collection frees objects that finalizers run by the first one released.
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -1,11 +1,11 @@
-// Package stall bounds how long a call may be silent, in place of how long it may
-// take as a whole.
+// Package stall bounds how long a call may go without receiving anything, instead of how
+// long it may take as a whole.
 //
-// A bound on the whole call has to fit the largest answer on the thinnest link. Where
-// it does not, the call is given up shortly before its answer is there, made again, and
-// the link carries nothing but beginnings of answers: a configuration of 1.2 MB that
-// 19 of 29 entry instances read over 10 Mbit/s was given up after 1 s each time and
-// never came, while their links were full.
+// A timeout for the whole call would have to fit the largest response on the slowest link.
+// If it does not, the call is abandoned shortly before its response is complete and made
+// again, and the link carries only the beginnings of responses. With a timeout of 1 s, a
+// configuration of 1.2 MB that 19 of 29 entry instances read over links of 10 Mbit/s never
+// arrived, although their links were fully used.
 package stall
 
 import (
@@ -16,21 +16,22 @@
 )
 
 const (
-	// firstPiece is for how many bytes there is room at first. Most answers are smaller.
-	firstPiece = 512
-	// longest bounds a call whose answer trickles. The largest answer that is read,
-	// 4 MB, takes 17 s at 2 Mbit/s.
-	longest = 20 * time.Second
+	// initialBufferSize is the initial size of the buffer for a body, in bytes. Most bodies
+	// are smaller.
+	initialBufferSize = 512
+	// maxBodyTime bounds how long a body may take, even if it never pauses for long. The
+	// largest body that is read, 4 MB, takes 17 s at 2 Mbit/s.
+	maxBodyTime = 20 * time.Second
 )
 
-// A SilenceError says that nothing came for too long.
-type SilenceError struct {
+// TimeoutError is the cause of a call's failure when nothing was received for too long.
+type TimeoutError struct {
 	After time.Duration
 }
 
-func (e *SilenceError) Error() string { return fmt.Sprintf("silent for %v", e.After) }
+func (e *TimeoutError) Error() string { return fmt.Sprintf("silent for %v", e.After) }
 
-// A Guard ends its context when nothing has come for a while.
+// Guard cancels the context of a call when nothing is received for too long.
 type Guard struct {
 	ctx    context.Context
 	cancel context.CancelCauseFunc
@@ -38,25 +39,28 @@
 	timer  *time.Timer
 }
 
-// Start returns a guard that waits so long for the first bytes of an answer.
-func Start(ctx context.Context, first time.Duration) *Guard {
-	ctx, end := context.WithTimeout(ctx, first+longest)
+// Start returns a guard for one call. headerTimeout bounds the time until the response
+// begins.
+func Start(ctx context.Context, headerTimeout time.Duration) *Guard {
+	ctx, end := context.WithTimeout(ctx, headerTimeout+maxBodyTime)
 	ctx, cancel := context.WithCancelCause(ctx)
-	timer := time.AfterFunc(first, func() { cancel(&SilenceError{After: first}) })
+	timer := time.AfterFunc(headerTimeout, func() { cancel(&TimeoutError{After: headerTimeout}) })
 	return &Guard{ctx: ctx, cancel: cancel, end: end, timer: timer}
 }
 
-// Context returns the context under which to make the call.
+// Context returns the context to make the call with.
 func (g *Guard) Context() context.Context { return g.ctx }
 
-// Stop frees what the guard holds. The call is over.
+// Stop ends the guard's context and releases its resources. It must be called when the call
+// has ended.
 func (g *Guard) Stop() {
 	g.timer.Stop()
 	g.cancel(nil)
 	g.end()
 }
 
-// Cause returns why a call failed with err: the silence, if that ended it.
+// Cause returns why a call failed with err: a *TimeoutError or another reason for which the
+// context ended, otherwise err itself.
 func (g *Guard) Cause(err error) error {
 	if cause := context.Cause(g.ctx); err != nil && cause != nil {
 		return cause
@@ -64,17 +68,17 @@
 	return err
 }
 
-// ReadAll reads at most limit bytes of an answer's body, as long as no silence within
-// it lasts longer than pause. came is called as soon as the answer begins, and with
-// each piece. On an error it returns what has come.
-func (g *Guard) ReadAll(body io.Reader, limit int64, pause time.Duration, came func()) ([]byte, error) {
+// ReadAll reads at most limit bytes of a response's body, and fails if it pauses for
+// pauseTimeout. It calls onProgress before each read, so first when the response has just
+// begun. If it fails, it returns the data read so far and the error that Cause returns.
+func (g *Guard) ReadAll(body io.Reader, limit int64, pauseTimeout time.Duration, onProgress func()) ([]byte, error) {
 	body = io.LimitReader(body, limit)
-	data := make([]byte, 0, firstPiece)
+	data := make([]byte, 0, initialBufferSize)
 	for {
-		if !g.timer.Reset(pause) {
+		if !g.timer.Reset(pauseTimeout) {
 			return data, g.Cause(context.Canceled)
 		}
-		came()
+		onProgress()
 		if len(data) == cap(data) {
 			data = append(data, 0)[:len(data)]
 		}
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -11,8 +11,8 @@
 	"github.com/pointport/pointport/internal/stall"
 )
 
-// trickle returns a body that brings a byte after each pause, until ctx ends.
-func trickle(ctx context.Context, pauses ...time.Duration) io.Reader {
+// slowBody returns a body that delivers a byte after each pause, until ctx ends.
+func slowBody(ctx context.Context, pauses ...time.Duration) io.Reader {
 	r, w := io.Pipe()
 	go func() {
 		for _, pause := range pauses {
@@ -22,49 +22,56 @@
 				w.CloseWithError(ctx.Err())
 				return
 			}
-			_, _ = w.Write([]byte("x")) // the reader may have gone
+			_, _ = w.Write([]byte("x")) // the reader may have stopped reading
 		}
 		w.Close()
 	}()
 	return r
 }
 
-func read(t *testing.T, first time.Duration, pauses ...time.Duration) (got int, err error) {
+// readBody reads a body with these pauses through a guard, and returns how many bytes it
+// received.
+func readBody(t *testing.T, headerTimeout time.Duration, pauses ...time.Duration) (n int, err error) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		g := stall.Start(t.Context(), first)
+		g := stall.Start(t.Context(), headerTimeout)
 		defer g.Stop()
 		var data []byte
-		data, err = g.ReadAll(trickle(g.Context(), pauses...), 1<<20, time.Second, func() {})
-		got = len(data)
+		data, err = g.ReadAll(slowBody(g.Context(), pauses...), 1<<20, time.Second, func() {})
+		n = len(data)
 	})
-	return got, err
+	return n, err
 }
 
 const ms = time.Millisecond
 
-func TestSlowAnswerIsReadWhole(t *testing.T) {
-	got, err := read(t, time.Second, 900*ms, 900*ms, 900*ms, 900*ms)
-	if got != 4 || err != nil {
-		t.Errorf("%d bytes and %v, want all four although they take 3.6 s", got, err)
+// TestSlowResponseIsReadCompletely guards against a timeout for the call as a whole: none of
+// the pauses is too long, but together they are longer than either timeout.
+func TestSlowResponseIsReadCompletely(t *testing.T) {
+	n, err := readBody(t, time.Second, 900*ms, 900*ms, 900*ms, 900*ms)
+	if n != 4 || err != nil {
+		t.Errorf("%d bytes and %v, want all four although they take 3.6 s", n, err)
 	}
 }
 
-func TestSilenceEndsAnswer(t *testing.T) {
-	got, err := read(t, time.Second, 900*ms, 1100*ms, 900*ms)
-	var silence *stall.SilenceError
-	if got != 1 || !errors.As(err, &silence) {
-		t.Errorf("%d bytes and %v, want one and the silence", got, err)
+// TestStalledResponseFails checks that one pause that is too long ends the call, and that
+// the data received before it is returned.
+func TestStalledResponseFails(t *testing.T) {
+	n, err := readBody(t, time.Second, 900*ms, 1100*ms, 900*ms)
+	var timeout *stall.TimeoutError
+	if n != 1 || !errors.As(err, &timeout) {
+		t.Errorf("%d bytes and %v, want one byte and a TimeoutError", n, err)
 	}
 }
 
-// An answer that never ends does not hold its caller for ever.
-func TestTrickleEnds(t *testing.T) {
+// TestBodyTimeIsBounded guards against a response that delivers a byte now and then for
+// ever and so blocks its caller for ever.
+func TestBodyTimeIsBounded(t *testing.T) {
 	pauses := make([]time.Duration, 100)
 	for i := range pauses {
 		pauses[i] = 900 * ms
 	}
-	if got, err := read(t, time.Second, pauses...); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("%d bytes and %v, want an end", got, err)
+	if n, err := readBody(t, time.Second, pauses...); !errors.Is(err, context.DeadlineExceeded) {
+		t.Errorf("%d bytes and %v, want that the deadline is exceeded", n, err)
 	}
 }
--- a/internal/suspend/suspend.go
+++ b/internal/suspend/suspend.go
@@ -1,5 +1,5 @@
-// Package suspend gives processes the clock of a machine that may be suspended, and tells
-// their log of it.
+// Package suspend provides a clock that keeps counting while the machine is suspended, and
+// logs suspensions.
 package suspend
 
 import (
@@ -9,13 +9,14 @@
 	"github.com/pointport/pointport/event"
 )
 
-// Clock returns the machine's clock. Where suspensions cannot be noticed it says so once.
+// Clock returns the machine's clock and logs the suspensions that it detects. If suspensions
+// cannot be detected on this machine, that is logged once.
 func Clock(logger *slog.Logger) *clock.BootTime {
-	machine, err := clock.NewBootTime(clock.OnSuspension(func(s clock.Suspension) {
+	bootTime, err := clock.NewBootTime(clock.OnSuspension(func(s clock.Suspension) {
 		event.Suspended.Log(logger, slog.Duration("lasted", s.Lasted), slog.Duration("steady", s.Steady), slog.Duration("boot", s.Boot))
 	}))
 	if err != nil {
 		event.NoBootTime.Log(logger, slog.Any("error", err))
 	}
-	return machine
+	return bootTime
 }
