--- a/workload/catalog.go
+++ b/workload/catalog.go
@@ -9,6 +9,8 @@
 
 // This file defines the catalog: the part of the operators' configuration that
 // concerns jobs, which is its queues and pools.
+//
+// The operators' API answers with queues as JSON: the tags keep the names of its fields.
 
 // A Queue accepts jobs for a pool. It is selected by the host and path of a request.
 type Queue struct {
@@ -21,7 +23,7 @@
 	Policy  Policy
 	// AllowAnonymous reports whether callers may omit the API key. A key that is given must
 	// be valid in any case.
-	AllowAnonymous bool
+	AllowAnonymous bool `json:"Anonymous"`
 	// Advice is how the advisor behaves for the queue. It is zero if the queue needs
 	// no advice.
 	Advice Advice
@@ -30,8 +32,8 @@
 // Advice defines how the advisor behaves for a queue.
 type Advice struct {
 	Base        time.Duration // answer time of a request, without its instances
-	PerInstance time.Duration // additional answer time for each instance asked about
-	ValidFor    time.Duration // how long an answer is valid
+	PerInstance time.Duration `json:"Each"`  // additional answer time for each instance asked about
+	ValidFor    time.Duration `json:"Valid"` // how long an answer is valid
 }
 
 // A PoolInfo is the configuration of a pool.
@@ -41,7 +43,7 @@
 	Spare bool
 	// EnforcesCapacity reports whether the pool's instances reject tasks that exceed their
 	// capacity.
-	EnforcesCapacity bool
+	EnforcesCapacity bool `json:"Guards"`
 }
 
 // Limits are the limits on a client's requests.
