--- a/assign/explain.go
+++ b/assign/explain.go
@@ -40,19 +40,19 @@
 	}
 	switch m.Phase {
 	case Spare:
-		e.next("a pool in zone %s takes it once the pool has fewer instances than it needs", m.Zone)
+		e.next("a pool in zone %s that has fewer instances than it needs takes it", m.Zone)
 	case Serving:
-		e.next("a wave drains it when its turn comes and the budget allows")
-		e.next("its pool releases it when the pool has more than it needs and another pool needs it, or when keeping it has cost as much as a move")
+		e.next("a wave takes it when its turn comes and the budget allows")
+		e.next("its pool gives it up when it has more than it needs, and another needs it or keeping it costs more than a move")
 	case Draining:
-		e.next("the drain ends once it has reported for %v that it runs nothing", bounds.DrainQuiet)
-		e.next("it returns to service if that does not happen within %v", bounds.DrainBound)
+		e.next("it goes on once it has been seen to run nothing for %v", bounds.DrainQuiet)
+		e.next("it is put back to work if that does not happen within %v", bounds.DrainBound)
 	case Rebooting:
 		e.next("it serves again once the platform lists it as live with more than %d boots", m.Boots)
 		e.next("it counts as failed after %v", bounds.ReturnBound)
 	case Failed:
-		e.next("it returns to service once the platform lists it as live")
-		e.next("it is removed once it has been missing from the list for %v", removalTimeout)
+		e.next("it is used again once the platform lists it as live")
+		e.next("it is forgotten once it has been missing from the list for %v", removalTimeout)
 	}
 	return e
 }
@@ -108,20 +108,20 @@
 	}
 	e := Explanation{Subject: "wave " + w.Name}
 	e.fact("started %s over pool %s", w.Started.UTC().Format("2006-01-02T15:04:05Z"), w.Pool)
-	e.fact("done %d, in progress %d, remaining %d, failed %d, skipped %d", w.Done, inProgress, remaining, w.FailedCount, w.PassedCount)
+	e.fact("done %d, under way %d, left %d, failed %d, passed by %d", w.Done, inProgress, remaining, w.FailedCount, w.PassedCount)
 	switch {
 	case w.Stopped != "":
-		e.Stands = "stopped: " + w.Stopped
-		e.next("it continues when an operator applies it again")
+		e.Stands = "stopped itself: " + w.Stopped
+		e.next("it goes on when an operator applies it again")
 	case !w.Ended.IsZero():
 		e.Stands = "ended " + w.Ended.UTC().Format("2006-01-02T15:04:05Z")
 	case inProgress > 0:
 		e.Stands = fmt.Sprintf("waits for %d instances to drain or come back", inProgress)
 	case remaining > 0:
-		e.Stands = "waits for budget: too few instances of the pool are working"
-		e.next("it drains the next instance when one comes back or the spare or the budget is raised")
+		e.Stands = "waits for budget: too few instances of the pool work"
+		e.next("it takes the next instance when one comes back, the spare grows or the budget does")
 	default:
-		e.Stands = "has no instances left"
+		e.Stands = "has nothing left to do"
 	}
 	return e
 }
--- a/assign/maintain.go
+++ b/assign/maintain.go
@@ -120,7 +120,7 @@
 		}
 		left--
 		m.Phase, m.Wave = Draining, wave
-		d.update(m, "wave %s: last maintained %s; %d more may be drained now", wave, m.Maintained.UTC().Format(time.RFC3339), left)
+		d.update(m, "wave %s: last maintained %s; %d more may go now", wave, m.Maintained.UTC().Format(time.RFC3339), left)
 	}
 }
 
--- a/assign/observe.go
+++ b/assign/observe.go
@@ -68,7 +68,7 @@
 	missing := d.in.Now.Sub(since)
 	switch {
 	case m.Phase == Failed && missing >= removalTimeout:
-		d.remove(m.ID, "missing from the platform's list for too long; replaced or removed")
+		d.remove(m.ID, "missing from the platform's list for too long; it was replaced or removed")
 	case m.Phase == Rebooting:
 		d.checkRebootTimeout(m)
 	case m.Phase != Failed && missing >= absenceTimeout:
@@ -90,7 +90,7 @@
 func (d *decision) observeUp(m Member, i pointport.Instance) {
 	switch {
 	case i.State == pointport.InstanceDown:
-		d.fail(m, "listed as down by the platform")
+		d.fail(m, "the platform lists it as down")
 	case i.Address != m.Address || i.Boots != m.Boots:
 		m.Address, m.Boots = i.Address, i.Boots
 		d.update(m, "restarted by itself or by the platform")
@@ -107,13 +107,13 @@
 		d.fail(m, "went down while it drained")
 	case i.Boots != m.Boots:
 		m.Address, m.Boots, m.Phase, m.Wave, m.Moving, m.Maintained = i.Address, i.Boots, defaultPhase(m), "", false, d.in.Now
-		d.update(m, "restarted while it drained, which counts as maintenance")
+		d.update(m, "restarted while it drained, which is as good as maintenance")
 	case idle && m.Moving:
 		m.Pool, m.Phase, m.Moving = "", Spare, false
-		d.update(m, "idle for %v; leaves its pool", b.DrainQuiet)
+		d.update(m, "ran nothing for %v and leaves its pool", b.DrainQuiet)
 	case idle:
 		m.Phase = Rebooting
-		d.update(m, "idle for %v", b.DrainQuiet)
+		d.update(m, "ran nothing for %v", b.DrainQuiet)
 	case d.in.Now.Sub(m.Since) >= b.DrainBound.Value():
 		d.abandonDrain(m, b)
 	}
@@ -126,7 +126,7 @@
 		d.countWave(m.Wave, func(w *Wave) { w.PassedCount++ })
 	}
 	m.Phase, m.Passed, m.Wave, m.Moving = defaultPhase(m), m.Wave, "", false
-	d.update(m, "not idle after %v; drain abandoned", b.DrainBound)
+	d.update(m, "still ran something after %v; it is passed by", b.DrainBound)
 }
 
 // defaultPhase returns the phase of a working member outside maintenance.
@@ -166,7 +166,7 @@
 		return
 	}
 	m.Address, m.Boots, m.Phase = i.Address, i.Boots, defaultPhase(m)
-	d.update(m, "listed as live again")
+	d.update(m, "is listed as live again")
 }
 
 // releaseRemovedPools drains the serving members of pools that no longer exist, and
--- a/delegate/serve.go
+++ b/delegate/serve.go
@@ -87,7 +87,7 @@
 }
 
 // errIncomplete is the error of an order without the parameters that its kind requires.
-var errIncomplete = errors.New("the order lacks parameters that its kind requires")
+var errIncomplete = errors.New("the order is not whole")
 
 // errSlotOutOfRange is the error of a start whose payload slot does not exist.
 var errSlotOutOfRange = errors.New("the payload slot of a start is out of range")
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -351,7 +351,7 @@
 		_ = a.answer.Body.Close()
 		a.grant.End(dispatch.Abandoned, 0)
 		return g.refuse(w, x, newProblem(http.StatusBadGateway, outcomeCutShort, RanUnknown, "the answer has no end",
-			"the upstream's answer has neither a Content-Length nor chunked encoding, so a truncated answer would look complete"))
+			"the upstream's answer has neither a length nor chunks, so a cut could not be told"))
 	}
 	return g.refuse(w, x, newProblem(http.StatusBadGateway, outcomeCutShort, RanUnknown,
 		"the upstream's answer was cut short", fmt.Sprintf("after %d bytes: %v", len(a.buffered), a.err)))
--- a/intake/service.go
+++ b/intake/service.go
@@ -158,7 +158,7 @@
 }
 
 func (e *ExcessError) Error() string {
-	return fmt.Sprintf("job %s is not taken: the backlog of %s already takes too long; come back in %v", e.ID, e.Customer, e.RetryAfter)
+	return fmt.Sprintf("job %s is not taken: what %s has waiting already takes too long; come back in %v", e.ID, e.Customer, e.RetryAfter)
 }
 
 // A TakenError means that a job was not accepted because its identity belongs to a
@@ -178,7 +178,7 @@
 }
 
 func (e *RevokedError) Error() string {
-	return fmt.Sprintf("job %s is not taken: the key is no longer valid", e.ID)
+	return fmt.Sprintf("job %s is not taken: the key is not in force any more", e.ID)
 }
 
 // Status returns the status of a job. It fails with an *UnknownJobError if there is
--- a/intake/submit.go
+++ b/intake/submit.go
@@ -86,7 +86,7 @@
 	}
 	for n := range spec.Steps {
 		if need := spec.Steps[n].ConcurrentNeed(); !c.CapAllows(need) {
-			return &workload.SpecError{Field: fmt.Sprintf("steps[%d].need", n), Value: need, Reason: fmt.Sprintf("must run at the same time and exceeds the cap of %s, %v", c.Name, c.Cap)}
+			return &workload.SpecError{Field: fmt.Sprintf("steps[%d].need", n), Value: need, Reason: fmt.Sprintf("must run at once and is beyond the cap of %s, %v", c.Name, c.Cap)}
 		}
 	}
 	return nil
--- a/member/ownership.go
+++ b/member/ownership.go
@@ -56,7 +56,7 @@
 }
 
 // ErrNotOwner is returned when another member owns the pool, or nobody does.
-var ErrNotOwner = errors.New("this member no longer owns the pool")
+var ErrNotOwner = errors.New("this member does not own the pool any more")
 
 // ErrNoLease is returned when this member has no lease under which it could own a pool.
 var ErrNoLease = errors.New("this member has no lease")
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -141,7 +141,7 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return reply{}, fmt.Errorf("member %s answers a request about pool %s with %s", to.Name, req.Pool, res.Status)
+		return reply{}, fmt.Errorf("member %s, asked about pool %s, answers %s", to.Name, req.Pool, res.Status)
 	}
 	var r reply
 	return r, json.NewDecoder(res.Body).Decode(&r)
--- a/peer/store_job.go
+++ b/peer/store_job.go
@@ -32,10 +32,10 @@
 
 var (
 	// errNoPeer is the cause of a refusal when there is no peer to ask.
-	errNoPeer = errors.New("there is no other member to ask")
+	errNoPeer = errors.New("there is none to ask")
 	// errNoneCanStore is the cause of a refusal when no peer that was asked can reach the
 	// store.
-	errNoneCanStore = errors.New("no peer that was asked can reach the store")
+	errNoneCanStore = errors.New("the store serves none that was asked")
 )
 
 // StoreAtPeer has a peer store a job, and returns the peer's name. The peer to ask first depends
--- a/relay/server.go
+++ b/relay/server.go
@@ -92,7 +92,7 @@
 	}
 	e, ok := s.await(r.Context(), r.URL.Query().Get("key"), pointport.Revision(after), min(wait, maxWait))
 	if !ok {
-		http.Error(w, "the store has not answered recently", http.StatusServiceUnavailable)
+		http.Error(w, "not heard from the store", http.StatusServiceUnavailable)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/schedule/explain.go
+++ b/schedule/explain.go
@@ -143,13 +143,13 @@
 		return fmt.Sprintf("%d tasks wait: each needs %d thousandths of a core and %d MiB; %d instances have at most %d and %d free%s",
 			tasks, need.CPUMilli, need.MemoryMiB, permitted, most.CPUMilli, most.MemoryMiB, b.explainUnusable(now))
 	case open == 0:
-		return fmt.Sprintf("%d tasks wait: %d instances with free capacity already hold %d tasks of the step", tasks, fitting, t.step.MaxPerInstance)
+		return fmt.Sprintf("%d tasks wait: %d instances with room hold %d of the step already", tasks, fitting, t.step.MaxPerInstance)
 	case t.step.Gang:
-		return fmt.Sprintf("%d tasks of a gang wait to fit all at once; %d instances have capacity for one", tasks, open)
+		return fmt.Sprintf("%d tasks of a gang wait to fit all at once; %d instances have room for one", tasks, open)
 	case t.step.DataRack != "" && b.waitsForRack(now, t):
-		return fmt.Sprintf("%d tasks wait for capacity in rack %s, where their data is", tasks, t.step.DataRack)
+		return fmt.Sprintf("%d tasks wait for room in rack %s, where their data is", tasks, t.step.DataRack)
 	}
-	return fmt.Sprintf("%d tasks wait for the next plan, or for jobs that are placed first; %d instances have capacity", tasks, open)
+	return fmt.Sprintf("%d tasks wait for the next plan, or for more pressing jobs; %d instances have room", tasks, open)
 }
 
 const (
--- a/schedule/worker.go
+++ b/schedule/worker.go
@@ -256,13 +256,13 @@
 	case w.closed(now):
 		return "closed for a move or for maintenance"
 	case w.strays > 0:
-		return "with unknown runs"
+		return "running what it should not"
 	case len(w.startsToRuleOut) > 0:
-		return "with starts to rule out"
+		return "being asked to forget starts"
 	case now.Before(w.refusingUntil):
 		return "refusing starts"
 	case w.health.avoided(now):
-		return "avoided after failures"
+		return "avoided for its failures"
 	}
 	return ""
 }
--- a/workload/document.go
+++ b/workload/document.go
@@ -95,7 +95,7 @@
 func (d *DocumentStep) step(n int, index map[string]int) (Step, error) {
 	field := func(name string) string { return fmt.Sprintf("steps[%d].%s", n, name) }
 	if _, ok := index[d.Name]; ok {
-		return Step{}, &SpecError{field("name"), d.Name, "is also the name of an earlier step"}
+		return Step{}, &SpecError{field("name"), d.Name, "is the name of an earlier step too"}
 	}
 	estimate, err := durationOf(field("estimate"), d.Estimate)
 	if err != nil {
--- a/workload/spec.go
+++ b/workload/spec.go
@@ -169,7 +169,7 @@
 		return &SpecError{"recur.every", s.Recur.Every, "must not be negative"}
 	}
 	if s.Recur.Every > 0 && s.Recur.Times > int(math.MaxInt64/s.Recur.Every) {
-		return &SpecError{"recur.times", s.Recur.Times, "the last occurrence is beyond the range of dates"}
+		return &SpecError{"recur.times", s.Recur.Times, "the last time is beyond all dates"}
 	}
 	for n := range s.Steps {
 		if err := s.Steps[n].check(n); err != nil {
