--- a/assign/explain.go
+++ b/assign/explain.go
@@ -73,23 +73,23 @@
 	e.fact("template: size %d over %d zones, spare %s, budget %s, wave speed %s", t.Pool.Size, len(zones), t.Pool.Spare, t.Maintenance.Budget, t.Maintenance.Speed)
 	switch {
 	case evacuated.State(zone) == evacuation.Evacuated:
-		e.fact("the zone is evacuated: its instances get no new work")
-		e.next("its instances are used again once an operator ends the evacuation")
+		e.fact("the zone is evacuated: nothing more is sent to its instances")
+		e.next("they are used again once an operator takes that back")
 	case len(open) < len(zones):
-		e.fact("%d of the zones are evacuated, and the other zones take over their parts", len(zones)-len(open))
+		e.fact("%d of the zones are evacuated, and their parts fall to the others", len(zones)-len(open))
 	}
 	e.fact("this zone's share of the budget is %d", share)
 	e.fact("draining %d, rebooting %d, failed %d", phases[Draining], phases[Rebooting], phases[Failed])
 	budgetLeft := phases[Serving] - (ZoneSize(t, zones, zone) - share)
-	e.fact("%d more may go out of service now, if every serving instance is reported as live", max(0, budgetLeft))
+	e.fact("%d more may go out of service now, if all that serve are seen to work", max(0, budgetLeft))
 	if missing := size + spare - phases[Serving] - phases[Draining] - phases[Rebooting]; missing > 0 {
-		e.next("%d more are added as spare instances of a fitting shape appear in the zone", missing)
+		e.next("%d more are taken as spare instances of a fitting shape appear in the zone", missing)
 	}
 	if surplus := phases[Serving] - size - spare; surplus > 0 {
-		e.next("%d may be released to pools that need them, or after %v of surplus", surplus, surplusRetention(t))
+		e.next("%d may go to pools that need them, or after %v of surplus", surplus, surplusRetention(t))
 	}
 	if budgetLeft <= 0 {
-		e.next("no wave or move drains an instance until one comes back or the spare or the budget is raised")
+		e.next("no wave or move takes an instance until one comes back, the spare grows or the budget does")
 	}
 	return e
 }
--- a/peer/store_job.go
+++ b/peer/store_job.go
@@ -148,7 +148,7 @@
 func handleStoreJob(w http.ResponseWriter, r *http.Request, store Store, logger *slog.Logger) {
 	var req request
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxMessage)).Decode(&req); err != nil || req.ToStore == nil {
-		http.Error(w, "keep: missing", http.StatusBadRequest)
+		http.Error(w, "no job to store", http.StatusBadRequest)
 		return
 	}
 	err := store.StoreJob(r.Context(), *req.ToStore)
--- a/schedule/explain.go
+++ b/schedule/explain.go
@@ -90,7 +90,7 @@
 	switch {
 	case pending == 0:
 	case e.job.Stopping():
-		x.Waits = "nothing: the job is ending"
+		x.Waits = "nothing: the job is over"
 	case !e.job.Ready(o, n):
 		x.Waits = fmt.Sprintf("%d tasks wait for earlier steps", pending)
 	default:
--- a/schedule/worker.go
+++ b/schedule/worker.go
@@ -244,7 +244,7 @@
 	case !w.listed:
 		return "not registered"
 	case w.ended:
-		return "ended"
+		return "over"
 	case !w.lease.clockKnown(), w.silent:
 		return "silent"
 	case w.inc.Draining():
