--- a/peer/store_job.go
+++ b/peer/store_job.go
@@ -32,10 +32,10 @@
 
 var (
 	// errNoPeer is the cause of a refusal when there is no peer to ask.
-	errNoPeer = errors.New("there is no other member to ask")
+	errNoPeer = errors.New("there is none to ask")
 	// errNoneCanStore is the cause of a refusal when no peer that was asked can reach the
 	// store.
-	errNoneCanStore = errors.New("no peer that was asked can reach the store")
+	errNoneCanStore = errors.New("the store serves none that was asked")
 )
 
 // StoreAtPeer has a peer store a job, and returns the peer's name. The peer to ask first depends
@@ -148,7 +148,7 @@
 func handleStoreJob(w http.ResponseWriter, r *http.Request, store Store, logger *slog.Logger) {
 	var req request
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxMessage)).Decode(&req); err != nil || req.ToStore == nil {
-		http.Error(w, "keep: missing", http.StatusBadRequest)
+		http.Error(w, "no job to store", http.StatusBadRequest)
 		return
 	}
 	err := store.StoreJob(r.Context(), *req.ToStore)
