--- a/soak/customer_test.go
+++ b/soak/customer_test.go
@@ -27,33 +27,33 @@
 const (
 	accepted outcome = iota
 	refused          // by every entry that was asked
-	unsure
+	ambiguous
 )
 
-// A ticket is a job and what its customer knows of it.
-type ticket struct {
-	id        string
-	customer  string // the name of whose it is
-	queue     *workload.Queue
-	spec      *workload.Spec
-	crashes   bool // its first task crashes the instance that starts it
-	outcome   outcome
-	asked     bool // its customer has asked to cancel it
-	cancelled bool // and was told that it is cancelled
-	// shownDone is when the customer was first told that the job is completed.
-	shownDone time.Time
+// A submission is a job and what its customer knows of it.
+type submission struct {
+	id              string
+	customer        string // the name of whose it is
+	queue           *workload.Queue
+	spec            *workload.Spec
+	crashes         bool // its first task crashes the instance that starts it
+	outcome         outcome
+	cancelRequested bool // its customer has asked to cancel it
+	cancelled       bool // and was told that it is cancelled
+	// completedSeenAt is when the customer was first told that the job is completed.
+	completedSeenAt time.Time
 }
 
 // Jobs is what customers have handed in. It is safe for concurrent use.
 type jobs struct {
-	mu   sync.Mutex
-	byID map[string]*ticket
+	mu      sync.Mutex
+	byJobID map[string]*submission
 }
 
-func (j *jobs) add(t *ticket) {
+func (j *jobs) add(t *submission) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.byID[t.id] = t
+	j.byJobID[t.id] = t
 }
 
 func (j *jobs) update(change func()) {
@@ -63,22 +63,22 @@
 }
 
 // all returns the tickets.
-func (j *jobs) all() []*ticket {
+func (j *jobs) all() []*submission {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	out := make([]*ticket, 0, len(j.byID))
-	for _, t := range j.byID {
+	out := make([]*submission, 0, len(j.byJobID))
+	for _, t := range j.byJobID {
 		out = append(out, t)
 	}
 	return out
 }
 
-// work tells the fleet what a task does.
-func (j *jobs) work(o pointport.StartOrder) testbed.Work {
+// workOf tells the fleet what a task does.
+func (j *jobs) workOf(o pointport.StartOrder) testbed.Work {
 	id, ref, err := workload.ParseTaskName(o.Task)
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	t := j.byID[id]
+	t := j.byJobID[id]
 	if err != nil || t == nil {
 		return testbed.Work{}
 	}
@@ -117,16 +117,16 @@
 // does odd things. With more, a fleet of eight would hardly stand.
 const crashEvery = 30
 
-// crashes reports whether the first task of a job crashes its instance, which hangs on the
+// crashesInstance reports whether the first task of a job crashes its instance, which hangs on the
 // job's name alone.
-func (s *soak) crashes(t *ticket) bool {
+func (s *soak) crashesInstance(t *submission) bool {
 	last := t.id[len(t.id)-4:]
 	n, err := strconv.ParseUint(last, 16, 64)
-	return s.odd && err == nil && n%crashEvery == 0 && !t.spec.RunsUntilCancelled()
+	return s.fleetFaults && err == nil && n%crashEvery == 0 && !t.spec.RunsUntilCancelled()
 }
 
-// answerTime is how long customers wait for an answer.
-const answerTime = 3 * time.Second
+// answerTimeout is how long customers wait for an answer.
+const answerTimeout = 3 * time.Second
 
 // A customer hands jobs in, one after the other, over connections that it keeps.
 type customer struct {
@@ -136,15 +136,15 @@
 	clients map[*entry]*platform.Client
 }
 
-// tries is how often a customer asks for one thing.
-const tries = 4
+// submitAttempts is how often a customer asks for one thing.
+const submitAttempts = 4
 
 // submit hands a job in, at further entries if it must.
-func (c *customer) submit(ctx context.Context, t *ticket) {
-	t.outcome = unsure
+func (c *customer) submit(ctx context.Context, t *submission) {
+	t.outcome = ambiguous
 	c.soak.jobs.add(t)
 	sure := true
-	for range tries {
+	for range submitAttempts {
 		e := c.soak.entries[c.random.IntN(len(c.soak.entries))]
 		from := time.Now()
 		err := c.clients[e].Submit(ctx, t.queue, t.id, t.spec)
@@ -158,7 +158,7 @@
 			continue
 		}
 		sure = false
-		c.judge(e, from, err)
+		c.checkCutOff(e, from, err)
 		if ctx.Err() != nil {
 			return
 		}
@@ -168,55 +168,55 @@
 	}
 }
 
-// judge reports an answer that an entry owed: one that was told to end as planned
+// checkCutOff reports an answer that an entry owed: one that was told to end as planned
 // cuts nothing off.
-func (c *customer) judge(e *entry, from time.Time, err error) {
+func (c *customer) checkCutOff(e *entry, from time.Time, err error) {
 	var unsure *intake.AmbiguousError
 	if !errors.As(err, &unsure) || !strings.Contains(err.Error(), "EOF") && !strings.Contains(err.Error(), "reset") {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.stopping && e.calm.Before(from.Add(-answerTime)) {
+	if e.stopping && e.undisturbedSince.Before(from.Add(-answerTimeout)) {
 		c.soak.fail("%s cut a request off while it ended as planned: %v", e.name, err)
 	}
 }
 
 // watch asks for a job's state until ctx ends, now and then.
-func (c *customer) look(ctx context.Context, t *ticket) {
+func (c *customer) checkStatus(ctx context.Context, t *submission) {
 	e := c.soak.entries[c.random.IntN(len(c.soak.entries))]
 	status, err := c.clients[e].Status(ctx, t.queue, t.id)
-	if err != nil || status != workload.Completed || !t.shownDone.IsZero() {
+	if err != nil || status != workload.Completed || !t.completedSeenAt.IsZero() {
 		return
 	}
-	c.soak.jobs.update(func() { t.shownDone = time.Now() })
-	if missing := c.soak.undone(t); len(missing) > 0 {
+	c.soak.jobs.update(func() { t.completedSeenAt = time.Now() })
+	if missing := c.soak.tasksNotDone(t); len(missing) > 0 {
 		c.soak.fail("job %s is shown as completed and these tasks have not ended well: %v", t.id, missing)
 	}
 }
 
 const (
-	// servicesMost is how many jobs that last a customer has at once, so that they do
+	// maxServices is how many jobs that last a customer has at once, so that they do
 	// not fill the machines.
-	servicesMost = 2
-	// pauseMost bounds the pause between two jobs, in milliseconds.
-	pauseMost = 400
+	maxServices = 2
+	// maxPauseMs bounds the pause between two jobs, in milliseconds.
+	maxPauseMs = 400
 )
 
 // run hands jobs in until ctx ends.
 func (c *customer) run(ctx context.Context) {
-	var mine, open, services []*ticket
+	var mine, open, services []*submission
 	for n := 0; ctx.Err() == nil; n++ {
-		open = c.catchUp(ctx, open)
+		open = c.awaitOpenWorkBelowLimit(ctx, open)
 		queue := c.soak.queues[c.random.IntN(len(c.soak.queues))]
-		t := &ticket{id: fmt.Sprintf("%016x", c.random.Uint64()), customer: c.name, queue: queue, spec: drawSpec(c.random)}
-		t.crashes = c.soak.crashes(t)
+		t := &submission{id: fmt.Sprintf("%016x", c.random.Uint64()), customer: c.name, queue: queue, spec: drawSpec(c.random)}
+		t.crashes = c.soak.crashesInstance(t)
 		c.submit(ctx, t)
 		mine, open = append(mine, t), append(open, t)
 		recent := mine[max(0, len(mine)-5):]
-		c.look(ctx, recent[c.random.IntN(len(recent))])
-		if n%strangerEvery == 0 {
-			c.soak.askAsStrangers(ctx, t)
+		c.checkStatus(ctx, recent[c.random.IntN(len(recent))])
+		if n%foreignAccessCheckEvery == 0 {
+			c.soak.checkForeignAccess(ctx, t)
 		}
 		if c.random.IntN(12) == 0 {
 			c.cancel(ctx, recent[c.random.IntN(len(recent))])
@@ -224,28 +224,28 @@
 		if t.spec.RunsUntilCancelled() {
 			services = append(services, t)
 		}
-		if len(services) > servicesMost {
+		if len(services) > maxServices {
 			c.cancel(ctx, services[0])
 			services = services[1:]
 		}
-		time.Sleep(time.Duration(c.random.IntN(pauseMost)) * time.Millisecond)
+		time.Sleep(time.Duration(c.random.IntN(maxPauseMs)) * time.Millisecond)
 	}
 }
 
 // cancel cancels a job that was accepted.
-func (c *customer) cancel(ctx context.Context, t *ticket) {
+func (c *customer) cancel(ctx context.Context, t *submission) {
 	if t.outcome != accepted || t.cancelled {
 		return
 	}
-	c.soak.jobs.update(func() { t.asked = true })
+	c.soak.jobs.update(func() { t.cancelRequested = true })
 	e := c.soak.entries[c.random.IntN(len(c.soak.entries))]
 	if err := c.clients[e].Cancel(ctx, t.queue, t.id); err == nil {
 		c.soak.jobs.update(func() { t.cancelled = true })
 	}
 }
 
-// undone returns the tasks of a job that have not ended well.
-func (s *soak) undone(t *ticket) []string {
+// tasksNotDone returns the tasks of a job that have not ended well.
+func (s *soak) tasksNotDone(t *submission) []string {
 	var missing []string
 	for n := range t.spec.Steps {
 		for i := range t.spec.Steps[n].Count {
@@ -259,14 +259,14 @@
 	return missing
 }
 
-// workMost is how much work a customer has open, in core-seconds, before it waits for some of
+// maxOpenWork is how much work a customer has open, in core-seconds, before it waits for some of
 // it to end. Two of the four customers share a cap, so they have 40 open. After faults in
 // which many instances have crashed, tasks are kept alone, and no more than 1.7 cores of them
 // ran, which makes 76 core-seconds in the 45 s after the last fault.
-const workMost = 20
+const maxOpenWork = 20
 
-// left returns how much of a job's work has not ended well, in core-seconds.
-func (s *soak) left(t *ticket) float64 {
+// workLeft returns how much of a job's work has not ended well, in core-seconds.
+func (s *soak) workLeft(t *submission) float64 {
 	const thousandth = 1e-3
 	var sum float64
 	for n := range t.spec.Steps {
@@ -280,11 +280,11 @@
 	return sum
 }
 
-// open returns those of some jobs that have work left, and how much all of them have.
-func (s *soak) open(of []*ticket) (still []*ticket, work float64) {
+// openJobs returns those of some jobs that have work left, and how much all of them have.
+func (s *soak) openJobs(of []*submission) (still []*submission, work float64) {
 	for _, t := range of {
-		left := s.left(t)
-		if t.outcome == refused || t.asked || left == 0 {
+		left := s.workLeft(t)
+		if t.outcome == refused || t.cancelRequested || left == 0 {
 			continue
 		}
 		still, work = append(still, t), work+left
@@ -292,32 +292,32 @@
 	return still, work
 }
 
-// catchUp waits until a customer may hand in a further job, or until ctx ends, and returns
+// awaitOpenWorkBelowLimit waits until a customer may hand in a further job, or until ctx ends, and returns
 // its jobs that have work left.
-func (c *customer) catchUp(ctx context.Context, open []*ticket) []*ticket {
+func (c *customer) awaitOpenWorkBelowLimit(ctx context.Context, open []*submission) []*submission {
 	for ctx.Err() == nil {
 		var work float64
-		if open, work = c.soak.open(open); work < workMost {
+		if open, work = c.soak.openJobs(open); work < maxOpenWork {
 			break
 		}
 		e := c.soak.entries[c.random.IntN(len(c.soak.entries))]
 		if status, err := c.clients[e].Status(ctx, open[0].queue, open[0].id); err == nil && status.Ended() {
 			open = open[1:] // it has failed
 		}
-		time.Sleep(pauseMost * time.Millisecond)
+		time.Sleep(maxPauseMs * time.Millisecond)
 	}
 	return open
 }
 
-// toDo returns how much work each customer has left, in whole core-seconds.
-func (s *soak) toDo() map[string]int {
-	of := make(map[string][]*ticket)
+// openWorkByCustomer returns how much work each customer has left, in whole core-seconds.
+func (s *soak) openWorkByCustomer() map[string]int {
+	of := make(map[string][]*submission)
 	for _, t := range s.jobs.all() {
 		of[t.customer] = append(of[t.customer], t)
 	}
 	out := make(map[string]int)
 	for name, tickets := range of {
-		_, work := s.open(tickets)
+		_, work := s.openJobs(tickets)
 		out[name] = int(work)
 	}
 	return out
--- a/soak/key_test.go
+++ b/soak/key_test.go
@@ -19,13 +19,13 @@
 var customerNames = []string{"bistro", "cafe", "diner"}
 
 const (
-	// strangerEvery is at every how many of its jobs a customer's job is asked for by others.
-	strangerEvery = 6
+	// foreignAccessCheckEvery is at every how many of its jobs a customer's job is asked for by others.
+	foreignAccessCheckEvery = 6
 	// capCores is the cap of the first customer. Its jobs that last take 5.4 at most.
 	capCores = 9
-	// capLook is how often what it has running is held against the cap. Shorter tasks than
+	// capCheckInterval is how often what it has running is held against the cap. Shorter tasks than
 	// that are seen now and then.
-	capLook = 20 * time.Millisecond
+	capCheckInterval = 20 * time.Millisecond
 )
 
 // soakCustomers returns the customers.
@@ -56,9 +56,9 @@
 	return platform.NewClient(e.settings.Clients, timeout, platform.WithKey(soakKey(name)))
 }
 
-// askAsStrangers asks each entry for a job under other keys than its customer's, and under
+// checkForeignAccess asks each entry for a job under other keys than its customer's, and under
 // none: whoever answers must know nothing of it, and a key of nobody must be refused.
-func (s *soak) askAsStrangers(ctx context.Context, t *ticket) {
+func (s *soak) checkForeignAccess(ctx context.Context, t *submission) {
 	other := customerNames[0]
 	if t.customer == other {
 		other = customerNames[1]
@@ -76,28 +76,28 @@
 	}
 }
 
-// guardCap holds what the first customer has running against its cap until ctx ends.
-func (s *soak) guardCap(ctx context.Context) {
+// checkCap holds what the first customer has running against its cap until ctx ends.
+func (s *soak) checkCap(ctx context.Context) {
 	// A tenth and one task more than the cap may run, by the users' pages.
 	const most = capCores*1100 + 1000
 	for ctx.Err() == nil {
-		if got := s.running(customerNames[0]); got > most {
+		if got := s.runningCPUMilli(customerNames[0]); got > most {
 			s.fail("%d thousandths of a core of %s run, and its cap is %d", got, customerNames[0], capCores*1000)
 			return
 		}
-		time.Sleep(capLook)
+		time.Sleep(capCheckInterval)
 	}
 }
 
-// running returns what the tasks declare that a customer has running, in thousandths of a core.
-func (s *soak) running(name string) int64 {
+// runningCPUMilli returns what the tasks declare that a customer has running, in thousandths of a core.
+func (s *soak) runningCPUMilli(name string) int64 {
 	var sum int64
 	tasks := s.grid.Fleet().RunningTasks()
 	s.jobs.mu.Lock()
 	defer s.jobs.mu.Unlock()
 	for _, task := range tasks {
 		id, ref, err := workload.ParseTaskName(task)
-		if t := s.jobs.byID[id]; err == nil && t != nil && t.customer == name {
+		if t := s.jobs.byJobID[id]; err == nil && t != nil && t.customer == name {
 			sum += t.spec.Steps[ref.Step].Need.CPUMilli
 		}
 	}
--- a/soak/oddity_test.go
+++ b/soak/oddity_test.go
@@ -13,7 +13,7 @@
 // This file defines what a fleet does that is odd and no failure: instances that hold less
 // for a while, and registrations that other writers have overwritten or added.
 
-var oddities = []trouble{
+var fleetFaults = []fault{
 	{"instance shrinks", func(s *soak, _ *testing.T, r *rand.Rand, d time.Duration) {
 		f := s.grid.Fleet()
 		id := f.IDs()[r.IntN(len(f.IDs()))]
@@ -28,28 +28,28 @@
 		if life == "" {
 			return
 		}
-		s.overwrite(t, platform.RegistrationPrefix+string(life.Addressee()), r)
+		s.overwriteRegistration(t, platform.RegistrationPrefix+string(life.Addressee()), r)
 		time.Sleep(d)
 		f.SetCapacity(id, soakCapacity) // it registers again
 	}},
 	{"registration of nobody", func(s *soak, t *testing.T, r *rand.Rand, _ time.Duration) {
-		s.overwrite(t, platform.RegistrationPrefix+"i-nobody", r)
+		s.overwriteRegistration(t, platform.RegistrationPrefix+"i-nobody", r)
 	}},
 }
 
 // soakCapacity is what each instance holds.
 var soakCapacity = pointport.Shape{CPUMilli: 4000, MemoryMiB: 8192}
 
-// oddEntries are values of keys under which instances register.
-var oddEntries = []string{
+// malformedRegistrations are values of keys under which instances register.
+var malformedRegistrations = []string{
 	"", "null", "[]", "\xff\x00", `{"service":7}`, `{"service":"shift"}`,
 	`{"service":"shift","address":"127.0.0.1:1","zone":"north","version":"v","slots":1,"state":"asleep","cold_remaining_ms":0,"call_sequence":1,"capacity":{"cpu":1,"memory_request_mb":1}}`,
 	`{"service":"shift","address":"nowhere","zone":"north","version":"v","slots":1,"state":"ready","cold_remaining_ms":0,"call_sequence":1,"capacity":{"cpu":9000,"memory_request_mb":9000}}`,
 	`{"service":"shift","address":"127.0.0.1:1","zone":"north","version":"v","slots":1,"state":"ready","cold_remaining_ms":0,"call_sequence":1,"capacity":{"cpu":-1,"memory_request_mb":1}}`,
 }
 
-func (s *soak) overwrite(t *testing.T, key string, r *rand.Rand) {
-	put := pointport.Put{Key: key, Value: []byte(oddEntries[r.IntN(len(oddEntries))])}
+func (s *soak) overwriteRegistration(t *testing.T, key string, r *rand.Rand) {
+	put := pointport.Put{Key: key, Value: []byte(malformedRegistrations[r.IntN(len(malformedRegistrations))])}
 	if _, err := s.grid.Store().KV().Commit(context.Background(), pointport.Txn{Put: []pointport.Put{put}}); err != nil {
 		t.Error(err)
 	}
--- a/soak/process_test.go
+++ b/soak/process_test.go
@@ -21,13 +21,13 @@
 // An entry is an entry instance. Its process is started anew whenever it has
 // ended.
 type entry struct {
-	name     string
-	settings *platform.Settings
-	path     string // of its settings file
-	logPath  string
-	store    *proxy
-	machines *proxy
-	release  func() // of the ports
+	name         string
+	settings     *platform.Settings
+	path         string // of its settings file
+	logPath      string
+	store        *proxy
+	machines     *proxy
+	releasePorts func() // of the ports
 
 	mu      sync.Mutex
 	process *os.Process
@@ -35,24 +35,24 @@
 	starts  int
 	downFor time.Duration // how long the process stays down once it has ended
 	closing bool
-	// calm is since when nothing was done to the entry, stopping whether it was told
+	// undisturbedSince is since when nothing was done to the entry, stopping whether it was told
 	// to end as planned.
-	calm     time.Time
-	stopping bool
-	// unread is until when nobody reads what the process says.
-	unread time.Time
+	undisturbedSince time.Time
+	stopping         bool
+	// logPausedUntil is until when nobody reads what the process says.
+	logPausedUntil time.Time
 }
 
-// portsEach is how many ports in a row an entry takes.
-const portsEach = 4
+// portsPerEntry is how many ports in a row an entry takes.
+const portsPerEntry = 4
 
-// portsFor returns the first of some ports in a row that are free, and a release
+// reservePorts returns the first of some ports in a row that are free, and a release
 // of them. They stay free while the entry's process is down only because every run
 // on the machine takes a lock on them first: two runs that shared ports had
 // customers of one ask entries of the other.
-func portsFor(r *rand.Rand) (first int, release func(), err error) {
+func reservePorts(r *rand.Rand) (first int, release func(), err error) {
 	for range 200 {
-		first := 20000 + portsEach*r.IntN(5000)
+		first := 20000 + portsPerEntry*r.IntN(5000)
 		lock, err := os.OpenFile(filepath.Join(os.TempDir(), fmt.Sprintf("pointport-soak-%d.lock", first)), os.O_CREATE|os.O_RDWR, 0o600)
 		if err != nil {
 			return 0, nil, err
@@ -63,12 +63,12 @@
 		}
 		return first, func() { _ = lock.Close() }, nil
 	}
-	return 0, nil, fmt.Errorf("no %d free ports in a row", portsEach)
+	return 0, nil, fmt.Errorf("no %d free ports in a row", portsPerEntry)
 }
 
 // portsFree reports whether nobody listens on the ports of an entry.
 func portsFree(first int) bool {
-	for n := range portsEach {
+	for n := range portsPerEntry {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", first+n))
 		if err != nil {
 			return false
@@ -87,8 +87,8 @@
 	return os.WriteFile(e.path, data, 0o600)
 }
 
-// restartTime is how long a process that has ended stays down as a rule.
-const restartTime = 200 * time.Millisecond
+// restartDelay is how long a process that has ended stays down as a rule.
+const restartDelay = 200 * time.Millisecond
 
 // supervise starts the process, and starts it anew whenever it has ended, until
 // the entry is closed. fail is told of a process that cannot be started.
@@ -100,7 +100,7 @@
 		for {
 			<-e.ended // set by this goroutine alone
 			e.mu.Lock()
-			down := max(e.downFor, restartTime)
+			down := max(e.downFor, restartDelay)
 			e.downFor = 0
 			e.mu.Unlock()
 			time.Sleep(down)
@@ -175,7 +175,7 @@
 	buf := make([]byte, pipeSize)
 	for {
 		e.mu.Lock()
-		unread := time.Until(e.unread)
+		unread := time.Until(e.logPausedUntil)
 		e.mu.Unlock()
 		time.Sleep(unread)
 		n, err := said.Read(buf)
@@ -185,11 +185,11 @@
 	}
 }
 
-// leaveUnread has nobody read what the process says for a while.
-func (e *entry) leaveUnread(d time.Duration) {
+// pauseLog has nobody read what the process says for a while.
+func (e *entry) pauseLog(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.unread = time.Now().Add(d)
+	e.logPausedUntil = time.Now().Add(d)
 }
 
 // signal sends the process a signal, after which it stays down for so long if it
@@ -217,14 +217,14 @@
 	<-ended
 	e.store.close()
 	e.machines.close()
-	e.release()
+	e.releasePorts()
 }
 
-// touch notes that something is done to the entry now.
-func (e *entry) touch() {
+// noteDisturbance notes that something is done to the entry now.
+func (e *entry) noteDisturbance() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.calm = time.Now()
+	e.undisturbedSince = time.Now()
 }
 
 // program is the path of pointportd.
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -9,28 +9,28 @@
 
 // This file defines a proxy on loopback that treats connections badly.
 
-// A treatment says what a proxy does to connections.
-type treatment int
+// A connMode says what a proxy does to connections.
+type connMode int
 
 const (
-	pass         treatment = iota
+	passThrough   connMode = iota
 	delayed                // each piece waits
 	dropReplies            // what the far side says is lost
 	dropRequests           // what the near side says is lost
-	silent                 // both
+	dropAll                // both
 	reset                  // connections are reset, and new ones too
-	treatments             // how many the platform's services are given
+	platformModes          // how many the platform's services are given
 )
 
 // These are only met on the way to instances.
 const (
-	scattered      = treatments + iota // each piece waits, on each connection for another time
-	silentBefore                       // connections from before are silent, new ones pass
-	resetReplies                       // requests go through, and their replies reset the connection
-	linkTreatments                     // how many there are on the way to instances
+	delayedPerConn = platformModes + iota // each piece waits, on each connection for another time
+	dropExisting                          // connections from before are silent, new ones pass
+	resetOnReply                          // requests go through, and their replies reset the connection
+	linkModes                             // how many there are on the way to instances
 )
 
-func (t treatment) String() string {
+func (t connMode) String() string {
 	return []string{"pass", "delayed", "dropReplies", "dropRequests", "silent", "reset", "scattered", "silentBefore", "resetReplies"}[t]
 }
 
@@ -39,14 +39,14 @@
 const pieceDelay = 240 * time.Millisecond
 
 const (
-	// scatterLeast and scatterMost bound how long a piece waits on a way that scatters;
+	// minConnDelay and scatterMost bound how long a piece waits on a way that scatters;
 	// scatterStep spreads connections over that.
-	scatterLeast = 100 * time.Millisecond
-	scatterMost  = 2 * time.Second
-	scatterStep  = 619 * time.Millisecond
-	// arrivesFor is for how long a connection stays open towards the target after its
+	minConnDelay  = 100 * time.Millisecond
+	maxConnDelay  = 2 * time.Second
+	connDelayStep = 619 * time.Millisecond
+	// deliveryGrace is for how long a connection stays open towards the target after its
 	// near side has gone, so that what was on its way arrives all the same.
-	arrivesFor = 100 * time.Millisecond
+	deliveryGrace = 100 * time.Millisecond
 )
 
 // A proxy stands between its clients and a target.
@@ -54,11 +54,11 @@
 	listener net.Listener
 	target   string
 
-	mu    sync.Mutex
-	treat treatment
-	turn  int              // of treatments
-	count int              // of connections
-	conns map[net.Conn]int // the turn in which each was opened
+	mu          sync.Mutex
+	mode        connMode
+	modeChanges int              // of treatments
+	connCount   int              // of connections
+	conns       map[net.Conn]int // the turn in which each was opened
 }
 
 // newProxy returns a proxy in front of an address.
@@ -74,7 +74,7 @@
 			if err != nil {
 				return // the proxy is closed
 			}
-			go p.carry(near)
+			go p.forward(near)
 		}
 	}()
 	return p, nil
@@ -84,22 +84,22 @@
 
 // set sets what becomes of connections from now on. Those that were silenced are
 // reset when that ends: what was lost of them cannot be made good.
-func (p *proxy) set(t treatment) {
+func (p *proxy) set(t connMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.turn++
-	if t == reset || p.treat != pass && p.treat != delayed && p.treat != scattered {
+	p.modeChanges++
+	if t == reset || p.mode != passThrough && p.mode != delayed && p.mode != delayedPerConn {
 		for c := range p.conns {
-			breakOff(c)
+			resetConn(c)
 		}
 	}
-	p.treat = t
+	p.mode = t
 }
 
-func (p *proxy) now() treatment {
+func (p *proxy) currentMode() connMode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.treat
+	return p.mode
 }
 
 func (p *proxy) close() {
@@ -107,67 +107,67 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
-		breakOff(c)
+		resetConn(c)
 	}
 }
 
-// breakOff resets a connection.
-func breakOff(c net.Conn) {
+// resetConn resets a connection.
+func resetConn(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
 	_ = c.Close()
 }
 
-// keep notes an open connection; false if connections are being reset.
-func (p *proxy) keep(c net.Conn) bool {
+// track notes an open connection; false if connections are being reset.
+func (p *proxy) track(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.treat == reset {
-		breakOff(c)
+	if p.mode == reset {
+		resetConn(c)
 		return false
 	}
-	p.conns[c] = p.turn
+	p.conns[c] = p.modeChanges
 	return true
 }
 
-// silences reports whether a connection is from before the present treatment.
-func (p *proxy) silences(c net.Conn) bool {
+// predatesMode reports whether a connection is from before the present treatment.
+func (p *proxy) predatesMode(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.conns[c] < p.turn
+	return p.conns[c] < p.modeChanges
 }
 
-// scatter returns how long each piece of the next connection waits.
-func (p *proxy) scatter() time.Duration {
+// nextConnDelay returns how long each piece of the next connection waits.
+func (p *proxy) nextConnDelay() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.count++
-	return scatterLeast + time.Duration(p.count)*scatterStep%(scatterMost-scatterLeast)
+	p.connCount++
+	return minConnDelay + time.Duration(p.connCount)*connDelayStep%(maxConnDelay-minConnDelay)
 }
 
-func (p *proxy) drop(c net.Conn) {
+func (p *proxy) untrack(c net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, c)
 	_ = c.Close()
 }
 
-func (p *proxy) carry(near net.Conn) {
-	if !p.keep(near) {
+func (p *proxy) forward(near net.Conn) {
+	if !p.track(near) {
 		return
 	}
-	defer p.drop(near)
+	defer p.untrack(near)
 	far, err := net.Dial("tcp", p.target)
 	if err != nil {
-		breakOff(near) // nobody is there, as behind a dead port
+		resetConn(near) // nobody is there, as behind a dead port
 		return
 	}
-	if !p.keep(far) {
+	if !p.track(far) {
 		return
 	}
-	defer p.drop(far)
-	wait := p.scatter()
+	defer p.untrack(far)
+	wait := p.nextConnDelay()
 	var wg sync.WaitGroup
 	wg.Go(func() { p.pipe(far, near, dropRequests, wait) })
 	wg.Go(func() { p.pipe(near, far, dropReplies, wait) })
@@ -176,21 +176,21 @@
 
 // pipe carries one direction until either side ends. lost is the treatment that
 // swallows it, wait how long its pieces wait where that is scattered.
-func (p *proxy) pipe(to, from net.Conn, lost treatment, wait time.Duration) {
+func (p *proxy) pipe(to, from net.Conn, lost connMode, wait time.Duration) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			switch t := p.now(); {
-			case t == silent || t == lost || t == silentBefore && p.silences(from):
+			switch t := p.currentMode(); {
+			case t == dropAll || t == lost || t == dropExisting && p.predatesMode(from):
 				n = 0
 			case t == delayed:
 				time.Sleep(pieceDelay)
-			case t == scattered:
+			case t == delayedPerConn:
 				time.Sleep(wait)
-			case t == resetReplies && lost == dropReplies:
-				breakOff(from)
-				breakOff(to)
+			case t == resetOnReply && lost == dropReplies:
+				resetConn(from)
+				resetConn(to)
 				return
 			}
 			if _, werr := to.Write(buf[:n]); werr != nil {
@@ -198,14 +198,14 @@
 			}
 		}
 		if err != nil {
-			if err == io.EOF && p.now() == pass {
+			if err == io.EOF && p.currentMode() == passThrough {
 				_ = to.(*net.TCPConn).CloseWrite()
 				return
 			}
-			if p.now() == scattered {
-				time.Sleep(arrivesFor)
+			if p.currentMode() == delayedPerConn {
+				time.Sleep(deliveryGrace)
 			}
-			breakOff(to)
+			resetConn(to)
 			return
 		}
 	}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -70,14 +70,14 @@
 	jobs    *jobs
 	began   time.Time
 
-	mu       sync.Mutex
-	failures []string
-	told     []string // what was done, for a failure
-	faults   int      // how many faults there were
-	odd      bool     // whether the fleet does odd things as well
-	ways     map[pointport.InstanceID]*proxy
-	catalog  *workload.Catalog
-	waves    int64
+	mu          sync.Mutex
+	failures    []string
+	history     []string // what was done, for a failure
+	faultCount  int      // how many faults there were
+	fleetFaults bool     // whether the fleet does odd things as well
+	links       map[pointport.InstanceID]*proxy
+	catalog     *workload.Catalog
+	waves       int64
 }
 
 func (s *soak) fail(format string, args ...any) {
@@ -86,10 +86,10 @@
 	s.failures = append(s.failures, fmt.Sprintf("%.3f s: ", time.Since(s.began).Seconds())+fmt.Sprintf(format, args...))
 }
 
-func (s *soak) tell(format string, args ...any) {
+func (s *soak) record(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.told = append(s.told, fmt.Sprintf("%.3f s: ", time.Since(s.began).Seconds())+fmt.Sprintf(format, args...))
+	s.history = append(s.history, fmt.Sprintf("%.3f s: ", time.Since(s.began).Seconds())+fmt.Sprintf(format, args...))
 }
 
 func (s *soak) update(change func()) {
@@ -104,11 +104,11 @@
 // newSoak starts a grid and entries in front of it.
 func newSoak(t *testing.T, r *rand.Rand, dir string) *soak {
 	t.Helper()
-	s := &soak{jobs: &jobs{byID: make(map[string]*ticket)}, began: time.Now(), ways: make(map[pointport.InstanceID]*proxy)}
-	t.Cleanup(s.closeWays)
+	s := &soak{jobs: &jobs{byJobID: make(map[string]*submission)}, began: time.Now(), links: make(map[pointport.InstanceID]*proxy)}
+	t.Cleanup(s.closeLinks)
 	g, err := grid.Start(clock.System{}, grid.Settings{
 		Pools: []string{"shift", "payout"}, PerPool: 4, Zones: soakZones, Host: host, HolderTime: holderTime,
-		Capacity: soakCapacity, Work: s.jobs.work, Customers: soakCustomers(), Keys: soakKeys(), AdvertisedAddress: s.front,
+		Capacity: soakCapacity, Work: s.jobs.workOf, Customers: soakCustomers(), Keys: soakKeys(), AdvertisedAddress: s.addLink,
 	}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -129,14 +129,14 @@
 	t.Helper()
 	store, err := newProxy(s.grid.StoreAddress())
 	machines, err2 := newProxy(s.grid.MachinesAddress())
-	first, release, err3 := portsFor(r)
+	first, release, err3 := reservePorts(r)
 	if err := errors.Join(err, err2, err3); err != nil {
 		t.Fatal(err)
 	}
 	settings := s.grid.EntrySettings(name, zone, first)
 	settings.Store, settings.Machines = store.address(), machines.address()
 	e := &entry{
-		name: name, settings: settings, store: store, machines: machines, release: release,
+		name: name, settings: settings, store: store, machines: machines, releasePorts: release,
 		path: filepath.Join(dir, name+".toml"), logPath: filepath.Join(dir, name+".log"),
 	}
 	if err := errors.Join(e.writeSettings(), e.supervise(s.fail)); err != nil {
@@ -171,31 +171,31 @@
 		name := customerNames[i%len(customerNames)]
 		c := &customer{name: name, soak: s, random: rand.New(rand.NewPCG(r.Uint64(), 1)), clients: make(map[*entry]*platform.Client)}
 		for _, e := range s.entries {
-			c.clients[e] = s.client(e, name, answerTime)
+			c.clients[e] = s.client(e, name, answerTimeout)
 		}
 		wg.Go(func() { c.run(ctx) })
 	}
 	return &wg
 }
 
-// disturb draws faults of some kinds until ctx ends and waits until they are over.
-func (s *soak) disturb(ctx context.Context, t *testing.T, r *rand.Rand, kinds []trouble) {
+// injectFaults draws faults of some kinds until ctx ends and waits until they are over.
+func (s *soak) injectFaults(ctx context.Context, t *testing.T, r *rand.Rand, kinds []fault) {
 	var wg sync.WaitGroup
 	for ctx.Err() == nil {
 		trouble := kinds[r.IntN(len(kinds))]
 		d := time.Duration(300+r.IntN(3500)) * time.Millisecond
 		own := rand.New(rand.NewPCG(r.Uint64(), 2))
-		s.tell("%s, %v", trouble.name, d)
-		s.update(func() { s.faults++ })
+		s.record("%s, %v", trouble.name, d)
+		s.update(func() { s.faultCount++ })
 		wg.Go(func() { trouble.run(s, t, own, d) })
 		time.Sleep(time.Duration(200+r.IntN(1800)) * time.Millisecond)
 	}
 	wg.Wait()
-	s.tell("no faults from now on")
+	s.record("no faults from now on")
 }
 
-// settled returns what is still to come: jobs that have not ended, and waves.
-func (s *soak) settled() []string {
+// unfinished returns what is still to come: jobs that have not ended, and waves.
+func (s *soak) unfinished() []string {
 	var open []string
 	clients := make(map[string]*platform.Client)
 	for _, name := range customerNames {
@@ -211,13 +211,13 @@
 			open = append(open, fmt.Sprintf("job %s: %v", t.id, err))
 		case t.cancelled && (!status.Ended() || s.grid.Fleet().RunsOf(t.id) > 0):
 			open = append(open, fmt.Sprintf("cancelled job %s is %s", t.id, status))
-		case t.asked && status == workload.Cancelled:
+		case t.cancelRequested && status == workload.Cancelled:
 			// It is cancelled, whether or not the customer was told so.
 		case t.spec.RunsUntilCancelled():
 			if want := t.spec.Steps[0].Count; s.grid.Fleet().RunsOf(t.id) != want {
 				open = append(open, fmt.Sprintf("serving job %s has %d runs of %d", t.id, s.grid.Fleet().RunsOf(t.id), want))
 			}
-		case s.crashes(t) && status != workload.Failed && !t.asked:
+		case s.crashesInstance(t) && status != workload.Failed && !t.cancelRequested:
 			open = append(open, fmt.Sprintf("job %s, which crashes instances, is %s", t.id, status))
 		case !status.Ended():
 			open = append(open, fmt.Sprintf("job %s is %s", t.id, status))
@@ -235,11 +235,11 @@
 func (s *soak) check() {
 	var open []string
 	for end := time.Now().Add(settleTime); time.Now().Before(end); time.Sleep(500 * time.Millisecond) {
-		if open = s.settled(); len(open) == 0 {
+		if open = s.unfinished(); len(open) == 0 {
 			break
 		}
 	}
-	s.tell("core-seconds to be done: %v", s.toDo())
+	s.record("core-seconds to be done: %v", s.openWorkByCustomer())
 	for _, o := range open {
 		s.fail("%v after the last fault: %s", settleTime, o)
 	}
@@ -251,7 +251,7 @@
 			s.fail("job %s was refused by all and has started", t.id)
 		}
 		if status := s.finalStatus(t); status == workload.Completed {
-			if missing := s.undone(t); len(missing) > 0 {
+			if missing := s.tasksNotDone(t); len(missing) > 0 {
 				s.fail("job %s is completed without %v", t.id, missing)
 			}
 		}
@@ -259,7 +259,7 @@
 	s.checkConfiguration()
 }
 
-func (s *soak) finalStatus(t *ticket) workload.Status {
+func (s *soak) finalStatus(t *submission) workload.Status {
 	client := s.client(s.entries[len(s.entries)-1], t.customer, time.Second)
 	status, err := client.Status(context.Background(), t.queue, t.id)
 	if err != nil {
@@ -268,7 +268,7 @@
 	return status
 }
 
-func (s *soak) startedAny(t *ticket) bool {
+func (s *soak) startedAny(t *submission) bool {
 	for n := range t.spec.Steps {
 		for i := range t.spec.Steps[n].Count {
 			if s.grid.Fleet().Started(workload.TaskName(t.id, workload.TaskRef{Step: n, Index: i})) > 0 {
@@ -291,48 +291,48 @@
 	}
 }
 
-// A manner is how much befalls the fleet in a run.
-type manner int
+// A faultLevel is how much befalls the fleet in a run.
+type faultLevel int
 
 const (
-	plain    manner = iota
-	odd             // the fleet does odd things as well
-	strained        // and what lies between entries and instances is bad too
+	withProcessFaults faultLevel = iota
+	withFleetFaults              // the fleet does odd things as well
+	withLinkFaults               // and what lies between entries and instances is bad too
 )
 
 // run plays one seed. What the fleet does that is odd is drawn apart, and so are its strains,
 // so that the rest of a seed is the same with them and without.
-func run(t *testing.T, seed uint64, how manner) {
+func run(t *testing.T, seed uint64, how faultLevel) {
 	dir := t.TempDir()
 	r := rand.New(rand.NewPCG(seed, 0))
 	s := newSoak(t, r, dir)
-	s.odd = how >= odd
+	s.fleetFaults = how >= withFleetFaults
 	ctx, cancel := context.WithTimeout(context.Background(), *lasts)
 	defer cancel()
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
 	const customersAtOnce = 4
 	wg := s.customers(work, r, customersAtOnce)
-	go s.guardCap(work)
+	go s.checkCap(work)
 	var fleet sync.WaitGroup
-	if how >= odd {
-		fleet.Go(func() { s.disturb(ctx, t, rand.New(rand.NewPCG(seed, 3)), oddities) })
+	if how >= withFleetFaults {
+		fleet.Go(func() { s.injectFaults(ctx, t, rand.New(rand.NewPCG(seed, 3)), fleetFaults) })
 	}
-	if how >= strained {
-		s.strain()
-		fleet.Go(func() { s.disturb(ctx, t, rand.New(rand.NewPCG(seed, 4)), strains) })
-		fleet.Go(func() { s.comeBack(ctx, rand.New(rand.NewPCG(seed, 5))) })
+	if how >= withLinkFaults {
+		s.slowClocksAndList()
+		fleet.Go(func() { s.injectFaults(ctx, t, rand.New(rand.NewPCG(seed, 4)), linkFaults) })
+		fleet.Go(func() { s.crashBriefly(ctx, rand.New(rand.NewPCG(seed, 5))) })
 	}
 	fleet.Go(func() { s.evacuateZones(ctx, rand.New(rand.NewPCG(seed, 6))) })
-	s.disturb(ctx, t, r, troubles)
+	s.injectFaults(ctx, t, r, processFaults)
 	fleet.Wait()
 	s.grid.SetListFaults(0, 0)
 	stop()
 	wg.Wait()
-	s.tell("core-seconds to be done: %v", s.toDo())
+	s.record("core-seconds to be done: %v", s.openWorkByCustomer())
 	s.check()
 	if len(s.failures) == 0 {
-		t.Logf("seed %d: %d jobs, %d starts, %d faults", seed, len(s.jobs.all()), s.grid.Fleet().Starts(), s.faults)
+		t.Logf("seed %d: %d jobs, %d starts, %d faults", seed, len(s.jobs.all()), s.grid.Fleet().Starts(), s.faultCount)
 		return
 	}
 	kept := ""
@@ -342,25 +342,25 @@
 			t.Errorf("logs are lost: %v", err)
 		}
 	}
-	t.Errorf("seed %d, logs in %q:\n%s\nwhat was done:\n%s", seed, kept, strings.Join(s.failures, "\n"), strings.Join(s.told, "\n"))
+	t.Errorf("seed %d, logs in %q:\n%s\nwhat was done:\n%s", seed, kept, strings.Join(s.failures, "\n"), strings.Join(s.history, "\n"))
 }
 
 // oddMark begins what is said of a seed that is played with a fleet that does odd things,
 // strainedMark of one that is played with strains as well.
 const (
-	oddMark      = "odd fleet: "
-	strainedMark = "strained fleet: "
+	fleetFaultsMark = "odd fleet: "
+	linkFaultsMark  = "strained fleet: "
 )
 
-// mannerOf returns how a seed is played of which that is said.
-func mannerOf(said string) manner {
+// faultLevelOf returns how a seed is played of which that is said.
+func faultLevelOf(said string) faultLevel {
 	switch {
-	case strings.HasPrefix(said, strainedMark):
-		return strained
-	case strings.HasPrefix(said, oddMark):
-		return odd
+	case strings.HasPrefix(said, linkFaultsMark):
+		return withLinkFaults
+	case strings.HasPrefix(said, fleetFaultsMark):
+		return withFleetFaults
 	}
-	return plain
+	return withProcessFaults
 }
 
 // TestSeedsThatFailed plays every seed that ever failed.
@@ -379,7 +379,7 @@
 		if err != nil {
 			continue // a comment
 		}
-		playBeside(t, limit, seed, mannerOf(cause))
+		runSeedInParallel(t, limit, seed, faultLevelOf(cause))
 	}
 }
 
@@ -388,32 +388,32 @@
 const fixedSeed = 7
 
 func TestOneSeed(t *testing.T) {
-	run(t, cmp.Or(*seedFlag, fixedSeed), plain)
+	run(t, cmp.Or(*seedFlag, fixedSeed), withProcessFaults)
 }
 
 // TestOddFleet plays a seed in which instances change what they hold, registrations are
 // overwritten, and some tasks crash the instance that starts them.
 func TestOddFleet(t *testing.T) {
-	run(t, cmp.Or(*seedFlag, fixedSeed), odd)
+	run(t, cmp.Or(*seedFlag, fixedSeed), withFleetFaults)
 }
 
 // TestStrainedFleet plays a seed in which, besides, the ways to instances are bad, instances
 // stand still, refuse orders and lose their registrations, the list of machines lags, and
 // entries are short of the processor.
 func TestStrainedFleet(t *testing.T) {
-	run(t, cmp.Or(*seedFlag, fixedSeed), strained)
+	run(t, cmp.Or(*seedFlag, fixedSeed), withLinkFaults)
 }
 
 // TestFreshSeeds plays seeds that were never played, if it is asked to.
 func TestFreshSeeds(t *testing.T) {
 	limit := make(chan struct{}, *parallel)
 	for range *seeds {
-		playBeside(t, limit, uint64(time.Now().UnixNano()), strained)
+		runSeedInParallel(t, limit, uint64(time.Now().UnixNano()), withLinkFaults)
 	}
 }
 
-// playBeside plays a seed beside others, as many at once as limit holds.
-func playBeside(t *testing.T, limit chan struct{}, seed uint64, how manner) {
+// runSeedInParallel plays a seed beside others, as many at once as limit holds.
+func runSeedInParallel(t *testing.T, limit chan struct{}, seed uint64, how faultLevel) {
 	t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 		t.Parallel()
 		limit <- struct{}{}
--- a/soak/stop_test.go
+++ b/soak/stop_test.go
@@ -23,7 +23,7 @@
 	e.store.set(delayed) // so that a submission takes a while
 	answered := make(chan error, 1)
 	go func() {
-		c := platform.NewClient(e.settings.Clients, answerTime)
+		c := platform.NewClient(e.settings.Clients, answerTimeout)
 		spec := drawSpec(r)
 		answered <- c.Submit(context.Background(), s.queues[0], "00000000000000aa", spec)
 	}()
--- a/soak/trouble_test.go
+++ b/soak/trouble_test.go
@@ -14,16 +14,16 @@
 
 // This file defines the faults and how they are drawn.
 
-// A trouble is one kind of fault. It lasts for a while and ends what it began.
-type trouble struct {
+// A fault is one kind of fault. It lasts for a while and ends what it began.
+type fault struct {
 	name string
 	run  func(s *soak, t *testing.T, r *rand.Rand, d time.Duration)
 }
 
-// troubles are the kinds of faults, each as likely as any other.
-var troubles = []trouble{
+// processFaults are the kinds of faults, each as likely as any other.
+var processFaults = []fault{
 	{"kill", func(s *soak, _ *testing.T, r *rand.Rand, d time.Duration) {
-		s.pick(r).signal(syscall.SIGKILL, d/4)
+		s.drawEntry(r).signal(syscall.SIGKILL, d/4)
 	}},
 	{"stop as planned", func(s *soak, _ *testing.T, r *rand.Rand, _ time.Duration) {
 		s.entries[r.IntN(len(s.entries))].signal(syscall.SIGTERM, 0)
@@ -35,10 +35,10 @@
 		}
 	}},
 	{"freeze", func(s *soak, _ *testing.T, r *rand.Rand, d time.Duration) {
-		e := s.pick(r)
+		e := s.drawEntry(r)
 		e.signal(syscall.SIGSTOP, 0)
 		time.Sleep(d)
-		e.touch()
+		e.noteDisturbance()
 		e.signal(syscall.SIGCONT, 0)
 	}},
 	{"new settings", func(s *soak, t *testing.T, r *rand.Rand, _ time.Duration) {
@@ -49,29 +49,29 @@
 		e.signal(syscall.SIGHUP, 0)
 	}},
 	{"store treated badly for one", func(s *soak, _ *testing.T, r *rand.Rand, d time.Duration) {
-		e := s.pick(r)
-		e.store.set(treatment(1 + r.IntN(int(treatments)-1)))
+		e := s.drawEntry(r)
+		e.store.set(connMode(1 + r.IntN(int(platformModes)-1)))
 		time.Sleep(d)
-		e.touch()
-		e.store.set(pass)
+		e.noteDisturbance()
+		e.store.set(passThrough)
 	}},
 	{"store treated badly for all", func(s *soak, _ *testing.T, r *rand.Rand, d time.Duration) {
-		treat := treatment(1 + r.IntN(int(treatments)-1))
+		treat := connMode(1 + r.IntN(int(platformModes)-1))
 		for _, e := range s.entries {
-			e.touch()
+			e.noteDisturbance()
 			e.store.set(treat)
 		}
 		time.Sleep(d)
 		for _, e := range s.entries {
-			e.touch()
-			e.store.set(pass)
+			e.noteDisturbance()
+			e.store.set(passThrough)
 		}
 	}},
 	{"machines' service treated badly", func(s *soak, _ *testing.T, r *rand.Rand, d time.Duration) {
 		e := s.entries[r.IntN(len(s.entries))]
-		e.machines.set(treatment(1 + r.IntN(int(treatments)-1)))
+		e.machines.set(connMode(1 + r.IntN(int(platformModes)-1)))
 		time.Sleep(d)
-		e.machines.set(pass)
+		e.machines.set(passThrough)
 	}},
 	{"store forgets its history", func(s *soak, _ *testing.T, _ *rand.Rand, d time.Duration) {
 		s.grid.Store().DropWatchEvents(true)
@@ -102,16 +102,16 @@
 	}},
 	{"all killed", func(s *soak, _ *testing.T, _ *rand.Rand, d time.Duration) {
 		for _, e := range s.entries {
-			e.touch()
+			e.noteDisturbance()
 			e.signal(syscall.SIGKILL, d/4)
 		}
 	}},
 }
 
-// pick returns an entry to which something is about to be done.
-func (s *soak) pick(r *rand.Rand) *entry {
+// drawEntry returns an entry to which something is about to be done.
+func (s *soak) drawEntry(r *rand.Rand) *entry {
 	e := s.entries[r.IntN(len(s.entries))]
-	e.touch()
+	e.noteDisturbance()
 	return e
 }
 
@@ -121,10 +121,10 @@
 	for ctx.Err() == nil {
 		pause(ctx, time.Duration(r.IntN(2000))*time.Millisecond)
 		zone := soakZones[r.IntN(len(soakZones))]
-		s.tell("zone %s evacuated", zone)
+		s.record("zone %s evacuated", zone)
 		s.grid.Evacuate(zone)
 		pause(ctx, time.Duration(4000+r.IntN(most))*time.Millisecond)
-		s.tell("zone %s open", zone)
+		s.record("zone %s open", zone)
 		s.grid.EndEvacuation(zone)
 	}
 }
--- a/standin/fleet.go
+++ b/standin/fleet.go
@@ -23,18 +23,18 @@
 
 // A Fleet is a set of stand-in instances. It is safe for concurrent use.
 type Fleet struct {
-	clock      pointport.Clock
-	zones      []pointport.ZoneID
-	perZone    int
-	slots      int
-	service    time.Duration
-	rebootTime time.Duration
-	shape      pointport.Shape
-	lag        time.Duration
+	clock       pointport.Clock
+	zones       []pointport.ZoneID
+	perZone     int
+	slots       int
+	serviceTime time.Duration
+	rebootTime  time.Duration
+	shape       pointport.Shape
+	listLag     time.Duration
 
 	mu        sync.Mutex
 	instances map[pointport.InstanceID]*Instance
-	order     []pointport.InstanceID
+	ids       []pointport.InstanceID
 	rebooting map[pointport.InstanceID]bool
 	tasks     map[pointport.TaskID]*pointport.Task
 	starts    map[pointport.TaskID]int
@@ -60,28 +60,28 @@
 func WithSlots(n int) FleetOption { return func(f *Fleet) { f.slots = n } }
 
 // WithServiceTime sets how long an instance runs a request.
-func WithServiceTime(d time.Duration) FleetOption { return func(f *Fleet) { f.service = d } }
+func WithServiceTime(d time.Duration) FleetOption { return func(f *Fleet) { f.serviceTime = d } }
 
 // WithRebootTime sets how long an instance takes to come back.
 func WithRebootTime(d time.Duration) FleetOption { return func(f *Fleet) { f.rebootTime = d } }
 
 // WithListLag sets how far the list of instances is behind.
-func WithListLag(d time.Duration) FleetOption { return func(f *Fleet) { f.lag = d } }
+func WithListLag(d time.Duration) FleetOption { return func(f *Fleet) { f.listLag = d } }
 
 // NewFleet starts the instances.
 func NewFleet(clock pointport.Clock, options ...FleetOption) (*Fleet, error) {
 	f := &Fleet{
-		clock:      clock,
-		zones:      []pointport.ZoneID{"zone-a", "zone-b"},
-		perZone:    4,
-		slots:      DefaultSlots,
-		service:    DefaultServiceTime,
-		rebootTime: DefaultRebootTime,
-		shape:      pointport.Shape{CPUMilli: 16000, MemoryMiB: 32768},
-		instances:  make(map[pointport.InstanceID]*Instance),
-		rebooting:  make(map[pointport.InstanceID]bool),
-		tasks:      make(map[pointport.TaskID]*pointport.Task),
-		starts:     make(map[pointport.TaskID]int),
+		clock:       clock,
+		zones:       []pointport.ZoneID{"zone-a", "zone-b"},
+		perZone:     4,
+		slots:       DefaultSlots,
+		serviceTime: DefaultServiceTime,
+		rebootTime:  DefaultRebootTime,
+		shape:       pointport.Shape{CPUMilli: 16000, MemoryMiB: 32768},
+		instances:   make(map[pointport.InstanceID]*Instance),
+		rebooting:   make(map[pointport.InstanceID]bool),
+		tasks:       make(map[pointport.TaskID]*pointport.Task),
+		starts:      make(map[pointport.TaskID]int),
 	}
 	for _, o := range options {
 		o(f)
@@ -100,10 +100,10 @@
 func (f *Fleet) add(zone pointport.ZoneID, n int) error {
 	id := pointport.InstanceID(fmt.Sprintf("%s-%02d", zone, n))
 	i := &Instance{
-		fleet:   f,
-		slots:   make(chan struct{}, f.slots),
-		service: f.service,
-		ran:     make(map[string]int),
+		fleet:       f,
+		slots:       make(chan struct{}, f.slots),
+		serviceTime: f.serviceTime,
+		ran:         make(map[string]int),
 		info: pointport.Instance{
 			ID: id, Region: "region-1", Zone: zone,
 			Rack:  fmt.Sprintf("%s-rack-%d", zone, n/rackSize),
@@ -112,7 +112,7 @@
 	}
 	f.mu.Lock()
 	f.instances[id] = i
-	f.order = append(f.order, id)
+	f.ids = append(f.ids, id)
 	f.mu.Unlock()
 	return i.listen()
 }
@@ -128,8 +128,8 @@
 func (f *Fleet) All() []*Instance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	all := make([]*Instance, 0, len(f.order))
-	for _, id := range f.order {
+	all := make([]*Instance, 0, len(f.ids))
+	for _, id := range f.ids {
 		all = append(all, f.instances[id])
 	}
 	return all
@@ -161,7 +161,7 @@
 func (f *Fleet) Instances(_ context.Context, zone pointport.ZoneID) ([]pointport.Instance, error) {
 	now := f.clock.Now()
 	f.mu.Lock()
-	stale := f.listed == nil || now.Sub(f.listedAt) >= f.lag
+	stale := f.listed == nil || now.Sub(f.listedAt) >= f.listLag
 	f.mu.Unlock()
 	if stale {
 		var list []pointport.Instance
@@ -185,16 +185,16 @@
 
 // Drain marks an instance as leaving if its boot count is boots.
 func (f *Fleet) Drain(_ context.Context, id pointport.InstanceID, boots int64) error {
-	return f.turn(id, boots, pointport.InstanceLive, pointport.InstanceLeaving)
+	return f.changeState(id, boots, pointport.InstanceLive, pointport.InstanceLeaving)
 }
 
 // Restore marks a leaving instance as live if its boot count is boots.
 func (f *Fleet) Restore(_ context.Context, id pointport.InstanceID, boots int64) error {
-	return f.turn(id, boots, pointport.InstanceLeaving, pointport.InstanceLive)
+	return f.changeState(id, boots, pointport.InstanceLeaving, pointport.InstanceLive)
 }
 
-// turn changes an instance's state if it and the boot count are as expected.
-func (f *Fleet) turn(id pointport.InstanceID, boots int64, from, to pointport.InstanceState) error {
+// changeState changes an instance's state if it and the boot count are as expected.
+func (f *Fleet) changeState(id pointport.InstanceID, boots int64, from, to pointport.InstanceState) error {
 	i, err := f.Instance(id)
 	if err != nil {
 		return err
@@ -225,7 +225,7 @@
 		return nil
 	}
 	f.rebooting[id] = true
-	i.cutOff.Add(i.inFlight.Load())
+	i.interrupted.Add(i.inFlight.Load())
 	i.Kill()
 	back := f.clock.After(f.rebootTime)
 	go func() {
@@ -315,7 +315,7 @@
 	return starts
 }
 
-func (f *Fleet) tasksOn(id pointport.InstanceID) int64 {
+func (f *Fleet) runningTasksOn(id pointport.InstanceID) int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var n int64
--- a/standin/grid/grid.go
+++ b/standin/grid/grid.go
@@ -38,9 +38,9 @@
 // SparePool is the pool whose machines are off.
 const SparePool = "spare"
 
-// returns is in how many percent of their returns instances come back under the addressee that they
+// reusePercent is in how many percent of their returns instances come back under the addressee that they
 // had.
-const returns = 50
+const reusePercent = 50
 
 // loopback is where everything listens.
 const loopback = "127.0.0.1:0"
@@ -80,20 +80,20 @@
 	list     *laggingList
 	version  int64
 
-	mu        sync.Mutex
-	servers   []*http.Server
-	addresses map[pointport.InstanceID]string
-	refusing  map[pointport.InstanceID]int // percent of the orders that are refused
-	random    *rand.Rand
-	storeAt   string
-	machineAt string
+	mu              sync.Mutex
+	servers         []*http.Server
+	addresses       map[pointport.InstanceID]string
+	refusalPercent  map[pointport.InstanceID]int // percent of the orders that are refused
+	random          *rand.Rand
+	storeAddress    string
+	machinesAddress string
 }
 
 // Start starts a grid, which ends with Close.
 func Start(clock pointport.Clock, s Settings, logger *slog.Logger) (*Grid, error) {
-	g := &Grid{clock: clock, settings: s, logger: logger, store: memory.New(clock), addresses: make(map[pointport.InstanceID]string), refusing: make(map[pointport.InstanceID]int), random: rand.New(rand.NewPCG(1, 2))}
+	g := &Grid{clock: clock, settings: s, logger: logger, store: memory.New(clock), addresses: make(map[pointport.InstanceID]string), refusalPercent: make(map[pointport.InstanceID]int), random: rand.New(rand.NewPCG(1, 2))}
 	g.kv = g.store.KV()
-	options := []testbed.Option{testbed.WithSparePool(SparePool), testbed.WithRegistrationObserver(g.register), testbed.WithAddresses(g.addressOf), testbed.WithAddresseeReuse(returns)}
+	options := []testbed.Option{testbed.WithSparePool(SparePool), testbed.WithRegistrationObserver(g.register), testbed.WithAddresses(g.addressOf), testbed.WithAddresseeReuse(reusePercent)}
 	if s.Work != nil {
 		options = append(options, testbed.WithWork(s.Work))
 	}
@@ -113,14 +113,14 @@
 // instance.
 func (g *Grid) listen() error {
 	var err error
-	if g.storeAt, err = g.serve(platform.ServeStore(g.kv)); err != nil {
+	if g.storeAddress, err = g.serve(platform.ServeStore(g.kv)); err != nil {
 		return err
 	}
 	g.list = newLaggingList(g.clock, g.fleet.Machines(g.settings.HolderTime))
-	if g.machineAt, err = g.serve(platform.ServeMachines(g.list)); err != nil {
+	if g.machinesAddress, err = g.serve(platform.ServeMachines(g.list)); err != nil {
 		return err
 	}
-	executor := g.fleet.Executor(g.fate)
+	executor := g.fleet.Executor(g.deliver)
 	pools := append(append([]string(nil), g.settings.Pools...), SparePool)
 	for n := range g.settings.PerPool * len(pools) {
 		id := pointport.InstanceID(fmt.Sprintf("m-%02d", n))
@@ -140,8 +140,8 @@
 		zone := g.settings.Zones[n%len(g.settings.Zones)]
 		g.fleet.Add(id, pools[n%len(pools)], zone, fmt.Sprintf("r-%d", n/perRack), g.settings.Capacity)
 	}
-	g.list.note() // no list shows the time before there were machines
-	go g.list.watch()
+	g.list.record() // no list shows the time before there were machines
+	go g.list.recordUntilClosed()
 	return nil
 }
 
@@ -163,13 +163,13 @@
 	return l.Addr().String(), nil
 }
 
-// fate decides what becomes of an order that has reached its instance.
-func (g *Grid) fate(_ string, to pointport.InstanceID) testbed.Delivery {
+// deliver decides what becomes of an order that has reached its instance.
+func (g *Grid) deliver(_ string, to pointport.InstanceID) testbed.Delivery {
 	const whole = 100 // percent
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	fate := testbed.Reliable("", to)
-	fate.Refused = g.refusing[to] > 0 && g.random.IntN(whole) < g.refusing[to]
+	fate.Refused = g.refusalPercent[to] > 0 && g.random.IntN(whole) < g.refusalPercent[to]
 	return fate
 }
 
@@ -178,11 +178,11 @@
 func (g *Grid) SetRefusalPercent(id pointport.InstanceID, percent int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.refusing[id] = percent
+	g.refusalPercent[id] = percent
 }
 
 // SetListFaults has the list of machines show how they were so long ago, and take so long.
-func (g *Grid) SetListFaults(lag, takes time.Duration) { g.list.set(lag, takes) }
+func (g *Grid) SetListFaults(lag, takes time.Duration) { g.list.setFaults(lag, takes) }
 
 // Close ends the grid.
 func (g *Grid) Close() {
@@ -281,17 +281,17 @@
 
 // StoreAddress returns where the store is, MachinesAddress where the service for
 // machines is, host:port each.
-func (g *Grid) StoreAddress() string { return g.storeAt }
+func (g *Grid) StoreAddress() string { return g.storeAddress }
 
 // MachinesAddress returns where the service for machines is, host:port.
-func (g *Grid) MachinesAddress() string { return g.machineAt }
+func (g *Grid) MachinesAddress() string { return g.machinesAddress }
 
 // EntrySettings returns the settings of an entry instance that listens on four
 // ports from first on.
 func (g *Grid) EntrySettings(name string, zone pointport.ZoneID, first int) *platform.Settings {
 	at := func(n int) string { return fmt.Sprintf("127.0.0.1:%d", first+n) }
 	return &platform.Settings{
-		Name: name, Zone: zone, Store: g.storeAt, Machines: g.machineAt, MachineCalls: 64,
+		Name: name, Zone: zone, Store: g.storeAddress, Machines: g.machinesAddress, MachineCalls: 64,
 		Clients: at(2), Readiness: at(3), Peers: at(0), Metrics: at(1),
 		MemoryBytes: 284 << 20, CPU: 0.4, Bandwidth: 1000,
 		MaxHold: testbed.MaxHold, StopTime: testbed.DefaultStopTime, GangTime: testbed.DefaultGangTimeout,
--- a/standin/grid/lagging_list.go
+++ b/standin/grid/lagging_list.go
@@ -12,46 +12,46 @@
 // This file defines a list of machines that is behind what it lists.
 
 const (
-	// listingEvery is how often it is noted how the machines are.
-	listingEvery = 50 * time.Millisecond
-	// lagMost is for how long that is kept.
-	lagMost = 3 * time.Second
+	// snapshotInterval is how often it is noted how the machines are.
+	snapshotInterval = 50 * time.Millisecond
+	// maxLag is for how long that is kept.
+	maxLag = 3 * time.Second
 )
 
 // A laggingList is the service for machines. It is safe for concurrent use.
 type laggingList struct {
 	*testbed.Machines
-	clock pointport.Clock
-	ended chan struct{}
+	clock  pointport.Clock
+	closed chan struct{}
 
-	mu         sync.Mutex
-	lag, takes time.Duration
-	past       []listing // the oldest first
+	mu           sync.Mutex
+	lag, latency time.Duration
+	history      []snapshot // the oldest first
 }
 
-// A listing is how the machines were at a time.
-type listing struct {
+// A snapshot is how the machines were at a time.
+type snapshot struct {
 	at       time.Time
 	machines []pointport.Machine
 }
 
 func newLaggingList(clock pointport.Clock, machines *testbed.Machines) *laggingList {
-	return &laggingList{Machines: machines, clock: clock, ended: make(chan struct{})}
+	return &laggingList{Machines: machines, clock: clock, closed: make(chan struct{})}
 }
 
-// watch notes how the machines are until the list is closed.
-func (l *laggingList) watch() {
+// recordUntilClosed notes how the machines are until the list is closed.
+func (l *laggingList) recordUntilClosed() {
 	for {
-		l.note()
+		l.record()
 		select {
-		case <-l.clock.After(listingEvery):
-		case <-l.ended:
+		case <-l.clock.After(snapshotInterval):
+		case <-l.closed:
 			return
 		}
 	}
 }
 
-func (l *laggingList) note() {
+func (l *laggingList) record() {
 	now := l.clock.Now()
 	rows, err := l.Machines.List(context.Background())
 	if err != nil {
@@ -59,27 +59,27 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.past = append(l.past, listing{now, rows})
-	for now.Sub(l.past[0].at) > lagMost {
-		l.past = l.past[1:]
+	l.history = append(l.history, snapshot{now, rows})
+	for now.Sub(l.history[0].at) > maxLag {
+		l.history = l.history[1:]
 	}
 }
 
-func (l *laggingList) set(lag, takes time.Duration) {
+func (l *laggingList) setFaults(lag, takes time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lag, l.takes = lag, takes
+	l.lag, l.latency = lag, takes
 }
 
-func (l *laggingList) close() { close(l.ended) }
+func (l *laggingList) close() { close(l.closed) }
 
 // List returns the machines as they were some time ago.
 func (l *laggingList) List(ctx context.Context) ([]pointport.Machine, error) {
 	rows, err := l.Machines.List(ctx)
 	l.mu.Lock()
-	takes := l.takes
+	takes := l.latency
 	if l.lag > 0 {
-		rows = l.before(l.clock.Now().Add(-l.lag))
+		rows = l.snapshotAt(l.clock.Now().Add(-l.lag))
 	}
 	l.mu.Unlock()
 	if takes > 0 {
@@ -88,11 +88,11 @@
 	return rows, err
 }
 
-// before returns how the machines were at a time, or at the first one known. The lock is
+// snapshotAt returns how the machines were at a time, or at the first one known. The lock is
 // held.
-func (l *laggingList) before(at time.Time) []pointport.Machine {
-	rows := l.past[0].machines
-	for _, p := range l.past {
+func (l *laggingList) snapshotAt(at time.Time) []pointport.Machine {
+	rows := l.history[0].machines
+	for _, p := range l.history {
 		if p.at.After(at) {
 			break
 		}
--- a/standin/instance.go
+++ b/standin/instance.go
@@ -56,26 +56,26 @@
 	DefaultConnections = 64
 	// slowFactor is how much longer a slow instance takes.
 	slowFactor = 10
-	// guardWait is how long an instance holds a request that finds no slot
+	// slotTimeout is how long an instance holds a request that finds no slot
 	// before it refuses it.
-	guardWait = 500 * time.Millisecond
-	// bodyLimit bounds what an instance reads of a request, in bytes.
-	bodyLimit = 8 << 20
+	slotTimeout = 500 * time.Millisecond
+	// maxBody bounds what an instance reads of a request, in bytes.
+	maxBody = 8 << 20
 	// serviceSpread is the part of the run time that varies by chance.
 	serviceSpread = 0.5
 )
 
 // An Instance is one worker with an HTTP server. It is safe for concurrent use.
 type Instance struct {
-	fleet   *Fleet
-	slots   chan struct{}
-	service time.Duration
+	fleet       *Fleet
+	slots       chan struct{}
+	serviceTime time.Duration
 
-	inFlight atomic.Int64
-	served   atomic.Int64
-	conns    atomic.Int64
-	maxConns atomic.Int64
-	cutOff   atomic.Int64 // requests that a reboot found in flight
+	inFlight    atomic.Int64
+	served      atomic.Int64
+	conns       atomic.Int64
+	maxConns    atomic.Int64
+	interrupted atomic.Int64 // requests that a reboot found in flight
 
 	mu     sync.Mutex
 	info   pointport.Instance
@@ -93,7 +93,7 @@
 	info := i.info
 	i.mu.Unlock()
 	// The fleet's lock is taken before an instance's, never after it.
-	info.InFlight = i.inFlight.Load() + i.fleet.tasksOn(info.ID)
+	info.InFlight = i.inFlight.Load() + i.fleet.runningTasksOn(info.ID)
 	info.Reported = i.fleet.clock.Now()
 	return info
 }
@@ -104,8 +104,8 @@
 // MaxConns returns the most connections that the instance has had at once.
 func (i *Instance) MaxConns() int64 { return i.maxConns.Load() }
 
-// CutOff returns how many requests were in flight when the instance rebooted.
-func (i *Instance) CutOff() int64 { return i.cutOff.Load() }
+// Interrupted returns how many requests were in flight when the instance rebooted.
+func (i *Instance) Interrupted() int64 { return i.interrupted.Load() }
 
 // Runs returns how often each key has run.
 func (i *Instance) Runs() map[string]int {
@@ -215,7 +215,7 @@
 		refuse(w)
 		return
 	}
-	if !i.takeSlot(r.Context()) {
+	if !i.acquireSlot(r.Context()) {
 		refuse(w)
 		return
 	}
@@ -223,14 +223,14 @@
 	i.run(w, r, mode)
 }
 
-// takeSlot waits for a slot, but not for long.
-func (i *Instance) takeSlot(ctx context.Context) bool {
+// acquireSlot waits for a slot, but not for long.
+func (i *Instance) acquireSlot(ctx context.Context) bool {
 	select {
 	case i.slots <- struct{}{}:
 		return true
 	default:
 	}
-	t := time.NewTimer(guardWait)
+	t := time.NewTimer(slotTimeout)
 	defer t.Stop()
 	select {
 	case i.slots <- struct{}{}:
@@ -257,7 +257,7 @@
 }
 
 func (i *Instance) run(w http.ResponseWriter, r *http.Request, mode Mode) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, bodyLimit))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
 	if err != nil {
 		return
 	}
@@ -306,7 +306,7 @@
 }
 
 func (i *Instance) runTime(r *http.Request, mode Mode) time.Duration {
-	d := i.service
+	d := i.serviceTime
 	if v := r.Header.Get(HeaderWork); v != "" {
 		if asked, err := time.ParseDuration(v); err == nil {
 			d = asked
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -42,9 +42,9 @@
 	p.mux.HandleFunc("PUT /v1/leases/{name}", p.lease)
 	p.mux.HandleFunc("DELETE /v1/leases/{name}", p.release)
 	p.mux.HandleFunc("GET /v1/instances", p.instances)
-	p.mux.HandleFunc("POST /v1/instances/{id}/drain", p.steer(fleet.Drain))
-	p.mux.HandleFunc("POST /v1/instances/{id}/restore", p.steer(fleet.Restore))
-	p.mux.HandleFunc("POST /v1/instances/{id}/reboot", p.steer(fleet.Reboot))
+	p.mux.HandleFunc("POST /v1/instances/{id}/drain", p.fencedByBoots(fleet.Drain))
+	p.mux.HandleFunc("POST /v1/instances/{id}/restore", p.fencedByBoots(fleet.Restore))
+	p.mux.HandleFunc("POST /v1/instances/{id}/reboot", p.fencedByBoots(fleet.Reboot))
 	p.mux.HandleFunc("POST /v1/tasks", p.startTask)
 	p.mux.HandleFunc("GET /v1/tasks", p.tasks)
 	p.mux.HandleFunc("POST /v1/tasks/{id}/stop", p.stopTask)
@@ -187,8 +187,8 @@
 	_ = z.Close()
 }
 
-// steer returns the handler of a call that is fenced by a boot count.
-func (p *Platform) steer(act func(context.Context, pointport.InstanceID, int64) error) http.HandlerFunc {
+// fencedByBoots returns the handler of a call that is fenced by a boot count.
+func (p *Platform) fencedByBoots(act func(context.Context, pointport.InstanceID, int64) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		boots, err := strconv.ParseInt(r.URL.Query().Get("boots"), 10, 64)
 		if err != nil {
@@ -239,7 +239,7 @@
 	}
 	for _, i := range p.fleet.All() {
 		a.MaxConns = max(a.MaxConns, i.MaxConns())
-		a.CutOff += i.CutOff()
+		a.CutOff += i.Interrupted()
 		a.Served += i.Served()
 	}
 	reply(w, a, nil)
--- a/testbed/attempts.go
+++ b/testbed/attempts.go
@@ -10,19 +10,19 @@
 
 // A failedEnd is the end of a run as failed.
 type failedEnd struct {
-	at     *incarnation
-	number int64
-	// told is when the end was acknowledged, zero while it was not.
-	told time.Time
+	incarnation *incarnation
+	number      int64
+	// acknowledgedAt is when the end was acknowledged, zero while it was not.
+	acknowledgedAt time.Time
 }
 
 // copyGrace is how long after the last such end was acknowledged a task of which copies
 // may run may still start.
 const copyGrace = time.Second
 
-// A startBeyond is a start after as many failed runs as its task may have. Whether it is
+// A excessStart is a start after as many failed runs as its task may have. Whether it is
 // wrong shows once it is known which of their ends were acknowledged, then or later.
-type startBeyond struct {
+type excessStart struct {
 	when time.Time
 	run  *run
 	ends []*failedEnd
@@ -30,15 +30,15 @@
 
 // noteFailed notes that a run has ended as failed. The lock is held.
 func (f *Fleet) noteFailed(task string, at *incarnation) {
-	f.failed[task] = append(f.failed[task], &failedEnd{at: at, number: at.number})
+	f.failedEnds[task] = append(f.failedEnds[task], &failedEnd{incarnation: at, number: at.lastEndNumber})
 }
 
-// noteFailuresTold notes that ends up to a number were acknowledged. The lock is held.
-func (f *Fleet) noteFailuresTold(at *incarnation, upTo int64) {
-	for _, ends := range f.failed {
+// noteFailuresAcknowledged notes that ends up to a number were acknowledged. The lock is held.
+func (f *Fleet) noteFailuresAcknowledged(at *incarnation, upTo int64) {
+	for _, ends := range f.failedEnds {
 		for _, e := range ends {
-			if e.at == at && e.number <= upTo && e.told.IsZero() {
-				e.told = f.clock.Now()
+			if e.incarnation == at && e.number <= upTo && e.acknowledgedAt.IsZero() {
+				e.acknowledgedAt = f.clock.Now()
 			}
 		}
 	}
@@ -47,20 +47,20 @@
 // checkAttempts notes a start after as many failed runs as its task may have. The lock is
 // held.
 func (f *Fleet) checkAttempts(now time.Time, r *run) {
-	ends := f.failed[r.Task]
+	ends := f.failedEnds[r.Task]
 	if r.work.MaxAttempts > 0 && len(ends) >= r.work.MaxAttempts {
-		f.beyond = append(f.beyond, startBeyond{now, r, append([]*failedEnd(nil), ends...)})
+		f.excessStarts = append(f.excessStarts, excessStart{now, r, append([]*failedEnd(nil), ends...)})
 	}
 }
 
-// startsBeyond returns the starts that were beyond what their tasks may have. The lock is
+// excessStartViolations returns the starts that were beyond what their tasks may have. The lock is
 // held.
-func (f *Fleet) startsBeyond() []Violation {
+func (f *Fleet) excessStartViolations() []Violation {
 	var out []Violation
-	for _, s := range f.beyond {
+	for _, s := range f.excessStarts {
 		told := 0
 		for _, e := range s.ends {
-			if !e.told.IsZero() && (!s.run.work.Copies || s.when.Sub(e.told) > copyGrace) {
+			if !e.acknowledgedAt.IsZero() && (!s.run.work.Copies || s.when.Sub(e.acknowledgedAt) > copyGrace) {
 				told++
 			}
 		}
--- a/testbed/crash.go
+++ b/testbed/crash.go
@@ -8,41 +8,41 @@
 // This file defines tasks that crash the instance that starts them.
 
 const (
-	// crashAfter is how long after its start a task crashes its instance, crashDown
+	// crashDelay is how long after its start a task crashes its instance, crashDown
 	// for how long that is away. A task that needs more than the machine can give does
 	// so as it loads; a machine is back after some seconds.
-	crashAfter = 10 * time.Millisecond
-	crashDown  = 1500 * time.Millisecond
-	// crashesBorne is how many instances a task may crash, startsBorne how many
+	crashDelay    = 10 * time.Millisecond
+	crashDowntime = 1500 * time.Millisecond
+	// maxCrashes is how many instances a task may crash, startsBorne how many
 	// starts later than that are too many, as the platform counts them.
-	crashesBorne = 3
-	startsBorne  = 3
+	maxCrashes               = 3
+	excessStartsAfterCrashes = 3
 )
 
-// crashSoon has a run end its incarnation. The lock is held.
-func (i *incarnation) crashSoon(r *run) {
-	f, wake := i.fleet, i.fleet.clock.After(crashAfter)
+// scheduleCrash has a run end its incarnation. The lock is held.
+func (i *incarnation) scheduleCrash(r *run) {
+	f, wake := i.fleet, i.fleet.clock.After(crashDelay)
 	go func() {
 		<-wake
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		i.advance(f.clock.Now())
-		if i.over || i.runs[r.Task] != r {
+		if i.gone || i.runs[r.Task] != r {
 			return
 		}
 		f.crashes[r.Task]++
-		f.crash(i.machine, crashDown)
+		f.crash(i.machine, crashDowntime)
 	}()
 }
 
 // checkCrashes notes a start of a task that has crashed so many instances that it
 // should have been given up. The lock is held.
 func (f *Fleet) checkCrashes(now time.Time, r *run) {
-	if f.crashes[r.Task] < crashesBorne {
+	if f.crashes[r.Task] < maxCrashes {
 		return
 	}
-	if f.onward[r.Task]++; f.onward[r.Task] == startsBorne {
-		f.violate(now, r.Task, fmt.Sprintf("is started %d times more after it has crashed %d instances", startsBorne, crashesBorne))
+	if f.startsAfterCrashes[r.Task]++; f.startsAfterCrashes[r.Task] == excessStartsAfterCrashes {
+		f.addViolation(now, r.Task, fmt.Sprintf("is started %d times more after it has crashed %d instances", excessStartsAfterCrashes, maxCrashes))
 	}
 }
 
--- a/testbed/evacuate.go
+++ b/testbed/evacuate.go
@@ -17,8 +17,8 @@
 func (f *Fleet) Evacuate(zone pointport.ZoneID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.evacuated[zone].IsZero() {
-		f.evacuated[zone] = f.clock.Now()
+	if f.evacuatedSince[zone].IsZero() {
+		f.evacuatedSince[zone] = f.clock.Now()
 	}
 }
 
@@ -26,17 +26,17 @@
 func (f *Fleet) EndEvacuation(zone pointport.ZoneID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.evacuated, zone)
+	delete(f.evacuatedSince, zone)
 }
 
 // checkZone notes whether a start was sent to an availability zone that had to be left empty
 // by then. The lock is held.
 func (f *Fleet) checkZone(now, sent time.Time, at *incarnation, task string) {
-	since := f.evacuated[at.machine.zone]
+	since := f.evacuatedSince[at.machine.zone]
 	if since.IsZero() || sent.Sub(since) < EvacuationTime {
 		return
 	}
-	f.violate(now, task, fmt.Sprintf("is started on %s %v after its availability zone %s was evacuated", at.id, sent.Sub(since), at.machine.zone))
+	f.addViolation(now, task, fmt.Sprintf("is started on %s %v after its availability zone %s was evacuated", at.id, sent.Sub(since), at.machine.zone))
 }
 
 // StartsIn returns how many runs have begun in an availability zone.
--- a/testbed/faults.go
+++ b/testbed/faults.go
@@ -15,18 +15,18 @@
 func (f *Fleet) Stall(id pointport.InstanceID, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if m := f.machines[id]; m != nil && m.life != nil {
-		m.life.stalled = f.clock.Now().Add(d)
+	if m := f.machines[id]; m != nil && m.current != nil {
+		m.current.stalledUntil = f.clock.Now().Add(d)
 	}
 }
 
 // awaitStall waits while a life stands still.
-func (f *Fleet) awaitStall(life *incarnation) {
-	if life == nil {
+func (f *Fleet) awaitStall(inc *incarnation) {
+	if inc == nil {
 		return
 	}
 	f.mu.Lock()
-	left := life.stalled.Sub(f.clock.Now())
+	left := inc.stalledUntil.Sub(f.clock.Now())
 	f.mu.Unlock()
 	if left > 0 {
 		<-f.clock.After(left)
@@ -38,17 +38,17 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.machines[id]
-	if m == nil || m.life == nil {
+	if m == nil || m.current == nil {
 		return
 	}
-	life, wake := m.life, f.clock.After(d)
-	f.register(f.registration(m), false)
+	inc, wake := m.current, f.clock.After(d)
+	f.onRegistration(f.registration(m), false)
 	go func() {
 		<-wake
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if m.life == life {
-			f.register(f.registration(m), true)
+		if m.current == inc {
+			f.onRegistration(f.registration(m), true)
 		}
 	}()
 }
@@ -61,10 +61,10 @@
 	if m == nil {
 		return
 	}
-	m.rate = rate
-	if i, now := m.life, f.clock.Now(); i != nil {
+	m.clockRate = rate
+	if i, now := m.current, f.clock.Now(); i != nil {
 		i.advance(now)
-		i.zero, i.born, i.rate = i.clock(now), now, rate
+		i.clockOrigin, i.clockSetAt, i.rate = i.clockAt(now), now, rate
 	}
 }
 
@@ -77,13 +77,13 @@
 	if m == nil {
 		return
 	}
-	m.unheard = unheard
-	if m.life == nil || !unheard {
+	m.answersMayBeLost = unheard
+	if m.current == nil || !unheard {
 		return
 	}
-	for _, task := range f.ends[m.life] {
-		if f.clock.Now().Sub(f.told[task]) < tellTime {
-			delete(f.told, task)
+	for _, task := range f.unacknowledged[m.current] {
+		if f.clock.Now().Sub(f.listedSince[task]) < answerReceiptTime {
+			delete(f.listedSince, task)
 		}
 	}
 }
--- a/testbed/fleet.go
+++ b/testbed/fleet.go
@@ -21,70 +21,70 @@
 	zone     pointport.ZoneID
 	rack     string
 	capacity pointport.Shape
-	// former is what it held before it last shrank, at shrunk.
-	former   pointport.Shape
-	shrunk   time.Time
-	life     *incarnation        // nil while it is off
-	last     pointport.Addressee // of its last life, empty before the first
-	state    pointport.MachineState
-	fails    bool    // fails all that it is given
-	unwell   bool    // refuses what it is told to start or to stop, and does nothing
-	unheard  bool    // what it answers may be lost
-	rate     float64 // of the clocks of its lives
-	draining time.Time
-	holder   pointport.Holder
-	ordered  time.Time
+	// formerCapacity is what it held before it last shrank, at shrunk.
+	formerCapacity   pointport.Shape
+	resizedAt        time.Time
+	current          *incarnation        // nil while it is off
+	lastAddressee    pointport.Addressee // of its last inc, empty before the first
+	state            pointport.MachineState
+	failsRuns        bool    // fails all that it is given
+	unhealthy        bool    // refuses what it is told to start or to stop, and does nothing
+	answersMayBeLost bool    // what it answers may be lost
+	clockRate        float64 // of the clocks of its lives
+	drainsAt         time.Time
+	lastHolder       pointport.Holder
+	lastOrderAt      time.Time
 }
 
 // A Fleet is the machines of a platform. It is safe for concurrent use.
 type Fleet struct {
-	clock    pointport.Clock
-	work     WorkSource
-	guards   bool
-	spare    string
-	gangTime time.Duration
-	stopTime time.Duration
-	moveTime time.Duration
-	upkeep   time.Duration
-	random   *rand.Rand
-	// returning is in how many percent of its returns a machine comes back under the
+	clock            pointport.Clock
+	work             WorkSource
+	enforcesCapacity bool
+	sparePool        string
+	gangTimeout      time.Duration
+	stopTime         time.Duration
+	moveTime         time.Duration
+	upkeepTime       time.Duration
+	random           *rand.Rand
+	// reusePercent is in how many percent of its returns a machine comes back under the
 	// addressee that it had.
-	returning int
-	// lingers is for how long the registration of a life stays after its machine was ordered
+	reusePercent int
+	// deregistrationDelay is for how long the registration of a life stays after its machine was ordered
 	// away or has crashed.
-	lingers time.Duration
+	deregistrationDelay time.Duration
 	// address returns where a machine's incarnations take orders.
 	address func(pointport.InstanceID, pointport.IncarnationID) string
 
-	mu       sync.Mutex
-	machines map[pointport.InstanceID]*Machine
-	lives    []*incarnation                       // all there were
-	present  map[pointport.Addressee]*incarnation // the last of each addressee
-	born     int
-	changed  chan struct{}
-	log      []Violation
+	mu               sync.Mutex
+	machines         map[pointport.InstanceID]*Machine
+	incarnations     []*incarnation                       // all there were
+	byAddressee      map[pointport.Addressee]*incarnation // the last of each addressee
+	incarnationCount int
+	changed          chan struct{}
+	violations       []Violation
 	// done holds the tasks with an end that was acknowledged as done.
 	done map[string]bool
-	// ends holds, for each incarnation, the ends as done that are not acknowledged.
-	ends map[*incarnation]map[int64]string
-	// told holds since when the ends as done of tasks have been listed in an answer.
-	told map[string]time.Time
+	// unacknowledged holds, for each incarnation, the ends as done that are not acknowledged.
+	unacknowledged map[*incarnation]map[int64]string
+	// listedSince holds since when the ends as done of tasks have been listed in an answer.
+	listedSince map[string]time.Time
 	// listeners are told when registrations change.
-	register func(pointport.Incarnation, bool)
-	starts   map[string]int                   // by task
-	maintain map[pointport.InstanceID][]int64 // the waves for which each was maintained
-	away     map[pointport.InstanceID]int64   // the last of them
-	bounds   map[int64]int                    // by wave
-	taken    map[string]bool                  // serving tasks that were stopped and are not back at work
-	crashes  map[string]int                   // by task, the instances that it has crashed
-	chance   map[string]bool                  // tasks with a run on an instance that crashed by itself
-	onward   map[string]int                   // by task, its starts after as many crashes as one may cause
-	failed   map[string][]*failedEnd          // by task
-	beyond   []startBeyond                    // starts after as many failed runs as a task may have
-	// evacuated holds since when availability zones are to be left empty, startsIn how many
+	onRegistration      func(pointport.Incarnation, bool)
+	starts              map[string]int                   // by task
+	maintainedFor       map[pointport.InstanceID][]int64 // the waves for which each was maintained
+	lastWave            map[pointport.InstanceID]int64   // the last of them
+	waveBounds          map[int64]int                    // by wave
+	stoppedServices     map[string]bool                  // serving tasks that were stopped and are not back at work
+	crashes             map[string]int                   // by task, the instances that it has crashed
+	lostToInjectedCrash map[string]bool                  // tasks with a run on an instance that crashed by itself
+	startsAfterCrashes  map[string]int                   // by task, its starts after as many crashes as one may cause
+	failedEnds          map[string][]*failedEnd          // by task
+	excessStarts        []excessStart                    // starts after as many failed runs as a task may have
+	// evacuatedSince holds since when availability zones are to be left empty, startsIn how many
 	// runs have begun in each.
-	evacuated map[pointport.ZoneID]time.Time
-	startsIn  map[pointport.ZoneID]int
+	evacuatedSince map[pointport.ZoneID]time.Time
+	startsIn       map[pointport.ZoneID]int
 }
 
 // An Option changes a Fleet.
@@ -94,24 +94,28 @@
 func WithWork(work WorkSource) Option { return func(f *Fleet) { f.work = work } }
 
 // WithCapacityEnforcement sets whether instances refuse what does not fit.
-func WithCapacityEnforcement(guards bool) Option { return func(f *Fleet) { f.guards = guards } }
+func WithCapacityEnforcement(guards bool) Option {
+	return func(f *Fleet) { f.enforcesCapacity = guards }
+}
 
 // WithSparePool names the pool whose machines are off.
-func WithSparePool(pool string) Option { return func(f *Fleet) { f.spare = pool } }
+func WithSparePool(pool string) Option { return func(f *Fleet) { f.sparePool = pool } }
 
 // WithAddresseeReuse sets in how many percent of its returns a machine comes back under the addressee
 // that it had: its new life then knows nothing of before, and its clock and the numbers of its
 // ends begin anew. With none, no two lives have one addressee, and that alone tells them apart.
-func WithAddresseeReuse(percent int) Option { return func(f *Fleet) { f.returning = percent } }
+func WithAddresseeReuse(percent int) Option { return func(f *Fleet) { f.reusePercent = percent } }
 
 // WithDeregistrationDelay sets for how long the registration of a life stays that ends without having said
 // so, as one that goes only once heartbeats were missed.
-func WithDeregistrationDelay(d time.Duration) Option { return func(f *Fleet) { f.lingers = d } }
+func WithDeregistrationDelay(d time.Duration) Option {
+	return func(f *Fleet) { f.deregistrationDelay = d }
+}
 
 // WithRegistrationObserver sets a function that is told of each registration, and of its end
 // with false.
 func WithRegistrationObserver(register func(pointport.Incarnation, bool)) Option {
-	return func(f *Fleet) { f.register = register }
+	return func(f *Fleet) { f.onRegistration = register }
 }
 
 // WithAddresses sets where the incarnations of each machine take orders.
@@ -121,9 +125,9 @@
 	}
 }
 
-// noAddress stands for an address where nobody calls by address.
-func noAddress(_ pointport.InstanceID, life pointport.IncarnationID) string {
-	return string(life) + ":1"
+// placeholderAddress stands for an address where nobody calls by address.
+func placeholderAddress(_ pointport.InstanceID, inc pointport.IncarnationID) string {
+	return string(inc) + ":1"
 }
 
 // The times of a fleet, as the users' platform has them.
@@ -138,15 +142,15 @@
 // New returns a fleet without machines.
 func New(clock pointport.Clock, options ...Option) *Fleet {
 	f := &Fleet{
-		clock: clock, work: PayloadWork, guards: true,
-		gangTime: DefaultGangTimeout, stopTime: DefaultStopTime, moveTime: DefaultMoveTime, upkeep: DefaultUpkeepTime,
-		random: rand.New(rand.NewPCG(1, 2)), address: noAddress,
-		machines: make(map[pointport.InstanceID]*Machine), present: make(map[pointport.Addressee]*incarnation),
-		changed: make(chan struct{}), done: make(map[string]bool), ends: make(map[*incarnation]map[int64]string), told: make(map[string]time.Time),
-		register: func(pointport.Incarnation, bool) {}, starts: make(map[string]int),
-		maintain: make(map[pointport.InstanceID][]int64), away: make(map[pointport.InstanceID]int64), bounds: make(map[int64]int),
-		evacuated: make(map[pointport.ZoneID]time.Time), startsIn: make(map[pointport.ZoneID]int),
-		taken: make(map[string]bool), crashes: make(map[string]int), chance: make(map[string]bool), onward: make(map[string]int), failed: make(map[string][]*failedEnd),
+		clock: clock, work: PayloadWork, enforcesCapacity: true,
+		gangTimeout: DefaultGangTimeout, stopTime: DefaultStopTime, moveTime: DefaultMoveTime, upkeepTime: DefaultUpkeepTime,
+		random: rand.New(rand.NewPCG(1, 2)), address: placeholderAddress,
+		machines: make(map[pointport.InstanceID]*Machine), byAddressee: make(map[pointport.Addressee]*incarnation),
+		changed: make(chan struct{}), done: make(map[string]bool), unacknowledged: make(map[*incarnation]map[int64]string), listedSince: make(map[string]time.Time),
+		onRegistration: func(pointport.Incarnation, bool) {}, starts: make(map[string]int),
+		maintainedFor: make(map[pointport.InstanceID][]int64), lastWave: make(map[pointport.InstanceID]int64), waveBounds: make(map[int64]int),
+		evacuatedSince: make(map[pointport.ZoneID]time.Time), startsIn: make(map[pointport.ZoneID]int),
+		stoppedServices: make(map[string]bool), crashes: make(map[string]int), lostToInjectedCrash: make(map[string]bool), startsAfterCrashes: make(map[string]int), failedEnds: make(map[string][]*failedEnd),
 	}
 	for _, o := range options {
 		o(f)
@@ -158,7 +162,7 @@
 func (f *Fleet) Add(id pointport.InstanceID, pool string, zone pointport.ZoneID, rack string, capacity pointport.Shape) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m := &Machine{id: id, pool: pool, zone: zone, rack: rack, capacity: capacity, state: pointport.MachineUp, rate: 1}
+	m := &Machine{id: id, pool: pool, zone: zone, rack: rack, capacity: capacity, state: pointport.MachineUp, clockRate: 1}
 	f.machines[id] = m
 	f.boot(m)
 }
@@ -166,44 +170,44 @@
 // boot gives a machine a new incarnation, unless it is spare. The lock is held.
 func (f *Fleet) boot(m *Machine) {
 	m.state = pointport.MachineUp
-	if m.pool == f.spare && f.spare != "" {
+	if m.pool == f.sparePool && f.sparePool != "" {
 		return
 	}
-	f.born++
+	f.incarnationCount++
 	i := &incarnation{
-		fleet: f, id: f.identity(m), machine: m, born: f.clock.Now(), rate: m.rate,
-		zero: f.zeroOf(),
-		runs: make(map[string]*run), burned: make(map[string]int),
+		fleet: f, id: f.nextIdentity(m), machine: m, clockSetAt: f.clock.Now(), rate: m.clockRate,
+		clockOrigin: f.initialClock(),
+		runs:        make(map[string]*run), ruledOut: make(map[string]int),
 	}
-	m.life, m.last, m.draining = i, i.id.Addressee(), time.Time{}
-	f.lives = append(f.lives, i)
-	f.present[m.last] = i
-	f.register(f.registration(m), true)
-	f.wake()
+	m.current, m.lastAddressee, m.drainsAt = i, i.id.Addressee(), time.Time{}
+	f.incarnations = append(f.incarnations, i)
+	f.byAddressee[m.lastAddressee] = i
+	f.onRegistration(f.registration(m), true)
+	f.notifyChange()
 }
 
-// identity returns the identity of a machine's next life. Where machines come back under the
+// nextIdentity returns the identity of a machine's next life. Where machines come back under the
 // addressee that they had, it tells when the life began by a clock that may be set back. The
 // lock is held.
-func (f *Fleet) identity(m *Machine) pointport.IncarnationID {
+func (f *Fleet) nextIdentity(m *Machine) pointport.IncarnationID {
 	const whole = 100 // percent
-	to := pointport.Addressee(fmt.Sprintf("i-%04d", f.born))
-	if f.returning == 0 {
+	to := pointport.Addressee(fmt.Sprintf("i-%04d", f.incarnationCount))
+	if f.reusePercent == 0 {
 		return pointport.IncarnationID(to)
 	}
-	if m.last != "" && f.random.IntN(whole) < f.returning {
-		to = m.last
+	if m.lastAddressee != "" && f.random.IntN(whole) < f.reusePercent {
+		to = m.lastAddressee
 	}
 	// The number of the life keeps two from beginning at one time.
-	born := f.clock.Now().Truncate(time.Minute).Add(time.Duration(f.random.IntN(3)-1)*time.Hour + time.Duration(f.born)*time.Millisecond)
+	born := f.clock.Now().Truncate(time.Minute).Add(time.Duration(f.random.IntN(3)-1)*time.Hour + time.Duration(f.incarnationCount)*time.Millisecond)
 	return pointport.NewIncarnationID(to, born)
 }
 
-// zeroOf returns what the clock of a new life shows at its start: where machines keep their
+// initialClock returns what the clock of a new life shows at its start: where machines keep their
 // identity, less than that of the life before, or more. The lock is held.
-func (f *Fleet) zeroOf() pointport.InstanceTime {
-	if f.returning == 0 {
-		return pointport.InstanceTime(time.Duration(f.born) * time.Minute)
+func (f *Fleet) initialClock() pointport.InstanceTime {
+	if f.reusePercent == 0 {
+		return pointport.InstanceTime(time.Duration(f.incarnationCount) * time.Minute)
 	}
 	return pointport.InstanceTime(time.Duration(f.random.IntN(60)) * time.Minute)
 }
@@ -213,42 +217,42 @@
 		pointport.WithInstance(m.id), pointport.WithZone(m.zone), pointport.WithRack(m.rack),
 		pointport.WithLabels([]string{"a", m.rack}), pointport.WithCapacity(m.capacity),
 	}
-	if !m.draining.IsZero() {
-		options = append(options, pointport.WithDraining(m.draining.Sub(f.clock.Now())))
+	if !m.drainsAt.IsZero() {
+		options = append(options, pointport.WithDraining(m.drainsAt.Sub(f.clock.Now())))
 	}
-	return pointport.NewIncarnation(m.life.id, m.pool, f.address(m.id, m.life.id), options...)
+	return pointport.NewIncarnation(m.current.id, m.pool, f.address(m.id, m.current.id), options...)
 }
 
-// end ends a machine's present life. The lock is held.
-func (f *Fleet) end(m *Machine) {
-	if m.life == nil {
+// endIncarnation ends a machine's present life. The lock is held.
+func (f *Fleet) endIncarnation(m *Machine) {
+	if m.current == nil {
 		return
 	}
-	m.life.advance(f.clock.Now())
-	m.life.over = true
-	for _, r := range m.life.runs {
+	m.current.advance(f.clock.Now())
+	m.current.gone = true
+	for _, r := range m.current.runs {
 		f.breakGang(r)
 	}
 	f.unregister(m)
-	m.life = nil
-	f.wake()
+	m.current = nil
+	f.notifyChange()
 }
 
 // unregister ends the registration of a machine's present life, once heartbeats were missed if
 // it has not announced its end, unless a later life has taken over the addressee by then. The
 // lock is held.
 func (f *Fleet) unregister(m *Machine) {
-	if f.lingers == 0 || !m.draining.IsZero() {
-		f.register(f.registration(m), false)
+	if f.deregistrationDelay == 0 || !m.drainsAt.IsZero() {
+		f.onRegistration(f.registration(m), false)
 		return
 	}
-	life, gone, wake := m.life, f.registration(m), f.clock.After(f.lingers)
+	inc, gone, wake := m.current, f.registration(m), f.clock.After(f.deregistrationDelay)
 	go func() {
 		<-wake
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if f.present[life.id.Addressee()] == life {
-			f.register(gone, false)
+		if f.byAddressee[inc.id.Addressee()] == inc {
+			f.onRegistration(gone, false)
 		}
 	}()
 }
@@ -258,9 +262,9 @@
 func (f *Fleet) Crash(id pointport.InstanceID, down time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if m := f.machines[id]; m != nil && m.life != nil {
-		for task := range m.life.runs {
-			f.chance[task] = true
+	if m := f.machines[id]; m != nil && m.current != nil {
+		for task := range m.current.runs {
+			f.lostToInjectedCrash[task] = true
 		}
 		f.crash(m, down)
 	}
@@ -271,7 +275,7 @@
 func (f *Fleet) LostRunToInjectedCrash(job string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for task := range f.chance {
+	for task := range f.lostToInjectedCrash {
 		if strings.HasPrefix(task, job+".") {
 			return true
 		}
@@ -281,7 +285,7 @@
 
 // crash ends a machine's life as Crash does. The lock is held.
 func (f *Fleet) crash(m *Machine, down time.Duration) {
-	f.end(m)
+	f.endIncarnation(m)
 	m.state = pointport.MachineDown
 	if down > 0 {
 		f.bootLater(m, down)
@@ -294,7 +298,7 @@
 		<-wake
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if m.life == nil {
+		if m.current == nil {
 			f.boot(m)
 		}
 	}()
@@ -305,18 +309,18 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.machines[id]
-	if m == nil || m.life == nil || !m.draining.IsZero() {
+	if m == nil || m.current == nil || !m.drainsAt.IsZero() {
 		return
 	}
-	m.draining = f.clock.Now().Add(left)
-	f.register(f.registration(m), true)
-	life, wake := m.life, f.clock.After(left)
+	m.drainsAt = f.clock.Now().Add(left)
+	f.onRegistration(f.registration(m), true)
+	inc, wake := m.current, f.clock.After(left)
 	go func() {
 		<-wake
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if m.life == life {
-			f.end(m)
+		if m.current == inc {
+			f.endIncarnation(m)
 			m.state = pointport.MachineDown
 			f.bootLater(m, down)
 		}
@@ -328,7 +332,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m := f.machines[id]; m != nil {
-		m.fails = fails
+		m.failsRuns = fails
 	}
 }
 
@@ -338,7 +342,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m := f.machines[id]; m != nil {
-		m.unwell = unwell
+		m.unhealthy = unwell
 	}
 }
 
@@ -350,9 +354,9 @@
 	if m == nil {
 		return
 	}
-	m.former, m.shrunk, m.capacity = m.capacity, f.clock.Now(), capacity
-	if m.life != nil {
-		f.register(f.registration(m), true)
+	m.formerCapacity, m.resizedAt, m.capacity = m.capacity, f.clock.Now(), capacity
+	if m.current != nil {
+		f.onRegistration(f.registration(m), true)
 	}
 }
 
@@ -373,17 +377,17 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.machines[id]
-	if m == nil || m.life == nil {
+	if m == nil || m.current == nil {
 		return ""
 	}
-	return m.life.id
+	return m.current.id
 }
 
 // Violations returns what whoever gave orders has done wrong.
 func (f *Fleet) Violations() []Violation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append(f.startsBeyond(), f.log...)
+	return append(f.excessStartViolations(), f.violations...)
 }
 
 // Starts returns how many runs have begun, of all tasks.
@@ -416,9 +420,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now, n := f.clock.Now(), 0
-	for _, i := range f.lives {
+	for _, i := range f.incarnations {
 		i.advance(now)
-		if i.over {
+		if i.gone {
 			continue
 		}
 		for task := range i.runs {
@@ -435,9 +439,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now, n := f.clock.Now(), 0
-	for _, i := range f.lives {
+	for _, i := range f.incarnations {
 		i.advance(now)
-		if !i.over {
+		if !i.gone {
 			n += len(i.runs)
 		}
 	}
@@ -449,9 +453,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []string
-	for _, i := range f.lives {
+	for _, i := range f.incarnations {
 		i.advance(f.clock.Now())
-		if i.over {
+		if i.gone {
 			continue
 		}
 		for task := range i.runs {
@@ -467,7 +471,7 @@
 	defer f.mu.Unlock()
 	n := 0
 	for _, m := range f.machines {
-		if m.pool == pool && m.life != nil {
+		if m.pool == pool && m.current != nil {
 			n++
 		}
 	}
@@ -480,11 +484,11 @@
 	defer f.mu.Unlock()
 	var out []pointport.InstanceID
 	for id, m := range f.machines {
-		if m.life == nil {
+		if m.current == nil {
 			continue
 		}
-		m.life.advance(f.clock.Now())
-		if len(m.life.runs) > 0 {
+		m.current.advance(f.clock.Now())
+		if len(m.current.runs) > 0 {
 			out = append(out, id)
 		}
 	}
@@ -492,11 +496,11 @@
 	return out
 }
 
-func (f *Fleet) violate(now time.Time, task, what string) {
-	f.log = append(f.log, Violation{At: now, Task: task, What: what})
+func (f *Fleet) addViolation(now time.Time, task, what string) {
+	f.violations = append(f.violations, Violation{At: now, Task: task, What: what})
 }
 
-func (f *Fleet) wake() {
+func (f *Fleet) notifyChange() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
@@ -508,23 +512,23 @@
 	f.checkCrashes(now, r)
 	f.checkAttempts(now, r)
 	if f.done[r.Task] && !r.work.Copies {
-		f.violate(now, r.Task, "starts again after its owner heard that it is done")
+		f.addViolation(now, r.Task, "starts again after its owner heard that it is done")
 	}
 	for _, before := range r.work.After {
 		if !f.done[before] && !f.listedDone(before) {
-			f.violate(now, r.Task, "starts before "+before+" is done")
+			f.addViolation(now, r.Task, "starts before "+before+" is done")
 		}
 	}
 	if r.work.Copies {
 		return
 	}
-	for _, i := range f.lives {
-		if i == at || i.over {
+	for _, i := range f.incarnations {
+		if i == at || i.gone {
 			continue
 		}
 		i.advance(now)
 		if other := i.runs[r.Task]; other != nil {
-			f.violate(now, r.Task, fmt.Sprintf("runs as %d on %s and as %d on %s at once", other.Run, i.id, o.Run, at.id))
+			f.addViolation(now, r.Task, fmt.Sprintf("runs as %d on %s and as %d on %s at once", other.Run, i.id, o.Run, at.id))
 		}
 	}
 }
@@ -532,36 +536,36 @@
 // checkStop notes whether a serving task that is at work is taken away while as
 // many others of its step are away by order as may be. The lock is held.
 func (f *Fleet) checkStop(now time.Time, at *incarnation, r *run) {
-	if r.work.MayMiss == 0 || r.progress(now) < wholeProgress || !at.machine.draining.IsZero() {
+	if r.work.MayMiss == 0 || r.progress(now) < fullProgress || !at.machine.drainsAt.IsZero() {
 		return
 	}
 	step := gangName(r.Task)
-	for _, i := range f.lives {
-		if i.over {
+	for _, i := range f.incarnations {
+		if i.gone {
 			continue
 		}
 		for _, o := range i.runs {
-			if o.progress(now) >= wholeProgress && o.stops.IsZero() {
-				delete(f.taken, o.Task) // back at work
+			if o.progress(now) >= fullProgress && o.stopsAt.IsZero() {
+				delete(f.stoppedServices, o.Task) // back at work
 			}
 		}
 	}
 	away := 0
-	for task := range f.taken {
+	for task := range f.stoppedServices {
 		if task != r.Task && gangName(task) == step {
 			away++
 		}
 	}
 	if away >= r.work.MayMiss {
-		f.violate(now, r.Task, fmt.Sprintf("is stopped beside %d of its step that are away; %d may be", away, r.work.MayMiss))
+		f.addViolation(now, r.Task, fmt.Sprintf("is stopped beside %d of its step that are away; %d may be", away, r.work.MayMiss))
 	}
-	f.taken[r.Task] = true
+	f.stoppedServices[r.Task] = true
 }
 
 // listedDone reports whether a task has ended well and the end is listed, or was
 // when its incarnation ended. The lock is held.
 func (f *Fleet) listedDone(task string) bool {
-	for _, ends := range f.ends {
+	for _, ends := range f.unacknowledged {
 		for _, t := range ends {
 			if t == task {
 				return true
@@ -573,76 +577,76 @@
 
 // noteDone notes that a run has ended well. The lock is held.
 func (f *Fleet) noteDone(t pointport.TaskRun, at *incarnation) {
-	if f.ends[at] == nil {
-		f.ends[at] = make(map[int64]string)
+	if f.unacknowledged[at] == nil {
+		f.unacknowledged[at] = make(map[int64]string)
 	}
-	f.ends[at][at.number] = t.Task
+	f.unacknowledged[at][at.lastEndNumber] = t.Task
 }
 
 // noteAcknowledged notes the ends that were acknowledged. The lock is held.
 func (f *Fleet) noteAcknowledged(at *incarnation, upTo int64) {
-	f.noteFailuresTold(at, upTo)
-	for number, task := range f.ends[at] {
+	f.noteFailuresAcknowledged(at, upTo)
+	for number, task := range f.unacknowledged[at] {
 		if number <= upTo {
 			f.done[task] = true
-			delete(f.ends[at], number)
+			delete(f.unacknowledged[at], number)
 		}
 	}
 }
 
-// noteTold notes the ends that an answer lists. The lock is held.
-func (f *Fleet) noteTold(now time.Time, ends []pointport.TaskEnd) {
+// noteListed notes the ends that an answer lists. The lock is held.
+func (f *Fleet) noteListed(now time.Time, ends []pointport.TaskEnd) {
 	for _, e := range ends {
-		if _, ok := f.told[e.Task]; !ok && e.Kind == pointport.EndDone {
-			f.told[e.Task] = now
+		if _, ok := f.listedSince[e.Task]; !ok && e.Kind == pointport.EndDone {
+			f.listedSince[e.Task] = now
 		}
 	}
 }
 
-// tellTime is how long an owner may take to hear what an answer lists.
-const tellTime = 100 * time.Millisecond
+// answerReceiptTime is how long an owner may take to hear what an answer lists.
+const answerReceiptTime = 100 * time.Millisecond
 
-// noteDestroyed notes that a life is ended by an order although it lists ends that its
+// noteEndedByOrder notes that a life is ended by an order although it lists ends that its
 // owner has heard of: nobody else can hear of them any more, so they stand. The lock is
 // held.
-func (f *Fleet) noteDestroyed(now time.Time, life *incarnation) {
-	for _, task := range f.ends[life] {
-		if told, ok := f.told[task]; ok && now.Sub(told) >= tellTime {
+func (f *Fleet) noteEndedByOrder(now time.Time, inc *incarnation) {
+	for _, task := range f.unacknowledged[inc] {
+		if told, ok := f.listedSince[task]; ok && now.Sub(told) >= answerReceiptTime {
 			f.done[task] = true
 		}
 	}
 }
 
-// gather lets a gang work once all of it is there. The lock is held.
-func (f *Fleet) gather(now time.Time, r *run) {
+// startGangIfComplete lets a gang work once all of it is there. The lock is held.
+func (f *Fleet) startGangIfComplete(now time.Time, r *run) {
 	if r.work.Gang <= 1 {
 		return
 	}
-	members := f.members(r)
+	members := f.gangMembers(r)
 	if len(members) < r.work.Gang {
 		return
 	}
 	for _, m := range members {
-		m.run.began = now
+		m.run.workingSince = now
 	}
 }
 
-// A member is a run of a gang and where it is.
-type member struct {
+// A gangMember is a run of a gang and where it is.
+type gangMember struct {
 	run *run
 	at  *incarnation
 }
 
-// members returns the runs of a run's gang. The lock is held.
-func (f *Fleet) members(r *run) []member {
-	var out []member
-	for _, i := range f.lives {
-		if i.over {
+// gangMembers returns the runs of a run's gang. The lock is held.
+func (f *Fleet) gangMembers(r *run) []gangMember {
+	var out []gangMember
+	for _, i := range f.incarnations {
+		if i.gone {
 			continue
 		}
 		for _, o := range i.runs {
 			if gangName(o.Task) == gangName(r.Task) && o.Run == r.Run {
-				out = append(out, member{o, i})
+				out = append(out, gangMember{o, i})
 			}
 		}
 	}
@@ -665,9 +669,9 @@
 	if r.work.Gang <= 1 {
 		return
 	}
-	for _, m := range f.members(r) {
+	for _, m := range f.gangMembers(r) {
 		if m.run != r {
-			m.at.end(m.run, pointport.EndGangBroken)
+			m.at.endRun(m.run, pointport.EndGangBroken)
 		}
 	}
 }
@@ -678,8 +682,8 @@
 	if r.work.Gang <= 1 {
 		return
 	}
-	for _, m := range f.members(r) {
-		m.at.end(m.run, pointport.EndDone)
+	for _, m := range f.gangMembers(r) {
+		m.at.endRun(m.run, pointport.EndDone)
 		f.noteDone(m.run.TaskRun, m.at)
 	}
 }
--- a/testbed/machines.go
+++ b/testbed/machines.go
@@ -34,8 +34,8 @@
 		row := pointport.Machine{
 			ID: x.id, Pool: x.pool, State: x.state, Zone: x.zone, Labels: []string{"a", x.rack}, Capacity: x.capacity,
 		}
-		if x.life != nil {
-			row.Addressee = x.life.id.Addressee()
+		if x.current != nil {
+			row.Addressee = x.current.id.Addressee()
 		}
 		out = append(out, row)
 	}
@@ -56,15 +56,15 @@
 
 // Maintain maintains a machine for a wave.
 func (m *Machines) Maintain(_ context.Context, by pointport.Holder, id pointport.InstanceID, wave int64) error {
-	return m.order(by, id, pointport.MachineMaintenance, m.fleet.upkeep, func(*Machine) (done bool) {
-		for _, w := range m.fleet.maintain[id] {
+	return m.order(by, id, pointport.MachineMaintenance, m.fleet.upkeepTime, func(*Machine) (done bool) {
+		for _, w := range m.fleet.maintainedFor[id] {
 			if w == wave {
 				return true
 			}
 		}
 		m.fleet.checkBound(wave)
-		m.fleet.maintain[id] = append(m.fleet.maintain[id], wave)
-		m.fleet.away[id] = wave
+		m.fleet.maintainedFor[id] = append(m.fleet.maintainedFor[id], wave)
+		m.fleet.lastWave[id] = wave
 		return false
 	})
 }
@@ -78,22 +78,22 @@
 		return &pointport.MachineRefusedError{Machine: id, Reason: pointport.RefuseUnknown}
 	}
 	m.checkHolder(by, x)
-	if x.state != pointport.MachineUp || !x.draining.IsZero() {
+	if x.state != pointport.MachineUp || !x.drainsAt.IsZero() {
 		return &pointport.MachineRefusedError{Machine: id, Reason: pointport.RefuseBusy}
 	}
 	if do(x) {
 		return nil
 	}
-	if x.life != nil {
-		x.life.advance(f.clock.Now())
-		f.noteDestroyed(f.clock.Now(), x.life)
-		for _, r := range x.life.runs {
+	if x.current != nil {
+		x.current.advance(f.clock.Now())
+		f.noteEndedByOrder(f.clock.Now(), x.current)
+		for _, r := range x.current.runs {
 			if r.work.Service {
-				f.violate(f.clock.Now(), r.Task, fmt.Sprintf("is ended by an order about machine %s", id))
+				f.addViolation(f.clock.Now(), r.Task, fmt.Sprintf("is ended by an order about machine %s", id))
 			}
 		}
 	}
-	f.end(x)
+	f.endIncarnation(x)
 	x.state = state
 	f.bootLater(x, away)
 	return nil
@@ -104,34 +104,34 @@
 func (m *Machines) checkHolder(by pointport.Holder, x *Machine) {
 	now := m.fleet.clock.Now()
 	switch {
-	case by.Fence < x.holder.Fence:
-		m.fleet.violate(now, string(x.id), fmt.Sprintf("is ordered with fence %d after %d", by.Fence, x.holder.Fence))
-	case x.holder.Name != "" && by.Fence == x.holder.Fence && by.Name != x.holder.Name:
-		m.fleet.violate(now, string(x.id), "is ordered by two holders with one fence")
-	case x.holder.Name != "" && by.Name != x.holder.Name && now.Sub(x.ordered) < m.holderTime:
-		m.fleet.violate(now, string(x.id), "is ordered by two holders in turn")
+	case by.Fence < x.lastHolder.Fence:
+		m.fleet.addViolation(now, string(x.id), fmt.Sprintf("is ordered with fence %d after %d", by.Fence, x.lastHolder.Fence))
+	case x.lastHolder.Name != "" && by.Fence == x.lastHolder.Fence && by.Name != x.lastHolder.Name:
+		m.fleet.addViolation(now, string(x.id), "is ordered by two holders with one fence")
+	case x.lastHolder.Name != "" && by.Name != x.lastHolder.Name && now.Sub(x.lastOrderAt) < m.holderTime:
+		m.fleet.addViolation(now, string(x.id), "is ordered by two holders in turn")
 	}
-	x.holder, x.ordered = by, now
+	x.lastHolder, x.lastOrderAt = by, now
 }
 
 // SetWaveBound sets how many machines may be away for a wave at once.
 func (f *Fleet) SetWaveBound(wave int64, bound int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.bounds[wave] = bound
+	f.waveBounds[wave] = bound
 }
 
 // checkBound notes whether one more machine goes away for a wave than may. The
 // lock is held.
 func (f *Fleet) checkBound(wave int64) {
 	n := 0
-	for id, w := range f.away {
+	for id, w := range f.lastWave {
 		if w == wave && f.machines[id].state == pointport.MachineMaintenance {
 			n++
 		}
 	}
-	if bound, ok := f.bounds[wave]; ok && n >= bound {
-		f.violate(f.clock.Now(), fmt.Sprintf("wave %d", wave), fmt.Sprintf("takes one more machine away beside %d; %d may be", n, bound))
+	if bound, ok := f.waveBounds[wave]; ok && n >= bound {
+		f.addViolation(f.clock.Now(), fmt.Sprintf("wave %d", wave), fmt.Sprintf("takes one more machine away beside %d; %d may be", n, bound))
 	}
 }
 
@@ -140,7 +140,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
-	for _, waves := range f.maintain {
+	for _, waves := range f.maintainedFor {
 		for _, w := range waves {
 			if w == wave {
 				n++
--- a/testbed/network.go
+++ b/testbed/network.go
@@ -32,7 +32,7 @@
 // answerTimeout is how long a caller waits for an answer.
 const answerTimeout = 400 * time.Millisecond
 
-var errSilent = errors.New("stand-in instance gave no answer")
+var errNoAnswer = errors.New("stand-in instance gave no answer")
 
 // An Executor sends orders to the fleet over a network.
 type Executor struct {
@@ -50,66 +50,66 @@
 func call[T any](ctx context.Context, e *Executor, op string, at pointport.Endpoint, carryOut func(*incarnation, time.Time) (T, error)) (T, error) {
 	var none T
 	f := e.fleet
-	life := f.lifeAt(at)
+	inc := f.incarnationAt(at)
 	var id pointport.InstanceID
-	if life != nil {
-		id = life.machine.id
+	if inc != nil {
+		id = inc.machine.id
 	}
 	fate := e.network(op, id)
 	if !sleep(ctx, f.clock, fate.Latency) {
-		return none, e.silent(ctx, op, at, 0)
+		return none, e.noAnswer(ctx, op, at, 0)
 	}
 	if fate.OrderLost {
-		return none, e.silent(ctx, op, at, answerTimeout)
+		return none, e.noAnswer(ctx, op, at, answerTimeout)
 	}
 	if fate.LateBy > 0 {
-		taker, wake := f.lifeAt(at), f.clock.After(fate.LateBy)
+		taker, wake := f.incarnationAt(at), f.clock.After(fate.LateBy)
 		go func() {
 			<-wake
 			f.awaitStall(taker)
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			// What a life holds back ends with it.
-			if taker != nil && !taker.over {
+			if taker != nil && !taker.gone {
 				taker.advance(f.clock.Now())
 				// Its caller has long gone and hears of no refusal.
 				_, _ = carryOut(taker, f.clock.Now())
 			}
 		}()
-		return none, e.silent(ctx, op, at, answerTimeout)
+		return none, e.noAnswer(ctx, op, at, answerTimeout)
 	}
-	f.awaitStall(f.lifeAt(at))
+	f.awaitStall(f.incarnationAt(at))
 	f.mu.Lock()
-	life = f.present[at.Incarnation.Addressee()] // another one may have come by now
-	if life == nil || life.over {
+	inc = f.byAddressee[at.Incarnation.Addressee()] // another one may have come by now
+	if inc == nil || inc.gone {
 		f.mu.Unlock()
-		return none, e.silent(ctx, op, at, answerTimeout)
+		return none, e.noAnswer(ctx, op, at, answerTimeout)
 	}
 	if fate.Refused {
 		f.mu.Unlock()
-		return none, life.reject(pointport.RejectUnhealthy)
+		return none, inc.reject(pointport.RejectUnhealthy)
 	}
 	now := f.clock.Now()
-	life.advance(now)
-	answer, err := carryOut(life, now)
+	inc.advance(now)
+	answer, err := carryOut(inc, now)
 	f.mu.Unlock()
 	if fate.AnswerLost {
-		return none, e.silent(ctx, op, at, answerTimeout)
+		return none, e.noAnswer(ctx, op, at, answerTimeout)
 	}
 	return answer, err
 }
 
-// lifeAt returns the life that takes what is meant for an incarnation, nil if none has yet.
-func (f *Fleet) lifeAt(at pointport.Endpoint) *incarnation {
+// incarnationAt returns the life that takes what is meant for an incarnation, nil if none has yet.
+func (f *Fleet) incarnationAt(at pointport.Endpoint) *incarnation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.present[at.Incarnation.Addressee()]
+	return f.byAddressee[at.Incarnation.Addressee()]
 }
 
-// silent waits for an answer that does not come.
-func (e *Executor) silent(ctx context.Context, op string, at pointport.Endpoint, d time.Duration) error {
+// noAnswer waits for an answer that does not come.
+func (e *Executor) noAnswer(ctx context.Context, op string, at pointport.Endpoint, d time.Duration) error {
 	sleep(ctx, e.fleet.clock, d)
-	return &pointport.UnavailableError{Op: op, Key: string(at.Incarnation), Ambiguous: true, Err: errSilent}
+	return &pointport.UnavailableError{Op: op, Key: string(at.Incarnation), Ambiguous: true, Err: errNoAnswer}
 }
 
 // sleep waits for d; false if ctx ends first.
@@ -129,14 +129,14 @@
 func (e *Executor) Start(ctx context.Context, at pointport.Endpoint, o pointport.StartOrder) (pointport.InstanceTime, error) {
 	sent := e.fleet.clock.Now()
 	return call(ctx, e, "start", at, func(i *incarnation, now time.Time) (pointport.InstanceTime, error) {
-		return i.clock(now), i.start(now, sent, o)
+		return i.clockAt(now), i.start(now, sent, o)
 	})
 }
 
 // Stop stops a run.
 func (e *Executor) Stop(ctx context.Context, at pointport.Endpoint, o pointport.StopOrder) (pointport.InstanceTime, error) {
 	return call(ctx, e, "stop", at, func(i *incarnation, now time.Time) (pointport.InstanceTime, error) {
-		return i.clock(now), i.stop(now, o)
+		return i.clockAt(now), i.stop(now, o)
 	})
 }
 
@@ -151,11 +151,11 @@
 	return err
 }
 
-// errCut says that the life that a hold waited at is over, and its connection with it.
-var errCut = errors.New("the connection has gone with the life at its end")
+// errConnectionLost says that the life that a hold waited at is over, and its connection with it.
+var errConnectionLost = errors.New("the connection has gone with the life at its end")
 
-// A held is what a hold is answered, and when to look again if nothing has ended.
-type held struct {
+// A pollResult is what a hold is answered, and when to look again if nothing has ended.
+type pollResult struct {
 	by      *incarnation
 	report  pointport.Report
 	changed <-chan struct{}
@@ -169,18 +169,18 @@
 	var by *incarnation // who has taken it
 	for first := true; ; first = false {
 		wait, waitedAt := o.Wait, by
-		h, err := call(ctx, e.reach(first), "hold", at, func(i *incarnation, now time.Time) (held, error) {
+		h, err := call(ctx, e.executorForAttempt(first), "hold", at, func(i *incarnation, now time.Time) (pollResult, error) {
 			if waitedAt != nil && i != waitedAt {
-				return held{}, errCut
+				return pollResult{}, errConnectionLost
 			}
 			report, err := i.report(now, o)
 			if err == nil && i.id != at.Incarnation {
 				err = &pointport.GoneError{Incarnation: at.Incarnation, AnsweredBy: i.id}
 			}
-			return held{i, report, e.fleet.changed, i.untilNext(now)}, err
+			return pollResult{i, report, e.fleet.changed, i.untilNextEnd(now)}, err
 		})
-		if errors.Is(err, errCut) {
-			return pointport.Report{}, e.silent(ctx, "hold", at, 0)
+		if errors.Is(err, errConnectionLost) {
+			return pointport.Report{}, e.noAnswer(ctx, "hold", at, 0)
 		}
 		by = h.by
 		if err != nil || len(h.report.Ended) > 0 || wait <= 0 {
@@ -192,23 +192,23 @@
 		case <-end:
 			o.Wait = 0
 		case <-ctx.Done():
-			return pointport.Report{}, e.silent(ctx, "hold", at, 0)
+			return pointport.Report{}, e.noAnswer(ctx, "hold", at, 0)
 		}
 	}
 }
 
-// reach returns how a hold reaches its instance: over the network the first time,
+// executorForAttempt returns how a hold reaches its instance: over the network the first time,
 // and by looking again at the instance itself after that.
-func (e *Executor) reach(first bool) *Executor {
+func (e *Executor) executorForAttempt(first bool) *Executor {
 	if first {
 		return e
 	}
 	return &Executor{e.fleet, func(string, pointport.InstanceID) Delivery { return Delivery{} }}
 }
 
-// untilNext returns how long it is until something ends by itself.
-func (i *incarnation) untilNext(now time.Time) time.Duration {
-	next := i.localTime(i.until)
+// untilNextEnd returns how long it is until something ends by itself.
+func (i *incarnation) untilNextEnd(now time.Time) time.Duration {
+	next := i.timeOf(i.leaseUntil)
 	if r, at := i.nextEnd(); r != nil && at.Before(next) {
 		next = at
 	}
