--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,12 +1,12 @@
-// Package standin is the outside world that pointport is tried and tested
-// against: the platform's service with its key-value store, list of instances
-// and tasks, and instances that serve requests. It is no part of the product.
+// Package standin simulates the systems that pointport depends on, for tests and trials: the
+// platform's service with its key-value store, its list of instances and its tasks, and instances
+// that serve requests. It is no part of the product.
 //
-// The model: a Fleet owns Instances, each with a listener of its own on
-// loopback; a Platform serves the store and the fleet over HTTP. Each instance
-// has a fixed number of slots and accepts a fixed number of connections, and it
-// counts what it ran, so that a test can tell whether something ran twice.
+// The model: a Fleet owns Instances, each with its own listener on loopback. A Platform serves the
+// store and the fleet over HTTP. Each instance has a fixed number of slots and accepts a fixed
+// number of connections. It counts the requests that it ran by key, so that a test can detect a
+// request that ran twice.
 //
-// Deliberately left out: any decision. The stand-in does what it is told and
-// fails in the ways it is told to.
+// Deliberately left out: any decision. The stand-in does as it is ordered and fails only in the
+// ways that a test or an operator selects.
 package standin
--- a/standin/fleet.go
+++ b/standin/fleet.go
@@ -10,18 +10,18 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines the fleet of stand-in instances.
+// This file defines the fleet of simulated instances.
 
-// DefaultServiceTime is how long an instance runs a request.
+// DefaultServiceTime is the mean time that an instance takes to run a request.
 const DefaultServiceTime = 20 * time.Millisecond
 
-// DefaultRebootTime is how long an instance takes to come back.
+// DefaultRebootTime is how long a reboot takes.
 const DefaultRebootTime = 2 * time.Second
 
 // rackSize is how many instances share a rack.
 const rackSize = 4
 
-// A Fleet is a set of stand-in instances. It is safe for concurrent use.
+// A Fleet is a set of simulated instances. It is safe for concurrent use.
 type Fleet struct {
 	clock       pointport.Clock
 	zones       []pointport.ZoneID
@@ -48,10 +48,10 @@
 	_ pointport.TaskRunner = (*Fleet)(nil)
 )
 
-// A FleetOption changes a Fleet.
+// A FleetOption configures a Fleet.
 type FleetOption func(*Fleet)
 
-// WithZones sets the availability zones and how many instances each has.
+// WithZones sets the availability zones and the number of instances in each.
 func WithZones(perZone int, zones ...pointport.ZoneID) FleetOption {
 	return func(f *Fleet) { f.perZone, f.zones = perZone, zones }
 }
@@ -59,16 +59,16 @@
 // WithSlots sets how many requests an instance runs at once.
 func WithSlots(n int) FleetOption { return func(f *Fleet) { f.slots = n } }
 
-// WithServiceTime sets how long an instance runs a request.
+// WithServiceTime sets the mean time that an instance takes to run a request.
 func WithServiceTime(d time.Duration) FleetOption { return func(f *Fleet) { f.serviceTime = d } }
 
-// WithRebootTime sets how long an instance takes to come back.
+// WithRebootTime sets how long a reboot takes.
 func WithRebootTime(d time.Duration) FleetOption { return func(f *Fleet) { f.rebootTime = d } }
 
-// WithListLag sets how far the list of instances is behind.
+// WithListLag sets how old the list of instances may be.
 func WithListLag(d time.Duration) FleetOption { return func(f *Fleet) { f.listLag = d } }
 
-// NewFleet starts the instances.
+// NewFleet starts the instances. It returns an error if one cannot listen.
 func NewFleet(clock pointport.Clock, options ...FleetOption) (*Fleet, error) {
 	f := &Fleet{
 		clock:       clock,
@@ -124,7 +124,7 @@
 	}
 }
 
-// All returns the instances in the order of their making.
+// All returns the instances in the order of their creation.
 func (f *Fleet) All() []*Instance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -135,7 +135,7 @@
 	return all
 }
 
-// Instance returns the instance called id.
+// Instance returns the instance with the given ID, or a pointport.NotFoundError.
 func (f *Fleet) Instance(id pointport.InstanceID) (*Instance, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -146,7 +146,7 @@
 	return i, nil
 }
 
-// Runs returns how often each key has run on any instance.
+// Runs returns how many times each key has run on all instances together.
 func (f *Fleet) Runs() map[string]int {
 	total := make(map[string]int)
 	for _, i := range f.All() {
@@ -157,7 +157,8 @@
 	return total
 }
 
-// Instances returns the list, as far behind as the fleet was told to be.
+// Instances returns the instances of zone, or all if zone is empty. The list may be as old as the
+// fleet's list lag.
 func (f *Fleet) Instances(_ context.Context, zone pointport.ZoneID) ([]pointport.Instance, error) {
 	now := f.clock.Now()
 	f.mu.Lock()
@@ -193,7 +194,8 @@
 	return f.changeState(id, boots, pointport.InstanceLeaving, pointport.InstanceLive)
 }
 
-// changeState changes an instance's state if it and the boot count are as expected.
+// changeState changes an instance's state from one to another if the instance is in the first and
+// its boot count is boots.
 func (f *Fleet) changeState(id pointport.InstanceID, boots int64, from, to pointport.InstanceState) error {
 	i, err := f.Instance(id)
 	if err != nil {
@@ -219,9 +221,9 @@
 		return nil
 	}
 	i.mu.Lock()
-	have := i.info.Boots
+	bootCount := i.info.Boots
 	i.mu.Unlock()
-	if have != boots {
+	if bootCount != boots {
 		return nil
 	}
 	f.rebooting[id] = true
@@ -238,7 +240,7 @@
 	return nil
 }
 
-// StartTask starts a task unless its ID was seen before.
+// StartTask starts a task unless a task with its ID was started or stopped before.
 func (f *Fleet) StartTask(_ context.Context, task pointport.Task) error {
 	i, err := f.Instance(task.Instance)
 	if err != nil {
@@ -274,7 +276,7 @@
 	}
 }
 
-// Tasks returns every task of zone.
+// Tasks returns every task of zone, or of all if zone is empty, sorted by ID.
 func (f *Fleet) Tasks(_ context.Context, zone pointport.ZoneID) ([]pointport.Task, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -289,7 +291,7 @@
 	return list, nil
 }
 
-// StopTask stops a task, or keeps it from ever starting.
+// StopTask stops a running task. A task that has not started yet will never start.
 func (f *Fleet) StopTask(_ context.Context, instance pointport.InstanceID, id pointport.TaskID) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -304,7 +306,7 @@
 	return nil
 }
 
-// Starts returns how often each task was started.
+// Starts returns how many times each task was started.
 func (f *Fleet) Starts() map[pointport.TaskID]int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/standin/grid/grid.go
+++ b/standin/grid/grid.go
@@ -1,15 +1,14 @@
-// Package grid runs a stand-in of the users' platform on loopback addresses: the
-// store, the machines and their instances, and the service that moves and
-// maintains them. Entry instances (pointportd join) run against it as separate
-// processes, in trials and in the soak.
+// Package grid simulates the users' platform on loopback addresses: the store, the machines and
+// their instances, and the service that moves and maintains them. Entry instances (pointportd
+// join) run against it as separate processes, in trials and in the soak.
 //
-// The model: what it serves is package memory's store and package testbed's fleet,
-// translated by package platform. Each instance has an address of its own, which
-// its next life takes over. Faults come from outside, as on the real platform:
-// whoever runs the entry instances puts proxies between them and the addresses.
+// The model: it serves package memory's store and package testbed's fleet through package
+// platform's encodings. Each instance has an address of its own, which its next incarnation takes
+// over. Most faults come from outside, as on the real platform: whoever runs the entry instances
+// puts proxies between them and the addresses.
 //
-// Invariant: what the fleet finds wrong with the orders that it gets is kept and
-// can be asked for.
+// Invariant: the violations that the fleet finds in the orders that it receives are kept and can
+// be read.
 package grid
 
 import (
@@ -38,34 +37,34 @@
 // SparePool is the pool whose machines are off.
 const SparePool = "spare"
 
-// reusePercent is in how many percent of their returns instances come back under the addressee that they
-// had.
+// reusePercent is the percentage of boots at which an instance keeps its previous addressee.
 const reusePercent = 50
 
-// loopback is where everything listens.
+// loopback is the address at which everything listens, with a port that the system chooses.
 const loopback = "127.0.0.1:0"
 
-// Settings say how large a grid is.
+// Settings configure a grid.
 type Settings struct {
-	// Pools are the pools that run tasks. Each has a queue of its name.
+	// Pools are the pools that run tasks. Each has a queue of the same name.
 	Pools []string
-	// PerPool is how many machines each of them, and the spare pool, has at first.
+	// PerPool is how many machines each pool, including the spare pool, has at first.
 	PerPool int
 	Zones   []pointport.ZoneID
-	// Capacity is the size of each machine.
+	// Capacity is the capacity of each machine.
 	Capacity pointport.Shape
-	// Host is by which name clients call.
+	// Host is the host name that clients call.
 	Host string
-	// HolderTime must lie between the orders of two holders of a machine.
+	// HolderTime is the minimum time between orders of two different holders for one machine.
 	HolderTime time.Duration
-	// Customers are those whose keys are good, and Keys holds their keys by name; without
-	// them nobody needs one. Callers that show none are served too.
+	// Customers are the customers whose keys are valid, and Keys holds their keys by customer
+	// name. Without customers, no caller needs a key. Callers without a key are served in any
+	// case.
 	Customers []customer.Customer
 	Keys      map[string][]string
-	// Work is what tasks do; nil reads that from their payload.
+	// Work is what tasks do. If nil, the tasks' payloads define it.
 	Work testbed.WorkSource
-	// AdvertisedAddress returns the address that an instance registers in place of its own, where
-	// something stands in front of it; nil leaves its own.
+	// AdvertisedAddress returns the address that an instance registers instead of its own, for
+	// example that of a proxy. If nil, instances register their own addresses.
 	AdvertisedAddress func(id pointport.InstanceID, address string) (string, error)
 }
 
@@ -83,13 +82,13 @@
 	mu              sync.Mutex
 	servers         []*http.Server
 	addresses       map[pointport.InstanceID]string
-	refusalPercent  map[pointport.InstanceID]int // percent of the orders that are refused
+	refusalPercent  map[pointport.InstanceID]int // percentage of orders that are refused
 	random          *rand.Rand
 	storeAddress    string
 	machinesAddress string
 }
 
-// Start starts a grid, which ends with Close.
+// Start starts a grid, which runs until Close.
 func Start(clock pointport.Clock, s Settings, logger *slog.Logger) (*Grid, error) {
 	g := &Grid{clock: clock, settings: s, logger: logger, store: memory.New(clock), addresses: make(map[pointport.InstanceID]string), refusalPercent: make(map[pointport.InstanceID]int), random: rand.New(rand.NewPCG(1, 2))}
 	g.kv = g.store.KV()
@@ -109,8 +108,7 @@
 	return g, nil
 }
 
-// listen opens the addresses of the store, of the machines' service and of every
-// instance.
+// listen opens the addresses of the store, of the machines' service and of every instance.
 func (g *Grid) listen() error {
 	var err error
 	if g.storeAddress, err = g.serve(platform.ServeStore(g.kv)); err != nil {
@@ -140,12 +138,12 @@
 		zone := g.settings.Zones[n%len(g.settings.Zones)]
 		g.fleet.Add(id, pools[n%len(pools)], zone, fmt.Sprintf("r-%d", n/perRack), g.settings.Capacity)
 	}
-	g.list.record() // no list shows the time before there were machines
+	g.list.record() // so that no list is from before the machines existed
 	go g.list.recordUntilClosed()
 	return nil
 }
 
-// serve serves a handler at an address of its own, which it returns.
+// serve serves a handler at a new address, which it returns.
 func (g *Grid) serve(handler http.Handler) (string, error) {
 	l, err := net.Listen("tcp", loopback)
 	if err != nil {
@@ -163,28 +161,28 @@
 	return l.Addr().String(), nil
 }
 
-// deliver decides what becomes of an order that has reached its instance.
+// deliver decides how an order that has reached its instance is handled.
 func (g *Grid) deliver(_ string, to pointport.InstanceID) testbed.Delivery {
-	const whole = 100 // percent
+	const allPercent = 100
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	fate := testbed.Reliable("", to)
-	fate.Refused = g.refusalPercent[to] > 0 && g.random.IntN(whole) < g.refusalPercent[to]
-	return fate
+	delivery := testbed.Reliable("", to)
+	delivery.Refused = g.refusalPercent[to] > 0 && g.random.IntN(allPercent) < g.refusalPercent[to]
+	return delivery
 }
 
-// SetRefusalPercent has an instance answer to so many percent of all orders that it is not well,
-// having done nothing.
+// SetRefusalPercent makes an instance refuse this percentage of all orders as unhealthy, without
+// carrying them out.
 func (g *Grid) SetRefusalPercent(id pointport.InstanceID, percent int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.refusalPercent[id] = percent
 }
 
-// SetListFaults has the list of machines show how they were so long ago, and take so long.
-func (g *Grid) SetListFaults(lag, takes time.Duration) { g.list.setFaults(lag, takes) }
+// SetListFaults makes the list of machines show a state from lag ago and take latency to answer.
+func (g *Grid) SetListFaults(lag, latency time.Duration) { g.list.setFaults(lag, latency) }
 
-// Close ends the grid.
+// Close stops the grid and all its servers.
 func (g *Grid) Close() {
 	if g.list != nil {
 		g.list.close()
@@ -192,7 +190,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, s := range g.servers {
-		_ = s.Close() // nobody waits for what it still says
+		_ = s.Close() // no client waits for the remaining answers
 	}
 }
 
@@ -202,24 +200,25 @@
 	return g.addresses[id]
 }
 
-// register keeps the registrations in the store in step with the fleet.
-func (g *Grid) register(inc pointport.Incarnation, there bool) {
+// register updates the registration of an incarnation in the store, and deletes it if registered
+// is false.
+func (g *Grid) register(inc pointport.Incarnation, registered bool) {
 	put := platform.EncodeRegistration(inc)
 	txn := pointport.Txn{Put: []pointport.Put{put}}
-	if !there {
+	if !registered {
 		txn = pointport.Txn{Delete: []string{put.Key}}
 	}
 	g.commit(txn)
 }
 
-// commit makes a change of the platform's own.
+// commit writes a change of the platform itself to the store.
 func (g *Grid) commit(txn pointport.Txn) {
 	if _, err := g.kv.Commit(context.Background(), txn); err != nil {
 		event.Failed.Log(g.logger, slog.String("part", "store"), slog.Any("error", err))
 	}
 }
 
-// Catalog returns the grid's first configuration: a queue for each pool.
+// Catalog returns the grid's initial configuration: one queue for each pool.
 func (g *Grid) Catalog() *workload.Catalog {
 	k := &workload.Catalog{Pools: []workload.PoolInfo{{Name: SparePool, Spare: true}}}
 	if g.settings.Customers != nil {
@@ -235,7 +234,7 @@
 	return k
 }
 
-// Configure puts a configuration in force under the next version.
+// Configure applies a configuration under the next version number.
 func (g *Grid) Configure(k *workload.Catalog) error {
 	g.mu.Lock()
 	g.version++
@@ -248,25 +247,25 @@
 	return err
 }
 
-// StartWave asks for a wave of maintenance.
+// StartWave requests a maintenance wave.
 func (g *Grid) StartWave(w capacity.Wave) {
 	g.fleet.SetWaveBound(w.ID, w.Bound)
 	g.commit(pointport.Txn{Put: []pointport.Put{platform.EncodeWave(w)}})
 }
 
-// Evacuate asks that an availability zone be left empty.
+// Evacuate requests the evacuation of an availability zone.
 func (g *Grid) Evacuate(zone pointport.ZoneID) {
 	g.commit(pointport.Txn{Put: []pointport.Put{platform.EncodeEvacuation(zone)}})
 	g.fleet.Evacuate(zone)
 }
 
-// EndEvacuation takes that back.
+// EndEvacuation withdraws the request for an evacuation.
 func (g *Grid) EndEvacuation(zone pointport.ZoneID) {
 	g.fleet.EndEvacuation(zone)
 	g.commit(pointport.Txn{Delete: []string{platform.EncodeEvacuation(zone).Key}})
 }
 
-// WaveCompleted reports whether a wave is said to be completed.
+// WaveCompleted reports whether the stored status of a wave is completed.
 func (g *Grid) WaveCompleted(id int64) (bool, error) {
 	done := platform.EncodeWaveStatus(id, true)
 	e, err := g.kv.Get(context.Background(), done.Key)
@@ -279,15 +278,14 @@
 // Store returns the store.
 func (g *Grid) Store() *memory.Store { return g.store }
 
-// StoreAddress returns where the store is, MachinesAddress where the service for
-// machines is, host:port each.
+// StoreAddress returns the address of the store as host:port.
 func (g *Grid) StoreAddress() string { return g.storeAddress }
 
-// MachinesAddress returns where the service for machines is, host:port.
+// MachinesAddress returns the address of the machines' service as host:port.
 func (g *Grid) MachinesAddress() string { return g.machinesAddress }
 
-// EntrySettings returns the settings of an entry instance that listens on four
-// ports from first on.
+// EntrySettings returns the settings of an entry instance that listens on four consecutive ports,
+// beginning with first.
 func (g *Grid) EntrySettings(name string, zone pointport.ZoneID, first int) *platform.Settings {
 	at := func(n int) string { return fmt.Sprintf("127.0.0.1:%d", first+n) }
 	return &platform.Settings{
--- a/standin/grid/lagging_list.go
+++ b/standin/grid/lagging_list.go
@@ -9,16 +9,17 @@
 	"github.com/pointport/pointport/testbed"
 )
 
-// This file defines a list of machines that is behind what it lists.
+// This file defines a list of machines that lags behind the fleet.
 
 const (
-	// snapshotInterval is how often it is noted how the machines are.
+	// snapshotInterval is the time between two snapshots of the machines.
 	snapshotInterval = 50 * time.Millisecond
-	// maxLag is for how long that is kept.
+	// maxLag is how long a snapshot is kept.
 	maxLag = 3 * time.Second
 )
 
-// A laggingList is the service for machines. It is safe for concurrent use.
+// A laggingList is the service for machines with a list that can lag and be slow. It is safe for
+// concurrent use.
 type laggingList struct {
 	*testbed.Machines
 	clock  pointport.Clock
@@ -26,10 +27,10 @@
 
 	mu           sync.Mutex
 	lag, latency time.Duration
-	history      []snapshot // the oldest first
+	history      []snapshot // oldest first
 }
 
-// A snapshot is how the machines were at a time.
+// A snapshot is the list of machines at a point in time.
 type snapshot struct {
 	at       time.Time
 	machines []pointport.Machine
@@ -39,7 +40,7 @@
 	return &laggingList{Machines: machines, clock: clock, closed: make(chan struct{})}
 }
 
-// recordUntilClosed notes how the machines are until the list is closed.
+// recordUntilClosed records a snapshot every snapshotInterval until the list is closed.
 func (l *laggingList) recordUntilClosed() {
 	for {
 		l.record()
@@ -51,11 +52,12 @@
 	}
 }
 
+// record records a snapshot and drops those that are older than maxLag.
 func (l *laggingList) record() {
 	now := l.clock.Now()
 	rows, err := l.Machines.List(context.Background())
 	if err != nil {
-		return // the fleet has no errors to tell
+		return // does not happen: the fleet's list returns no errors
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,38 +67,38 @@
 	}
 }
 
-func (l *laggingList) setFaults(lag, takes time.Duration) {
+func (l *laggingList) setFaults(lag, latency time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lag, l.latency = lag, takes
+	l.lag, l.latency = lag, latency
 }
 
 func (l *laggingList) close() { close(l.closed) }
 
-// List returns the machines as they were some time ago.
+// List returns the machines as they were lag ago, after latency.
 func (l *laggingList) List(ctx context.Context) ([]pointport.Machine, error) {
 	rows, err := l.Machines.List(ctx)
 	l.mu.Lock()
-	takes := l.latency
+	latency := l.latency
 	if l.lag > 0 {
 		rows = l.snapshotAt(l.clock.Now().Add(-l.lag))
 	}
 	l.mu.Unlock()
-	if takes > 0 {
-		<-l.clock.After(takes)
+	if latency > 0 {
+		<-l.clock.After(latency)
 	}
 	return rows, err
 }
 
-// snapshotAt returns how the machines were at a time, or at the first one known. The lock is
-// held.
+// snapshotAt returns the latest snapshot that is not after a time, or the oldest one kept. The
+// lock is held.
 func (l *laggingList) snapshotAt(at time.Time) []pointport.Machine {
-	rows := l.history[0].machines
+	machines := l.history[0].machines
 	for _, p := range l.history {
 		if p.at.After(at) {
 			break
 		}
-		rows = p.machines
+		machines = p.machines
 	}
-	return rows
+	return machines
 }
--- a/standin/instance.go
+++ b/standin/instance.go
@@ -17,27 +17,25 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines an instance: an HTTP server with slots, connections and
-// ways to fail.
+// This file defines an instance: an HTTP server with slots, a connection limit and faults.
 
-// Headers that a stand-in instance understands and sets.
+// Headers that a simulated instance reads and sets.
 const (
-	// HeaderWork asks for a run time in place of the instance's own.
+	// HeaderWork sets the run time of a request in place of the instance's default.
 	HeaderWork = "X-Standin-Work"
-	// HeaderStream asks for the answer in that many pieces, spread over the run
-	// time.
+	// HeaderStream asks for the answer in this many pieces, spread over the run time.
 	HeaderStream = "X-Standin-Stream"
 	// HeaderInstance names the instance that answered.
 	HeaderInstance = "X-Standin-Instance"
-	// HeaderNotRun says that the request was refused before it ran.
+	// HeaderNotRun marks the answer to a request that was refused before it ran.
 	HeaderNotRun = "X-Not-Run"
-	// HeaderLeaving says that the instance is leaving.
+	// HeaderLeaving marks the answers of an instance that is leaving.
 	HeaderLeaving = "X-Leaving"
-	// HeaderKey is the caller's key.
+	// HeaderKey is the caller's idempotency key.
 	HeaderKey = "Idempotency-Key"
 )
 
-// A Mode is the way in which an instance behaves.
+// A Mode is the fault, if any, with which an instance behaves.
 type Mode string
 
 // The modes of an instance.
@@ -46,7 +44,7 @@
 	ModeFail   Mode = "fail"   // answers 500 at once
 	ModeSlow   Mode = "slow"   // takes ten times as long
 	ModeNotRun Mode = "notrun" // refuses everything before it runs
-	ModeCut    Mode = "cut"    // cuts its answers short
+	ModeCut    Mode = "cut"    // truncates its answers
 )
 
 const (
@@ -54,14 +52,13 @@
 	DefaultSlots = 8
 	// DefaultConnections is how many connections an instance accepts.
 	DefaultConnections = 64
-	// slowFactor is how much longer a slow instance takes.
+	// slowFactor is how many times longer a request takes in ModeSlow.
 	slowFactor = 10
-	// slotTimeout is how long an instance holds a request that finds no slot
-	// before it refuses it.
+	// slotTimeout is how long a request waits for a free slot before the instance refuses it.
 	slotTimeout = 500 * time.Millisecond
-	// maxBody bounds what an instance reads of a request, in bytes.
+	// maxBody is how much of a request's body an instance reads, in bytes.
 	maxBody = 8 << 20
-	// serviceSpread is the part of the run time that varies by chance.
+	// serviceSpread is the largest random deviation from the run time, as a fraction of it.
 	serviceSpread = 0.5
 )
 
@@ -75,24 +72,25 @@
 	served      atomic.Int64
 	conns       atomic.Int64
 	maxConns    atomic.Int64
-	interrupted atomic.Int64 // requests that a reboot found in flight
+	interrupted atomic.Int64 // requests that were in flight at a reboot
 
 	mu     sync.Mutex
 	info   pointport.Instance
 	mode   Mode
 	server *http.Server
-	ran    map[string]int // runs for each key
+	ran    map[string]int // number of runs by key
 }
 
-// ID returns the instance's name.
+// ID returns the instance's ID.
 func (i *Instance) ID() pointport.InstanceID { return i.Info().ID }
 
-// Info returns what is true of the instance now, without any lag.
+// Info returns the instance's current description, without the lag of the fleet's list.
 func (i *Instance) Info() pointport.Instance {
 	i.mu.Lock()
 	info := i.info
 	i.mu.Unlock()
-	// The fleet's lock is taken before an instance's, never after it.
+	// runningTasksOn takes the fleet's lock, which must never be taken while an instance's lock is
+	// held.
 	info.InFlight = i.inFlight.Load() + i.fleet.runningTasksOn(info.ID)
 	info.Reported = i.fleet.clock.Now()
 	return info
@@ -101,13 +99,13 @@
 // Served returns how many requests the instance has run.
 func (i *Instance) Served() int64 { return i.served.Load() }
 
-// MaxConns returns the most connections that the instance has had at once.
+// MaxConns returns the highest number of connections that were open at once.
 func (i *Instance) MaxConns() int64 { return i.maxConns.Load() }
 
-// Interrupted returns how many requests were in flight when the instance rebooted.
+// Interrupted returns how many requests were in flight when the instance was rebooted.
 func (i *Instance) Interrupted() int64 { return i.interrupted.Load() }
 
-// Runs returns how often each key has run.
+// Runs returns how many times each key has run on this instance.
 func (i *Instance) Runs() map[string]int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -118,7 +116,7 @@
 	return runs
 }
 
-// SetMode changes how the instance behaves.
+// SetMode sets the mode of the instance.
 func (i *Instance) SetMode(m Mode) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -137,7 +135,7 @@
 	return i.mode, i.info.State
 }
 
-// listen starts the server on the instance's address, or on a new one.
+// listen starts the server on the instance's address, or on a new address if it has none.
 func (i *Instance) listen() error {
 	addr := i.Info().Address
 	if addr == "" {
@@ -172,7 +170,7 @@
 	}
 }
 
-// Start brings a killed instance back, with one boot more.
+// Start restarts a killed instance and increments its boot count.
 func (i *Instance) Start() error {
 	i.mu.Lock()
 	i.info.Boots++
@@ -185,8 +183,8 @@
 	case http.StateNew:
 		n := i.conns.Add(1)
 		for {
-			most := i.maxConns.Load()
-			if n <= most || i.maxConns.CompareAndSwap(most, n) {
+			highest := i.maxConns.Load()
+			if n <= highest || i.maxConns.CompareAndSwap(highest, n) {
 				break
 			}
 		}
@@ -223,7 +221,7 @@
 	i.run(w, r, mode)
 }
 
-// acquireSlot waits for a slot, but not for long.
+// acquireSlot waits up to slotTimeout for a slot and reports whether it got one.
 func (i *Instance) acquireSlot(ctx context.Context) bool {
 	select {
 	case i.slots <- struct{}{}:
@@ -247,7 +245,7 @@
 	http.Error(w, "not run", http.StatusServiceUnavailable)
 }
 
-// answer is what a run returns.
+// answer is the body that a completed run returns.
 type answer struct {
 	Instance pointport.InstanceID `json:"instance"`
 	Path     string               `json:"path"`
@@ -290,7 +288,7 @@
 	_, _ = w.Write(data)
 }
 
-// maxPieces bounds the pieces of one answer.
+// maxPieces is the largest number of pieces of one answer.
 const maxPieces = 10000
 
 // stream sends an answer of n lines, spread over d.
@@ -308,8 +306,8 @@
 func (i *Instance) runTime(r *http.Request, mode Mode) time.Duration {
 	d := i.serviceTime
 	if v := r.Header.Get(HeaderWork); v != "" {
-		if asked, err := time.ParseDuration(v); err == nil {
-			d = asked
+		if requested, err := time.ParseDuration(v); err == nil {
+			d = requested
 		}
 	}
 	if mode == ModeSlow {
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -19,7 +19,8 @@
 
 // This file defines the platform's HTTP service. docs/PLATFORM.md describes it.
 
-// maxValue is the largest value that the store takes, in bytes.
+// maxValue is the largest request body that the service accepts, and so the largest value in the
+// store, in bytes.
 const maxValue = 1 << 20
 
 // A Platform serves a store and a fleet over HTTP.
@@ -29,8 +30,8 @@
 	mux   *http.ServeMux
 
 	mu    sync.Mutex
-	delay time.Duration // added to every call
-	down  bool          // whether every call is refused
+	delay time.Duration // added to every call except control calls
+	down  bool          // whether every call except control calls is refused
 }
 
 // NewPlatform returns the service of store and fleet.
@@ -71,14 +72,15 @@
 	return l.Addr(), nil
 }
 
-// SetOutage makes the service refuse every call, or answer it late.
+// SetOutage makes the service refuse every call, if down, and delays every call by delay.
 func (p *Platform) SetOutage(down bool, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down, p.delay = down, delay
 }
 
-// ServeHTTP answers one call, unless there is an outage.
+// ServeHTTP answers one call. During an outage it delays or refuses every call except control
+// calls.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	down, delay := p.down, p.delay
@@ -93,7 +95,7 @@
 	p.mux.ServeHTTP(w, r)
 }
 
-// isControl reports whether a call steers the stand-in itself.
+// isControl reports whether a call controls the stand-in itself.
 func isControl(r *http.Request) bool {
 	const prefix = "/standin/"
 	return len(r.URL.Path) > len(prefix) && r.URL.Path[:len(prefix)] == prefix
@@ -132,7 +134,7 @@
 	e, err := p.store.Watch(ctx, key, pointport.Revision(after))
 	a := valueAnswer{e.Revision(), e.Value()}
 	if int64(a.Revision) == after {
-		a.Value = nil // the caller has it
+		a.Value = nil // the caller already has the value
 	}
 	reply(w, a, err)
 }
@@ -187,7 +189,8 @@
 	_ = z.Close()
 }
 
-// fencedByBoots returns the handler of a call that is fenced by a boot count.
+// fencedByBoots returns the handler of a call that takes effect only if the instance has the given
+// boot count.
 func (p *Platform) fencedByBoots(act func(context.Context, pointport.InstanceID, int64) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		boots, err := strconv.ParseInt(r.URL.Query().Get("boots"), 10, 64)
@@ -220,7 +223,7 @@
 
 func (p *Platform) counts(w http.ResponseWriter, _ *http.Request) { reply(w, p.store.Counts(), nil) }
 
-// runsAnswer sums up what the fleet did.
+// runsAnswer sums up the requests that the fleet ran.
 type runsAnswer struct {
 	Twice    []string `json:"twice"`    // keys that ran more than once
 	Keys     int      `json:"keys"`     // keys that ran
@@ -275,7 +278,7 @@
 	reply(w, struct{}{}, err)
 }
 
-// reply writes v, or the status that err stands for.
+// reply writes v as JSON, or the HTTP status for err.
 func reply(w http.ResponseWriter, v any, err error) {
 	status := http.StatusOK
 	var conflict *pointport.ConflictError
--- a/testbed/attempts.go
+++ b/testbed/attempts.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// This file judges whether tasks are started again after as many failed runs as they may
-// have.
+// This file checks that no task is started again once it has used up its failed runs.
 
 // A failedEnd is the end of a run as failed.
 type failedEnd struct {
 	incarnation *incarnation
 	number      int64
-	// acknowledgedAt is when the end was acknowledged, zero while it was not.
+	// acknowledgedAt is when the end was acknowledged, zero until then.
 	acknowledgedAt time.Time
 }
 
-// copyGrace is how long after the last such end was acknowledged a task of which copies
-// may run may still start.
+// copyGrace is how long a task that allows copies may still be started after the last failed end
+// that it may have was acknowledged.
 const copyGrace = time.Second
 
-// A excessStart is a start after as many failed runs as its task may have. Whether it is
-// wrong shows once it is known which of their ends were acknowledged, then or later.
+// An excessStart is a start of a task that has already had as many failed runs as it may. It is a
+// violation only if enough of these ends were acknowledged, which may become known after the
+// start.
 type excessStart struct {
 	when time.Time
 	run  *run
 	ends []*failedEnd
 }
 
-// noteFailed notes that a run has ended as failed. The lock is held.
+// noteFailed records that a run has ended as failed. The lock is held.
 func (f *Fleet) noteFailed(task string, at *incarnation) {
 	f.failedEnds[task] = append(f.failedEnds[task], &failedEnd{incarnation: at, number: at.lastEndNumber})
 }
 
-// noteFailuresAcknowledged notes that ends up to a number were acknowledged. The lock is held.
+// noteFailuresAcknowledged records that the ends up to a number were acknowledged. The lock is
+// held.
 func (f *Fleet) noteFailuresAcknowledged(at *incarnation, upTo int64) {
 	for _, ends := range f.failedEnds {
 		for _, e := range ends {
@@ -44,7 +45,7 @@
 	}
 }
 
-// checkAttempts notes a start after as many failed runs as its task may have. The lock is
+// checkAttempts records a start of a task that has had as many failed runs as it may. The lock is
 // held.
 func (f *Fleet) checkAttempts(now time.Time, r *run) {
 	ends := f.failedEnds[r.Task]
@@ -53,19 +54,19 @@
 	}
 }
 
-// excessStartViolations returns the starts that were beyond what their tasks may have. The lock is
-// held.
+// excessStartViolations returns a violation for each start that followed as many acknowledged
+// failed runs as its task may have. The lock is held.
 func (f *Fleet) excessStartViolations() []Violation {
 	var out []Violation
 	for _, s := range f.excessStarts {
-		told := 0
+		acknowledged := 0
 		for _, e := range s.ends {
 			if !e.acknowledgedAt.IsZero() && (!s.run.work.Copies || s.when.Sub(e.acknowledgedAt) > copyGrace) {
-				told++
+				acknowledged++
 			}
 		}
-		if told >= s.run.work.MaxAttempts {
-			out = append(out, Violation{s.when, s.run.Task, fmt.Sprintf("starts as run %d after %d failed ones", s.run.Run, told)})
+		if acknowledged >= s.run.work.MaxAttempts {
+			out = append(out, Violation{s.when, s.run.Task, fmt.Sprintf("was started as run %d after %d failed runs", s.run.Run, acknowledged)})
 		}
 	}
 	return out
--- a/testbed/crash.go
+++ b/testbed/crash.go
@@ -8,18 +8,18 @@
 // This file defines tasks that crash the instance that starts them.
 
 const (
-	// crashDelay is how long after its start a task crashes its instance, crashDown
-	// for how long that is away. A task that needs more than the machine can give does
-	// so as it loads; a machine is back after some seconds.
+	// crashDelay is how long after its start a task crashes its instance, and crashDowntime is how
+	// long that instance stays down. A task that needs more than the machine has crashes it while
+	// the task loads, and a machine is back after a few seconds.
 	crashDelay    = 10 * time.Millisecond
 	crashDowntime = 1500 * time.Millisecond
-	// maxCrashes is how many instances a task may crash, startsBorne how many
-	// starts later than that are too many, as the platform counts them.
+	// maxCrashes is how many instances a task may crash by the platform's count.
+	// excessStartsAfterCrashes is how many starts after that count as a violation.
 	maxCrashes               = 3
 	excessStartsAfterCrashes = 3
 )
 
-// scheduleCrash has a run end its incarnation. The lock is held.
+// scheduleCrash makes a run crash its incarnation after crashDelay. The lock is held.
 func (i *incarnation) scheduleCrash(r *run) {
 	f, wake := i.fleet, i.fleet.clock.After(crashDelay)
 	go func() {
@@ -35,14 +35,15 @@
 	}()
 }
 
-// checkCrashes notes a start of a task that has crashed so many instances that it
-// should have been given up. The lock is held.
+// checkCrashes records a violation when a task that has crashed maxCrashes instances, and so
+// should have been given up, has been started excessStartsAfterCrashes more times. The lock is
+// held.
 func (f *Fleet) checkCrashes(now time.Time, r *run) {
 	if f.crashes[r.Task] < maxCrashes {
 		return
 	}
 	if f.startsAfterCrashes[r.Task]++; f.startsAfterCrashes[r.Task] == excessStartsAfterCrashes {
-		f.addViolation(now, r.Task, fmt.Sprintf("is started %d times more after it has crashed %d instances", excessStartsAfterCrashes, maxCrashes))
+		f.addViolation(now, r.Task, fmt.Sprintf("was started %d more times after it had crashed %d instances", excessStartsAfterCrashes, maxCrashes))
 	}
 }
 
--- a/testbed/doc.go
+++ b/testbed/doc.go
@@ -1,17 +1,16 @@
-// Package testbed is a fleet of instances in memory that run tasks, register
-// themselves and can be moved and maintained. It stands in for the platform in
-// tests and in the embedded default, and it can be told to fail in the ways that
-// the real one does.
+// Package testbed simulates a fleet of instances in memory that run tasks, register themselves and
+// can be moved and maintained. It replaces the platform in tests and in the embedded default, and
+// it can inject the kinds of failures that the real platform has.
 //
-// The model: a Fleet has Machines, and each has one incarnation at a time, with a
-// steady clock of its own. Tasks do what a Work says. A call reaches an
-// incarnation, or does not, or is carried out late, as a Network says.
+// The model: a Fleet has Machines, and each Machine has at most one incarnation at a time, with a
+// steady clock of its own. What a task does is described by a Work. A Network decides whether an
+// order reaches its incarnation, is lost, or is carried out late.
 //
-// Invariants, which every incarnation checks on whoever gives it orders; the
-// Fleet keeps what breaks them:
+// Invariants, which every incarnation checks for the orders that it receives; the Fleet records
+// each violation:
 //
-//   - No task runs twice at a time, unless copies of it may.
-//   - No task starts after an end as done that its owner has acknowledged, or has heard
-//     of before it had the instance moved or maintained.
-//   - No start brings an incarnation over its capacity.
+//   - No task has two runs at a time, unless it allows copies.
+//   - No task starts after an end as done that its owner has acknowledged, or that its owner
+//     received before it had the instance moved or maintained.
+//   - No start exceeds the capacity of an incarnation.
 package testbed
--- a/testbed/evacuate.go
+++ b/testbed/evacuate.go
@@ -7,13 +7,14 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines what the fleet watches over while an availability zone is evacuated.
+// This file checks that nothing is started in an evacuated availability zone.
 
-// EvacuationTime is within which time nothing more may be sent to an evacuated availability
-// zone.
+// EvacuationTime is how long after the evacuation of an availability zone starts may still be sent
+// to it.
 const EvacuationTime = 5 * time.Second
 
-// Evacuate notes that nothing more is to be started in an availability zone.
+// Evacuate marks an availability zone as evacuated: from EvacuationTime on, a start that is sent
+// to it is a violation.
 func (f *Fleet) Evacuate(zone pointport.ZoneID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -22,37 +23,37 @@
 	}
 }
 
-// EndEvacuation notes that an availability zone may be used again.
+// EndEvacuation marks an availability zone as usable again.
 func (f *Fleet) EndEvacuation(zone pointport.ZoneID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.evacuatedSince, zone)
 }
 
-// checkZone notes whether a start was sent to an availability zone that had to be left empty
-// by then. The lock is held.
+// checkZone records a violation if a start was sent to an availability zone later than
+// EvacuationTime after its evacuation. The lock is held.
 func (f *Fleet) checkZone(now, sent time.Time, at *incarnation, task string) {
 	since := f.evacuatedSince[at.machine.zone]
 	if since.IsZero() || sent.Sub(since) < EvacuationTime {
 		return
 	}
-	f.addViolation(now, task, fmt.Sprintf("is started on %s %v after its availability zone %s was evacuated", at.id, sent.Sub(since), at.machine.zone))
+	f.addViolation(now, task, fmt.Sprintf("was sent a start on %s %v after its availability zone %s was evacuated", at.id, sent.Sub(since), at.machine.zone))
 }
 
-// StartsIn returns how many runs have begun in an availability zone.
+// StartsIn returns how many runs were started in an availability zone.
 func (f *Fleet) StartsIn(zone pointport.ZoneID) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.startsIn[zone]
 }
 
-// A Place is where a machine is.
+// A Place is the pool and the availability zone of a machine.
 type Place struct {
 	Pool string
 	Zone pointport.ZoneID
 }
 
-// Where returns where a machine is.
+// Where returns the pool and the availability zone of a machine.
 func (f *Fleet) Where(id pointport.InstanceID) Place {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/testbed/faults.go
+++ b/testbed/faults.go
@@ -6,12 +6,13 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines what befalls an instance that lives on all the same: it stands still,
-// its registration goes, or its clock is wrong. It is up all the while, so what it runs
-// counts.
+// This file defines faults of an instance that keeps running: it stalls, its registration
+// disappears, its clock runs at the wrong rate, or its answers are lost. The incarnation lives on
+// throughout, so its runs still count in the checks.
 
-// Stall has a machine's present life handle no order for a while, and then all that wait at
-// once, also those whose callers have gone. What runs there goes on, and its time too.
+// Stall makes a machine's current incarnation handle no order for d. It then handles all pending
+// orders at once, including those whose callers have gone. Its runs continue meanwhile, and its
+// lease keeps elapsing.
 func (f *Fleet) Stall(id pointport.InstanceID, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -20,7 +21,7 @@
 	}
 }
 
-// awaitStall waits while a life stands still.
+// awaitStall blocks until an incarnation is not stalled.
 func (f *Fleet) awaitStall(inc *incarnation) {
 	if inc == nil {
 		return
@@ -33,7 +34,7 @@
 	}
 }
 
-// DropRegistration has a machine's registration go although it lives, and come back after a while.
+// DropRegistration removes a machine's registration for d while its incarnation lives on.
 func (f *Fleet) DropRegistration(id pointport.InstanceID, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -53,7 +54,8 @@
 	}()
 }
 
-// SetClockRate sets how fast the clocks of a machine's lives run from now on, 1 being right.
+// SetClockRate sets the rate of the clocks of a machine's current and later incarnations, 1 being
+// right.
 func (f *Fleet) SetClockRate(id pointport.InstanceID, rate float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -68,17 +70,18 @@
 	}
 }
 
-// SetAnswersMayBeLost says whether what a machine answers may be lost on its way. What it lists then
-// is not known to be heard, nor what it has just listed.
-func (f *Fleet) SetAnswersMayBeLost(id pointport.InstanceID, unheard bool) {
+// SetAnswersMayBeLost sets whether a machine's answers may be lost on the way. While they may, the
+// ends that it lists do not count as received, and neither do those that it listed less than
+// answerReceiptTime ago.
+func (f *Fleet) SetAnswersMayBeLost(id pointport.InstanceID, lossy bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.machines[id]
 	if m == nil {
 		return
 	}
-	m.answersMayBeLost = unheard
-	if m.current == nil || !unheard {
+	m.answersMayBeLost = lossy
+	if m.current == nil || !lossy {
 		return
 	}
 	for _, task := range f.unacknowledged[m.current] {
--- a/testbed/fleet.go
+++ b/testbed/fleet.go
@@ -11,32 +11,33 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines the fleet: its machines, what it watches over, and how it
-// fails.
+// This file defines the fleet: its machines, the checks of the orders that it receives, and its
+// failures.
 
-// A Machine is an instance as a machine.
+// A Machine is an instance across its incarnations, with its pool, its location and its injected
+// faults.
 type Machine struct {
 	id       pointport.InstanceID
 	pool     string
 	zone     pointport.ZoneID
 	rack     string
 	capacity pointport.Shape
-	// formerCapacity is what it held before it last shrank, at shrunk.
+	// formerCapacity is the capacity before it was last changed, at resizedAt.
 	formerCapacity   pointport.Shape
 	resizedAt        time.Time
-	current          *incarnation        // nil while it is off
-	lastAddressee    pointport.Addressee // of its last inc, empty before the first
+	current          *incarnation        // nil while the machine is off
+	lastAddressee    pointport.Addressee // of its last incarnation, empty before the first
 	state            pointport.MachineState
-	failsRuns        bool    // fails all that it is given
-	unhealthy        bool    // refuses what it is told to start or to stop, and does nothing
-	answersMayBeLost bool    // what it answers may be lost
-	clockRate        float64 // of the clocks of its lives
+	failsRuns        bool    // every run fails
+	unhealthy        bool    // refuses starts and stops without carrying them out
+	answersMayBeLost bool    // answers may be lost on the way
+	clockRate        float64 // of its incarnations' clocks, 1 being right
 	drainsAt         time.Time
 	lastHolder       pointport.Holder
 	lastOrderAt      time.Time
 }
 
-// A Fleet is the machines of a platform. It is safe for concurrent use.
+// A Fleet is the set of machines of a platform. It is safe for concurrent use.
 type Fleet struct {
 	clock            pointport.Clock
 	work             WorkSource
@@ -47,53 +48,54 @@
 	moveTime         time.Duration
 	upkeepTime       time.Duration
 	random           *rand.Rand
-	// reusePercent is in how many percent of its returns a machine comes back under the
-	// addressee that it had.
+	// reusePercent is the percentage of boots at which a machine keeps its previous addressee.
 	reusePercent int
-	// deregistrationDelay is for how long the registration of a life stays after its machine was ordered
-	// away or has crashed.
+	// deregistrationDelay is how long an incarnation stays registered after its machine was
+	// ordered away or has crashed.
 	deregistrationDelay time.Duration
-	// address returns where a machine's incarnations take orders.
+	// address returns the address at which an incarnation of a machine receives orders.
 	address func(pointport.InstanceID, pointport.IncarnationID) string
 
 	mu               sync.Mutex
 	machines         map[pointport.InstanceID]*Machine
-	incarnations     []*incarnation                       // all there were
-	byAddressee      map[pointport.Addressee]*incarnation // the last of each addressee
+	incarnations     []*incarnation                       // every one so far
+	byAddressee      map[pointport.Addressee]*incarnation // the latest one of each addressee
 	incarnationCount int
 	changed          chan struct{}
 	violations       []Violation
-	// done holds the tasks with an end that was acknowledged as done.
+	// done holds the tasks of which an end as done was acknowledged.
 	done map[string]bool
-	// unacknowledged holds, for each incarnation, the ends as done that are not acknowledged.
+	// unacknowledged holds, for each incarnation, the tasks that have ended as done by the number
+	// of the end, until that is acknowledged.
 	unacknowledged map[*incarnation]map[int64]string
-	// listedSince holds since when the ends as done of tasks have been listed in an answer.
+	// listedSince holds when an answer first listed the end as done of a task.
 	listedSince map[string]time.Time
-	// listeners are told when registrations change.
+	// onRegistration is called when an incarnation registers or changes its registration, with
+	// true, and when the registration ends, with false.
 	onRegistration      func(pointport.Incarnation, bool)
 	starts              map[string]int                   // by task
-	maintainedFor       map[pointport.InstanceID][]int64 // the waves for which each was maintained
-	lastWave            map[pointport.InstanceID]int64   // the last of them
-	waveBounds          map[int64]int                    // by wave
-	stoppedServices     map[string]bool                  // serving tasks that were stopped and are not back at work
-	crashes             map[string]int                   // by task, the instances that it has crashed
-	lostToInjectedCrash map[string]bool                  // tasks with a run on an instance that crashed by itself
-	startsAfterCrashes  map[string]int                   // by task, its starts after as many crashes as one may cause
+	maintainedFor       map[pointport.InstanceID][]int64 // the waves for which each machine was maintained
+	lastWave            map[pointport.InstanceID]int64   // the last of these waves
+	waveBounds          map[int64]int                    // by wave, how many machines may be away at once
+	stoppedServices     map[string]bool                  // serving tasks that were stopped and are not serving again yet
+	crashes             map[string]int                   // by task, how many instances it has crashed
+	lostToInjectedCrash map[string]bool                  // tasks that had a run on an instance when Crash was called for it
+	startsAfterCrashes  map[string]int                   // by task, its starts after maxCrashes crashes
 	failedEnds          map[string][]*failedEnd          // by task
-	excessStarts        []excessStart                    // starts after as many failed runs as a task may have
-	// evacuatedSince holds since when availability zones are to be left empty, startsIn how many
-	// runs have begun in each.
+	excessStarts        []excessStart                    // starts of tasks that have used up their failed runs
+	// evacuatedSince holds when the evacuation of each evacuated availability zone began. startsIn
+	// holds how many runs were started in each availability zone.
 	evacuatedSince map[pointport.ZoneID]time.Time
 	startsIn       map[pointport.ZoneID]int
 }
 
-// An Option changes a Fleet.
+// An Option configures a Fleet.
 type Option func(*Fleet)
 
 // WithWork sets what tasks do.
 func WithWork(work WorkSource) Option { return func(f *Fleet) { f.work = work } }
 
-// WithCapacityEnforcement sets whether instances refuse what does not fit.
+// WithCapacityEnforcement sets whether instances refuse tasks that do not fit.
 func WithCapacityEnforcement(guards bool) Option {
 	return func(f *Fleet) { f.enforcesCapacity = guards }
 }
@@ -101,36 +103,39 @@
 // WithSparePool names the pool whose machines are off.
 func WithSparePool(pool string) Option { return func(f *Fleet) { f.sparePool = pool } }
 
-// WithAddresseeReuse sets in how many percent of its returns a machine comes back under the addressee
-// that it had: its new life then knows nothing of before, and its clock and the numbers of its
-// ends begin anew. With none, no two lives have one addressee, and that alone tells them apart.
+// WithAddresseeReuse sets the percentage of boots at which a machine keeps its previous addressee.
+// The new incarnation has no state of the previous one, and its clock and the numbers of its ends
+// start anew. With 0 percent no two incarnations share an addressee, so the addressee alone
+// distinguishes them.
 func WithAddresseeReuse(percent int) Option { return func(f *Fleet) { f.reusePercent = percent } }
 
-// WithDeregistrationDelay sets for how long the registration of a life stays that ends without having said
-// so, as one that goes only once heartbeats were missed.
+// WithDeregistrationDelay sets how long the registration of an incarnation stays when the
+// incarnation ends without having announced it, as on a platform that removes a registration only
+// after missed heartbeats.
 func WithDeregistrationDelay(d time.Duration) Option {
 	return func(f *Fleet) { f.deregistrationDelay = d }
 }
 
-// WithRegistrationObserver sets a function that is told of each registration, and of its end
-// with false.
+// WithRegistrationObserver sets a function that is called with true for each new or changed
+// registration, and with false when a registration ends.
 func WithRegistrationObserver(register func(pointport.Incarnation, bool)) Option {
 	return func(f *Fleet) { f.onRegistration = register }
 }
 
-// WithAddresses sets where the incarnations of each machine take orders.
+// WithAddresses sets the address at which the incarnations of each machine receive orders.
 func WithAddresses(address func(pointport.InstanceID) string) Option {
 	return func(f *Fleet) {
 		f.address = func(id pointport.InstanceID, _ pointport.IncarnationID) string { return address(id) }
 	}
 }
 
-// placeholderAddress stands for an address where nobody calls by address.
-func placeholderAddress(_ pointport.InstanceID, inc pointport.IncarnationID) string {
-	return string(inc) + ":1"
+// placeholderAddress returns an address for fleets that receive no orders over the network.
+func placeholderAddress(_ pointport.InstanceID, id pointport.IncarnationID) string {
+	return string(id) + ":1"
 }
 
-// The times of a fleet, as the users' platform has them.
+// The durations of a fleet's operations, as on the users' platform. MaxHold is the longest lease
+// that an instance grants.
 const (
 	DefaultGangTimeout = 3 * time.Second
 	DefaultStopTime    = 200 * time.Millisecond
@@ -158,7 +163,7 @@
 	return f
 }
 
-// Add adds a machine to a pool.
+// Add adds a machine to a pool and boots it, unless the pool is the spare one.
 func (f *Fleet) Add(id pointport.InstanceID, pool string, zone pointport.ZoneID, rack string, capacity pointport.Shape) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -167,7 +172,7 @@
 	f.boot(m)
 }
 
-// boot gives a machine a new incarnation, unless it is spare. The lock is held.
+// boot gives a machine a new incarnation, unless it is in the spare pool. The lock is held.
 func (f *Fleet) boot(m *Machine) {
 	m.state = pointport.MachineUp
 	if m.pool == f.sparePool && f.sparePool != "" {
@@ -186,25 +191,26 @@
 	f.notifyChange()
 }
 
-// nextIdentity returns the identity of a machine's next life. Where machines come back under the
-// addressee that they had, it tells when the life began by a clock that may be set back. The
-// lock is held.
+// nextIdentity returns the identity of a machine's next incarnation. Where machines reuse
+// addressees, the identity includes when the incarnation began, by a wall clock that may be an
+// hour ahead or behind. The lock is held.
 func (f *Fleet) nextIdentity(m *Machine) pointport.IncarnationID {
-	const whole = 100 // percent
+	const allPercent = 100
 	to := pointport.Addressee(fmt.Sprintf("i-%04d", f.incarnationCount))
 	if f.reusePercent == 0 {
 		return pointport.IncarnationID(to)
 	}
-	if m.lastAddressee != "" && f.random.IntN(whole) < f.reusePercent {
+	if m.lastAddressee != "" && f.random.IntN(allPercent) < f.reusePercent {
 		to = m.lastAddressee
 	}
-	// The number of the life keeps two from beginning at one time.
+	// The number of the incarnation makes the start times of any two differ.
 	born := f.clock.Now().Truncate(time.Minute).Add(time.Duration(f.random.IntN(3)-1)*time.Hour + time.Duration(f.incarnationCount)*time.Millisecond)
 	return pointport.NewIncarnationID(to, born)
 }
 
-// initialClock returns what the clock of a new life shows at its start: where machines keep their
-// identity, less than that of the life before, or more. The lock is held.
+// initialClock returns what the clock of a new incarnation shows at its start. Where machines
+// reuse addressees, that may be less or more than the previous incarnation's clock showed. The
+// lock is held.
 func (f *Fleet) initialClock() pointport.InstanceTime {
 	if f.reusePercent == 0 {
 		return pointport.InstanceTime(time.Duration(f.incarnationCount) * time.Minute)
@@ -223,7 +229,7 @@
 	return pointport.NewIncarnation(m.current.id, m.pool, f.address(m.id, m.current.id), options...)
 }
 
-// endIncarnation ends a machine's present life. The lock is held.
+// endIncarnation ends a machine's current incarnation. The lock is held.
 func (f *Fleet) endIncarnation(m *Machine) {
 	if m.current == nil {
 		return
@@ -238,27 +244,28 @@
 	f.notifyChange()
 }
 
-// unregister ends the registration of a machine's present life, once heartbeats were missed if
-// it has not announced its end, unless a later life has taken over the addressee by then. The
-// lock is held.
+// unregister ends the registration of a machine's current incarnation: at once if the incarnation
+// has announced its end by draining, otherwise after deregistrationDelay, as for missed
+// heartbeats. It then leaves a registration that a later incarnation has made under the same
+// addressee. The lock is held.
 func (f *Fleet) unregister(m *Machine) {
 	if f.deregistrationDelay == 0 || !m.drainsAt.IsZero() {
 		f.onRegistration(f.registration(m), false)
 		return
 	}
-	inc, gone, wake := m.current, f.registration(m), f.clock.After(f.deregistrationDelay)
+	inc, registration, wake := m.current, f.registration(m), f.clock.After(f.deregistrationDelay)
 	go func() {
 		<-wake
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if f.byAddressee[inc.id.Addressee()] == inc {
-			f.onRegistration(gone, false)
+			f.onRegistration(registration, false)
 		}
 	}()
 }
 
-// Crash ends a machine's life; a new one begins after a while, or never if down
-// is zero.
+// Crash ends a machine's current incarnation. A new one begins after down, or never if down is
+// zero.
 func (f *Fleet) Crash(id pointport.InstanceID, down time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -270,8 +277,8 @@
 	}
 }
 
-// LostRunToInjectedCrash reports whether a run of a job's tasks has died with an instance that no task
-// has crashed.
+// LostRunToInjectedCrash reports whether a task of a job was running on an instance when Crash was
+// called for it. Crashes that tasks cause do not count.
 func (f *Fleet) LostRunToInjectedCrash(job string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -283,7 +290,7 @@
 	return false
 }
 
-// crash ends a machine's life as Crash does. The lock is held.
+// crash ends a machine's current incarnation as Crash does. The lock is held.
 func (f *Fleet) crash(m *Machine, down time.Duration) {
 	f.endIncarnation(m)
 	m.state = pointport.MachineDown
@@ -304,7 +311,8 @@
 	}()
 }
 
-// Drain has a machine say that it leaves, and leave after a while.
+// Drain makes a machine announce in its registration that it leaves, ends its incarnation after
+// left, and boots it again after down.
 func (f *Fleet) Drain(id pointport.InstanceID, left, down time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -327,26 +335,26 @@
 	}()
 }
 
-// SetFailing makes a machine fail all that it is given, or heal.
-func (f *Fleet) SetFailing(id pointport.InstanceID, fails bool) {
+// SetFailing sets whether every run on a machine ends as failed.
+func (f *Fleet) SetFailing(id pointport.InstanceID, failing bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m := f.machines[id]; m != nil {
-		m.failsRuns = fails
+		m.failsRuns = failing
 	}
 }
 
-// SetUnhealthy makes a machine refuse what it is told to start or to stop, or heal. It does
-// nothing of what it refuses: what it had stopped or started goes on as before.
-func (f *Fleet) SetUnhealthy(id pointport.InstanceID, unwell bool) {
+// SetUnhealthy sets whether a machine refuses starts and stops. It carries out nothing of what it
+// refuses: tasks that already run or stop there continue unchanged.
+func (f *Fleet) SetUnhealthy(id pointport.InstanceID, unhealthy bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m := f.machines[id]; m != nil {
-		m.unhealthy = unwell
+		m.unhealthy = unhealthy
 	}
 }
 
-// SetCapacity changes what a machine holds while it runs, which its registration tells.
+// SetCapacity changes the capacity of a running machine and updates its registration.
 func (f *Fleet) SetCapacity(id pointport.InstanceID, capacity pointport.Shape) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -360,7 +368,7 @@
 	}
 }
 
-// IDs returns the machines, sorted.
+// IDs returns the IDs of all machines, sorted.
 func (f *Fleet) IDs() []pointport.InstanceID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -372,7 +380,7 @@
 	return out
 }
 
-// Incarnation returns a machine's present life, empty if it has none.
+// Incarnation returns the ID of a machine's current incarnation, empty if it has none.
 func (f *Fleet) Incarnation(id pointport.InstanceID) pointport.IncarnationID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -383,14 +391,14 @@
 	return m.current.id
 }
 
-// Violations returns what whoever gave orders has done wrong.
+// Violations returns the violations that the fleet has found in the orders it received.
 func (f *Fleet) Violations() []Violation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append(f.excessStartViolations(), f.violations...)
 }
 
-// Starts returns how many runs have begun, of all tasks.
+// Starts returns how many runs of all tasks were started.
 func (f *Fleet) Starts() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -401,21 +409,21 @@
 	return n
 }
 
-// Started returns how many runs of a task have begun.
+// Started returns how many runs of a task were started.
 func (f *Fleet) Started(task string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.starts[task]
 }
 
-// Done reports whether a run of a task has ended well.
+// Done reports whether a run of a task has ended as done.
 func (f *Fleet) Done(task string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.done[task] || f.listedDone(task)
 }
 
-// RunsOf returns how many runs of a job's tasks there are now.
+// RunsOf returns how many runs of a job's tasks exist now.
 func (f *Fleet) RunsOf(job string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -434,7 +442,7 @@
 	return n
 }
 
-// Running returns how many runs there are.
+// Running returns how many runs of all tasks exist now.
 func (f *Fleet) Running() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -448,7 +456,7 @@
 	return n
 }
 
-// RunningTasks returns the names of the tasks that run, one for each run.
+// RunningTasks returns the names of the tasks that run now, one for each run.
 func (f *Fleet) RunningTasks() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -478,7 +486,7 @@
 	return n
 }
 
-// BusyMachines returns the machines on which something runs, sorted.
+// BusyMachines returns the machines that run at least one task, sorted.
 func (f *Fleet) BusyMachines() []pointport.InstanceID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -505,18 +513,18 @@
 	f.changed = make(chan struct{})
 }
 
-// checkStart notes what is wrong with a start. The lock is held.
+// checkStart records a start and every violation that it constitutes. The lock is held.
 func (f *Fleet) checkStart(now time.Time, at *incarnation, r *run, o pointport.StartOrder) {
 	f.starts[r.Task]++
 	f.startsIn[at.machine.zone]++
 	f.checkCrashes(now, r)
 	f.checkAttempts(now, r)
 	if f.done[r.Task] && !r.work.Copies {
-		f.addViolation(now, r.Task, "starts again after its owner heard that it is done")
+		f.addViolation(now, r.Task, "was started again after its end as done was acknowledged")
 	}
 	for _, before := range r.work.After {
 		if !f.done[before] && !f.listedDone(before) {
-			f.addViolation(now, r.Task, "starts before "+before+" is done")
+			f.addViolation(now, r.Task, "was started before "+before+" is done")
 		}
 	}
 	if r.work.Copies {
@@ -528,13 +536,13 @@
 		}
 		i.advance(now)
 		if other := i.runs[r.Task]; other != nil {
-			f.addViolation(now, r.Task, fmt.Sprintf("runs as %d on %s and as %d on %s at once", other.Run, i.id, o.Run, at.id))
+			f.addViolation(now, r.Task, fmt.Sprintf("has run %d on %s and run %d on %s at the same time", other.Run, i.id, o.Run, at.id))
 		}
 	}
 }
 
-// checkStop notes whether a serving task that is at work is taken away while as
-// many others of its step are away by order as may be. The lock is held.
+// checkStop records a violation if an order stops a serving task that serves while as many others
+// of its step as may be away are already away by order. The lock is held.
 func (f *Fleet) checkStop(now time.Time, at *incarnation, r *run) {
 	if r.work.MayMiss == 0 || r.progress(now) < fullProgress || !at.machine.drainsAt.IsZero() {
 		return
@@ -546,7 +554,7 @@
 		}
 		for _, o := range i.runs {
 			if o.progress(now) >= fullProgress && o.stopsAt.IsZero() {
-				delete(f.stoppedServices, o.Task) // back at work
+				delete(f.stoppedServices, o.Task) // it serves again
 			}
 		}
 	}
@@ -557,13 +565,13 @@
 		}
 	}
 	if away >= r.work.MayMiss {
-		f.addViolation(now, r.Task, fmt.Sprintf("is stopped beside %d of its step that are away; %d may be", away, r.work.MayMiss))
+		f.addViolation(now, r.Task, fmt.Sprintf("was stopped while %d others of its step were away; %d may be", away, r.work.MayMiss))
 	}
 	f.stoppedServices[r.Task] = true
 }
 
-// listedDone reports whether a task has ended well and the end is listed, or was
-// when its incarnation ended. The lock is held.
+// listedDone reports whether a task has ended as done and its incarnation lists the end, or listed
+// it when the incarnation itself ended. The lock is held.
 func (f *Fleet) listedDone(task string) bool {
 	for _, ends := range f.unacknowledged {
 		for _, t := range ends {
@@ -575,7 +583,7 @@
 	return false
 }
 
-// noteDone notes that a run has ended well. The lock is held.
+// noteDone records that a run has ended as done. The lock is held.
 func (f *Fleet) noteDone(t pointport.TaskRun, at *incarnation) {
 	if f.unacknowledged[at] == nil {
 		f.unacknowledged[at] = make(map[int64]string)
@@ -583,7 +591,7 @@
 	f.unacknowledged[at][at.lastEndNumber] = t.Task
 }
 
-// noteAcknowledged notes the ends that were acknowledged. The lock is held.
+// noteAcknowledged records that the ends up to a number were acknowledged. The lock is held.
 func (f *Fleet) noteAcknowledged(at *incarnation, upTo int64) {
 	f.noteFailuresAcknowledged(at, upTo)
 	for number, task := range f.unacknowledged[at] {
@@ -594,7 +602,7 @@
 	}
 }
 
-// noteListed notes the ends that an answer lists. The lock is held.
+// noteListed records the ends that an answer lists. The lock is held.
 func (f *Fleet) noteListed(now time.Time, ends []pointport.TaskEnd) {
 	for _, e := range ends {
 		if _, ok := f.listedSince[e.Task]; !ok && e.Kind == pointport.EndDone {
@@ -603,21 +611,22 @@
 	}
 }
 
-// answerReceiptTime is how long an owner may take to hear what an answer lists.
+// answerReceiptTime is how long an answer may take until its owner has received and handled it.
 const answerReceiptTime = 100 * time.Millisecond
 
-// noteEndedByOrder notes that a life is ended by an order although it lists ends that its
-// owner has heard of: nobody else can hear of them any more, so they stand. The lock is
-// held.
+// noteEndedByOrder records that an order ends an incarnation which lists ends that its owner has
+// received. Nobody can learn of these ends from the incarnation any more, so they count as
+// acknowledged. The lock is held.
 func (f *Fleet) noteEndedByOrder(now time.Time, inc *incarnation) {
 	for _, task := range f.unacknowledged[inc] {
-		if told, ok := f.listedSince[task]; ok && now.Sub(told) >= answerReceiptTime {
+		if since, ok := f.listedSince[task]; ok && now.Sub(since) >= answerReceiptTime {
 			f.done[task] = true
 		}
 	}
 }
 
-// startGangIfComplete lets a gang work once all of it is there. The lock is held.
+// startGangIfComplete makes a gang begin to work once all its members are present. The lock is
+// held.
 func (f *Fleet) startGangIfComplete(now time.Time, r *run) {
 	if r.work.Gang <= 1 {
 		return
@@ -631,13 +640,13 @@
 	}
 }
 
-// A gangMember is a run of a gang and where it is.
+// A gangMember is a run of a gang and the incarnation that it runs on.
 type gangMember struct {
 	run *run
 	at  *incarnation
 }
 
-// gangMembers returns the runs of a run's gang. The lock is held.
+// gangMembers returns the runs of the gang that a run belongs to. The lock is held.
 func (f *Fleet) gangMembers(r *run) []gangMember {
 	var out []gangMember
 	for _, i := range f.incarnations {
@@ -663,8 +672,8 @@
 	return task
 }
 
-// breakGang ends the other members of a gang of which one has ended otherwise
-// than well. The lock is held.
+// breakGang ends the other members of a gang after one has ended other than as done. The lock is
+// held.
 func (f *Fleet) breakGang(r *run) {
 	if r.work.Gang <= 1 {
 		return
@@ -676,7 +685,7 @@
 	}
 }
 
-// finishGang ends the other members of a gang of which one is done. The lock is
+// finishGang ends the other members of a gang as done after one has ended as done. The lock is
 // held.
 func (f *Fleet) finishGang(r *run) {
 	if r.work.Gang <= 1 {
--- a/testbed/incarnation.go
+++ b/testbed/incarnation.go
@@ -7,28 +7,28 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines an incarnation: what runs on it, what has ended, and the
-// orders that it takes.
+// This file defines an incarnation: its runs, the ends of runs that it lists, and the orders that
+// it handles.
 
 const (
-	// serviceStartTime is how long a serving task takes until it is at work.
+	// serviceStartTime is how long a serving task takes from its start until it serves.
 	serviceStartTime = 300 * time.Millisecond
-	// fullProgress is the progress of a task that is done, or at work.
+	// fullProgress is the progress of a task that is done or serves.
 	fullProgress = 100
-	// maxListedEnds is how many ends a report lists at once.
+	// maxListedEnds is how many ends one report lists at most.
 	maxListedEnds = 500
 )
 
-// An incarnation is one life of a machine. Its fleet's lock guards it.
+// An incarnation is one boot of a machine. Its fleet's lock guards it.
 type incarnation struct {
 	fleet   *Fleet
 	id      pointport.IncarnationID
 	machine *Machine
-	// clockSetAt is when its clock showed zero; it runs at rate, 1 being right.
+	// clockSetAt is when its clock showed clockOrigin. The clock runs at rate, 1 being right.
 	clockSetAt  time.Time
 	clockOrigin pointport.InstanceTime
 	rate        float64
-	// stalledUntil is until when it handles nothing.
+	// stalledUntil is the time until which it handles no order.
 	stalledUntil time.Time
 
 	fence         pointport.Fence
@@ -40,14 +40,14 @@
 	gone          bool
 }
 
-// A run is a task on an incarnation.
+// A run is one execution of a task on an incarnation.
 type run struct {
 	pointport.TaskRun
 	work            Work
-	workingSince    time.Time // when it began to work, zero while its gang gathers
+	workingSince    time.Time // zero while the gang is incomplete
 	arrivedAt       time.Time
-	stopsAt         time.Time // when it will have stopped, zero unless it was told to
-	initialProgress int       // progress that it resumed with
+	stopsAt         time.Time // when an ordered stop completes, zero without one
+	initialProgress int       // progress that it resumed with, in percent
 }
 
 func (i *incarnation) clockAt(now time.Time) pointport.InstanceTime {
@@ -59,8 +59,8 @@
 	return i.clockSetAt.Add(time.Duration(float64(c-i.clockOrigin) / i.rate))
 }
 
-// endsAt returns when a run ends by itself or by an order; zero if never. One that crashes its
-// instance does not end before that, however late that is brought about.
+// endsAt returns when a run ends by itself or because of a stop order, zero if never. A run that
+// crashes its instance does not end before the crash, however late the crash is carried out.
 func (r *run) endsAt() time.Time {
 	if !r.stopsAt.IsZero() {
 		return r.stopsAt
@@ -72,20 +72,21 @@
 	return r.workingSince.Add(left)
 }
 
-// advance lets happen what has happened up to now.
+// advance applies all ends of runs that are due by now. When the lease has expired, it ends the
+// remaining runs.
 func (i *incarnation) advance(now time.Time) {
 	if i.gone {
 		return
 	}
-	lapse := i.timeOf(i.leaseUntil)
+	expiry := i.timeOf(i.leaseUntil)
 	for {
 		first, at := i.nextEnd()
-		if first == nil || at.After(now) || at.After(lapse) {
+		if first == nil || at.After(now) || at.After(expiry) {
 			break
 		}
 		i.finishRun(first)
 	}
-	if len(i.runs) > 0 && now.After(lapse) {
+	if len(i.runs) > 0 && now.After(expiry) {
 		for _, r := range i.sortedRuns() {
 			i.endRun(r, pointport.EndLeaseExpired)
 			i.fleet.breakGang(r)
@@ -93,6 +94,7 @@
 	}
 }
 
+// nextEnd returns the run that ends first and when, nil if none ends by itself.
 func (i *incarnation) nextEnd() (*run, time.Time) {
 	var first *run
 	var at time.Time
@@ -117,6 +119,8 @@
 	return out
 }
 
+// finishRun ends a run that is due: as stopped, failed or done, or because its gang was not
+// complete in time.
 func (i *incarnation) finishRun(r *run) {
 	switch {
 	case !r.stopsAt.IsZero():
@@ -135,7 +139,7 @@
 	i.fleet.breakGang(r)
 }
 
-// endRun lists the end of a run.
+// endRun removes a run and lists its end.
 func (i *incarnation) endRun(r *run, kind pointport.EndKind) {
 	delete(i.runs, r.Task)
 	i.ruleOut(r.TaskRun)
@@ -144,12 +148,13 @@
 	i.fleet.notifyChange()
 }
 
+// ruleOut makes the incarnation refuse further starts of a run and of the task's earlier runs.
 func (i *incarnation) ruleOut(t pointport.TaskRun) {
 	i.ruledOut[t.Task] = max(i.ruledOut[t.Task], t.Run)
 }
 
-// admit takes in the fence and the time of an order. A longer time than an instance grants is cut
-// to that.
+// admit checks the fencing token of an order and extends the lease as the order asks, by MaxHold
+// from now at most.
 func (i *incarnation) admit(fence pointport.Fence, until pointport.InstanceTime) *pointport.RejectedError {
 	if fence < i.fence {
 		return i.reject(pointport.RejectFence)
@@ -163,7 +168,7 @@
 	return &pointport.RejectedError{Incarnation: i.id, Reason: reason}
 }
 
-// start carries out a start that was sent at sent.
+// start carries out a start order that was sent at sent.
 func (i *incarnation) start(now, sent time.Time, o pointport.StartOrder) error {
 	if i.machine.unhealthy {
 		return i.reject(pointport.RejectUnhealthy)
@@ -186,7 +191,7 @@
 			return i.reject(pointport.RejectNoCapacity)
 		}
 		if !i.machine.recentlyResized(now) || !i.freeWithin(i.machine.formerCapacity).Fits(work.Reservation) {
-			i.fleet.addViolation(now, o.Task, "is started beyond the room of "+string(i.id))
+			i.fleet.addViolation(now, o.Task, "was started beyond the capacity of "+string(i.id))
 		}
 	}
 	if i.machine.failsRuns {
@@ -207,16 +212,18 @@
 	return nil
 }
 
-// resizeGrace is for how long starts may still go by what a machine held before it shrank.
+// resizeGrace is how long starts may still rely on a machine's capacity from before it was
+// changed.
 const resizeGrace = 4500 * time.Millisecond
 
-// recentlyResized reports whether whoever gives orders need not know yet that the machine holds
-// less than before.
+// recentlyResized reports whether the capacity changed so recently that an owner may not know of
+// it yet.
 func (m *Machine) recentlyResized(now time.Time) bool { return now.Sub(m.resizedAt) < resizeGrace }
 
-// free returns what is left of the capacity. What is being stopped counts.
+// free returns the unused capacity. Runs that are being stopped still use theirs.
 func (i *incarnation) free() pointport.Shape { return i.freeWithin(i.machine.capacity) }
 
+// freeWithin returns what a capacity has left after the reservations of all runs.
 func (i *incarnation) freeWithin(free pointport.Shape) pointport.Shape {
 	for _, r := range i.runs {
 		free = free.Minus(r.work.Reservation)
@@ -224,7 +231,7 @@
 	return free
 }
 
-// stop carries out a stop.
+// stop carries out a stop order. For a run that is not here it refuses later starts of it.
 func (i *incarnation) stop(now time.Time, o pointport.StopOrder) error {
 	if i.machine.unhealthy {
 		return i.reject(pointport.RejectUnhealthy)
@@ -243,7 +250,8 @@
 	return nil
 }
 
-// report carries out a hold.
+// report carries out a poll: it extends the lease, drops the acknowledged ends and returns the
+// runs and the remaining ends.
 func (i *incarnation) report(now time.Time, o pointport.PollOrder) (pointport.Report, error) {
 	if err := i.admit(o.Fence, o.LeaseUntil); err != nil {
 		return pointport.Report{}, err
@@ -267,16 +275,17 @@
 	return out, nil
 }
 
+// progress returns the progress of a run in percent.
 func (r *run) progress(now time.Time) int {
 	if r.workingSince.IsZero() {
 		return 0
 	}
-	whole := r.work.Duration
+	duration := r.work.Duration
 	if r.work.Service {
-		whole = serviceStartTime
+		duration = serviceStartTime
 	}
-	if whole <= 0 {
+	if duration <= 0 {
 		return fullProgress
 	}
-	return min(fullProgress, r.initialProgress+int(fullProgress*now.Sub(r.workingSince)/whole))
+	return min(fullProgress, r.initialProgress+int(fullProgress*now.Sub(r.workingSince)/duration))
 }
--- a/testbed/machines.go
+++ b/testbed/machines.go
@@ -9,8 +9,7 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines the fleet as pointport.Machines: its list, moves and
-// maintenance.
+// This file implements pointport.Machines for the fleet: the list, moves and maintenance.
 
 // Machines lists, moves and maintains the machines of a fleet.
 type Machines struct {
@@ -20,22 +19,22 @@
 
 var _ pointport.Machines = (*Machines)(nil)
 
-// Machines returns the fleet's list and its orders. Two holders that order one
-// machine within holderTime count as a violation.
+// Machines returns the fleet as pointport.Machines. Two holders that order one machine less than
+// holderTime apart are a violation.
 func (f *Fleet) Machines(holderTime time.Duration) *Machines { return &Machines{f, holderTime} }
 
-// List returns all machines.
+// List returns all machines, sorted by ID.
 func (m *Machines) List(context.Context) ([]pointport.Machine, error) {
 	f := m.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := make([]pointport.Machine, 0, len(f.machines))
-	for _, x := range f.machines {
+	for _, machine := range f.machines {
 		row := pointport.Machine{
-			ID: x.id, Pool: x.pool, State: x.state, Zone: x.zone, Labels: []string{"a", x.rack}, Capacity: x.capacity,
+			ID: machine.id, Pool: machine.pool, State: machine.state, Zone: machine.zone, Labels: []string{"a", machine.rack}, Capacity: machine.capacity,
 		}
-		if x.current != nil {
-			row.Addressee = x.current.id.Addressee()
+		if machine.current != nil {
+			row.Addressee = machine.current.id.Addressee()
 		}
 		out = append(out, row)
 	}
@@ -43,18 +42,18 @@
 	return out, nil
 }
 
-// Move puts a machine into another pool.
+// Move moves a machine to another pool.
 func (m *Machines) Move(_ context.Context, by pointport.Holder, id pointport.InstanceID, pool string) error {
-	return m.order(by, id, pointport.MachineMoving, m.fleet.moveTime, func(x *Machine) (done bool) {
-		if x.pool == pool {
+	return m.order(by, id, pointport.MachineMoving, m.fleet.moveTime, func(machine *Machine) (done bool) {
+		if machine.pool == pool {
 			return true
 		}
-		x.pool = pool
+		machine.pool = pool
 		return false
 	})
 }
 
-// Maintain maintains a machine for a wave.
+// Maintain maintains a machine for a wave, once.
 func (m *Machines) Maintain(_ context.Context, by pointport.Holder, id pointport.InstanceID, wave int64) error {
 	return m.order(by, id, pointport.MachineMaintenance, m.fleet.upkeepTime, func(*Machine) (done bool) {
 		for _, w := range m.fleet.maintainedFor[id] {
@@ -69,49 +68,51 @@
 	})
 }
 
+// order carries out an order about a machine. If do returns true, there is nothing left to do.
+// Otherwise the machine's incarnation ends, and the machine boots again after away.
 func (m *Machines) order(by pointport.Holder, id pointport.InstanceID, state pointport.MachineState, away time.Duration, do func(*Machine) bool) error {
 	f := m.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	x := f.machines[id]
-	if x == nil {
+	machine := f.machines[id]
+	if machine == nil {
 		return &pointport.MachineRefusedError{Machine: id, Reason: pointport.RefuseUnknown}
 	}
-	m.checkHolder(by, x)
-	if x.state != pointport.MachineUp || !x.drainsAt.IsZero() {
+	m.checkHolder(by, machine)
+	if machine.state != pointport.MachineUp || !machine.drainsAt.IsZero() {
 		return &pointport.MachineRefusedError{Machine: id, Reason: pointport.RefuseBusy}
 	}
-	if do(x) {
+	if do(machine) {
 		return nil
 	}
-	if x.current != nil {
-		x.current.advance(f.clock.Now())
-		f.noteEndedByOrder(f.clock.Now(), x.current)
-		for _, r := range x.current.runs {
+	if machine.current != nil {
+		machine.current.advance(f.clock.Now())
+		f.noteEndedByOrder(f.clock.Now(), machine.current)
+		for _, r := range machine.current.runs {
 			if r.work.Service {
-				f.addViolation(f.clock.Now(), r.Task, fmt.Sprintf("is ended by an order about machine %s", id))
+				f.addViolation(f.clock.Now(), r.Task, fmt.Sprintf("was ended by an order about machine %s", id))
 			}
 		}
 	}
-	f.endIncarnation(x)
-	x.state = state
-	f.bootLater(x, away)
+	f.endIncarnation(machine)
+	machine.state = state
+	f.bootLater(machine, away)
 	return nil
 }
 
-// checkHolder notes whether two holders take turns at a machine. The lock is
-// held.
-func (m *Machines) checkHolder(by pointport.Holder, x *Machine) {
+// checkHolder records a violation if a machine's orders come from an outdated holder, or from two
+// holders with the same fencing token or in quick alternation. The lock is held.
+func (m *Machines) checkHolder(by pointport.Holder, machine *Machine) {
 	now := m.fleet.clock.Now()
 	switch {
-	case by.Fence < x.lastHolder.Fence:
-		m.fleet.addViolation(now, string(x.id), fmt.Sprintf("is ordered with fence %d after %d", by.Fence, x.lastHolder.Fence))
-	case x.lastHolder.Name != "" && by.Fence == x.lastHolder.Fence && by.Name != x.lastHolder.Name:
-		m.fleet.addViolation(now, string(x.id), "is ordered by two holders with one fence")
-	case x.lastHolder.Name != "" && by.Name != x.lastHolder.Name && now.Sub(x.lastOrderAt) < m.holderTime:
-		m.fleet.addViolation(now, string(x.id), "is ordered by two holders in turn")
+	case by.Fence < machine.lastHolder.Fence:
+		m.fleet.addViolation(now, string(machine.id), fmt.Sprintf("was ordered with fence %d after %d", by.Fence, machine.lastHolder.Fence))
+	case machine.lastHolder.Name != "" && by.Fence == machine.lastHolder.Fence && by.Name != machine.lastHolder.Name:
+		m.fleet.addViolation(now, string(machine.id), "was ordered by two holders with one fence")
+	case machine.lastHolder.Name != "" && by.Name != machine.lastHolder.Name && now.Sub(machine.lastOrderAt) < m.holderTime:
+		m.fleet.addViolation(now, string(machine.id), "was ordered by two holders in turn")
 	}
-	x.lastHolder, x.lastOrderAt = by, now
+	machine.lastHolder, machine.lastOrderAt = by, now
 }
 
 // SetWaveBound sets how many machines may be away for a wave at once.
@@ -121,8 +122,8 @@
 	f.waveBounds[wave] = bound
 }
 
-// checkBound notes whether one more machine goes away for a wave than may. The
-// lock is held.
+// checkBound records a violation if a wave takes one more machine away than may be away at once.
+// The lock is held.
 func (f *Fleet) checkBound(wave int64) {
 	n := 0
 	for id, w := range f.lastWave {
@@ -131,7 +132,7 @@
 		}
 	}
 	if bound, ok := f.waveBounds[wave]; ok && n >= bound {
-		f.addViolation(f.clock.Now(), fmt.Sprintf("wave %d", wave), fmt.Sprintf("takes one more machine away beside %d; %d may be", n, bound))
+		f.addViolation(f.clock.Now(), fmt.Sprintf("wave %d", wave), fmt.Sprintf("takes one more machine away while %d are away; %d may be", n, bound))
 	}
 }
 
--- a/testbed/network.go
+++ b/testbed/network.go
@@ -10,23 +10,24 @@
 
 // This file defines how orders reach incarnations.
 
-// A Delivery says what becomes of an order.
+// A Delivery describes what happens to one order on its way.
 type Delivery struct {
 	Latency time.Duration
-	// OrderLost says that the order is not carried out and gets no answer.
+	// OrderLost drops the order: it is not carried out, and the caller gets no answer.
 	OrderLost bool
-	// LateBy says that the order gets no answer and is carried out so much later.
+	// LateBy, if positive, is how much later the order is carried out; the caller gets no answer.
 	LateBy time.Duration
-	// AnswerLost says that the order is carried out and gets no answer.
+	// AnswerLost drops the answer of an order that is carried out.
 	AnswerLost bool
-	// Refused says that the instance answers that it is not well, and has done nothing.
+	// Refused makes the instance answer that it is unhealthy, without carrying out the order.
 	Refused bool
 }
 
-// A Network decides the fate of each order to a machine.
+// A Network decides how each order to a machine is delivered. op is "start", "stop", "pace" or
+// "hold", which is a poll.
 type Network func(op string, to pointport.InstanceID) Delivery
 
-// Reliable is a network on which every order takes a millisecond.
+// Reliable is a network that delivers every order in a millisecond.
 func Reliable(string, pointport.InstanceID) Delivery { return Delivery{Latency: time.Millisecond} }
 
 // answerTimeout is how long a caller waits for an answer.
@@ -42,11 +43,11 @@
 
 var _ pointport.Executor = (*Executor)(nil)
 
-// Executor returns a way to send orders over a network.
+// Executor returns an Executor that sends orders over a network.
 func (f *Fleet) Executor(network Network) *Executor { return &Executor{f, network} }
 
-// call carries out an order under its fate and returns what it was answered. An
-// order that is carried out late answers nobody.
+// call sends an order over the network, carries it out as the network decides and returns the
+// answer. An order that is carried out late has no answer.
 func call[T any](ctx context.Context, e *Executor, op string, at pointport.Endpoint, carryOut func(*incarnation, time.Time) (T, error)) (T, error) {
 	var none T
 	f := e.fleet
@@ -55,37 +56,37 @@
 	if inc != nil {
 		id = inc.machine.id
 	}
-	fate := e.network(op, id)
-	if !sleep(ctx, f.clock, fate.Latency) {
+	delivery := e.network(op, id)
+	if !sleep(ctx, f.clock, delivery.Latency) {
 		return none, e.noAnswer(ctx, op, at, 0)
 	}
-	if fate.OrderLost {
+	if delivery.OrderLost {
 		return none, e.noAnswer(ctx, op, at, answerTimeout)
 	}
-	if fate.LateBy > 0 {
-		taker, wake := f.incarnationAt(at), f.clock.After(fate.LateBy)
+	if delivery.LateBy > 0 {
+		lateInc, wake := f.incarnationAt(at), f.clock.After(delivery.LateBy)
 		go func() {
 			<-wake
-			f.awaitStall(taker)
+			f.awaitStall(lateInc)
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			// What a life holds back ends with it.
-			if taker != nil && !taker.gone {
-				taker.advance(f.clock.Now())
-				// Its caller has long gone and hears of no refusal.
-				_, _ = carryOut(taker, f.clock.Now())
+			// An order that an incarnation has not handled when it ends is never handled.
+			if lateInc != nil && !lateInc.gone {
+				lateInc.advance(f.clock.Now())
+				// The caller no longer waits, so a refusal reaches nobody.
+				_, _ = carryOut(lateInc, f.clock.Now())
 			}
 		}()
 		return none, e.noAnswer(ctx, op, at, answerTimeout)
 	}
 	f.awaitStall(f.incarnationAt(at))
 	f.mu.Lock()
-	inc = f.byAddressee[at.Incarnation.Addressee()] // another one may have come by now
+	inc = f.byAddressee[at.Incarnation.Addressee()] // a new incarnation may have begun meanwhile
 	if inc == nil || inc.gone {
 		f.mu.Unlock()
 		return none, e.noAnswer(ctx, op, at, answerTimeout)
 	}
-	if fate.Refused {
+	if delivery.Refused {
 		f.mu.Unlock()
 		return none, inc.reject(pointport.RejectUnhealthy)
 	}
@@ -93,26 +94,27 @@
 	inc.advance(now)
 	answer, err := carryOut(inc, now)
 	f.mu.Unlock()
-	if fate.AnswerLost {
+	if delivery.AnswerLost {
 		return none, e.noAnswer(ctx, op, at, answerTimeout)
 	}
 	return answer, err
 }
 
-// incarnationAt returns the life that takes what is meant for an incarnation, nil if none has yet.
+// incarnationAt returns the latest incarnation under the addressee that an order is sent to, nil
+// if there is none yet.
 func (f *Fleet) incarnationAt(at pointport.Endpoint) *incarnation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.byAddressee[at.Incarnation.Addressee()]
 }
 
-// noAnswer waits for an answer that does not come.
+// noAnswer waits for d and returns the error for an order without an answer.
 func (e *Executor) noAnswer(ctx context.Context, op string, at pointport.Endpoint, d time.Duration) error {
 	sleep(ctx, e.fleet.clock, d)
 	return &pointport.UnavailableError{Op: op, Key: string(at.Incarnation), Ambiguous: true, Err: errNoAnswer}
 }
 
-// sleep waits for d; false if ctx ends first.
+// sleep waits for d. It returns false if ctx ends first.
 func sleep(ctx context.Context, clock pointport.Clock, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -125,7 +127,7 @@
 	}
 }
 
-// Start starts a run.
+// Start sends a start order.
 func (e *Executor) Start(ctx context.Context, at pointport.Endpoint, o pointport.StartOrder) (pointport.InstanceTime, error) {
 	sent := e.fleet.clock.Now()
 	return call(ctx, e, "start", at, func(i *incarnation, now time.Time) (pointport.InstanceTime, error) {
@@ -133,14 +135,15 @@
 	})
 }
 
-// Stop stops a run.
+// Stop sends a stop order.
 func (e *Executor) Stop(ctx context.Context, at pointport.Endpoint, o pointport.StopOrder) (pointport.InstanceTime, error) {
 	return call(ctx, e, "stop", at, func(i *incarnation, now time.Time) (pointport.InstanceTime, error) {
 		return i.clockAt(now), i.stop(now, o)
 	})
 }
 
-// Pace sets the share of its work that a run may do, which changes nothing here.
+// Pace sends an order for the share of its work that a run may do. The fleet only checks its
+// fencing token: no run changes its pace.
 func (e *Executor) Pace(ctx context.Context, at pointport.Endpoint, o pointport.PaceOrder) error {
 	_, err := call(ctx, e, "pace", at, func(i *incarnation, _ time.Time) (struct{}, error) {
 		if err := i.admit(o.Fence, 0); err != nil {
@@ -151,10 +154,12 @@
 	return err
 }
 
-// errConnectionLost says that the life that a hold waited at is over, and its connection with it.
+// errConnectionLost reports that the incarnation at which a poll waited has ended, and its
+// connection with it.
 var errConnectionLost = errors.New("the connection has gone with the life at its end")
 
-// A pollResult is what a hold is answered, and when to look again if nothing has ended.
+// A pollResult is the answer of an incarnation to a poll, and how long to wait before the next
+// check if nothing has ended.
 type pollResult struct {
 	by      *incarnation
 	report  pointport.Report
@@ -162,11 +167,11 @@
 	next    time.Duration
 }
 
-// Poll extends the time of what runs, and returns what runs and has ended once
-// something has ended or the wait is over.
+// Poll extends the lease of an incarnation. It returns the runs and the ends as soon as there is
+// an end, or after the order's wait.
 func (e *Executor) Poll(ctx context.Context, at pointport.Endpoint, o pointport.PollOrder) (pointport.Report, error) {
 	end := e.fleet.clock.After(o.Wait)
-	var by *incarnation // who has taken it
+	var by *incarnation // the incarnation that has received the poll
 	for first := true; ; first = false {
 		wait, waitedAt := o.Wait, by
 		h, err := call(ctx, e.executorForAttempt(first), "hold", at, func(i *incarnation, now time.Time) (pollResult, error) {
@@ -197,8 +202,8 @@
 	}
 }
 
-// executorForAttempt returns how a hold reaches its instance: over the network the first time,
-// and by looking again at the instance itself after that.
+// executorForAttempt returns the executor for one check of a poll: the first goes over the
+// network, and later ones check the incarnation directly.
 func (e *Executor) executorForAttempt(first bool) *Executor {
 	if first {
 		return e
@@ -206,7 +211,8 @@
 	return &Executor{e.fleet, func(string, pointport.InstanceID) Delivery { return Delivery{} }}
 }
 
-// untilNextEnd returns how long it is until something ends by itself.
+// untilNextEnd returns how long it is until a run ends by itself or the lease expires, a
+// millisecond more so that the end is due by then.
 func (i *incarnation) untilNextEnd(now time.Time) time.Duration {
 	next := i.timeOf(i.leaseUntil)
 	if r, at := i.nextEnd(); r != nil && at.Before(next) {
--- a/testbed/work.go
+++ b/testbed/work.go
@@ -11,37 +11,36 @@
 
 // This file defines what tasks do.
 
-// Work is what a task does once it is started.
+// Work describes what a task does once it is started.
 type Work struct {
 	Reservation pointport.Shape
 	Duration    time.Duration
-	// Fails says that the run ends as failed.
+	// Fails makes the run end as failed.
 	Fails bool
-	// MaxAttempts is after how many runs that have ended as failed the task may not start
-	// again; zero leaves that unchecked.
+	// MaxAttempts is how many runs may end as failed before a further start of the task is a
+	// violation. Zero disables the check.
 	MaxAttempts int
-	// Crashes says that the run ends its instance a moment after its start.
+	// Crashes makes the run crash its instance shortly after its start.
 	Crashes bool
-	// Service says that the task runs until it is stopped.
+	// Service makes the task run until it is stopped.
 	Service bool
-	// Copies says that the task may run more than once at a time.
+	// Copies allows several runs of the task at a time.
 	Copies bool
-	// Gang is how many tasks must be present to work, zero or one for a task that
-	// works alone.
+	// Gang is how many tasks must be present before any of them works. Zero or one means that the
+	// task works alone.
 	Gang int
-	// MayMiss is how many serving tasks of a step may be away at once by order;
-	// zero leaves that unchecked.
+	// MayMiss is how many serving tasks of a step may be away by order at once. Zero disables the
+	// check.
 	MayMiss int
-	// After lists tasks that must be done before this one starts.
+	// After lists the tasks that must be done before this one starts.
 	After []string
 }
 
-// A WorkSource says what the tasks of an order do.
+// A WorkSource returns what the task of a start order does.
 type WorkSource func(order pointport.StartOrder) Work
 
-// PayloadWork reads what a task does from its payload, words such as
-// "duration=300ms cpu=500 memory=256 fails=true crashes=true serves=true". Words that it does
-// not know are passed over.
+// PayloadWork reads what a task does from its payload: words such as "duration=300ms cpu=500
+// memory=256 fails=true crashes=true serves=true". It ignores unknown words.
 func PayloadWork(order pointport.StartOrder) Work {
 	w := Work{Duration: defaultDuration}
 	for _, word := range strings.Fields(order.Payload) {
@@ -66,16 +65,18 @@
 	return w
 }
 
-// defaultDuration is how long a task takes whose payload does not say.
+// defaultDuration is the run time of a task whose payload gives none.
 const defaultDuration = 300 * time.Millisecond
 
-// A Violation is what whoever gives orders has done wrong.
+// A Violation is a broken invariant, found in the orders that the fleet received. Task names the
+// task, or the machine or wave where no task is concerned.
 type Violation struct {
 	At   time.Time
 	Task string
 	What string
 }
 
+// String formats a violation as one line with its time, its task and what was wrong.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s %s: %s", v.At.Format("15:04:05.000"), v.Task, v.What)
 }
