--- a/soak/trouble_test.go
+++ b/soak/basic_fault_test.go
@@ -12,54 +12,54 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file defines the faults and how they are drawn.
+// This file defines faults of entries, the platform and instances, and how they are drawn.
 
-// A fault is one kind of fault. It lasts for a while and ends what it began.
+// A fault is one kind of fault. Its run function injects it for a duration and then ends it.
 type fault struct {
 	name string
 	run  func(s *soak, t *testing.T, r *rand.Rand, d time.Duration)
 }
 
-// processFaults are the kinds of faults, each as likely as any other.
-var processFaults = []fault{
+// basicFaults are the kinds of faults that every run has, each equally likely.
+var basicFaults = []fault{
 	{"kill", func(s *soak, _ *testing.T, r *rand.Rand, d time.Duration) {
 		s.drawEntry(r).signal(syscall.SIGKILL, d/4)
 	}},
-	{"stop as planned", func(s *soak, _ *testing.T, r *rand.Rand, _ time.Duration) {
+	{"planned stop", func(s *soak, _ *testing.T, r *rand.Rand, _ time.Duration) {
 		s.entries[r.IntN(len(s.entries))].signal(syscall.SIGTERM, 0)
 	}},
-	{"stop as planned in turn", func(s *soak, _ *testing.T, _ *rand.Rand, d time.Duration) {
+	{"planned stop of all in turn", func(s *soak, _ *testing.T, _ *rand.Rand, d time.Duration) {
 		for _, e := range s.entries {
 			e.signal(syscall.SIGTERM, 0)
 			time.Sleep(d / 2)
 		}
 	}},
-	{"freeze", func(s *soak, _ *testing.T, r *rand.Rand, d time.Duration) {
+	{"suspend", func(s *soak, _ *testing.T, r *rand.Rand, d time.Duration) {
 		e := s.drawEntry(r)
 		e.signal(syscall.SIGSTOP, 0)
 		time.Sleep(d)
 		e.noteDisturbance()
 		e.signal(syscall.SIGCONT, 0)
 	}},
-	{"new settings", func(s *soak, t *testing.T, r *rand.Rand, _ time.Duration) {
+	{"settings rewritten", func(s *soak, t *testing.T, r *rand.Rand, _ time.Duration) {
 		e := s.entries[r.IntN(len(s.entries))]
 		if err := e.writeSettings(); err != nil {
 			t.Error(err)
 		}
 		e.signal(syscall.SIGHUP, 0)
 	}},
-	{"store treated badly for one", func(s *soak, _ *testing.T, r *rand.Rand, d time.Duration) {
+	{"store connection of one entry disturbed", func(s *soak, _ *testing.T, r *rand.Rand, d time.Duration) {
 		e := s.drawEntry(r)
 		e.store.set(connMode(1 + r.IntN(int(platformModes)-1)))
 		time.Sleep(d)
 		e.noteDisturbance()
 		e.store.set(passThrough)
 	}},
-	{"store treated badly for all", func(s *soak, _ *testing.T, r *rand.Rand, d time.Duration) {
-		treat := connMode(1 + r.IntN(int(platformModes)-1))
+	{"store connections of all entries disturbed", func(s *soak, _ *testing.T, r *rand.Rand, d time.Duration) {
+		mode := connMode(1 + r.IntN(int(platformModes)-1))
 		for _, e := range s.entries {
 			e.noteDisturbance()
-			e.store.set(treat)
+			e.store.set(mode)
 		}
 		time.Sleep(d)
 		for _, e := range s.entries {
@@ -67,13 +67,13 @@
 			e.store.set(passThrough)
 		}
 	}},
-	{"machines' service treated badly", func(s *soak, _ *testing.T, r *rand.Rand, d time.Duration) {
+	{"connection to the machines' service disturbed", func(s *soak, _ *testing.T, r *rand.Rand, d time.Duration) {
 		e := s.entries[r.IntN(len(s.entries))]
 		e.machines.set(connMode(1 + r.IntN(int(platformModes)-1)))
 		time.Sleep(d)
 		e.machines.set(passThrough)
 	}},
-	{"store forgets its history", func(s *soak, _ *testing.T, _ *rand.Rand, d time.Duration) {
+	{"store compacted", func(s *soak, _ *testing.T, _ *rand.Rand, d time.Duration) {
 		s.grid.Store().DropWatchEvents(true)
 		time.Sleep(min(d, time.Second))
 		s.grid.Store().DropWatchEvents(false)
@@ -87,7 +87,7 @@
 		ids := s.grid.Fleet().IDs()
 		s.grid.Fleet().Drain(ids[r.IntN(len(ids))], 2*time.Second, d)
 	}},
-	{"instance fails all", func(s *soak, _ *testing.T, r *rand.Rand, d time.Duration) {
+	{"instance fails every run", func(s *soak, _ *testing.T, r *rand.Rand, d time.Duration) {
 		ids := s.grid.Fleet().IDs()
 		id := ids[r.IntN(len(ids))]
 		s.grid.Fleet().SetFailing(id, true)
@@ -100,7 +100,7 @@
 	{"new configuration", func(s *soak, t *testing.T, _ *rand.Rand, _ time.Duration) {
 		s.configure(t)
 	}},
-	{"all killed", func(s *soak, _ *testing.T, _ *rand.Rand, d time.Duration) {
+	{"all entries killed", func(s *soak, _ *testing.T, _ *rand.Rand, d time.Duration) {
 		for _, e := range s.entries {
 			e.noteDisturbance()
 			e.signal(syscall.SIGKILL, d/4)
@@ -108,22 +108,22 @@
 	}},
 }
 
-// drawEntry returns an entry to which something is about to be done.
+// drawEntry returns a random entry and records that a fault is about to be injected into it.
 func (s *soak) drawEntry(r *rand.Rand) *entry {
 	e := s.entries[r.IntN(len(s.entries))]
 	e.noteDisturbance()
 	return e
 }
 
-// evacuateZones has one availability zone after the other left empty until ctx ends.
+// evacuateZones evacuates random availability zones, one after another, until ctx ends.
 func (s *soak) evacuateZones(ctx context.Context, r *rand.Rand) {
-	const most = 5000 // milliseconds; nothing may be started after testbed.EvacuationTime
+	const spread = 5000 // milliseconds; nothing may be started after testbed.EvacuationTime
 	for ctx.Err() == nil {
 		pause(ctx, time.Duration(r.IntN(2000))*time.Millisecond)
 		zone := soakZones[r.IntN(len(soakZones))]
 		s.record("zone %s evacuated", zone)
 		s.grid.Evacuate(zone)
-		pause(ctx, time.Duration(4000+r.IntN(most))*time.Millisecond)
+		pause(ctx, time.Duration(4000+r.IntN(spread))*time.Millisecond)
 		s.record("zone %s open", zone)
 		s.grid.EndEvacuation(zone)
 	}
@@ -137,7 +137,7 @@
 	}
 }
 
-// startWave asks that some machines be maintained.
+// startWave requests a maintenance wave for a random third of the machines.
 func (s *soak) startWave(r *rand.Rand) {
 	ids := s.grid.Fleet().IDs()
 	r.Shuffle(len(ids), func(a, b int) { ids[a], ids[b] = ids[b], ids[a] })
@@ -148,7 +148,7 @@
 	s.grid.StartWave(wave)
 }
 
-// configure puts a configuration with one more queue in force.
+// configure applies a configuration with one more queue.
 func (s *soak) configure(t *testing.T) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/soak/customer_test.go
+++ b/soak/customer_test.go
@@ -18,33 +18,33 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file defines the customers: the jobs that they hand in and what they are
-// told.
+// This file defines the simulated customers, the jobs that they submit and the answers that they
+// get.
 
-// An outcome is what a customer was told of a submission.
+// An outcome is the result of a submission as its customer knows it.
 type outcome int
 
 const (
 	accepted outcome = iota
-	refused          // by every entry that was asked
+	refused          // by every entry instance that was tried
 	ambiguous
 )
 
 // A submission is a job and what its customer knows of it.
 type submission struct {
 	id              string
-	customer        string // the name of whose it is
+	customer        string // name of the customer that submitted the job
 	queue           *workload.Queue
 	spec            *workload.Spec
-	crashes         bool // its first task crashes the instance that starts it
+	crashes         bool // whether its first task crashes the instance that starts it
 	outcome         outcome
-	cancelRequested bool // its customer has asked to cancel it
-	cancelled       bool // and was told that it is cancelled
-	// completedSeenAt is when the customer was first told that the job is completed.
+	cancelRequested bool // whether its customer has requested a cancellation
+	cancelled       bool // whether the cancellation was confirmed
+	// completedSeenAt is when the customer first saw the job as completed, zero until then.
 	completedSeenAt time.Time
 }
 
-// Jobs is what customers have handed in. It is safe for concurrent use.
+// jobs holds all submissions. It is safe for concurrent use.
 type jobs struct {
 	mu      sync.Mutex
 	byJobID map[string]*submission
@@ -62,7 +62,7 @@
 	change()
 }
 
-// all returns the tickets.
+// all returns the submissions in no particular order.
 func (j *jobs) all() []*submission {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -73,7 +73,7 @@
 	return out
 }
 
-// workOf tells the fleet what a task does.
+// workOf returns what the task of a start order does, as a testbed.WorkSource.
 func (j *jobs) workOf(o pointport.StartOrder) testbed.Work {
 	id, ref, err := workload.ParseTaskName(o.Task)
 	j.mu.Lock()
@@ -93,7 +93,7 @@
 	return w
 }
 
-// drawSpec draws a job.
+// drawSpec returns a random job.
 func drawSpec(r *rand.Rand) *workload.Spec {
 	s := &workload.Spec{Payload: "soak"}
 	if r.IntN(10) == 0 {
@@ -113,22 +113,23 @@
 	return s
 }
 
-// crashEvery is one in how many jobs has a task that crashes its instance, where the fleet
-// does odd things. With more, a fleet of eight would hardly stand.
+// crashEvery is how many jobs there are for each one with a task that crashes its instance, in
+// runs with fleet faults. With more such jobs, too few of the eight instances would be up at a
+// time.
 const crashEvery = 30
 
-// crashesInstance reports whether the first task of a job crashes its instance, which hangs on the
-// job's name alone.
+// crashesInstance reports whether the first task of a job crashes its instance. That depends on
+// the job's ID alone.
 func (s *soak) crashesInstance(t *submission) bool {
-	last := t.id[len(t.id)-4:]
-	n, err := strconv.ParseUint(last, 16, 64)
+	lastDigits := t.id[len(t.id)-4:]
+	n, err := strconv.ParseUint(lastDigits, 16, 64)
 	return s.fleetFaults && err == nil && n%crashEvery == 0 && !t.spec.RunsUntilCancelled()
 }
 
 // answerTimeout is how long customers wait for an answer.
 const answerTimeout = 3 * time.Second
 
-// A customer hands jobs in, one after the other, over connections that it keeps.
+// A customer submits jobs one after another over persistent connections.
 type customer struct {
 	name    string
 	soak    *soak
@@ -136,53 +137,54 @@
 	clients map[*entry]*platform.Client
 }
 
-// submitAttempts is how often a customer asks for one thing.
+// submitAttempts is how many times a customer tries a submission.
 const submitAttempts = 4
 
-// submit hands a job in, at further entries if it must.
+// submit submits a job, at further entry instances if the first does not accept it.
 func (c *customer) submit(ctx context.Context, t *submission) {
 	t.outcome = ambiguous
 	c.soak.jobs.add(t)
-	sure := true
+	allRefused := true
 	for range submitAttempts {
 		e := c.soak.entries[c.random.IntN(len(c.soak.entries))]
 		from := time.Now()
 		err := c.clients[e].Submit(ctx, t.queue, t.id, t.spec)
-		var no *intake.RefusedError
+		var refusal *intake.RefusedError
 		switch {
 		case err == nil:
 			c.soak.jobs.update(func() { t.outcome = accepted })
 			return
-		case errors.As(err, &no):
-			time.Sleep(min(no.RetryAfter, time.Second))
+		case errors.As(err, &refusal):
+			time.Sleep(min(refusal.RetryAfter, time.Second))
 			continue
 		}
-		sure = false
+		allRefused = false
 		c.checkCutOff(e, from, err)
 		if ctx.Err() != nil {
 			return
 		}
 	}
-	if sure {
+	if allRefused {
 		c.soak.jobs.update(func() { t.outcome = refused })
 	}
 }
 
-// checkCutOff reports an answer that an entry owed: one that was told to end as planned
-// cuts nothing off.
+// checkCutOff reports a failure if an entry instance that was stopping as planned, and had no
+// other disturbance since before the request, closed the request's connection without an answer.
 func (c *customer) checkCutOff(e *entry, from time.Time, err error) {
-	var unsure *intake.AmbiguousError
-	if !errors.As(err, &unsure) || !strings.Contains(err.Error(), "EOF") && !strings.Contains(err.Error(), "reset") {
+	var noAnswer *intake.AmbiguousError
+	if !errors.As(err, &noAnswer) || !strings.Contains(err.Error(), "EOF") && !strings.Contains(err.Error(), "reset") {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.stopping && e.undisturbedSince.Before(from.Add(-answerTimeout)) {
-		c.soak.fail("%s cut a request off while it ended as planned: %v", e.name, err)
+		c.soak.fail("%s closed a connection without an answer during a planned stop: %v", e.name, err)
 	}
 }
 
-// watch asks for a job's state until ctx ends, now and then.
+// checkStatus queries a job's status once. If it is completed for the first time, all its tasks
+// must have ended as done.
 func (c *customer) checkStatus(ctx context.Context, t *submission) {
 	e := c.soak.entries[c.random.IntN(len(c.soak.entries))]
 	status, err := c.clients[e].Status(ctx, t.queue, t.id)
@@ -191,29 +193,29 @@
 	}
 	c.soak.jobs.update(func() { t.completedSeenAt = time.Now() })
 	if missing := c.soak.tasksNotDone(t); len(missing) > 0 {
-		c.soak.fail("job %s is shown as completed and these tasks have not ended well: %v", t.id, missing)
+		c.soak.fail("job %s is shown as completed, but these tasks have not ended as done: %v", t.id, missing)
 	}
 }
 
 const (
-	// maxServices is how many jobs that last a customer has at once, so that they do
-	// not fill the machines.
+	// maxServices is how many jobs that run until they are cancelled a customer has at once, so
+	// that these do not fill the machines.
 	maxServices = 2
-	// maxPauseMs bounds the pause between two jobs, in milliseconds.
+	// maxPauseMs is the longest pause between two jobs, in milliseconds.
 	maxPauseMs = 400
 )
 
-// run hands jobs in until ctx ends.
+// run submits jobs until ctx ends.
 func (c *customer) run(ctx context.Context) {
-	var mine, open, services []*submission
+	var submitted, open, services []*submission
 	for n := 0; ctx.Err() == nil; n++ {
 		open = c.awaitOpenWorkBelowLimit(ctx, open)
 		queue := c.soak.queues[c.random.IntN(len(c.soak.queues))]
 		t := &submission{id: fmt.Sprintf("%016x", c.random.Uint64()), customer: c.name, queue: queue, spec: drawSpec(c.random)}
 		t.crashes = c.soak.crashesInstance(t)
 		c.submit(ctx, t)
-		mine, open = append(mine, t), append(open, t)
-		recent := mine[max(0, len(mine)-5):]
+		submitted, open = append(submitted, t), append(open, t)
+		recent := submitted[max(0, len(submitted)-5):]
 		c.checkStatus(ctx, recent[c.random.IntN(len(recent))])
 		if n%foreignAccessCheckEvery == 0 {
 			c.soak.checkForeignAccess(ctx, t)
@@ -232,7 +234,7 @@
 	}
 }
 
-// cancel cancels a job that was accepted.
+// cancel requests the cancellation of a job that was accepted.
 func (c *customer) cancel(ctx context.Context, t *submission) {
 	if t.outcome != accepted || t.cancelled {
 		return
@@ -244,7 +246,7 @@
 	}
 }
 
-// tasksNotDone returns the tasks of a job that have not ended well.
+// tasksNotDone returns the names of a job's tasks that have not ended as done, sorted.
 func (s *soak) tasksNotDone(t *submission) []string {
 	var missing []string
 	for n := range t.spec.Steps {
@@ -259,13 +261,15 @@
 	return missing
 }
 
-// maxOpenWork is how much work a customer has open, in core-seconds, before it waits for some of
-// it to end. Two of the four customers share a cap, so they have 40 open. After faults in
-// which many instances have crashed, tasks are kept alone, and no more than 1.7 cores of them
-// ran, which makes 76 core-seconds in the 45 s after the last fault.
+// maxOpenWork is how much unfinished work a customer may have, in core-seconds, before it waits to
+// submit more. Two of the four customers share a cap, so they have up to 40 core-seconds
+// unfinished. After faults in which many instances have crashed, each task is placed alone on its
+// instance and no more than 1.7 cores of them ran, which amounts to 76 core-seconds in the 45 s
+// after the last fault.
 const maxOpenWork = 20
 
-// workLeft returns how much of a job's work has not ended well, in core-seconds.
+// workLeft returns how much of a job's work has not ended as done, in core-seconds, without
+// services.
 func (s *soak) workLeft(t *submission) float64 {
 	const thousandth = 1e-3
 	var sum float64
@@ -280,20 +284,21 @@
 	return sum
 }
 
-// openJobs returns those of some jobs that have work left, and how much all of them have.
-func (s *soak) openJobs(of []*submission) (still []*submission, work float64) {
-	for _, t := range of {
+// openJobs returns the given jobs that have work left, and how much work all of these have left in
+// core-seconds. Refused jobs and jobs with a requested cancellation have none.
+func (s *soak) openJobs(submissions []*submission) (open []*submission, work float64) {
+	for _, t := range submissions {
 		left := s.workLeft(t)
 		if t.outcome == refused || t.cancelRequested || left == 0 {
 			continue
 		}
-		still, work = append(still, t), work+left
+		open, work = append(open, t), work+left
 	}
-	return still, work
+	return open, work
 }
 
-// awaitOpenWorkBelowLimit waits until a customer may hand in a further job, or until ctx ends, and returns
-// its jobs that have work left.
+// awaitOpenWorkBelowLimit waits until a customer has less than maxOpenWork unfinished, or until
+// ctx ends. It returns the given jobs that have work left.
 func (c *customer) awaitOpenWorkBelowLimit(ctx context.Context, open []*submission) []*submission {
 	for ctx.Err() == nil {
 		var work float64
@@ -302,7 +307,7 @@
 		}
 		e := c.soak.entries[c.random.IntN(len(c.soak.entries))]
 		if status, err := c.clients[e].Status(ctx, open[0].queue, open[0].id); err == nil && status.Ended() {
-			open = open[1:] // it has failed
+			open = open[1:] // the job has ended with work left, so it has failed
 		}
 		time.Sleep(maxPauseMs * time.Millisecond)
 	}
@@ -311,13 +316,13 @@
 
 // openWorkByCustomer returns how much work each customer has left, in whole core-seconds.
 func (s *soak) openWorkByCustomer() map[string]int {
-	of := make(map[string][]*submission)
+	submissions := make(map[string][]*submission)
 	for _, t := range s.jobs.all() {
-		of[t.customer] = append(of[t.customer], t)
+		submissions[t.customer] = append(submissions[t.customer], t)
 	}
 	out := make(map[string]int)
-	for name, tickets := range of {
-		_, work := s.openJobs(tickets)
+	for name, ofCustomer := range submissions {
+		_, work := s.openJobs(ofCustomer)
 		out[name] = int(work)
 	}
 	return out
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,14 +1,20 @@
-// Package soak runs the real programs as separate processes on one machine against
-// a stand-in of the platform, and brings about faults from outside them: proxies
-// before the platform and before each instance that delay, reset, cut or silence
-// connections, signals that stop, freeze, kill and restart processes or leave them
-// little of the processor, logs that nobody reads, instances that stand still, and a
-// list of machines that lags. It checks what is promised while it runs, from what
-// customers and instances see. All of it is in its tests.
-//
-// The model: a seed decides everything that is drawn: the customers' jobs, the
-// faults and their times. Processes race as they like, so a seed does not repeat a
-// run exactly; testdata/seeds.txt keeps each seed that ever failed, with its cause.
-//
-// Invariant: only processes that the soak has started are signalled, by their ids.
+// Package soak runs the real programs as separate processes on one machine against a simulated
+// platform and injects faults from outside the processes:
+//
+//   - proxies in front of the platform and of each instance that delay or reset connections,
+//     or drop what they carry
+//   - signals that stop, suspend, kill or throttle processes, which are then restarted or
+//     resumed
+//   - log output that is not read
+//   - instances that stall
+//   - a list of machines that lags
+//
+// During and after each run it checks the documented guarantees from the point of view of
+// customers and instances. All its code is in tests.
+//
+// The model: a seed determines everything random, which is the customers' jobs and the faults with
+// their times. The processes' timing varies, so a seed does not reproduce a run exactly.
+// testdata/seeds.txt lists each seed that ever failed, with its cause.
+//
+// Invariant: the soak signals only processes that it has started itself, by their process IDs.
 package soak
--- a/soak/key_test.go
+++ b/soak/key_test.go
@@ -6,33 +6,35 @@
 	"time"
 
 	"github.com/pointport/pointport"
-	people "github.com/pointport/pointport/customer"
+	customers "github.com/pointport/pointport/customer"
 	"github.com/pointport/pointport/intake"
 	"github.com/pointport/pointport/platform"
 	"github.com/pointport/pointport/workload"
 )
 
-// This file checks that customers see their own jobs alone, that no other key works, and that
-// what one has running stays within its cap.
+// This file checks that customers see only their own jobs, that unknown keys are refused, and that
+// each customer's running tasks stay within its cap.
 
-// customerNames are the customers; the first is greedy and has a cap.
+// customerNames are the customers. The first submits more than its cap allows to run.
 var customerNames = []string{"bistro", "cafe", "diner"}
 
 const (
-	// foreignAccessCheckEvery is at every how many of its jobs a customer's job is asked for by others.
+	// foreignAccessCheckEvery is the number of a customer's jobs for each one that is queried with
+	// other keys.
 	foreignAccessCheckEvery = 6
-	// capCores is the cap of the first customer. Its jobs that last take 5.4 at most.
+	// capCores is the cap of the first customer, in cores. Its jobs that run until they are
+	// cancelled take 5.4 cores at most.
 	capCores = 9
-	// capCheckInterval is how often what it has running is held against the cap. Shorter tasks than
-	// that are seen now and then.
+	// capCheckInterval is how often the first customer's running tasks are compared with the cap.
+	// Tasks that are shorter than this are only sometimes seen.
 	capCheckInterval = 20 * time.Millisecond
 )
 
-// soakCustomers returns the customers.
-func soakCustomers() []people.Customer {
-	var all []people.Customer
+// soakCustomers returns the customers with their keys and caps.
+func soakCustomers() []customers.Customer {
+	var all []customers.Customer
 	for n, name := range customerNames {
-		c := people.Customer{Name: name, Weight: 1, Keys: []people.Digest{people.DigestOf(soakKey(name))}}
+		c := customers.Customer{Name: name, Weight: 1, Keys: []customers.Digest{customers.DigestOf(soakKey(name))}}
 		if n == 0 {
 			c.Cap = pointport.Shape{CPUMilli: capCores * 1000}
 		}
@@ -51,13 +53,14 @@
 	return keys
 }
 
-// client returns a client of an entry that shows a customer's key.
+// client returns a client of an entry instance that uses a customer's key.
 func (s *soak) client(e *entry, name string, timeout time.Duration) *platform.Client {
 	return platform.NewClient(e.settings.Clients, timeout, platform.WithKey(soakKey(name)))
 }
 
-// checkForeignAccess asks each entry for a job under other keys than its customer's, and under
-// none: whoever answers must know nothing of it, and a key of nobody must be refused.
+// checkForeignAccess queries one entry instance for a job with another customer's key, without a
+// key and with an unknown key. The first two must not find the job, and the unknown key must be
+// refused.
 func (s *soak) checkForeignAccess(ctx context.Context, t *submission) {
 	other := customerNames[0]
 	if t.customer == other {
@@ -66,30 +69,31 @@
 	e := s.entries[len(t.id)*int(t.id[0])%len(s.entries)]
 	for _, c := range []*platform.Client{s.client(e, other, time.Second), platform.NewClient(e.settings.Clients, time.Second)} {
 		if status, err := c.Status(ctx, t.queue, t.id); err == nil {
-			s.fail("job %s of %s is shown as %s to others", t.id, t.customer, status)
+			s.fail("the status of job %s of %s is visible to others: %s", t.id, t.customer, status)
 		}
 	}
 	err := s.client(e, "nobody", time.Second).Cancel(ctx, t.queue, t.id)
-	var unknown *intake.UnknownJobError
-	if err == nil || errors.As(err, &unknown) {
-		s.fail("a key of nobody is taken by %s: %v", e.name, err)
+	var unknownJob *intake.UnknownJobError
+	if err == nil || errors.As(err, &unknownJob) {
+		s.fail("an unknown key is accepted by %s: %v", e.name, err)
 	}
 }
 
-// checkCap holds what the first customer has running against its cap until ctx ends.
+// checkCap compares what the first customer has running with its cap until ctx ends.
 func (s *soak) checkCap(ctx context.Context) {
-	// A tenth and one task more than the cap may run, by the users' pages.
-	const most = capCores*1100 + 1000
+	// The guarantee to users allows the cap to be exceeded by a tenth and one task.
+	const limit = capCores*1100 + 1000
 	for ctx.Err() == nil {
-		if got := s.runningCPUMilli(customerNames[0]); got > most {
-			s.fail("%d thousandths of a core of %s run, and its cap is %d", got, customerNames[0], capCores*1000)
+		if got := s.runningCPUMilli(customerNames[0]); got > limit {
+			s.fail("%d thousandths of a core run for %s, and its cap is %d", got, customerNames[0], capCores*1000)
 			return
 		}
 		time.Sleep(capCheckInterval)
 	}
 }
 
-// runningCPUMilli returns what the tasks declare that a customer has running, in thousandths of a core.
+// runningCPUMilli returns the sum of the CPU that a customer's running tasks declare, in
+// thousandths of a core.
 func (s *soak) runningCPUMilli(name string) int64 {
 	var sum int64
 	tasks := s.grid.Fleet().RunningTasks()
--- a/soak/process_test.go
+++ b/soak/process_test.go
@@ -16,40 +16,39 @@
 	"github.com/pointport/pointport/platform"
 )
 
-// This file defines an entry instance as a process, and what is done to it.
+// This file defines an entry instance as a process, and the faults of the process.
 
-// An entry is an entry instance. Its process is started anew whenever it has
-// ended.
+// An entry is an entry instance. Its process is restarted whenever it has exited.
 type entry struct {
 	name         string
 	settings     *platform.Settings
-	path         string // of its settings file
+	path         string // path of its settings file
 	logPath      string
 	store        *proxy
 	machines     *proxy
-	releasePorts func() // of the ports
+	releasePorts func() // releases the locks on the ports
 
 	mu      sync.Mutex
 	process *os.Process
-	ended   chan struct{} // closed when the process has ended
+	ended   chan struct{} // closed when the process has exited
 	starts  int
-	downFor time.Duration // how long the process stays down once it has ended
+	downFor time.Duration // how long the process stays down after it has exited
 	closing bool
-	// undisturbedSince is since when nothing was done to the entry, stopping whether it was told
-	// to end as planned.
+	// undisturbedSince is when a fault was last injected into the entry. stopping reports whether
+	// its process was ordered to stop as planned.
 	undisturbedSince time.Time
 	stopping         bool
-	// logPausedUntil is until when nobody reads what the process says.
+	// logPausedUntil is the time until which the output of the process is not read.
 	logPausedUntil time.Time
 }
 
-// portsPerEntry is how many ports in a row an entry takes.
+// portsPerEntry is how many consecutive ports an entry uses.
 const portsPerEntry = 4
 
-// reservePorts returns the first of some ports in a row that are free, and a release
-// of them. They stay free while the entry's process is down only because every run
-// on the machine takes a lock on them first: two runs that shared ports had
-// customers of one ask entries of the other.
+// reservePorts returns the first of portsPerEntry consecutive free ports, and a function that
+// releases them. Ports are also free while an entry's process is down, so every run on the machine
+// first locks a file for the ports that it uses. Without the lock, two runs shared ports, and
+// customers of one sent requests to entries of the other.
 func reservePorts(r *rand.Rand) (first int, release func(), err error) {
 	for range 200 {
 		first := 20000 + portsPerEntry*r.IntN(5000)
@@ -58,15 +57,15 @@
 			return 0, nil, err
 		}
 		if syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) != nil || !portsFree(first) {
-			_ = lock.Close() // another run has them
+			_ = lock.Close() // another run uses the ports
 			continue
 		}
 		return first, func() { _ = lock.Close() }, nil
 	}
-	return 0, nil, fmt.Errorf("no %d free ports in a row", portsPerEntry)
+	return 0, nil, fmt.Errorf("no %d consecutive free ports", portsPerEntry)
 }
 
-// portsFree reports whether nobody listens on the ports of an entry.
+// portsFree reports whether no process listens on the ports of an entry.
 func portsFree(first int) bool {
 	for n := range portsPerEntry {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", first+n))
@@ -87,18 +86,18 @@
 	return os.WriteFile(e.path, data, 0o600)
 }
 
-// restartDelay is how long a process that has ended stays down as a rule.
+// restartDelay is the minimum time that an exited process stays down.
 const restartDelay = 200 * time.Millisecond
 
-// supervise starts the process, and starts it anew whenever it has ended, until
-// the entry is closed. fail is told of a process that cannot be started.
+// supervise starts the process, and restarts it whenever it has exited, until the entry is closed.
+// It calls fail if a restart fails.
 func (e *entry) supervise(fail func(format string, args ...any)) error {
 	if err := e.start(); err != nil {
 		return err
 	}
 	go func() {
 		for {
-			<-e.ended // set by this goroutine alone
+			<-e.ended // only this goroutine changes it
 			e.mu.Lock()
 			down := max(e.downFor, restartDelay)
 			e.downFor = 0
@@ -121,13 +120,13 @@
 
 // start starts the process.
 func (e *entry) start() error {
-	said, err := e.openLog()
+	output, err := e.openLog()
 	if err != nil {
 		return err
 	}
-	defer said.Close()
+	defer output.Close()
 	cmd := exec.Command(program, "join", "-settings="+e.path)
-	cmd.Stdout, cmd.Stderr = said, said
+	cmd.Stdout, cmd.Stderr = output, output
 	if err := cmd.Start(); err != nil {
 		return err
 	}
@@ -137,63 +136,63 @@
 	e.process, e.ended, e.stopping = cmd.Process, ended, false
 	e.starts++
 	go func() {
-		_ = cmd.Wait() // how it ended is in the log
+		_ = cmd.Wait() // the log contains how it ended
 		close(ended)
 	}()
 	return nil
 }
 
-// openLog returns where a process writes what it says, which gets into the log.
+// openLog returns a pipe for the output of a process, which is copied to the log file.
 func (e *entry) openLog() (*os.File, error) {
 	log, err := os.OpenFile(e.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	near, far, err := os.Pipe()
+	reader, writer, err := os.Pipe()
 	if err != nil {
 		return nil, errors.Join(err, log.Close())
 	}
-	if _, _, no := syscall.Syscall(syscall.SYS_FCNTL, far.Fd(), setPipeSize, pipeSize); no != 0 {
-		return nil, errors.Join(no, near.Close(), far.Close(), log.Close())
+	if _, _, errno := syscall.Syscall(syscall.SYS_FCNTL, writer.Fd(), setPipeSize, pipeSize); errno != 0 {
+		return nil, errors.Join(errno, reader.Close(), writer.Close(), log.Close())
 	}
-	go e.copyLog(log, near)
-	return far, nil
+	go e.copyLog(log, reader)
+	return writer, nil
 }
 
 const (
-	// setPipeSize is Linux's F_SETPIPE_SZ, which package syscall does not name.
+	// setPipeSize is Linux's F_SETPIPE_SZ, which package syscall does not define.
 	setPipeSize = 1031
-	// pipeSize is how many bytes a process can say that nobody reads: the least that
-	// Linux allows, so that some ten lines fill it.
+	// pipeSize is how many bytes of output a process can write before it blocks while nothing
+	// reads them. It is the minimum that Linux allows; about ten lines fill it.
 	pipeSize = 4096
 )
 
-// copyLog copies what a process says into the log until the process has ended.
-func (e *entry) copyLog(log io.WriteCloser, said io.ReadCloser) {
+// copyLog copies the output of a process to the log file until the process has exited.
+func (e *entry) copyLog(log io.WriteCloser, output io.ReadCloser) {
 	defer log.Close()
-	defer said.Close()
+	defer output.Close()
 	buf := make([]byte, pipeSize)
 	for {
 		e.mu.Lock()
 		unread := time.Until(e.logPausedUntil)
 		e.mu.Unlock()
 		time.Sleep(unread)
-		n, err := said.Read(buf)
+		n, err := output.Read(buf)
 		if _, werr := log.Write(buf[:n]); err != nil || werr != nil {
 			return
 		}
 	}
 }
 
-// pauseLog has nobody read what the process says for a while.
+// pauseLog stops reading the output of the process for d.
 func (e *entry) pauseLog(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.logPausedUntil = time.Now().Add(d)
 }
 
-// signal sends the process a signal, after which it stays down for so long if it
-// ends. Only the process that this entry has started is reached.
+// signal sends a signal to the process, and sets how long the process stays down if that ends it.
+// It never signals a process other than the one that this entry has started.
 func (e *entry) signal(s syscall.Signal, down time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -206,7 +205,7 @@
 	}
 }
 
-// close ends the process for good.
+// close kills the process and stops restarting it.
 func (e *entry) close() {
 	e.mu.Lock()
 	e.closing = true
@@ -220,17 +219,17 @@
 	e.releasePorts()
 }
 
-// noteDisturbance notes that something is done to the entry now.
+// noteDisturbance records that a fault is injected into the entry now.
 func (e *entry) noteDisturbance() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.undisturbedSince = time.Now()
 }
 
-// program is the path of pointportd.
+// program is the path of the pointportd binary.
 var program string
 
-// buildProgram builds pointportd into a directory.
+// buildProgram builds pointportd in a directory.
 func buildProgram(dir string) error {
 	program = filepath.Join(dir, "pointportd")
 	out, err := exec.Command("go", "build", "-o", program, "github.com/pointport/pointport/cmd/pointportd").CombinedOutput()
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -7,58 +7,58 @@
 	"time"
 )
 
-// This file defines a proxy on loopback that treats connections badly.
+// This file defines a proxy on loopback that injects connection faults.
 
-// A connMode says what a proxy does to connections.
+// A connMode is how a proxy handles connections.
 type connMode int
 
 const (
 	passThrough   connMode = iota
-	delayed                // each piece waits
-	dropReplies            // what the far side says is lost
-	dropRequests           // what the near side says is lost
-	dropAll                // both
-	reset                  // connections are reset, and new ones too
-	platformModes          // how many the platform's services are given
+	delayed                // each chunk is delayed by chunkDelay
+	dropReplies            // data from the target is dropped
+	dropRequests           // data from clients is dropped
+	dropAll                // data in both directions is dropped
+	reset                  // open and new connections are reset
+	platformModes          // number of modes for connections to the platform's services
 )
 
-// These are only met on the way to instances.
+// These modes are only used for connections to instances.
 const (
-	delayedPerConn = platformModes + iota // each piece waits, on each connection for another time
-	dropExisting                          // connections from before are silent, new ones pass
-	resetOnReply                          // requests go through, and their replies reset the connection
-	linkModes                             // how many there are on the way to instances
+	delayedPerConn = platformModes + iota // each chunk is delayed, by a time that differs between connections
+	dropExisting                          // data on connections from before the mode is dropped, new ones work
+	resetOnReply                          // requests pass, and their replies reset the connection
+	linkModes                             // number of modes for connections to instances
 )
 
 func (t connMode) String() string {
-	return []string{"pass", "delayed", "dropReplies", "dropRequests", "silent", "reset", "scattered", "silentBefore", "resetReplies"}[t]
+	return []string{"passThrough", "delayed", "dropReplies", "dropRequests", "dropAll", "reset", "delayedPerConn", "dropExisting", "resetOnReply"}[t]
 }
 
-// pieceDelay is how long a delayed piece waits: as the platform's store when it is
-// slow.
-const pieceDelay = 240 * time.Millisecond
+// chunkDelay is the delay of each chunk in mode delayed, as with a slow store of the platform.
+const chunkDelay = 240 * time.Millisecond
 
 const (
-	// minConnDelay and scatterMost bound how long a piece waits on a way that scatters;
-	// scatterStep spreads connections over that.
+	// minConnDelay and maxConnDelay bound the delay of each chunk in mode delayedPerConn.
+	// connDelayStep is the difference between the delays of consecutive connections, within these
+	// bounds.
 	minConnDelay  = 100 * time.Millisecond
 	maxConnDelay  = 2 * time.Second
 	connDelayStep = 619 * time.Millisecond
-	// deliveryGrace is for how long a connection stays open towards the target after its
-	// near side has gone, so that what was on its way arrives all the same.
+	// deliveryGrace is how long the other side of a connection stays open in mode delayedPerConn
+	// after one side has closed, so that data in transit still arrives.
 	deliveryGrace = 100 * time.Millisecond
 )
 
-// A proxy stands between its clients and a target.
+// A proxy forwards connections between its clients and a target.
 type proxy struct {
 	listener net.Listener
 	target   string
 
 	mu          sync.Mutex
 	mode        connMode
-	modeChanges int              // of treatments
-	connCount   int              // of connections
-	conns       map[net.Conn]int // the turn in which each was opened
+	modeChanges int              // number of mode changes
+	connCount   int              // number of connections so far
+	conns       map[net.Conn]int // modeChanges when each connection was opened
 }
 
 // newProxy returns a proxy in front of an address.
@@ -70,11 +70,11 @@
 	p := &proxy{listener: l, target: target, conns: make(map[net.Conn]int)}
 	go func() {
 		for {
-			near, err := l.Accept()
+			client, err := l.Accept()
 			if err != nil {
-				return // the proxy is closed
+				return // the proxy was closed
 			}
-			go p.forward(near)
+			go p.forward(client)
 		}
 	}()
 	return p, nil
@@ -82,8 +82,8 @@
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-// set sets what becomes of connections from now on. Those that were silenced are
-// reset when that ends: what was lost of them cannot be made good.
+// set sets the mode from now on. When a mode that drops data ends, it resets all connections,
+// because the dropped data cannot be recovered.
 func (p *proxy) set(t connMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,7 +111,7 @@
 	}
 }
 
-// resetConn resets a connection.
+// resetConn closes a connection with a reset.
 func resetConn(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -119,7 +119,7 @@
 	_ = c.Close()
 }
 
-// track notes an open connection; false if connections are being reset.
+// track records an open connection. It returns false, and resets the connection, in mode reset.
 func (p *proxy) track(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -131,14 +131,14 @@
 	return true
 }
 
-// predatesMode reports whether a connection is from before the present treatment.
+// predatesMode reports whether a connection was opened before the current mode was set.
 func (p *proxy) predatesMode(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.conns[c] < p.modeChanges
 }
 
-// nextConnDelay returns how long each piece of the next connection waits.
+// nextConnDelay returns the delay of each chunk on the next connection.
 func (p *proxy) nextConnDelay() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -153,42 +153,43 @@
 	_ = c.Close()
 }
 
-func (p *proxy) forward(near net.Conn) {
-	if !p.track(near) {
+// forward connects a client to the target and forwards both directions.
+func (p *proxy) forward(client net.Conn) {
+	if !p.track(client) {
 		return
 	}
-	defer p.untrack(near)
-	far, err := net.Dial("tcp", p.target)
+	defer p.untrack(client)
+	server, err := net.Dial("tcp", p.target)
 	if err != nil {
-		resetConn(near) // nobody is there, as behind a dead port
+		resetConn(client) // nothing listens at the target: reset, as a closed port does
 		return
 	}
-	if !p.track(far) {
+	if !p.track(server) {
 		return
 	}
-	defer p.untrack(far)
-	wait := p.nextConnDelay()
+	defer p.untrack(server)
+	delay := p.nextConnDelay()
 	var wg sync.WaitGroup
-	wg.Go(func() { p.pipe(far, near, dropRequests, wait) })
-	wg.Go(func() { p.pipe(near, far, dropReplies, wait) })
+	wg.Go(func() { p.pipe(server, client, dropRequests, delay) })
+	wg.Go(func() { p.pipe(client, server, dropReplies, delay) })
 	wg.Wait()
 }
 
-// pipe carries one direction until either side ends. lost is the treatment that
-// swallows it, wait how long its pieces wait where that is scattered.
-func (p *proxy) pipe(to, from net.Conn, lost connMode, wait time.Duration) {
+// pipe forwards one direction of a connection until either side closes. drops is the mode that
+// drops this direction, and delay is the chunk delay in mode delayedPerConn.
+func (p *proxy) pipe(to, from net.Conn, drops connMode, delay time.Duration) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
 			switch t := p.currentMode(); {
-			case t == dropAll || t == lost || t == dropExisting && p.predatesMode(from):
+			case t == dropAll || t == drops || t == dropExisting && p.predatesMode(from):
 				n = 0
 			case t == delayed:
-				time.Sleep(pieceDelay)
+				time.Sleep(chunkDelay)
 			case t == delayedPerConn:
-				time.Sleep(wait)
-			case t == resetOnReply && lost == dropReplies:
+				time.Sleep(delay)
+			case t == resetOnReply && drops == dropReplies:
 				resetConn(from)
 				resetConn(to)
 				return
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -23,26 +23,26 @@
 	"github.com/pointport/pointport/workload"
 )
 
-// This file defines a run of the soak and what is checked in it.
+// This file defines a run of the soak and its checks.
 
 var (
-	seeds    = flag.Int("soak.seeds", 0, "how many fresh seeds to run")
-	seedFlag = flag.Uint64("soak.seed", 0, "the one seed to run")
-	lasts    = flag.Duration("soak.for", 8*time.Second, "how long the faults of a run go on")
-	entries  = flag.Int("soak.entries", 4, "how many entry instances run")
-	parallel = flag.Int("soak.parallel", 3, "how many runs go on at once")
-	keep     = flag.String("soak.keep", "", "directory in which the logs of failed runs are kept")
+	freshSeeds    = flag.Int("soak.seeds", 0, "how many fresh seeds to run")
+	seedFlag      = flag.Uint64("soak.seed", 0, "the one seed to run")
+	faultDuration = flag.Duration("soak.for", 8*time.Second, "how long the faults of a run go on")
+	entryCount    = flag.Int("soak.entries", 4, "how many entry instances run")
+	parallel      = flag.Int("soak.parallel", 3, "how many runs go on at once")
+	keepDir       = flag.String("soak.keep", "", "directory in which the logs of failed runs are kept")
 )
 
 const (
 	host = "soak.example"
-	// settleTime is how long after the last fault every job that can end must have
-	// ended, and every wave: instances that fell silent are waited for some six
-	// seconds, and a wave takes up to twenty.
+	// settleTime is how long after the last fault every job that can end, and every wave, must
+	// have ended. Instances that do not answer are waited for some 6 s, and a wave takes up to
+	// 20 s.
 	settleTime = 45 * time.Second
-	// startTime is how long processes may take until they are ready.
-	startTime = 10 * time.Second
-	// holderTime must lie between two holders' orders about a machine.
+	// startTimeout is how long processes may take until they are ready.
+	startTimeout = 10 * time.Second
+	// holderTime is the minimum time between orders of two different holders for one machine.
 	holderTime = 3 * time.Second
 )
 
@@ -62,7 +62,7 @@
 	os.Exit(code)
 }
 
-// A soak is one run.
+// A soak is one run: a simulated platform, entry instances in front of it, and the failures found.
 type soak struct {
 	grid    *grid.Grid
 	entries []*entry
@@ -72,9 +72,9 @@
 
 	mu          sync.Mutex
 	failures    []string
-	history     []string // what was done, for a failure
-	faultCount  int      // how many faults there were
-	fleetFaults bool     // whether the fleet does odd things as well
+	history     []string // injected faults and other events, printed with a failure
+	faultCount  int      // number of injected faults
+	fleetFaults bool     // whether the run has fleet faults
 	links       map[pointport.InstanceID]*proxy
 	catalog     *workload.Catalog
 	waves       int64
@@ -101,7 +101,7 @@
 // soakZones are the availability zones.
 var soakZones = []pointport.ZoneID{"north", "south"}
 
-// newSoak starts a grid and entries in front of it.
+// newSoak starts a grid and the entry instances, and waits until they are ready.
 func newSoak(t *testing.T, r *rand.Rand, dir string) *soak {
 	t.Helper()
 	s := &soak{jobs: &jobs{byJobID: make(map[string]*submission)}, began: time.Now(), links: make(map[pointport.InstanceID]*proxy)}
@@ -118,7 +118,7 @@
 	for i := range s.catalog.Queues {
 		s.queues = append(s.queues, &s.catalog.Queues[i])
 	}
-	for n := range *entries {
+	for n := range *entryCount {
 		s.addEntry(t, r, dir, fmt.Sprintf("entry-%d", n+1), soakZones[n%len(soakZones)])
 	}
 	s.awaitReady(t)
@@ -146,55 +146,57 @@
 	t.Cleanup(e.close)
 }
 
-// awaitReady waits until every entry takes a question about a job.
+// awaitReady waits until every entry answers a status query for an unknown job.
 func (s *soak) awaitReady(t *testing.T) {
 	t.Helper()
 	for _, e := range s.entries {
 		c := platform.NewClient(e.settings.Clients, time.Second)
 		ready := false
-		for end := time.Now().Add(startTime); time.Now().Before(end) && !ready; time.Sleep(50 * time.Millisecond) {
+		for end := time.Now().Add(startTimeout); time.Now().Before(end) && !ready; time.Sleep(50 * time.Millisecond) {
 			_, err := c.Status(context.Background(), s.queues[0], "0000000000000000")
 			ready = err != nil && strings.HasPrefix(err.Error(), "there is no job")
 		}
 		if !ready {
 			log, err := os.ReadFile(e.logPath)
 			t.Logf("the log of %s begins (%v):\n%.4000s", e.name, err, log)
-			t.Fatalf("%s is not ready after %v", e.name, startTime)
+			t.Fatalf("%s is not ready after %v", e.name, startTimeout)
 		}
 	}
 }
 
-// customers hand jobs in until ctx ends.
+// customers starts n customers, which submit jobs until ctx ends.
 func (s *soak) customers(ctx context.Context, r *rand.Rand, n int) *sync.WaitGroup {
-	var wg sync.WaitGroup
+	var customers sync.WaitGroup
 	for i := range n {
 		name := customerNames[i%len(customerNames)]
 		c := &customer{name: name, soak: s, random: rand.New(rand.NewPCG(r.Uint64(), 1)), clients: make(map[*entry]*platform.Client)}
 		for _, e := range s.entries {
 			c.clients[e] = s.client(e, name, answerTimeout)
 		}
-		wg.Go(func() { c.run(ctx) })
+		customers.Go(func() { c.run(ctx) })
 	}
-	return &wg
+	return &customers
 }
 
-// injectFaults draws faults of some kinds until ctx ends and waits until they are over.
+// injectFaults starts random faults of some kinds until ctx ends, and waits until all of them are
+// over.
 func (s *soak) injectFaults(ctx context.Context, t *testing.T, r *rand.Rand, kinds []fault) {
 	var wg sync.WaitGroup
 	for ctx.Err() == nil {
-		trouble := kinds[r.IntN(len(kinds))]
+		f := kinds[r.IntN(len(kinds))]
 		d := time.Duration(300+r.IntN(3500)) * time.Millisecond
 		own := rand.New(rand.NewPCG(r.Uint64(), 2))
-		s.record("%s, %v", trouble.name, d)
+		s.record("%s, %v", f.name, d)
 		s.update(func() { s.faultCount++ })
-		wg.Go(func() { trouble.run(s, t, own, d) })
+		wg.Go(func() { f.run(s, t, own, d) })
 		time.Sleep(time.Duration(200+r.IntN(1800)) * time.Millisecond)
 	}
 	wg.Wait()
 	s.record("no faults from now on")
 }
 
-// unfinished returns what is still to come: jobs that have not ended, and waves.
+// unfinished describes the accepted jobs and the waves that have not reached their expected final
+// state.
 func (s *soak) unfinished() []string {
 	var open []string
 	clients := make(map[string]*platform.Client)
@@ -212,7 +214,7 @@
 		case t.cancelled && (!status.Ended() || s.grid.Fleet().RunsOf(t.id) > 0):
 			open = append(open, fmt.Sprintf("cancelled job %s is %s", t.id, status))
 		case t.cancelRequested && status == workload.Cancelled:
-			// It is cancelled, whether or not the customer was told so.
+			// The job is cancelled, although the customer may not have received the confirmation.
 		case t.spec.RunsUntilCancelled():
 			if want := t.spec.Steps[0].Count; s.grid.Fleet().RunsOf(t.id) != want {
 				open = append(open, fmt.Sprintf("serving job %s has %d runs of %d", t.id, s.grid.Fleet().RunsOf(t.id), want))
@@ -231,7 +233,7 @@
 	return open
 }
 
-// check judges a run after its end.
+// check waits up to settleTime for unfinished jobs and waves, and then checks the run.
 func (s *soak) check() {
 	var open []string
 	for end := time.Now().Add(settleTime); time.Now().Before(end); time.Sleep(500 * time.Millisecond) {
@@ -239,20 +241,20 @@
 			break
 		}
 	}
-	s.record("core-seconds to be done: %v", s.openWorkByCustomer())
+	s.record("unfinished core-seconds by customer: %v", s.openWorkByCustomer())
 	for _, o := range open {
 		s.fail("%v after the last fault: %s", settleTime, o)
 	}
 	for _, v := range s.grid.Fleet().Violations() {
-		s.fail("an instance or the platform says: %v", v)
+		s.fail("violation: %v", v)
 	}
 	for _, t := range s.jobs.all() {
 		if t.outcome == refused && s.startedAny(t) {
-			s.fail("job %s was refused by all and has started", t.id)
+			s.fail("job %s was refused by every entry and has started", t.id)
 		}
 		if status := s.finalStatus(t); status == workload.Completed {
 			if missing := s.tasksNotDone(t); len(missing) > 0 {
-				s.fail("job %s is completed without %v", t.id, missing)
+				s.fail("job %s is completed, but these tasks have not ended as done: %v", t.id, missing)
 			}
 		}
 	}
@@ -263,7 +265,7 @@
 	client := s.client(s.entries[len(s.entries)-1], t.customer, time.Second)
 	status, err := client.Status(context.Background(), t.queue, t.id)
 	if err != nil {
-		return "" // refused and unsure jobs are unknown
+		return "" // refused jobs and ambiguous submissions may be unknown
 	}
 	return status
 }
@@ -279,94 +281,95 @@
 	return false
 }
 
-// checkConfiguration makes sure that every entry knows the last queue.
+// checkConfiguration checks that every entry knows the latest queue.
 func (s *soak) checkConfiguration() {
 	last := &s.catalog.Queues[len(s.catalog.Queues)-1]
 	for _, e := range s.entries {
 		_, err := platform.NewClient(e.settings.Clients, time.Second).Status(context.Background(), last, "0000000000000000")
-		var none *pointport.NotFoundError
-		if errors.As(err, &none) {
-			s.fail("%s does not know the last queue", e.name)
+		var notFound *pointport.NotFoundError
+		if errors.As(err, &notFound) {
+			s.fail("%s does not know the latest queue", e.name)
 		}
 	}
 }
 
-// A faultLevel is how much befalls the fleet in a run.
+// A faultLevel is which kinds of faults a run has. Each level includes the lower ones.
 type faultLevel int
 
 const (
-	withProcessFaults faultLevel = iota
-	withFleetFaults              // the fleet does odd things as well
-	withLinkFaults               // and what lies between entries and instances is bad too
+	withBasicFaults faultLevel = iota
+	withFleetFaults            // also fleetFaults, and tasks that crash instances
+	withLinkFaults             // also linkFaults, slow clocks, a lagging list and brief crashes
 )
 
-// run plays one seed. What the fleet does that is odd is drawn apart, and so are its strains,
-// so that the rest of a seed is the same with them and without.
-func run(t *testing.T, seed uint64, how faultLevel) {
+// run runs one seed. Fleet faults and link faults have random sources of their own, so that
+// everything else of a seed is the same at every level.
+func run(t *testing.T, seed uint64, level faultLevel) {
 	dir := t.TempDir()
 	r := rand.New(rand.NewPCG(seed, 0))
 	s := newSoak(t, r, dir)
-	s.fleetFaults = how >= withFleetFaults
-	ctx, cancel := context.WithTimeout(context.Background(), *lasts)
+	s.fleetFaults = level >= withFleetFaults
+	ctx, cancel := context.WithTimeout(context.Background(), *faultDuration)
 	defer cancel()
-	work, stop := context.WithCancel(context.Background())
+	customerCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	const customersAtOnce = 4
-	wg := s.customers(work, r, customersAtOnce)
-	go s.checkCap(work)
-	var fleet sync.WaitGroup
-	if how >= withFleetFaults {
-		fleet.Go(func() { s.injectFaults(ctx, t, rand.New(rand.NewPCG(seed, 3)), fleetFaults) })
+	customers := s.customers(customerCtx, r, customersAtOnce)
+	go s.checkCap(customerCtx)
+	var faults sync.WaitGroup
+	if level >= withFleetFaults {
+		faults.Go(func() { s.injectFaults(ctx, t, rand.New(rand.NewPCG(seed, 3)), fleetFaults) })
 	}
-	if how >= withLinkFaults {
+	if level >= withLinkFaults {
 		s.slowClocksAndList()
-		fleet.Go(func() { s.injectFaults(ctx, t, rand.New(rand.NewPCG(seed, 4)), linkFaults) })
-		fleet.Go(func() { s.crashBriefly(ctx, rand.New(rand.NewPCG(seed, 5))) })
+		faults.Go(func() { s.injectFaults(ctx, t, rand.New(rand.NewPCG(seed, 4)), linkFaults) })
+		faults.Go(func() { s.crashBriefly(ctx, rand.New(rand.NewPCG(seed, 5))) })
 	}
-	fleet.Go(func() { s.evacuateZones(ctx, rand.New(rand.NewPCG(seed, 6))) })
-	s.injectFaults(ctx, t, r, processFaults)
-	fleet.Wait()
+	faults.Go(func() { s.evacuateZones(ctx, rand.New(rand.NewPCG(seed, 6))) })
+	s.injectFaults(ctx, t, r, basicFaults)
+	faults.Wait()
 	s.grid.SetListFaults(0, 0)
 	stop()
-	wg.Wait()
-	s.record("core-seconds to be done: %v", s.openWorkByCustomer())
+	customers.Wait()
+	s.record("unfinished core-seconds by customer: %v", s.openWorkByCustomer())
 	s.check()
 	if len(s.failures) == 0 {
 		t.Logf("seed %d: %d jobs, %d starts, %d faults", seed, len(s.jobs.all()), s.grid.Fleet().Starts(), s.faultCount)
 		return
 	}
-	kept := ""
-	if *keep != "" {
-		kept = filepath.Join(*keep, strconv.FormatUint(seed, 10))
-		if err := os.CopyFS(kept, os.DirFS(dir)); err != nil {
-			t.Errorf("logs are lost: %v", err)
+	logDir := ""
+	if *keepDir != "" {
+		logDir = filepath.Join(*keepDir, strconv.FormatUint(seed, 10))
+		if err := os.CopyFS(logDir, os.DirFS(dir)); err != nil {
+			t.Errorf("the logs cannot be kept: %v", err)
 		}
 	}
-	t.Errorf("seed %d, logs in %q:\n%s\nwhat was done:\n%s", seed, kept, strings.Join(s.failures, "\n"), strings.Join(s.history, "\n"))
+	t.Errorf("seed %d, logs in %q:\n%s\nhistory:\n%s", seed, logDir, strings.Join(s.failures, "\n"), strings.Join(s.history, "\n"))
 }
 
-// oddMark begins what is said of a seed that is played with a fleet that does odd things,
-// strainedMark of one that is played with strains as well.
+// fleetFaultsMark and linkFaultsMark begin the cause of a seed in testdata/seeds.txt that runs at
+// that fault level.
 const (
-	fleetFaultsMark = "odd fleet: "
-	linkFaultsMark  = "strained fleet: "
+	fleetFaultsMark = "fleet faults: "
+	linkFaultsMark  = "link faults: "
 )
 
-// faultLevelOf returns how a seed is played of which that is said.
-func faultLevelOf(said string) faultLevel {
+// faultLevelOf returns the fault level for the cause of a failed seed.
+func faultLevelOf(cause string) faultLevel {
 	switch {
-	case strings.HasPrefix(said, linkFaultsMark):
+	case strings.HasPrefix(cause, linkFaultsMark):
 		return withLinkFaults
-	case strings.HasPrefix(said, fleetFaultsMark):
+	case strings.HasPrefix(cause, fleetFaultsMark):
 		return withFleetFaults
 	}
-	return withProcessFaults
+	return withBasicFaults
 }
 
-// TestSeedsThatFailed plays every seed that ever failed.
-func TestSeedsThatFailed(t *testing.T) {
+// TestFailedSeeds runs every seed that ever failed, which guards against a return of the cause
+// that testdata/seeds.txt gives for it.
+func TestFailedSeeds(t *testing.T) {
 	if *seedFlag != 0 {
-		t.Skip("one seed is asked for")
+		t.Skip("-soak.seed selects one seed")
 	}
 	data, err := os.ReadFile("testdata/seeds.txt")
 	if err != nil {
@@ -377,47 +380,49 @@
 		text, cause, _ := strings.Cut(line, " ")
 		seed, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
-			continue // a comment
+			continue // a comment line
 		}
 		runSeedInParallel(t, limit, seed, faultLevelOf(cause))
 	}
 }
 
-// fixedSeed is played in every run of the tests, so that these always draw the
-// same.
+// fixedSeed is the seed of the tests in every normal run, so that their random choices are always
+// the same.
 const fixedSeed = 7
 
-func TestOneSeed(t *testing.T) {
-	run(t, cmp.Or(*seedFlag, fixedSeed), withProcessFaults)
+// TestBasicFaults runs a seed in which entries are killed, stopped and suspended, their
+// connections to the platform are disturbed, and instances crash, drain and fail.
+func TestBasicFaults(t *testing.T) {
+	run(t, cmp.Or(*seedFlag, fixedSeed), withBasicFaults)
 }
 
-// TestOddFleet plays a seed in which instances change what they hold, registrations are
-// overwritten, and some tasks crash the instance that starts them.
-func TestOddFleet(t *testing.T) {
+// TestFleetFaults runs a seed in which, in addition, instances change their capacity,
+// registrations are overwritten, and some tasks crash the instance that starts them.
+func TestFleetFaults(t *testing.T) {
 	run(t, cmp.Or(*seedFlag, fixedSeed), withFleetFaults)
 }
 
-// TestStrainedFleet plays a seed in which, besides, the ways to instances are bad, instances
-// stand still, refuse orders and lose their registrations, the list of machines lags, and
-// entries are short of the processor.
-func TestStrainedFleet(t *testing.T) {
+// TestLinkFaults runs a seed in which, in addition, connections to instances are disturbed,
+// instances stall, refuse orders, crash briefly and lose their registrations, clocks are slow, the
+// list of machines lags, and entries get little CPU time.
+func TestLinkFaults(t *testing.T) {
 	run(t, cmp.Or(*seedFlag, fixedSeed), withLinkFaults)
 }
 
-// TestFreshSeeds plays seeds that were never played, if it is asked to.
+// TestFreshSeeds runs as many new seeds as -soak.seeds asks for.
 func TestFreshSeeds(t *testing.T) {
 	limit := make(chan struct{}, *parallel)
-	for range *seeds {
+	for range *freshSeeds {
 		runSeedInParallel(t, limit, uint64(time.Now().UnixNano()), withLinkFaults)
 	}
 }
 
-// runSeedInParallel plays a seed beside others, as many at once as limit holds.
-func runSeedInParallel(t *testing.T, limit chan struct{}, seed uint64, how faultLevel) {
+// runSeedInParallel runs a seed in parallel with others, as many at once as limit has capacity.
+func runSeedInParallel(t *testing.T, limit chan struct{}, seed uint64, level faultLevel) {
 	t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 		t.Parallel()
 		limit <- struct{}{}
 		defer func() { <-limit }()
-		run(t, seed, how)
+		run(t, seed, level)
 	})
 }
--- a/soak/stop_test.go
+++ b/soak/stop_test.go
@@ -12,33 +12,34 @@
 	"github.com/pointport/pointport/platform"
 )
 
-// This file checks what callers of an entry see while it ends as planned.
+// This file checks what callers of an entry see during a planned stop.
 
-// An entry that is told to end twice, as when whoever stops entries in turn does so
-// again, answers what it has been asked.
-func TestSecondStopCutsNothingOff(t *testing.T) {
+// An entry that receives a second SIGTERM during its planned stop, as when an operator repeats a
+// rolling stop, must still answer the requests that it has accepted. A second signal that ends the
+// process at once would break their connections.
+func TestSecondStopInterruptsNoRequest(t *testing.T) {
 	r := rand.New(rand.NewPCG(fixedSeed, 0))
 	s := newSoak(t, r, t.TempDir())
 	e := s.entries[0]
-	e.store.set(delayed) // so that a submission takes a while
+	e.store.set(delayed) // makes the submission last until after the second signal
 	answered := make(chan error, 1)
 	go func() {
 		c := platform.NewClient(e.settings.Clients, answerTimeout)
 		spec := drawSpec(r)
 		answered <- c.Submit(context.Background(), s.queues[0], "00000000000000aa", spec)
 	}()
-	time.Sleep(pieceDelay / 2)
+	time.Sleep(chunkDelay / 2)
 	e.signal(syscall.SIGTERM, 0)
-	time.Sleep(pieceDelay / 2)
+	time.Sleep(chunkDelay / 2)
 	e.signal(syscall.SIGTERM, 0)
 	if err := <-answered; err != nil {
-		t.Errorf("a submission to an entry that is told twice to end: %v", err)
+		t.Errorf("a submission to an entry that receives a second stop signal: %v", err)
 	}
 }
 
-// An entry that ends asks its callers with each answer to use another connection, so
-// that none is in use when the idle ones are closed.
-func TestStoppingEntryDismissesItsCallers(t *testing.T) {
+// An entry that stops must close its callers' connections with each answer, so that none is in use
+// when it closes the idle ones. A request on a connection at that moment would get no answer.
+func TestStoppingEntryClosesConnections(t *testing.T) {
 	s := newSoak(t, rand.New(rand.NewPCG(fixedSeed, 0)), t.TempDir())
 	e := s.entries[0]
 	ask := func() (closes bool) {
@@ -60,6 +61,6 @@
 	e.signal(syscall.SIGTERM, 0)
 	time.Sleep(200 * time.Millisecond)
 	if !ask() {
-		t.Error("an entry that ends keeps its connections")
+		t.Error("a stopping entry keeps its connections")
 	}
 }
