--- a/testbed/attempts.go
+++ b/testbed/attempts.go
@@ -15,8 +15,8 @@
 	acknowledgedAt time.Time
 }
 
-// copyGrace is how long a task that allows copies may still be started after the last failed end
-// that it may have was acknowledged.
+// copyGrace is how long after the acknowledgement of its last permitted failed run a task that
+// allows copies may still be started.
 const copyGrace = time.Second
 
 // An excessStart is a start of a task that has already had as many failed runs as it may. It is a
--- a/testbed/faults.go
+++ b/testbed/faults.go
@@ -7,7 +7,7 @@
 )
 
 // This file defines faults of an instance that keeps running: it stalls, its registration
-// disappears, its clock runs at the wrong rate, or its answers are lost. The incarnation lives on
+// disappears, its clock runs at the wrong rate, or its answers are lost. The incarnation stays up
 // throughout, so its runs still count in the checks.
 
 // Stall makes a machine's current incarnation handle no order for d. It then handles all pending
@@ -34,7 +34,7 @@
 	}
 }
 
-// DropRegistration removes a machine's registration for d while its incarnation lives on.
+// DropRegistration removes a machine's registration for d while its incarnation keeps running.
 func (f *Fleet) DropRegistration(id pointport.InstanceID, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/testbed/fleet.go
+++ b/testbed/fleet.go
@@ -96,8 +96,8 @@
 func WithWork(work WorkSource) Option { return func(f *Fleet) { f.work = work } }
 
 // WithCapacityEnforcement sets whether instances refuse tasks that do not fit.
-func WithCapacityEnforcement(guards bool) Option {
-	return func(f *Fleet) { f.enforcesCapacity = guards }
+func WithCapacityEnforcement(enforced bool) Option {
+	return func(f *Fleet) { f.enforcesCapacity = enforced }
 }
 
 // WithSparePool names the pool whose machines are off.
@@ -204,8 +204,8 @@
 		to = m.lastAddressee
 	}
 	// The number of the incarnation makes the start times of any two differ.
-	born := f.clock.Now().Truncate(time.Minute).Add(time.Duration(f.random.IntN(3)-1)*time.Hour + time.Duration(f.incarnationCount)*time.Millisecond)
-	return pointport.NewIncarnationID(to, born)
+	startedAt := f.clock.Now().Truncate(time.Minute).Add(time.Duration(f.random.IntN(3)-1)*time.Hour + time.Duration(f.incarnationCount)*time.Millisecond)
+	return pointport.NewIncarnationID(to, startedAt)
 }
 
 // initialClock returns what the clock of a new incarnation shows at its start. Where machines
@@ -218,6 +218,7 @@
 	return pointport.InstanceTime(time.Duration(f.random.IntN(60)) * time.Minute)
 }
 
+// registration returns the registration of a machine's current incarnation. The lock is held.
 func (f *Fleet) registration(m *Machine) pointport.Incarnation {
 	options := []pointport.IncarnationOption{
 		pointport.WithInstance(m.id), pointport.WithZone(m.zone), pointport.WithRack(m.rack),
@@ -299,6 +300,7 @@
 	}
 }
 
+// bootLater boots a machine after d, unless it has an incarnation by then. The lock is held.
 func (f *Fleet) bootLater(m *Machine, d time.Duration) {
 	wake := f.clock.After(d)
 	go func() {
@@ -312,17 +314,17 @@
 }
 
 // Drain makes a machine announce in its registration that it leaves, ends its incarnation after
-// left, and boots it again after down.
-func (f *Fleet) Drain(id pointport.InstanceID, left, down time.Duration) {
+// notice, and boots it again after down.
+func (f *Fleet) Drain(id pointport.InstanceID, notice, down time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.machines[id]
 	if m == nil || m.current == nil || !m.drainsAt.IsZero() {
 		return
 	}
-	m.drainsAt = f.clock.Now().Add(left)
+	m.drainsAt = f.clock.Now().Add(notice)
 	f.onRegistration(f.registration(m), true)
-	inc, wake := m.current, f.clock.After(left)
+	inc, wake := m.current, f.clock.After(notice)
 	go func() {
 		<-wake
 		f.mu.Lock()
@@ -504,10 +506,12 @@
 	return out
 }
 
+// addViolation records a violation. The lock is held.
 func (f *Fleet) addViolation(now time.Time, task, what string) {
 	f.violations = append(f.violations, Violation{At: now, Task: task, What: what})
 }
 
+// notifyChange makes every waiting poll check its incarnation again. The lock is held.
 func (f *Fleet) notifyChange() {
 	close(f.changed)
 	f.changed = make(chan struct{})
--- a/testbed/network.go
+++ b/testbed/network.go
@@ -156,7 +156,7 @@
 
 // errConnectionLost reports that the incarnation at which a poll waited has ended, and its
 // connection with it.
-var errConnectionLost = errors.New("the connection has gone with the life at its end")
+var errConnectionLost = errors.New("the connection ended with the incarnation")
 
 // A pollResult is the answer of an incarnation to a poll, and how long to wait before the next
 // check if nothing has ended.
