--- a/cli/cli.go
+++ b/cli/cli.go
@@ -65,7 +65,7 @@
 func (c *Command) SetFlags(f *flag.FlagSet) { c.set.Register(f) }
 
 // Settings returns the names of the subcommand's settings.
-func (c *Command) Settings() []string { return c.set.All() }
+func (c *Command) Settings() []string { return c.set.AllNames() }
 
 // Help returns what one of the subcommand's settings is for.
 func (c *Command) Help(setting string) string { return c.set.Help(setting) }
--- a/cli/trace.go
+++ b/cli/trace.go
@@ -26,7 +26,7 @@
 		if err != nil {
 			return err
 		}
-		story := log.Of(args[0])
+		story := log.Timeline(args[0])
 		return story.Write(out)
 	}
 	return c
--- a/daemon/listen.go
+++ b/daemon/listen.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	relayed := remote.New(e.platform.Base(), remote.WithWatch(relay.StoreWait))
+	relayed := remote.New(e.platform.Base(), remote.WithWatchTimeout(relay.StoreWait))
 	operators := http.NewServeMux()
 	operators.Handle(relay.Path, relay.NewServer(ctx, relayed, e.clock))
 	operators.Handle("/", api)
--- a/daemon/pages_test.go
+++ b/daemon/pages_test.go
@@ -45,7 +45,7 @@
 func TestSettingsPage(t *testing.T) {
 	set := settings.New()
 	new(Settings).Define(set)
-	compare(t, "settings.md", set.All())
+	compare(t, "settings.md", set.AllNames())
 }
 
 // TestMetricsPage keeps the page of metrics and what is served the same.
@@ -77,7 +77,7 @@
 	if err == nil {
 		t.Fatal("wrong settings were taken")
 	}
-	for _, name := range set.All() {
+	for _, name := range set.AllNames() {
 		if want := "-" + name + " (" + settings.Env(name) + "): \"no such value!\": must"; !strings.Contains(err.Error(), want) {
 			t.Errorf("the error does not say %s", want)
 		}
--- a/node/trace_test.go
+++ b/node/trace_test.go
@@ -24,7 +24,7 @@
 	if err := log.Read(strings.NewReader(c.written.about(""))); err != nil {
 		c.t.Fatal(err)
 	}
-	story := log.Of(id)
+	story := log.Timeline(id)
 	var out strings.Builder
 	if err := story.Write(&out); err != nil {
 		c.t.Fatal(err)
--- a/remote/client.go
+++ b/remote/client.go
@@ -32,8 +32,8 @@
 	// DefaultTimeout bounds how long an answer may take to begin, but for a watch, and
 	// how long it may pause.
 	DefaultTimeout = 2 * time.Second
-	// DefaultWatch is how long the service is asked to hold a watch.
-	DefaultWatch = 30 * time.Second
+	// DefaultWatchTimeout is how long the service is asked to hold a watch.
+	DefaultWatchTimeout = 30 * time.Second
 	// maxAnswer bounds what is read of an answer, in bytes: a value of a
 	// megabyte in base64, and some room.
 	maxAnswer = 2 << 20
@@ -65,15 +65,15 @@
 // WithTimeout bounds the time until an answer begins, but for a watch.
 func WithTimeout(d time.Duration) Option { return func(c *Client) { c.timeout = d } }
 
-// WithWatch sets how long the service is asked to hold a watch.
-func WithWatch(d time.Duration) Option { return func(c *Client) { c.watch = d } }
+// WithWatchTimeout sets how long the service is asked to hold a watch.
+func WithWatchTimeout(d time.Duration) Option { return func(c *Client) { c.watch = d } }
 
 // New returns a client of the platform at base, such as http://10.0.0.1:7000.
 func New(base string, options ...Option) *Client {
 	c := &Client{
 		base:    strings.TrimSuffix(base, "/"),
 		timeout: DefaultTimeout,
-		watch:   DefaultWatch,
+		watch:   DefaultWatchTimeout,
 	}
 	c.http = &http.Client{Transport: &http.Transport{
 		DialContext:         c.dial,
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -257,8 +257,8 @@
 	return out
 }
 
-// All returns the names of every setting, sorted.
-func (s *Set) All() []string {
+// AllNames returns the names of every setting, sorted.
+func (s *Set) AllNames() []string {
 	var out []string
 	for _, e := range s.sorted() {
 		out = append(out, e.name)
--- a/trace/story.go
+++ b/trace/timeline.go
@@ -23,8 +23,8 @@
 	around = 2 * time.Second
 )
 
-// A Story is what the logs tell of one job.
-type Story struct {
+// A Timeline is what the logs tell of one job.
+type Timeline struct {
 	ID    string
 	Lines []Line
 	// LeftOut is how many lines of the time in question were left out or dropped,
@@ -34,9 +34,9 @@
 	Unreadable int
 }
 
-// Of returns the story of the job called id.
-func (l *Log) Of(id string) Story {
-	s := Story{ID: id, Unreadable: l.unreadable, LeftOut: make(map[string]int)}
+// Timeline returns the story of the job called id.
+func (l *Log) Timeline(id string) Timeline {
+	s := Timeline{ID: id, Unreadable: l.unreadable, LeftOut: make(map[string]int)}
 	for i := range l.lines {
 		if l.lines[i].names(id) {
 			s.Lines = append(s.Lines, l.lines[i])
@@ -84,7 +84,7 @@
 }
 
 // involved returns the nodes and the pools that the lines name.
-func (s *Story) involved() (nodes, pools map[string]bool) {
+func (s *Timeline) involved() (nodes, pools map[string]bool) {
 	nodes, pools = make(map[string]bool), make(map[string]bool)
 	for i := range s.Lines {
 		nodes[s.Lines[i].Node] = true
@@ -115,7 +115,7 @@
 }
 
 // countLeftOut counts the lines before this one that are missing.
-func (s *Story) countLeftOut(l *Line) {
+func (s *Timeline) countLeftOut(l *Line) {
 	name, text := l.Name, l.attr(event.LeftOutAttr)
 	if l.Number == event.LinesDropped.Number() {
 		name, text = "", l.attr("lines")
@@ -128,7 +128,7 @@
 }
 
 // Write tells the story, a line each, with times from the first one about the job.
-func (s *Story) Write(w io.Writer) error {
+func (s *Timeline) Write(w io.Writer) error {
 	if len(s.Lines) == 0 {
 		_, err := fmt.Fprintf(w, "the logs say nothing of job %s%s\n", s.ID, s.caveat())
 		return err
@@ -155,7 +155,7 @@
 }
 
 // begin returns when the first line about the job itself was logged.
-func (s *Story) begin() time.Time {
+func (s *Timeline) begin() time.Time {
 	for i := range s.Lines {
 		if s.Lines[i].names(s.ID) {
 			return s.Lines[i].At
@@ -165,7 +165,7 @@
 }
 
 // caveat says what is missing from the story.
-func (s *Story) caveat() string {
+func (s *Timeline) caveat() string {
 	var missing []string
 	for _, name := range slices.Sorted(maps.Keys(s.LeftOut)) {
 		of := "any event"
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -31,7 +31,7 @@
 // and its nodes went through; it names the gap, and what is missing.
 func TestStory(t *testing.T) {
 	for _, id := range []string{"00000000000000aa", "00000000000000ff"} {
-		story := read(t).Of(id)
+		story := read(t).Timeline(id)
 		var out strings.Builder
 		if err := story.Write(&out); err != nil {
 			t.Fatal(err)
