--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -7,58 +7,58 @@
 	"time"
 )
 
-// This file defines a proxy on loopback that treats connections badly.
+// This file defines a proxy on loopback that injects connection faults.
 
-// A treatment says what a proxy does to connections.
-type treatment int
+// A connMode is how a proxy handles connections.
+type connMode int
 
 const (
-	pass         treatment = iota
-	delayed                // each piece waits
-	dropReplies            // what the far side says is lost
-	dropRequests           // what the near side says is lost
-	silent                 // both
-	reset                  // connections are reset, and new ones too
-	treatments             // how many the platform's services are given
+	passThrough   connMode = iota
+	delayed                // each chunk is delayed by chunkDelay
+	dropReplies            // data from the target is dropped
+	dropRequests           // data from clients is dropped
+	dropAll                // data in both directions is dropped
+	reset                  // open and new connections are reset
+	platformModes          // number of modes for connections to the platform's services
 )
 
-// These are only met on the way to instances.
+// These modes are only used for connections to instances.
 const (
-	scattered      = treatments + iota // each piece waits, on each connection for another time
-	silentBefore                       // connections from before are silent, new ones pass
-	resetReplies                       // requests go through, and their replies reset the connection
-	linkTreatments                     // how many there are on the way to instances
+	delayedPerConn = platformModes + iota // each chunk is delayed, by a time that differs between connections
+	dropExisting                          // data on connections from before the mode is dropped, new ones work
+	resetOnReply                          // requests pass, and their replies reset the connection
+	linkModes                             // number of modes for connections to instances
 )
 
-func (t treatment) String() string {
-	return []string{"pass", "delayed", "dropReplies", "dropRequests", "silent", "reset", "scattered", "silentBefore", "resetReplies"}[t]
+func (t connMode) String() string {
+	return []string{"passThrough", "delayed", "dropReplies", "dropRequests", "dropAll", "reset", "delayedPerConn", "dropExisting", "resetOnReply"}[t]
 }
 
-// pieceDelay is how long a delayed piece waits: as the platform's store when it is
-// slow.
-const pieceDelay = 240 * time.Millisecond
+// chunkDelay is the delay of each chunk in mode delayed, as with a slow store of the platform.
+const chunkDelay = 240 * time.Millisecond
 
 const (
-	// scatterLeast and scatterMost bound how long a piece waits on a way that scatters;
-	// scatterStep spreads connections over that.
-	scatterLeast = 100 * time.Millisecond
-	scatterMost  = 2 * time.Second
-	scatterStep  = 619 * time.Millisecond
-	// arrivesFor is for how long a connection stays open towards the target after its
-	// near side has gone, so that what was on its way arrives all the same.
-	arrivesFor = 100 * time.Millisecond
+	// minConnDelay and maxConnDelay bound the delay of each chunk in mode delayedPerConn.
+	// connDelayStep is the difference between the delays of consecutive connections, within these
+	// bounds.
+	minConnDelay  = 100 * time.Millisecond
+	maxConnDelay  = 2 * time.Second
+	connDelayStep = 619 * time.Millisecond
+	// deliveryGrace is how long the other side of a connection stays open in mode delayedPerConn
+	// after one side has closed, so that data in transit still arrives.
+	deliveryGrace = 100 * time.Millisecond
 )
 
-// A proxy stands between its clients and a target.
+// A proxy forwards connections between its clients and a target.
 type proxy struct {
 	listener net.Listener
 	target   string
 
-	mu    sync.Mutex
-	treat treatment
-	turn  int              // of treatments
-	count int              // of connections
-	conns map[net.Conn]int // the turn in which each was opened
+	mu          sync.Mutex
+	mode        connMode
+	modeChanges int              // number of mode changes
+	connCount   int              // number of connections so far
+	conns       map[net.Conn]int // modeChanges when each connection was opened
 }
 
 // newProxy returns a proxy in front of an address.
@@ -70,11 +70,11 @@
 	p := &proxy{listener: l, target: target, conns: make(map[net.Conn]int)}
 	go func() {
 		for {
-			near, err := l.Accept()
+			client, err := l.Accept()
 			if err != nil {
-				return // the proxy is closed
+				return // the proxy was closed
 			}
-			go p.carry(near)
+			go p.forward(client)
 		}
 	}()
 	return p, nil
@@ -82,24 +82,24 @@
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-// set sets what becomes of connections from now on. Those that were silenced are
-// reset when that ends: what was lost of them cannot be made good.
-func (p *proxy) set(t treatment) {
+// set sets the mode from now on. When a mode that drops data ends, it resets all connections,
+// because the dropped data cannot be recovered.
+func (p *proxy) set(t connMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.turn++
-	if t == reset || p.treat != pass && p.treat != delayed && p.treat != scattered {
+	p.modeChanges++
+	if t == reset || p.mode != passThrough && p.mode != delayed && p.mode != delayedPerConn {
 		for c := range p.conns {
-			breakOff(c)
+			resetConn(c)
 		}
 	}
-	p.treat = t
+	p.mode = t
 }
 
-func (p *proxy) now() treatment {
+func (p *proxy) currentMode() connMode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.treat
+	return p.mode
 }
 
 func (p *proxy) close() {
@@ -107,90 +107,91 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
-		breakOff(c)
+		resetConn(c)
 	}
 }
 
-// breakOff resets a connection.
-func breakOff(c net.Conn) {
+// resetConn closes a connection with a reset.
+func resetConn(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
 	_ = c.Close()
 }
 
-// keep notes an open connection; false if connections are being reset.
-func (p *proxy) keep(c net.Conn) bool {
+// track records an open connection. It returns false, and resets the connection, in mode reset.
+func (p *proxy) track(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.treat == reset {
-		breakOff(c)
+	if p.mode == reset {
+		resetConn(c)
 		return false
 	}
-	p.conns[c] = p.turn
+	p.conns[c] = p.modeChanges
 	return true
 }
 
-// silences reports whether a connection is from before the present treatment.
-func (p *proxy) silences(c net.Conn) bool {
+// predatesMode reports whether a connection was opened before the current mode was set.
+func (p *proxy) predatesMode(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.conns[c] < p.turn
+	return p.conns[c] < p.modeChanges
 }
 
-// scatter returns how long each piece of the next connection waits.
-func (p *proxy) scatter() time.Duration {
+// nextConnDelay returns the delay of each chunk on the next connection.
+func (p *proxy) nextConnDelay() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.count++
-	return scatterLeast + time.Duration(p.count)*scatterStep%(scatterMost-scatterLeast)
+	p.connCount++
+	return minConnDelay + time.Duration(p.connCount)*connDelayStep%(maxConnDelay-minConnDelay)
 }
 
-func (p *proxy) drop(c net.Conn) {
+func (p *proxy) untrack(c net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, c)
 	_ = c.Close()
 }
 
-func (p *proxy) carry(near net.Conn) {
-	if !p.keep(near) {
+// forward connects a client to the target and forwards both directions.
+func (p *proxy) forward(client net.Conn) {
+	if !p.track(client) {
 		return
 	}
-	defer p.drop(near)
-	far, err := net.Dial("tcp", p.target)
+	defer p.untrack(client)
+	server, err := net.Dial("tcp", p.target)
 	if err != nil {
-		breakOff(near) // nobody is there, as behind a dead port
+		resetConn(client) // nothing listens at the target: reset, as a closed port does
 		return
 	}
-	if !p.keep(far) {
+	if !p.track(server) {
 		return
 	}
-	defer p.drop(far)
-	wait := p.scatter()
+	defer p.untrack(server)
+	delay := p.nextConnDelay()
 	var wg sync.WaitGroup
-	wg.Go(func() { p.pipe(far, near, dropRequests, wait) })
-	wg.Go(func() { p.pipe(near, far, dropReplies, wait) })
+	wg.Go(func() { p.pipe(server, client, dropRequests, delay) })
+	wg.Go(func() { p.pipe(client, server, dropReplies, delay) })
 	wg.Wait()
 }
 
-// pipe carries one direction until either side ends. lost is the treatment that
-// swallows it, wait how long its pieces wait where that is scattered.
-func (p *proxy) pipe(to, from net.Conn, lost treatment, wait time.Duration) {
+// pipe forwards one direction of a connection until either side closes. drops is the mode that
+// drops this direction, and delay is the chunk delay in mode delayedPerConn.
+func (p *proxy) pipe(to, from net.Conn, drops connMode, delay time.Duration) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			switch t := p.now(); {
-			case t == silent || t == lost || t == silentBefore && p.silences(from):
+			switch t := p.currentMode(); {
+			case t == dropAll || t == drops || t == dropExisting && p.predatesMode(from):
 				n = 0
 			case t == delayed:
-				time.Sleep(pieceDelay)
-			case t == scattered:
-				time.Sleep(wait)
-			case t == resetReplies && lost == dropReplies:
-				breakOff(from)
-				breakOff(to)
+				time.Sleep(chunkDelay)
+			case t == delayedPerConn:
+				time.Sleep(delay)
+			case t == resetOnReply && drops == dropReplies:
+				resetConn(from)
+				resetConn(to)
 				return
 			}
 			if _, werr := to.Write(buf[:n]); werr != nil {
@@ -198,14 +199,14 @@
 			}
 		}
 		if err != nil {
-			if err == io.EOF && p.now() == pass {
+			if err == io.EOF && p.currentMode() == passThrough {
 				_ = to.(*net.TCPConn).CloseWrite()
 				return
 			}
-			if p.now() == scattered {
-				time.Sleep(arrivesFor)
+			if p.currentMode() == delayedPerConn {
+				time.Sleep(deliveryGrace)
 			}
-			breakOff(to)
+			resetConn(to)
 			return
 		}
 	}
