--- a/testbed/faults.go
+++ b/testbed/faults.go
@@ -6,54 +6,56 @@
 	"github.com/pointport/pointport"
 )
 
-// This file defines what befalls an instance that lives on all the same: it stands still,
-// its registration goes, or its clock is wrong. It is up all the while, so what it runs
-// counts.
+// This file defines faults of an instance that keeps running: it stalls, its registration
+// disappears, its clock runs at the wrong rate, or its answers are lost. The incarnation stays up
+// throughout, so its runs still count in the checks.
 
-// Stall has a machine's present life handle no order for a while, and then all that wait at
-// once, also those whose callers have gone. What runs there goes on, and its time too.
+// Stall makes a machine's current incarnation handle no order for d. It then handles all pending
+// orders at once, including those whose callers have gone. Its runs continue meanwhile, and its
+// lease keeps elapsing.
 func (f *Fleet) Stall(id pointport.InstanceID, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if m := f.machines[id]; m != nil && m.life != nil {
-		m.life.stalled = f.clock.Now().Add(d)
+	if m := f.machines[id]; m != nil && m.current != nil {
+		m.current.stalledUntil = f.clock.Now().Add(d)
 	}
 }
 
-// awaitStall waits while a life stands still.
-func (f *Fleet) awaitStall(life *incarnation) {
-	if life == nil {
+// awaitStall blocks until an incarnation is not stalled.
+func (f *Fleet) awaitStall(inc *incarnation) {
+	if inc == nil {
 		return
 	}
 	f.mu.Lock()
-	left := life.stalled.Sub(f.clock.Now())
+	left := inc.stalledUntil.Sub(f.clock.Now())
 	f.mu.Unlock()
 	if left > 0 {
 		<-f.clock.After(left)
 	}
 }
 
-// DropRegistration has a machine's registration go although it lives, and come back after a while.
+// DropRegistration removes a machine's registration for d while its incarnation keeps running.
 func (f *Fleet) DropRegistration(id pointport.InstanceID, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.machines[id]
-	if m == nil || m.life == nil {
+	if m == nil || m.current == nil {
 		return
 	}
-	life, wake := m.life, f.clock.After(d)
-	f.register(f.registration(m), false)
+	inc, wake := m.current, f.clock.After(d)
+	f.onRegistration(f.registration(m), false)
 	go func() {
 		<-wake
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if m.life == life {
-			f.register(f.registration(m), true)
+		if m.current == inc {
+			f.onRegistration(f.registration(m), true)
 		}
 	}()
 }
 
-// SetClockRate sets how fast the clocks of a machine's lives run from now on, 1 being right.
+// SetClockRate sets the rate of the clocks of a machine's current and later incarnations, 1 being
+// right.
 func (f *Fleet) SetClockRate(id pointport.InstanceID, rate float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -61,29 +63,30 @@
 	if m == nil {
 		return
 	}
-	m.rate = rate
-	if i, now := m.life, f.clock.Now(); i != nil {
+	m.clockRate = rate
+	if i, now := m.current, f.clock.Now(); i != nil {
 		i.advance(now)
-		i.zero, i.born, i.rate = i.clock(now), now, rate
+		i.clockOrigin, i.clockSetAt, i.rate = i.clockAt(now), now, rate
 	}
 }
 
-// SetAnswersMayBeLost says whether what a machine answers may be lost on its way. What it lists then
-// is not known to be heard, nor what it has just listed.
-func (f *Fleet) SetAnswersMayBeLost(id pointport.InstanceID, unheard bool) {
+// SetAnswersMayBeLost sets whether a machine's answers may be lost on the way. While they may, the
+// ends that it lists do not count as received, and neither do those that it listed less than
+// answerReceiptTime ago.
+func (f *Fleet) SetAnswersMayBeLost(id pointport.InstanceID, lossy bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.machines[id]
 	if m == nil {
 		return
 	}
-	m.unheard = unheard
-	if m.life == nil || !unheard {
+	m.answersMayBeLost = lossy
+	if m.current == nil || !lossy {
 		return
 	}
-	for _, task := range f.ends[m.life] {
-		if f.clock.Now().Sub(f.told[task]) < tellTime {
-			delete(f.told, task)
+	for _, task := range f.unacknowledged[m.current] {
+		if f.clock.Now().Sub(f.listedSince[task]) < answerReceiptTime {
+			delete(f.listedSince, task)
 		}
 	}
 }
