--- a/schedule/advice.go
+++ b/schedule/advice.go
@@ -97,7 +97,7 @@
 		return
 	}
 	a.asking = true
-	b.questions = append(b.questions, AdviceRequest{
+	b.adviceRequests = append(b.adviceRequests, AdviceRequest{
 		Job: t.entry.job.ID(), Step: workload.StepName(t.entry.job.ID(), t.ref), Incarnations: ids, key: key,
 	})
 }
@@ -106,7 +106,7 @@
 // about before, it returns only permitted ones whose ticket is about to expire.
 func (b *Scheduler) askable(now time.Time, t waitingTask, a *advice) []pointport.IncarnationID {
 	var workers []*Worker
-	for _, w := range b.usable(now) {
+	for _, w := range b.usableWorkers(now) {
 		id := w.inc.ID()
 		ticket, good := a.good[id]
 		expired := good && !now.Add(ticketReserve).Before(ticket.until)
@@ -124,8 +124,8 @@
 
 // TakeAdviceRequests returns the requests to send to the advisor now.
 func (b *Scheduler) TakeAdviceRequests() []AdviceRequest {
-	questions := b.questions
-	b.questions = nil
+	questions := b.adviceRequests
+	b.adviceRequests = nil
 	return questions
 }
 
--- a/schedule/arrivals.go
+++ b/schedule/arrivals.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// steady returns the capacity in use if work keeps arriving at the present rate.
-func (a *arrivals) steady(now time.Time) pointport.Shape {
+// current returns the capacity in use if work keeps arriving at the present rate.
+func (a *arrivals) current(now time.Time) pointport.Shape {
 	a.decay(now)
 	return pointport.Shape{CPUMilli: int64(a.cpu), MemoryMiB: int64(a.memory)}
 }
--- a/schedule/batch.go
+++ b/schedule/batch.go
@@ -98,8 +98,8 @@
 	})
 	if batch.Complete {
 		for _, w := range b.workers {
-			if w.seen > w.acked {
-				batch.acks[w] = w.seen
+			if w.lastEnd > w.acked {
+				batch.acks[w] = w.lastEnd
 			}
 		}
 	}
--- a/schedule/bench_test.go
+++ b/schedule/bench_test.go
@@ -14,7 +14,7 @@
 // jobs of 13 tasks each.
 func BenchmarkPlanOverload(b *testing.B) {
 	now := time.Unix(1000, 0)
-	scheduler := NewScheduler(now, Settings{Lease: 4 * time.Second, GangTime: 3 * time.Second, FarFactor: 2}, slog.New(slog.DiscardHandler))
+	scheduler := NewScheduler(now, Settings{Lease: 4 * time.Second, GangTimeout: 3 * time.Second, RemoteDataSlowdown: 2}, slog.New(slog.DiscardHandler))
 	var fleet []pointport.Incarnation
 	for n := range 80 {
 		id := pointport.IncarnationID(fmt.Sprintf("i-%02d", n))
--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -122,10 +122,10 @@
 // lastKnown returns when the owner last had a sign of the incarnation: its last answer, or when the
 // owner first learned of it.
 func (w *Worker) lastKnown() time.Time {
-	if w.lease.answeredAt.After(w.since) {
+	if w.lease.answeredAt.After(w.knownSince) {
 		return w.lease.answeredAt
 	}
-	return w.since
+	return w.knownSince
 }
 
 // workerEnded handles the end of an incarnation. The runs there have died, except those that may be
@@ -157,10 +157,10 @@
 
 // noteAnswerAfterEnd logs, once, that an incarnation that counts as ended has answered.
 func (b *Scheduler) noteAnswerAfterEnd(w *Worker, now time.Time) {
-	if w.answeredOver {
+	if w.answeredAfterEnd {
 		return
 	}
-	w.answeredOver = true
+	w.answeredAfterEnd = true
 	event.EndedIncarnationAnswered.Log(b.logger, slog.String("incarnation", string(w.inc.ID())), slog.Duration("since", now.Sub(w.endedAt)))
 }
 
--- a/schedule/excess.go
+++ b/schedule/excess.go
@@ -44,7 +44,7 @@
 // deadline alone.
 func (b *Scheduler) Excess(now time.Time) map[string]time.Duration {
 	var out map[string]time.Duration
-	workers := b.usable(now)
+	workers := b.usableWorkers(now)
 	var queue []*entry
 	for e := range b.waitingJobs {
 		queue = append(queue, e)
--- a/schedule/execution_lease.go
+++ b/schedule/execution_lease.go
@@ -97,8 +97,8 @@
 // expiry returns when everything on the instance has certainly ended.
 func (l *executionLease) expiry() time.Time {
 	if !l.extended {
-		return latest(l.inherited, l.misdirectedUntil)
+		return laterTime(l.inherited, l.misdirectedUntil)
 	}
 	left := time.Duration(l.extendedTo - l.clock)
-	return latest(l.misdirectedUntil, l.answeredAt.Add(time.Duration(float64(left)*slowClock)+lapseSlack))
+	return laterTime(l.misdirectedUntil, l.answeredAt.Add(time.Duration(float64(left)*slowClock)+lapseSlack))
 }
--- a/schedule/explain.go
+++ b/schedule/explain.go
@@ -54,7 +54,7 @@
 		return Explanation{}, false
 	}
 	x := Explanation{Job: id, Customer: e.job.Customer(), Queue: e.job.Queue(), Status: e.job.Status()}
-	b.refresh(e)
+	b.refreshReady(e)
 	if len(e.ready) > 0 {
 		s := b.rankOf(now, e)
 		x.Latest, x.Late = s.latest, s.class == classLate
@@ -101,7 +101,7 @@
 
 // explainWait returns why ready tasks are not placed; t is one of them, and tasks is their number.
 func (b *Scheduler) explainWait(now time.Time, t waitingTask, tasks int) string {
-	workers := b.usable(now)
+	workers := b.usableWorkers(now)
 	labelled, permitted, apart, fitting, open := 0, 0, 0, 0, 0
 	var most pointport.Shape
 	for _, w := range workers {
--- a/schedule/explain_customer.go
+++ b/schedule/explain_customer.go
@@ -45,7 +45,7 @@
 		return x
 	}
 	queue := b.rankedJobs(now)
-	s := b.sharesOf(b.usable(now), queue)
+	s := b.sharesOf(b.usableWorkers(now), queue)
 	x.Used, x.Capped, x.Allowed, x.HeldBack = a.used, a.capped, a.allowed, a.heldBack
 	x.Share, x.Excess = s.dominant(a), a.excess
 	if s.weights > 0 {
--- a/schedule/gang.go
+++ b/schedule/gang.go
@@ -13,7 +13,7 @@
 // This file defines gangs: the tasks of a step that can only work together. They are placed together
 // under one run number, and the end of one ends all.
 
-// gatherShare is the share of GangTime after which a gang whose members are not all running is given
+// gatherShare is the share of GangTimeout after which a gang whose members are not all running is given
 // up. A member that waits out the whole time has held its resources for nothing.
 const gatherShare = 0.6
 
@@ -78,7 +78,7 @@
 		switch {
 		case first == nil, gathered == g.entry.job.Spec().Steps[g.step].Count:
 			delete(b.gangs, g)
-		case now.Sub(g.since) > time.Duration(gatherShare*float64(b.settings.GangTime)):
+		case now.Sub(g.since) > time.Duration(gatherShare*float64(b.settings.GangTimeout)):
 			delete(b.gangs, g)
 			event.GangGivenUp.Log(b.logger, slog.String("job", g.entry.job.ID()), slog.Int("step", g.step),
 				slog.Int("run", g.number), slog.Int("gathered", gathered))
@@ -101,10 +101,10 @@
 			number = max(number, t.entry.job.Task(t.ref).Run)
 		}
 		for n, t := range tasks {
-			p.book.placeAs(p.now, t, chosen[n], number+1, len(workers))
+			p.scheduler.assign(p.now, t, chosen[n], number+1, len(workers))
 		}
 		t := tasks[0]
-		p.book.gangs[&gang{entry: t.entry, k: t.ref.Occurrence, step: t.ref.Step, number: number + 1, since: p.now}] = struct{}{}
+		p.scheduler.gangs[&gang{entry: t.entry, k: t.ref.Occurrence, step: t.ref.Step, number: number + 1, since: p.now}] = struct{}{}
 		return true
 	}
 	p.reserveGang(tasks)
@@ -146,7 +146,7 @@
 			if !p.holds(w, t, need, taken[w]) {
 				continue
 			}
-			score := p.book.score(p.now, t, w)
+			score := p.scheduler.score(p.now, t, w)
 			if best == nil || score > bestScore {
 				best, bestScore = w, score
 			}
@@ -167,10 +167,10 @@
 	for range more {
 		free = free.Minus(need)
 	}
-	if !free.Fits(need) || !p.book.permits(t, w, p.now) {
+	if !free.Fits(need) || !p.scheduler.permits(t, w, p.now) {
 		return false
 	}
-	return t.step.MaxPerInstance == 0 || p.book.crowd(t, w)+more < t.step.MaxPerInstance
+	return t.step.MaxPerInstance == 0 || p.scheduler.tasksOfStep(t, w)+more < t.step.MaxPerInstance
 }
 
 // reserveGang excludes as many workers from placement as a gang needs, because smaller tasks would
@@ -188,13 +188,13 @@
 	left := len(tasks)
 	for _, w := range byFree {
 		fits := 0
-		for all := w.soonFree(); all.Fits(need) && fits < left; all = all.Minus(need) {
+		for all := w.freeAfterTasks(); all.Fits(need) && fits < left; all = all.Minus(need) {
 			fits++
 			if step.MaxPerInstance > 0 && fits >= step.MaxPerInstance {
 				break
 			}
 		}
-		if left > 0 && fits > 0 && p.book.permits(tasks[0], w, p.now) {
+		if left > 0 && fits > 0 && p.scheduler.permits(tasks[0], w, p.now) {
 			left -= fits
 			continue
 		}
--- a/schedule/incarnation_end_test.go
+++ b/schedule/incarnation_end_test.go
@@ -43,12 +43,12 @@
 	now := start.Add(time.Second)
 	b.PollFailed(former, now, silence)
 	b.Report(former, now, now.Add(10*time.Millisecond), pointport.Report{Clock: 1, Running: []pointport.RunningTask{{TaskRun: pointport.TaskRun{Task: "a.0.0.0", Run: 1}}}})
-	b.Survey(now.Add(20*time.Millisecond), schedule.SurveyRequest{Over: []pointport.IncarnationID{former.Incarnation().ID()}})
+	b.Survey(now.Add(20*time.Millisecond), schedule.SurveyRequest{Ended: []pointport.IncarnationID{former.Incarnation().ID()}})
 	if former.Ended() {
 		t.Error("an incarnation that has answered since counts as ended")
 	}
 	b.PollFailed(former, now.Add(time.Second), silence)
-	b.Survey(now.Add(time.Second), schedule.SurveyRequest{Over: []pointport.IncarnationID{former.Incarnation().ID()}})
+	b.Survey(now.Add(time.Second), schedule.SurveyRequest{Ended: []pointport.IncarnationID{former.Incarnation().ID()}})
 	if !former.Ended() {
 		t.Error("an incarnation that is silent and listed as ended does not count as ended")
 	}
@@ -95,7 +95,7 @@
 	w := b.Workers()[0]
 	now := start.Add(time.Second)
 	b.PollFailed(w, now, &pointport.RejectedError{Incarnation: w.Incarnation().ID(), Reason: pointport.RejectUnhealthy})
-	b.Survey(now.Add(100*time.Millisecond), schedule.SurveyRequest{Over: []pointport.IncarnationID{w.Incarnation().ID()}})
+	b.Survey(now.Add(100*time.Millisecond), schedule.SurveyRequest{Ended: []pointport.IncarnationID{w.Incarnation().ID()}})
 	if w.Ended() {
 		t.Error("the incarnation of an instance that has just refused a poll counts as ended")
 	}
--- a/schedule/instance_model_test.go
+++ b/schedule/instance_model_test.go
@@ -168,7 +168,7 @@
 	case !r.stopsAt.IsZero():
 		return r.stopsAt
 	case r.began.IsZero():
-		return r.arrived.Add(settings.GangTime)
+		return r.arrived.Add(settings.GangTimeout)
 	case r.work.step.Service:
 		return time.Time{}
 	}
--- a/schedule/isolation.go
+++ b/schedule/isolation.go
@@ -58,22 +58,22 @@
 
 // updateReachability reviews the suspicion after the registered instances have been counted.
 func (b *Scheduler) updateReachability(now time.Time, t tally) {
-	b.hearing.silentShare = t.silentShare()
+	b.reachability.silentShare = t.silentShare()
 	suspects := b.shouldSuspect(now, t.silent)
 	if suspects == b.SuspectsIsolation() {
 		return
 	}
 	event.OwnerSuspectsIsolation.Log(b.logger, slog.Bool("doubts", suspects), slog.Int("silent", t.silent), slog.Int("asked", t.polled), slog.Duration("after", b.IsolationSuspectedFor(now)))
-	b.hearing.suspectedSince = time.Time{}
+	b.reachability.suspectedSince = time.Time{}
 	if suspects {
-		b.hearing.suspectedSince = now
+		b.reachability.suspectedSince = now
 	}
 }
 
 // shouldSuspect reports whether an owner with this many silent instances has reason to suspect
 // isolation, or to continue to.
 func (b *Scheduler) shouldSuspect(now time.Time, silent int) bool {
-	h := &b.hearing
+	h := &b.reachability
 	if b.SuspectsIsolation() {
 		return silent >= isolationMinSilent && h.silentShare >= recoveryShare
 	}
@@ -91,7 +91,7 @@
 // itself isolated. While it does, no run on a registered instance expires, and few starts should be
 // in flight: they would compete with polls for bandwidth and processor time, and most would get no
 // answer.
-func (b *Scheduler) SuspectsIsolation() bool { return !b.hearing.suspectedSince.IsZero() }
+func (b *Scheduler) SuspectsIsolation() bool { return !b.reachability.suspectedSince.IsZero() }
 
 // IsolationSuspectedFor returns for how long the owner has suspected isolation, zero while it does
 // not.
@@ -99,5 +99,5 @@
 	if !b.SuspectsIsolation() {
 		return 0
 	}
-	return now.Sub(b.hearing.suspectedSince)
+	return now.Sub(b.reachability.suspectedSince)
 }
--- a/schedule/later_incarnation.go
+++ b/schedule/later_incarnation.go
@@ -133,7 +133,7 @@
 	if !w.anyUncertain() {
 		return w.lease.expiry()
 	}
-	return latest(w.lease.expiry(), b.misdirectedUntil(w.lease.lastExtension))
+	return laterTime(w.lease.expiry(), b.misdirectedUntil(w.lease.lastExtension))
 }
 
 // noteMisdirected records until when orders to a worker that has ended may extend what later
@@ -143,10 +143,10 @@
 		return
 	}
 	to, until := w.inc.ID().Addressee(), b.misdirectedUntil(w.lease.lastExtension)
-	b.foreign[to] = latest(b.foreign[to], until)
+	b.misdirectedLeaseEnds[to] = laterTime(b.misdirectedLeaseEnds[to], until)
 	for _, o := range b.workers {
 		if o.sharesAddressee(w) {
-			o.lease.misdirectedUntil = latest(o.lease.misdirectedUntil, until)
+			o.lease.misdirectedUntil = laterTime(o.lease.misdirectedUntil, until)
 		}
 	}
 }
@@ -216,9 +216,9 @@
 
 // forgetOrders removes the records of orders that can no longer be in flight.
 func (b *Scheduler) forgetOrders(now time.Time) {
-	for to, until := range b.foreign {
+	for to, until := range b.misdirectedLeaseEnds {
 		if now.After(until) {
-			delete(b.foreign, to)
+			delete(b.misdirectedLeaseEnds, to)
 		}
 	}
 	for to, all := range b.startsInFlight {
--- a/schedule/moved_instance_test.go
+++ b/schedule/moved_instance_test.go
@@ -36,7 +36,7 @@
 		if ended.Sure != (len(s.Instances) == 0 && len(b.Workers()) == 0) {
 			t.Errorf("round %d: after an order that has surely ended the incarnation: %v, the pool has %+v", round, ended.Sure, s.Instances)
 		}
-		b.Survey(now.Add(time.Second), schedule.SurveyRequest{Over: []pointport.IncarnationID{inc.ID()}})
+		b.Survey(now.Add(time.Second), schedule.SurveyRequest{Ended: []pointport.IncarnationID{inc.ID()}})
 		now = now.Add(3 * time.Second)
 		b.SetIncarnations(now, nil)
 	}
--- a/schedule/order.go
+++ b/schedule/order.go
@@ -40,12 +40,12 @@
 	// refusalBackoff is how long nothing is placed on an instance that has refused a start for lack
 	// of capacity or because it is unhealthy, or that could not be reached.
 	refusalBackoff = 300 * time.Millisecond
-	// startAgain is the delay before an unanswered start is sent again, stopAgain the delay before
+	// startRetryDelay is the delay before an unanswered start is sent again, stopRetryDelay the delay before
 	// a stop is sent again.
-	startAgain = 150 * time.Millisecond
-	stopAgain  = time.Second
-	// refusedAgain is the delay before a refused stop is sent again.
-	refusedAgain = 150 * time.Millisecond
+	startRetryDelay = 150 * time.Millisecond
+	stopRetryDelay  = time.Second
+	// refusedStopRetryDelay is the delay before a refused stop is sent again.
+	refusedStopRetryDelay = 150 * time.Millisecond
 )
 
 // OrderAnswered handles the answer to an order; err is nil if the order was carried out.
@@ -136,7 +136,7 @@
 		return
 	}
 	r.unanswered++
-	r.resendAt = now.Add(startAgain)
+	r.resendAt = now.Add(startRetryDelay)
 	event.StartUnanswered.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
 		slog.String("incarnation", string(r.worker.inc.ID())), slog.Int("times", r.unanswered), slog.Any("error", err))
 	if r.unanswered >= silentAfter {
@@ -169,7 +169,7 @@
 	case w.silent && !r.startSent:
 		b.dropUnsent(now, r, "its instance fell silent before its start was sent")
 	default:
-		return b.forgoInZone(now, r)
+		return b.skipStartInZone(now, r)
 	}
 	return true
 }
@@ -198,7 +198,7 @@
 	// later to one that is silent.
 	var rejected *pointport.RejectedError
 	if errors.As(err, &rejected) {
-		r.stopAgainAt = now.Add(refusedAgain)
+		r.stopAgainAt = now.Add(refusedStopRetryDelay)
 		event.StopRefused.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
 			slog.String("incarnation", string(r.worker.inc.ID())), slog.String("reason", string(rejected.Reason)))
 	}
@@ -241,7 +241,7 @@
 		if len(w.startsToRuleOut) == 0 || !w.polled() || w.silent || now.Before(w.ruleOutAt) {
 			continue
 		}
-		w.ruleOutAt = now.Add(startAgain)
+		w.ruleOutAt = now.Add(startRetryDelay)
 		for run := range w.startsToRuleOut {
 			b.pendingOrders = append(b.pendingOrders, Order{Kind: OrderStop, Worker: w, TaskRun: run})
 		}
@@ -257,7 +257,7 @@
 		for _, r := range w.runs {
 			switch {
 			case r.stopping && !now.Before(r.stopAgainAt):
-				r.stopAgainAt = now.Add(stopAgain)
+				r.stopAgainAt = now.Add(stopRetryDelay)
 				b.pendingOrders = append(b.pendingOrders, Order{Kind: OrderStop, Run: r, Worker: w, TaskRun: r.TaskRun()})
 			case r.state == runSent && !r.stopping && !r.detached() && !r.resendAt.IsZero() && now.After(r.resendAt) && now.Before(b.executionExpiry(w)):
 				r.resendAt = time.Time{}
--- a/schedule/plan.go
+++ b/schedule/plan.go
@@ -26,7 +26,7 @@
 	if len(b.waitingJobs) == 0 {
 		return
 	}
-	workers := b.usable(now)
+	workers := b.usableWorkers(now)
 	queue := b.rankedJobs(now)
 	if len(workers) == 0 {
 		for _, e := range queue {
@@ -34,7 +34,7 @@
 		}
 		return
 	}
-	p := placement{book: b, now: now, workers: workers}
+	p := placement{scheduler: b, now: now, workers: workers}
 	b.scarceLabels = labelsRequired(queue)
 	b.visitInOrder(b.sharesOf(workers, queue), queue, func(e *entry) bool {
 		if b.placementsFull() {
@@ -85,9 +85,9 @@
 
 // A placement assigns waiting tasks to workers during one plan.
 type placement struct {
-	book    *Scheduler
-	now     time.Time
-	workers []*Worker
+	scheduler *Scheduler
+	now       time.Time
+	workers   []*Worker
 	// full lists reservations for which no worker has free capacity. Free capacity only shrinks
 	// while tasks are placed, so a task that needs at least as much does not fit either.
 	full []pointport.Shape
@@ -103,7 +103,7 @@
 		group := gangOf(e.ready[n:])
 		n += len(group)
 		if !e.account.withinCap(group[0].step.Need.Times(len(group))) {
-			p.book.noteHeldBack(p.now, group)
+			p.scheduler.noteHeldBack(p.now, group)
 			continue
 		}
 		ok := false
@@ -122,12 +122,12 @@
 		e.starved = time.Time{}
 		return
 	}
-	p.book.seekAdvice(p.now, *missed)
+	p.scheduler.seekAdvice(p.now, *missed)
 	if placed {
 		return
 	}
-	p.book.logWait(p.now, *missed)
-	p.book.preempt(p.now, *missed, p.workers)
+	p.scheduler.logWait(p.now, *missed)
+	p.scheduler.preempt(p.now, *missed, p.workers)
 }
 
 // gangOf returns the tasks at the beginning of a list that must be placed together: a gang, or one
@@ -152,7 +152,7 @@
 	}
 	w := p.choose(t)
 	if w != nil {
-		p.book.placeAs(p.now, t, w, t.entry.job.Task(t.ref).Run+1, len(p.workers))
+		p.scheduler.assign(p.now, t, w, t.entry.job.Task(t.ref).Run+1, len(p.workers))
 		return true
 	}
 	if t.step.MaxPerInstance == 0 && t.step.Label == "" && len(t.entry.avoidUntil) == 0 && len(t.entry.crashed) == 0 && t.step.DataRack == "" && !t.entry.job.Policy().Advised {
@@ -181,7 +181,7 @@
 func (p *placement) reserve(t waitingTask) {
 	best := -1
 	for i, w := range p.workers {
-		if !p.book.permits(t, w, p.now) || p.book.atStepLimit(t, w) || !w.soonFree().Fits(t.step.Reservation()) {
+		if !p.scheduler.permits(t, w, p.now) || p.scheduler.atStepLimit(t, w) || !w.freeAfterTasks().Fits(t.step.Reservation()) {
 			continue
 		}
 		if best < 0 || w.free.CPUMilli > p.workers[best].free.CPUMilli {
@@ -196,15 +196,15 @@
 // choose returns the most suitable worker for a task, or nil. It also returns nil if the task
 // should wait for a worker in the rack of its data.
 func (p *placement) choose(t waitingTask) *Worker {
-	near := p.book.bestWorker(p.now, t, p.workers)
-	if near == nil || t.step.DataRack == "" || near.inc.Rack() == t.step.DataRack || !p.book.waitsForRack(p.now, t) {
+	near := p.scheduler.bestWorker(p.now, t, p.workers)
+	if near == nil || t.step.DataRack == "" || near.inc.Rack() == t.step.DataRack || !p.scheduler.waitsForRack(p.now, t) {
 		return near
 	}
 	return nil
 }
 
-// usable returns the workers on which tasks may be placed, sorted by incarnation.
-func (b *Scheduler) usable(now time.Time) []*Worker {
+// usableWorkers returns the workers on which tasks may be placed, sorted by incarnation.
+func (b *Scheduler) usableWorkers(now time.Time) []*Worker {
 	var out []*Worker
 	for _, w := range b.workers {
 		if w.usable(now) {
@@ -247,18 +247,18 @@
 		return false
 	}
 	duration := b.estimates.duration(t.entry.job.Queue(), t.step)
-	extra := time.Duration(float64(duration) * (b.settings.FarFactor - 1))
+	extra := time.Duration(float64(duration) * (b.settings.RemoteDataSlowdown - 1))
 	latest := t.entry.rank.latest
 	return now.Before(latest) && now.Add(extra).After(latest)
 }
 
 // atStepLimit reports whether a worker already holds the maximum number of tasks of the step.
 func (b *Scheduler) atStepLimit(t waitingTask, w *Worker) bool {
-	return t.step.MaxPerInstance > 0 && b.crowd(t, w) >= t.step.MaxPerInstance
+	return t.step.MaxPerInstance > 0 && b.tasksOfStep(t, w) >= t.step.MaxPerInstance
 }
 
-// crowd returns how many tasks of the step a worker holds.
-func (b *Scheduler) crowd(t waitingTask, w *Worker) int {
+// tasksOfStep returns how many tasks of the step a worker holds.
+func (b *Scheduler) tasksOfStep(t waitingTask, w *Worker) int {
 	return w.steps[stepRef{t.entry, t.ref.Occurrence, t.ref.Step}]
 }
 
@@ -306,7 +306,7 @@
 	if t.step.Label == "" && w.hasAnyLabel(b.scarceLabels) {
 		score -= scarceScore
 	}
-	if t.step.Service && b.soon[w.inc.Instance()] {
+	if t.step.Service && b.closingSoon[w.inc.Instance()] {
 		score -= soonScore
 	}
 	return score
@@ -324,14 +324,14 @@
 	return float64(part) / float64(whole)
 }
 
-// placeAs places a task on a worker under a run number; candidates is the number of workers
+// assign places a task on a worker under a run number; candidates is the number of workers
 // considered, for the log. The start is sent once the placement is stored.
-func (b *Scheduler) placeAs(now time.Time, t waitingTask, w *Worker, number, candidates int) {
+func (b *Scheduler) assign(now time.Time, t waitingTask, w *Worker, number, candidates int) {
 	t.entry.job.Place(t.ref, w.inc.ID(), number)
 	r := b.newRun(now, t.entry, t.ref, w, number, runUnstored)
 	r.ticket = b.ticketFor(t, w)
 	if rack := t.step.DataRack; rack != "" && w.inc.Rack() != rack {
-		b.far.add(now, rack, t.step.Reservation())
+		b.rackDemand.add(now, rack, t.step.Reservation())
 	}
 	b.unstoredStarts = append(b.unstoredStarts, r)
 	b.markDirty(t.entry, true)
--- a/schedule/poll_timeout.go
+++ b/schedule/poll_timeout.go
@@ -16,5 +16,5 @@
 	if !w.silent {
 		return 0
 	}
-	return time.Duration(b.hearing.silentShare * float64(maxExtraPollTimeout))
+	return time.Duration(b.reachability.silentShare * float64(maxExtraPollTimeout))
 }
--- a/schedule/preempt.go
+++ b/schedule/preempt.go
@@ -24,7 +24,7 @@
 // loses the least work.
 func (b *Scheduler) preempt(now time.Time, t waitingTask, workers []*Worker) {
 	e := t.entry
-	if e.job.Policy().Priority != 0 || b.lowRuns == 0 {
+	if e.job.Policy().Priority != 0 || b.preemptibleRuns == 0 {
 		return
 	}
 	if now.Sub(e.starved) < preemptAfter || now.Sub(e.preempted) < preemptEvery {
--- a/schedule/quarantine.go
+++ b/schedule/quarantine.go
@@ -109,7 +109,7 @@
 		t.Settled = r.number // stored for the next owner, which has not seen the run's start
 		b.markDirty(r.entry, false)
 	}
-	if lasted >= r.apartFor {
+	if lasted >= r.quarantineTime {
 		r.worker.clearSuspicion(r)
 	}
 	if r.step().Service && lasted >= exoneratedAfter && r.progress >= atWork && r.entry.suspected(r.ref) {
--- a/schedule/rank.go
+++ b/schedule/rank.go
@@ -58,7 +58,7 @@
 func (b *Scheduler) rankedJobs(now time.Time) []*entry {
 	out := make([]*entry, 0, len(b.waitingJobs))
 	for e := range b.waitingJobs {
-		b.refresh(e)
+		b.refreshReady(e)
 		if len(e.ready) == 0 {
 			delete(b.waitingJobs, e)
 			continue
@@ -89,8 +89,8 @@
 	return allowance(e.job.Policy(), longest)
 }
 
-// refresh rebuilds the list of a job's ready tasks if it is outdated.
-func (b *Scheduler) refresh(e *entry) {
+// refreshReady rebuilds the list of a job's ready tasks if it is outdated.
+func (b *Scheduler) refreshReady(e *entry) {
 	if !e.stale {
 		return
 	}
--- a/schedule/registration.go
+++ b/schedule/registration.go
@@ -26,23 +26,23 @@
 
 // SetRegistryCoverage sets the interval in which the registrations that the scheduler was last given
 // could be read.
-func (b *Scheduler) SetRegistryCoverage(s RegistryCoverage) { b.sight = s }
+func (b *Scheduler) SetRegistryCoverage(s RegistryCoverage) { b.registryCoverage = s }
 
 // gone reports whether a worker's registration has been removed for good: it has been missing for
 // longer than one that expired by mistake. Time in which the registrations could not be read does
 // not count, because the registration may have been there.
 func (b *Scheduler) gone(w *Worker) bool {
-	if w.listed || w.unlistedSince.IsZero() || b.sight.Since.IsZero() {
+	if w.listed || w.unlistedSince.IsZero() || b.registryCoverage.Since.IsZero() {
 		return false
 	}
 	if b.laterRegistered(w) {
 		return true
 	}
 	from := w.unlistedSince
-	if b.sight.Since.After(from) {
-		from = b.sight.Since
+	if b.registryCoverage.Since.After(from) {
+		from = b.registryCoverage.Since
 	}
-	return b.sight.Until.Sub(from) >= goneAfter
+	return b.registryCoverage.Until.Sub(from) >= goneAfter
 }
 
 // laterRegistered reports whether a later incarnation of a worker's instance is registered,
@@ -53,7 +53,7 @@
 		return false // its registration was never seen
 	}
 	for _, other := range b.workers {
-		if other != w && other.listed && !other.ended && other.inc.Instance() == id && other.since.After(w.since) {
+		if other != w && other.listed && !other.ended && other.inc.Instance() == id && other.knownSince.After(w.knownSince) {
 			return true
 		}
 	}
--- a/schedule/relocate.go
+++ b/schedule/relocate.go
@@ -22,7 +22,7 @@
 // there are free resources for them elsewhere, where they are placed at once. Without free resources
 // they stay: emptying an instance later does less harm than an unavailable service.
 func (b *Scheduler) relocate(now time.Time) {
-	if now.Sub(b.taken) < takeoverPause {
+	if now.Sub(b.tookOverAt) < takeoverPause {
 		return
 	}
 	var h *servingCapacity
@@ -66,11 +66,11 @@
 
 func (b *Scheduler) newServingCapacity(now time.Time) *servingCapacity {
 	h := &servingCapacity{
-		book: b, now: now, workers: b.usable(now),
+		book: b, now: now, workers: b.usableWorkers(now),
 		left: make(map[*Worker]pointport.Shape), promised: make(map[stepOnWorker]int),
 	}
 	for _, w := range h.workers {
-		h.left[w] = w.soonFree()
+		h.left[w] = w.freeAfterTasks()
 	}
 	return h
 }
@@ -83,7 +83,7 @@
 		if !h.left[w].Fits(need) || !h.book.permits(t, w, h.now) {
 			continue
 		}
-		if most := t.step.MaxPerInstance; most > 0 && h.book.crowd(t, w)+h.promised[at] >= most {
+		if most := t.step.MaxPerInstance; most > 0 && h.book.tasksOfStep(t, w)+h.promised[at] >= most {
 			continue
 		}
 		h.left[w] = h.left[w].Minus(need)
@@ -97,7 +97,7 @@
 func (h *servingCapacity) takeWaiting() []waitingTask {
 	var unplaced []waitingTask
 	for e := range h.book.waitingJobs {
-		h.book.refresh(e)
+		h.book.refreshReady(e)
 		for _, t := range e.ready {
 			if t.step.Service && !h.take(t) {
 				unplaced = append(unplaced, t)
--- a/schedule/report.go
+++ b/schedule/report.go
@@ -71,7 +71,7 @@
 	}
 	r.inherited = r.state == runInherited
 	r.state, r.liveAt = runLive, now
-	r.liveClock, r.shownAt = clock, clock
+	r.liveClock, r.reportClock = clock, clock
 	if !r.entry.begun && !r.inherited {
 		r.entry.begun = true
 		event.JobBegun.Log(b.logger, slog.String("job", r.entry.job.ID()), slog.String("task", r.name), slog.Int("run", r.number),
@@ -134,11 +134,11 @@
 // processEnd processes the end of a run.
 func (b *Scheduler) processEnd(w *Worker, now time.Time, end pointport.TaskEnd) {
 	r := w.runs[end.Task]
-	if end.Number <= w.seen {
+	if end.Number <= w.lastEnd {
 		b.logKnownEnd(w, r, end)
 		return
 	}
-	w.seen = end.Number
+	w.lastEnd = end.Number
 	if r == nil || r.number != end.Run {
 		b.givenUpEnded(w, now, end)
 		return
@@ -173,7 +173,7 @@
 		return
 	}
 	event.RunEndAlreadySeen.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number), slog.String("incarnation", string(w.inc.ID())),
-		slog.String("how", string(end.Kind)), slog.Int64("number", end.Number), slog.Int64("seen", w.seen))
+		slog.String("how", string(end.Kind)), slog.Int64("number", end.Number), slog.Int64("seen", w.lastEnd))
 }
 
 // noteUnstored records that a run of a job has ended on a worker, if the end has changed the job.
--- a/schedule/run.go
+++ b/schedule/run.go
@@ -66,8 +66,8 @@
 	// quarantined reports whether so many have that nothing else is placed beside this run until it
 	// has run long enough without a crash.
 	suspected, quarantined bool
-	// apartFor is how long after its start the run stays suspected and quarantined.
-	apartFor time.Duration
+	// quarantineTime is how long after its start the run stays suspected and quarantined.
+	quarantineTime time.Duration
 	// stopping reports whether the run was ordered to stop; stopAgainAt is when the stop is sent
 	// again.
 	stopping    bool
@@ -77,10 +77,10 @@
 	// at 100.
 	progress int
 	load     int
-	// movedAt is when a report first showed the present progress, movedClock what the instance's
+	// progressAt is when a report first showed the present progress, movedClock what the instance's
 	// clock showed then. shownAt is the instance's clock in the newest report of the run.
-	movedAt             time.Time
-	movedClock, shownAt pointport.InstanceTime
+	progressAt                 time.Time
+	progressClock, reportClock pointport.InstanceTime
 	// pace is the share of its work that the run was last ordered to do, in percent.
 	pace int
 	// ticket is the advisor's permission to use the worker.
--- a/schedule/scheduler.go
+++ b/schedule/scheduler.go
@@ -27,10 +27,10 @@
 	Early time.Duration
 	// MaxHold is how long an instance runs anything without a further order.
 	MaxHold time.Duration
-	// GangTime is how long an instance waits for the other members of a gang.
-	GangTime time.Duration
-	// FarFactor is the ratio of a task's duration away from its data to its duration near it.
-	FarFactor float64
+	// GangTimeout is how long an instance waits for the other members of a gang.
+	GangTimeout time.Duration
+	// RemoteDataSlowdown is the ratio of a task's duration away from its data to its duration near it.
+	RemoteDataSlowdown float64
 }
 
 // An entry holds a job and the scheduling state of its tasks.
@@ -89,9 +89,9 @@
 // A Scheduler holds the state of one pool's jobs and workers and decides where and when tasks run.
 // It is not safe for concurrent use.
 type Scheduler struct {
-	settings Settings
-	logger   *slog.Logger
-	taken    time.Time // when this owner took over
+	settings   Settings
+	logger     *slog.Logger
+	tookOverAt time.Time // when this owner took over
 
 	jobs    map[string]*entry
 	workers map[pointport.IncarnationID]*Worker
@@ -100,9 +100,9 @@
 	// startsInFlight holds starts that are no longer wanted but may still be carried out by any
 	// incarnation with the same addressee, with the time at which each was given up.
 	startsInFlight map[pointport.Addressee]map[pointport.TaskRun]time.Time
-	// foreign holds until when an order to an ended incarnation may extend the lease of runs on a
+	// misdirectedLeaseEnds holds until when an order to an ended incarnation may extend the lease of runs on a
 	// later incarnation of the same addressee.
-	foreign map[pointport.Addressee]time.Time
+	misdirectedLeaseEnds map[pointport.Addressee]time.Time
 	// crashedHealth holds the health of instances that have crashed and have not registered again.
 	crashedHealth map[pointport.InstanceID]health
 	endedJobs     map[string]endedJob
@@ -113,9 +113,9 @@
 	allowed  map[string]pointport.Shape
 	weights  map[string]float64
 
-	estimates *estimates
-	arrivals  arrivals
-	far       rackDemand
+	estimates  *estimates
+	arrivals   arrivals
+	rackDemand rackDemand
 	// dirty holds the jobs that have changed since they were last taken into a batch. The value
 	// reports whether something waits for the job to be stored.
 	dirty map[*entry]bool
@@ -137,19 +137,19 @@
 	pollNow map[*Worker]struct{}
 	// gangs holds the gangs whose members have not all started yet.
 	gangs map[*gang]struct{}
-	// questions holds the requests to send to the advisor.
-	questions []AdviceRequest
-	// lowRuns counts the runs of jobs that others may preempt.
-	lowRuns int
+	// adviceRequests holds the requests to send to the advisor.
+	adviceRequests []AdviceRequest
+	// preemptibleRuns counts the runs of jobs that others may preempt.
+	preemptibleRuns int
 	// scarceLabels holds the labels that waiting tasks require.
 	scarceLabels map[string]bool
-	// soon holds the instances that are about to be emptied.
-	soon map[pointport.InstanceID]bool
+	// closingSoon holds the instances that are about to be emptied.
+	closingSoon map[pointport.InstanceID]bool
 	// zones holds the evacuation states of the availability zones; all workers share it.
 	zones *evacuation.Zones
-	// sight is the interval in which the registrations could be read.
-	sight   RegistryCoverage
-	hearing reachability
+	// registryCoverage is the interval in which the registrations could be read.
+	registryCoverage RegistryCoverage
+	reachability     reachability
 	// fenced reports whether an instance has rejected this owner's fencing token as outdated.
 	fenced bool
 }
@@ -159,17 +159,17 @@
 func NewScheduler(now time.Time, s Settings, logger *slog.Logger) *Scheduler {
 	zones := evacuation.None
 	return &Scheduler{
-		settings: s, logger: logger, taken: now, zones: &zones,
-		jobs:           make(map[string]*entry),
-		startsInFlight: make(map[pointport.Addressee]map[pointport.TaskRun]time.Time),
-		foreign:        make(map[pointport.Addressee]time.Time),
-		crashedHealth:  make(map[pointport.InstanceID]health),
-		workers:        make(map[pointport.IncarnationID]*Worker),
-		endedJobs:      make(map[string]endedJob),
-		accounts:       make(map[string]*account),
-		estimates:      newEstimates(),
-		dirty:          make(map[*entry]bool),
-		waitingJobs:    make(map[*entry]struct{}), recurring: make(map[*entry]struct{}),
+		settings: s, logger: logger, tookOverAt: now, zones: &zones,
+		jobs:                 make(map[string]*entry),
+		startsInFlight:       make(map[pointport.Addressee]map[pointport.TaskRun]time.Time),
+		misdirectedLeaseEnds: make(map[pointport.Addressee]time.Time),
+		crashedHealth:        make(map[pointport.InstanceID]health),
+		workers:              make(map[pointport.IncarnationID]*Worker),
+		endedJobs:            make(map[string]endedJob),
+		accounts:             make(map[string]*account),
+		estimates:            newEstimates(),
+		dirty:                make(map[*entry]bool),
+		waitingJobs:          make(map[*entry]struct{}), recurring: make(map[*entry]struct{}),
 		gangs:   make(map[*gang]struct{}),
 		pollNow: make(map[*Worker]struct{}), maxUnstoredStarts: math.MaxInt,
 	}
@@ -243,12 +243,12 @@
 		entry: e, ref: ref, name: workload.TaskName(e.job.ID(), ref), number: number,
 		worker: w, state: s, placedAt: now, pace: fullPace,
 	}
-	r.suspected, r.quarantined, r.apartFor = e.suspected(ref), e.quarantines(ref), e.quarantineTime(ref)
+	r.suspected, r.quarantined, r.quarantineTime = e.suspected(ref), e.quarantines(ref), e.quarantineTime(ref)
 	e.runs[ref] = r
 	w.addRun(r)
 	e.account.addUse(r.step().Need)
 	if e.job.Policy().Priority > 0 {
-		b.lowRuns++
+		b.preemptibleRuns++
 	}
 	return r
 }
@@ -258,11 +258,11 @@
 	w := b.workers[id]
 	if w == nil {
 		w = &Worker{
-			since:           now,
+			knownSince:      now,
 			inc:             pointport.NewIncarnation(id, "", ""),
 			runs:            make(map[string]*Run),
 			steps:           make(map[stepRef]int),
-			lease:           executionLease{inherited: b.taken.Add(b.predecessorBound(id)), misdirectedUntil: b.foreign[id.Addressee()]},
+			lease:           executionLease{inherited: b.tookOverAt.Add(b.predecessorBound(id)), misdirectedUntil: b.misdirectedLeaseEnds[id.Addressee()]},
 			startsToRuleOut: b.startsToRuleOut(id),
 			zones:           b.zones,
 		}
@@ -382,7 +382,7 @@
 	if r.stopping {
 		return
 	}
-	r.stopping, r.stopAgainAt, r.stopReason = true, now.Add(stopAgain), reason
+	r.stopping, r.stopAgainAt, r.stopReason = true, now.Add(stopRetryDelay), reason
 	if r.worker.inc.Address() != "" {
 		b.pendingOrders = append(b.pendingOrders, Order{Kind: OrderStop, Run: r, Worker: r.worker, TaskRun: r.TaskRun()})
 	}
@@ -433,7 +433,7 @@
 	if r.worker.runs[r.name] == r {
 		r.entry.account.removeUse(r.step().Need)
 		if r.entry.job.Policy().Priority > 0 {
-			b.lowRuns--
+			b.preemptibleRuns--
 		}
 	}
 	if r.abandoned {
--- a/schedule/scheduler_test.go
+++ b/schedule/scheduler_test.go
@@ -23,7 +23,7 @@
 // settings are the settings of the scheduler in all tests.
 var settings = schedule.Settings{
 	Lease: 4 * time.Second, PredecessorBound: 6 * time.Second, MaxHold: 10 * time.Second, KeepEnded: time.Minute,
-	GangTime: 3 * time.Second, FarFactor: 2,
+	GangTimeout: 3 * time.Second, RemoteDataSlowdown: 2,
 }
 
 // newTestScheduler returns a scheduler without jobs and instances.
--- a/schedule/silence.go
+++ b/schedule/silence.go
@@ -31,7 +31,7 @@
 	w.markSilent(now)
 	var rejected *pointport.RejectedError
 	w.pollRefused = errors.As(err, &rejected)
-	if now.Sub(w.silentSince) > abandonAfter && b.hearing.fewAnswersSince.IsZero() {
+	if now.Sub(w.silentSince) > abandonAfter && b.reachability.fewAnswersSince.IsZero() {
 		b.abandon(now, w)
 	}
 }
--- a/schedule/simulation_model_test.go
+++ b/schedule/simulation_model_test.go
@@ -569,7 +569,7 @@
 	w.owner.handle(func() {
 		w.owner.scheduler.Survey(w.now, schedule.SurveyRequest{
 			Closures: []schedule.Closure{{Instance: pointport.InstanceID(fmt.Sprintf("m-%d", m.number)), Evacuate: true}},
-			Over:     slices.Clone(over),
+			Ended:    slices.Clone(over),
 		})
 	})
 }
--- a/schedule/stall.go
+++ b/schedule/stall.go
@@ -64,10 +64,10 @@
 // unchanged returns for how long a run has shown the same progress, by its instance's clock: an
 // owner that lags handles reports late, at times that do not reflect the run's progress.
 func (r *Run) unchanged() time.Duration {
-	if r.movedAt.IsZero() {
+	if r.progressAt.IsZero() {
 		return 0
 	}
-	return time.Duration(r.shownAt - r.movedClock)
+	return time.Duration(r.reportClock - r.progressClock)
 }
 
 // tooSlow reports whether a run would be done sooner elsewhere, judged by the other runs of its
@@ -90,36 +90,36 @@
 }
 
 // age returns for how long a run was known to run when it was last reported.
-func (r *Run) age() time.Duration { return time.Duration(r.shownAt - r.liveClock) }
+func (r *Run) age() time.Duration { return time.Duration(r.reportClock - r.liveClock) }
 
 // measured reports whether the reported progress of a run shows how fast it is.
-func (r *Run) measured() bool { return r.progress > r.from && r.movedClock > r.liveClock }
+func (r *Run) measured() bool { return r.progress > r.from && r.progressClock > r.liveClock }
 
 // total returns the estimated duration of the whole task, from the progress reported so far; the run
 // must have made some. It uses the instance's clock: with the owner's clock, a report that was
 // handled late made every run on the instance look slow.
 func (r *Run) total() time.Duration {
-	return time.Duration(r.movedClock-r.liveClock) * wholePercent / time.Duration(r.progress-r.from)
+	return time.Duration(r.progressClock-r.liveClock) * wholePercent / time.Duration(r.progress-r.from)
 }
 
 // observeProgress records the progress in a report that was made when the instance's clock showed
 // clock. A report that is older than one handled before is ignored.
 func (r *Run) observeProgress(now time.Time, clock pointport.InstanceTime, progress int) {
-	if clock < r.shownAt {
+	if clock < r.reportClock {
 		return
 	}
-	r.shownAt = clock
-	if r.movedAt.IsZero() || progress != r.progress {
-		r.movedClock = clock
+	r.reportClock = clock
+	if r.progressAt.IsZero() || progress != r.progress {
+		r.progressClock = clock
 	}
 	switch {
-	case r.movedAt.IsZero():
+	case r.progressAt.IsZero():
 		if r.inherited || r.age() > freshReport {
 			r.from = progress
 		}
-		r.progress, r.movedAt = progress, now
+		r.progress, r.progressAt = progress, now
 	case progress != r.progress:
-		r.progress, r.movedAt = progress, now
+		r.progress, r.progressAt = progress, now
 	}
 }
 
@@ -173,7 +173,7 @@
 	age := now.Sub(r.liveAt)
 	if r.measured() {
 		left := r.total() * time.Duration(wholePercent-r.progress) / wholePercent
-		return max(0, left-now.Sub(r.movedAt))
+		return max(0, left-now.Sub(r.progressAt))
 	}
 	expected := b.estimates.duration(r.entry.job.Queue(), r.step())
 	if took := r.entry.durations[stepKey{r.ref.Occurrence, r.ref.Step}]; took.n > 0 {
--- a/schedule/survey.go
+++ b/schedule/survey.go
@@ -22,11 +22,11 @@
 type SurveyRequest struct {
 	// Closures lists the instances to close; all others are open.
 	Closures []Closure `json:"closures,omitempty"`
-	// Soon lists the instances that will be emptied before long, which are less suitable for serving
+	// ClosingSoon lists the instances that will be emptied before long, which are less suitable for serving
 	// tasks.
-	Soon []pointport.InstanceID `json:"soon,omitempty"`
-	// Over lists incarnations that are known to have ended.
-	Over []pointport.IncarnationID `json:"over,omitempty"`
+	ClosingSoon []pointport.InstanceID `json:"soon,omitempty"`
+	// Ended lists incarnations that are known to have ended.
+	Ended []pointport.IncarnationID `json:"over,omitempty"`
 	// Ordered lists incarnations for which an order to move or maintain the machine was answered.
 	Ordered []OrderedEnd `json:"ordered,omitempty"`
 }
@@ -110,18 +110,18 @@
 	for _, end := range req.Ordered {
 		b.noteOrderedEnd(now, end)
 	}
-	for _, id := range req.Over {
+	for _, id := range req.Ended {
 		b.endReported(now, id)
 	}
 	b.close(now, req.Closures)
-	b.soon = make(map[pointport.InstanceID]bool, len(req.Soon))
-	for _, id := range req.Soon {
-		b.soon[id] = true
+	b.closingSoon = make(map[pointport.InstanceID]bool, len(req.ClosingSoon))
+	for _, id := range req.ClosingSoon {
+		b.closingSoon[id] = true
 	}
 	var s Survey
 	afford := b.capFilter()
 	for e := range b.waitingJobs {
-		b.refresh(e)
+		b.refreshReady(e)
 		for _, t := range e.ready {
 			if !afford(t) {
 				continue // its customer's cap, not a lack of resources, holds it back
@@ -137,7 +137,7 @@
 			s.Widest = largest(s.Widest, need)
 		}
 	}
-	for rack, need := range b.far.current(now) {
+	for rack, need := range b.rackDemand.current(now) {
 		s.want(rack, need)
 	}
 	s.Need = b.need(now, s.Waiting)
@@ -172,7 +172,7 @@
 		k, step int
 	}
 	crowded := make(map[group]int)
-	workers := b.usable(now)
+	workers := b.usableWorkers(now)
 	for e := range b.waitingJobs {
 		for _, t := range e.ready {
 			if e.account.withinCap(t.step.Need) && (t.step.MaxPerInstance > 0 || len(e.avoidUntil) > 0 || len(e.crashed) > 0) && b.bestWorker(now, t, workers) == nil {
@@ -199,7 +199,7 @@
 	return InstanceLoad{
 		Instance: w.inc.Instance(), Incarnation: w.inc.ID(), Runs: len(w.runs), Serving: w.serving,
 		Closed: w.closed(now), Silent: w.silent || !w.lease.clockKnown(), Avoided: w.health.avoided(now),
-		Leaving: w.inc.Draining(), Capacity: w.inc.Capacity(), Known: now.Sub(w.since), Unstored: w.unstored > 0,
+		Leaving: w.inc.Draining(), Capacity: w.inc.Capacity(), Known: now.Sub(w.knownSince), Unstored: w.unstored > 0,
 	}
 }
 
@@ -233,7 +233,7 @@
 			}
 		}
 	}
-	coming := b.arrivals.steady(now)
+	coming := b.arrivals.current(now)
 	coming = coming.Plus(b.servingReservations())
 	return largest(sum, coming)
 }
--- a/schedule/worker.go
+++ b/schedule/worker.go
@@ -19,10 +19,10 @@
 // A Worker is one incarnation of an instance, as the owner of its pool sees it.
 type Worker struct {
 	inc pointport.Incarnation
-	// since is when the owner first learned of the incarnation.
-	since time.Time
-	runs  map[string]*Run // by task name
-	free  pointport.Shape // capacity that is not reserved by runs
+	// knownSince is when the owner first learned of the incarnation.
+	knownSince time.Time
+	runs       map[string]*Run // by task name
+	free       pointport.Shape // capacity that is not reserved by runs
 	// serving counts the runs of serving tasks, steps the runs of each step.
 	serving int
 	steps   map[stepRef]int
@@ -40,8 +40,8 @@
 	ended bool
 	// endedAt is when the end became known; answeredOver reports whether the incarnation has
 	// answered since.
-	endedAt      time.Time
-	answeredOver bool
+	endedAt          time.Time
+	answeredAfterEnd bool
 	// registered reports whether the registration has ever been seen, listed whether it is there
 	// now. unlistedSince is when it was first found missing, zero while it is listed.
 	registered    bool
@@ -50,8 +50,8 @@
 	// answeredUnlisted reports whether the incarnation has answered since it was last listed. It is
 	// then alive and about to leave without having announced it.
 	answeredUnlisted bool
-	// seen is the highest end number processed, acked the highest whose consequences are stored.
-	seen, acked int64
+	// lastEnd is the highest end number processed, acked the highest whose consequences are stored.
+	lastEnd, acked int64
 	// confirmedAck is the highest end number whose acknowledgement the incarnation has confirmed;
 	// ackInFlight reports whether an acknowledgement is in flight.
 	confirmedAck int64
@@ -179,7 +179,7 @@
 	return false
 }
 
-func latest(a, b time.Time) time.Time {
+func laterTime(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
 	}
@@ -249,9 +249,9 @@
 		return "silent"
 	case w.inc.Draining():
 		return "leaving"
-	case w.standing() == evacuation.Evacuated:
+	case w.zoneState() == evacuation.Evacuated:
 		return "in an evacuated availability zone"
-	case w.standing() == evacuation.Unknown:
+	case w.zoneState() == evacuation.Unknown:
 		return "in an availability zone that may be evacuated"
 	case w.closed(now):
 		return "closed for a move or for maintenance"
@@ -309,9 +309,9 @@
 	return false
 }
 
-// soonFree returns the free capacity that remains once all runs but those of serving tasks have
+// freeAfterTasks returns the free capacity that remains once all runs but those of serving tasks have
 // ended.
-func (w *Worker) soonFree() pointport.Shape {
+func (w *Worker) freeAfterTasks() pointport.Shape {
 	free := w.free
 	for _, r := range w.runs {
 		if !r.step().Service {
--- a/shard/jobs.go
+++ b/shard/jobs.go
@@ -35,13 +35,13 @@
 func (o *Owner) load(ctx context.Context) (pointport.Revision, error) {
 	now := o.clock.Now()
 	o.scheduler = schedule.NewScheduler(now, schedule.Settings{
-		Lease:            o.lease,
-		PredecessorBound: o.session.TTL() + time.Duration(float64(o.lease)*1.05) + predecessorMargin,
-		MaxHold:          o.maxHold,
-		KeepEnded:        endedRetention,
-		Early:            early,
-		GangTime:         o.gangTimeout,
-		FarFactor:        o.remoteDataSlowdown,
+		Lease:              o.lease,
+		PredecessorBound:   o.session.TTL() + time.Duration(float64(o.lease)*1.05) + predecessorMargin,
+		MaxHold:            o.maxHold,
+		KeepEnded:          endedRetention,
+		Early:              early,
+		GangTimeout:        o.gangTimeout,
+		RemoteDataSlowdown: o.remoteDataSlowdown,
 	}, o.logger)
 	o.writer = member.NewWriter(o.kv, o.clock, o.ownership, o.logger)
 	for {
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -276,7 +276,7 @@
 	surveys := make([]schedule.Survey, len(pools))
 	errs := make([]error, len(pools))
 	for n, pool := range pools {
-		req := schedule.SurveyRequest{Closures: s.closures[pool], Soon: s.pendingMaintenance, Over: s.endedIncarnations(pool), Ordered: s.planner.OrderedEnds(s.services.Clock.Now(), pool)}
+		req := schedule.SurveyRequest{Closures: s.closures[pool], ClosingSoon: s.pendingMaintenance, Ended: s.endedIncarnations(pool), Ordered: s.planner.OrderedEnds(s.services.Clock.Now(), pool)}
 		wg.Go(func() { surveys[n], errs[n] = s.services.Pools.Survey(ctx, pool, req) })
 	}
 	wg.Wait()
