--- a/capacity/late_list_test.go
+++ b/capacity/late_list_test.go
@@ -47,7 +47,7 @@
 			moved = m
 		}
 	}
-	p.SetFormer(map[pointport.InstanceID]capacity.FormerOrder{moved.ID: {At: f.now.Add(-settings.HolderTime)}})
+	p.SetFormer(map[pointport.InstanceID]capacity.FormerOrder{moved.ID: {At: f.now.Add(-settings.MinHolderInterval)}})
 	for range 12 {
 		f.now = f.now.Add(250 * time.Millisecond)
 		p.SetSpare(spareName)
--- a/capacity/order.go
+++ b/capacity/order.go
@@ -70,7 +70,7 @@
 
 // orderable reports whether an order for a machine may be issued now.
 func (p *Planner) orderable(now time.Time, m *machine) bool {
-	if f, ok := p.former[m.id]; ok && (now.Sub(f.At) < p.settings.HolderTime || f.mayBePending(now, m)) {
+	if f, ok := p.former[m.id]; ok && (now.Sub(f.At) < p.settings.MinHolderInterval || f.mayBePending(now, m)) {
 		return false
 	}
 	return m.state == pointport.MachineUp && m.order == nil && !p.listBehindOwner(m)
@@ -194,7 +194,7 @@
 // outageTime returns for how long an order makes a machine unavailable.
 func (p *Planner) outageTime(o *Order) time.Duration {
 	if o.Wave != 0 {
-		return p.settings.UpkeepTime
+		return p.settings.MaintenanceTime
 	}
 	return p.settings.MoveTime
 }
--- a/capacity/planner.go
+++ b/capacity/planner.go
@@ -14,9 +14,9 @@
 // Settings are the platform's properties that a planner depends on.
 type Settings struct {
 	MoveTime   time.Duration // for how long a move makes an instance unavailable
-	UpkeepTime time.Duration // for how long maintenance makes an instance unavailable
-	// HolderTime is the least time between the orders of two holders of a machine.
-	HolderTime time.Duration
+	MaintenanceTime time.Duration // for how long maintenance makes an instance unavailable
+	// MinHolderInterval is the least time between the orders of two holders of a machine.
+	MinHolderInterval time.Duration
 	// OrdersPerSecond is the rate limit for orders for machines, zero for none.
 	OrdersPerSecond float64
 }
--- a/capacity/planner_test.go
+++ b/capacity/planner_test.go
@@ -20,7 +20,7 @@
 	spareName  = "spare"
 )
 
-var settings = capacity.Settings{MoveTime: moveTime, UpkeepTime: upkeepTime, HolderTime: 3 * time.Second}
+var settings = capacity.Settings{MoveTime: moveTime, MaintenanceTime: upkeepTime, MinHolderInterval: 3 * time.Second}
 
 // A fleet simulates machines that carry out orders, the list of them and the surveys of pools.
 type fleet struct {
--- a/capacity/wave.go
+++ b/capacity/wave.go
@@ -60,7 +60,7 @@
 	unavailable := make(map[pointport.InstanceID]bool)
 	for id, at := range w.ordered {
 		m := p.machines[id]
-		if now.Sub(at) <= p.settings.UpkeepTime+maintenanceSlack || m != nil && m.state == pointport.MachineMaintenance {
+		if now.Sub(at) <= p.settings.MaintenanceTime+maintenanceSlack || m != nil && m.state == pointport.MachineMaintenance {
 			unavailable[id] = true
 		}
 	}
@@ -70,7 +70,7 @@
 		}
 	}
 	for id, f := range p.former {
-		if f.Wave == w.wave.ID && now.Sub(f.At) <= p.settings.UpkeepTime+maintenanceSlack {
+		if f.Wave == w.wave.ID && now.Sub(f.At) <= p.settings.MaintenanceTime+maintenanceSlack {
 			unavailable[id] = true // ordered by an earlier planner with an unknown outcome
 		}
 	}
@@ -86,7 +86,7 @@
 	slots := w.wave.Bound - p.unavailable(now, w)
 	spent := float64(now.Sub(w.begun)) / float64(w.wave.Duration)
 	rounds := (len(remaining) + w.wave.Bound - 1) / max(1, w.wave.Bound)
-	needed := time.Duration(rounds) * (p.settings.UpkeepTime + maintenanceSlack + drainEstimate)
+	needed := time.Duration(rounds) * (p.settings.MaintenanceTime + maintenanceSlack + drainEstimate)
 	ignoreLoad := spent > ignoreLoadShare || now.Add(needed).After(w.begun.Add(w.wave.Duration))
 	force := spent > forceShare
 	sort.SliceStable(remaining, func(i, k int) bool { return remaining[i].maintainedBefore(remaining[k]) })
--- a/cli/grid.go
+++ b/cli/grid.go
@@ -56,7 +56,7 @@
 		zones[i] = pointport.ZoneID(z)
 	}
 	g, err := grid.Start(clock.System{}, grid.Settings{
-		Pools: f.pools, PerPool: f.perPool, Zones: zones, Host: "127.0.0.1", HolderTime: 3 * time.Second,
+		Pools: f.pools, PerPool: f.perPool, Zones: zones, Host: "127.0.0.1", MinHolderInterval: 3 * time.Second,
 		Capacity: pointport.Shape{CPUMilli: int64(f.cpu), MemoryMiB: int64(f.memory)},
 	}, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	if err != nil {
--- a/cli/join.go
+++ b/cli/join.go
@@ -163,8 +163,8 @@
 		Name: s.Name, Zone: s.Zone, Strength: strength(s),
 		Addresses: node.Addresses{Clients: s.Clients, Readiness: s.Readiness, Peers: s.Peers, Metrics: s.Metrics},
 		LeaseTTL:  max(member.DefaultTTL, s.MinLeaseTTL), TaskLease: min(shard.DefaultLease, s.MaxHold), MaxHold: s.MaxHold, Grace: s.Grace,
-		GangTimeout: s.GangTime, RemoteDataSlowdown: s.FarFactor, HolderTime: s.HolderTime, MachineOrdersPerSecond: s.MachineCalls,
-		Capacity: capacity.Settings{MoveTime: s.MoveTime, UpkeepTime: s.UpkeepTime}, LowMemory: memory.NearLimit,
+		GangTimeout: s.GangTime, RemoteDataSlowdown: s.FarFactor, MinHolderInterval: s.HolderTime, MachineOrdersPerSecond: s.MachineCalls,
+		Capacity: capacity.Settings{MoveTime: s.MoveTime, MaintenanceTime: s.UpkeepTime}, LowMemory: memory.NearLimit,
 		Keys: node.KeyPolicy{Strict: s.StrictKeys, MaxConfigAge: s.KeyTime}, ConfigApplyTime: s.ConfigTime, EvacuationTime: s.EvacuationTime,
 	}, logger)
 	if err != nil {
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -365,10 +365,10 @@
 	}
 	n, err := node.Start(ctx, services, node.Parameters{
 		Name: name, Zone: "north", Addresses: node.Addresses{Peers: ""}, LeaseTTL: member.DefaultTTL,
-		TaskLease: 4 * time.Second, Grace: 6 * time.Second, HolderTime: holderTime, PeerName: name, MachineOrdersPerSecond: c.machineOrdersPerSecond,
+		TaskLease: 4 * time.Second, Grace: 6 * time.Second, MinHolderInterval: holderTime, PeerName: name, MachineOrdersPerSecond: c.machineOrdersPerSecond,
 		GangTimeout: testbed.DefaultGangTimeout, RemoteDataSlowdown: 2,
 		ConfigApplyTime: c.configApplyTime,
-		Capacity:        capacity.Settings{MoveTime: testbed.DefaultMoveTime, UpkeepTime: testbed.DefaultUpkeepTime}, Keys: c.keyPolicy,
+		Capacity:        capacity.Settings{MoveTime: testbed.DefaultMoveTime, MaintenanceTime: testbed.DefaultMaintenanceTime}, Keys: c.keyPolicy,
 		LowMemory: func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
--- a/node/node.go
+++ b/node/node.go
@@ -99,8 +99,8 @@
 	RemoteDataSlowdown float64
 	// Grace is the time between the signal to stop and the forced end of the process.
 	Grace time.Duration
-	// HolderTime is the least time between the orders of two different holders of an instance.
-	HolderTime time.Duration
+	// MinHolderInterval is the least time between the orders of two different holders of an instance.
+	MinHolderInterval time.Duration
 	// ConfigApplyTime is the time within which a change of the configuration must be in force.
 	ConfigApplyTime time.Duration
 	// EvacuationTime is the time after which nothing may start in an availability zone whose
@@ -206,7 +206,7 @@
 		KV: s.KV, Machines: s.Machines, Clock: s.Clock, Session: n.session, Pools: pools,
 		Waves: newWaves(ctx, s.KV, s.Clock, s.Waves, n.logger), Layout: n.configs.layout, Evacuations: n.evacuations.Zones,
 	}
-	settings := steward.Settings{Name: n.params.Name, HolderTime: n.params.HolderTime, OrdersPerSecond: n.params.MachineOrdersPerSecond, Planner: n.params.Capacity}
+	settings := steward.Settings{Name: n.params.Name, MinHolderInterval: n.params.MinHolderInterval, OrdersPerSecond: n.params.MachineOrdersPerSecond, Planner: n.params.Capacity}
 	ownerships := func() []string { return []string{steward.OwnershipName} }
 	n.stewardManager = member.StartPoolManager(ctx, s.Clock, n.session, n.roster, ownerships, func(own member.Ownership) *steward.Steward {
 		return steward.Start(ctx, services, settings, own, n.logger)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -107,7 +107,7 @@
 	s := &soak{jobs: &jobs{byID: make(map[string]*ticket)}, began: time.Now(), ways: make(map[pointport.InstanceID]*proxy)}
 	t.Cleanup(s.closeWays)
 	g, err := grid.Start(clock.System{}, grid.Settings{
-		Pools: []string{"shift", "payout"}, PerPool: 4, Zones: soakZones, Host: host, HolderTime: holderTime,
+		Pools: []string{"shift", "payout"}, PerPool: 4, Zones: soakZones, Host: host, MinHolderInterval: holderTime,
 		Capacity: soakCapacity, Work: s.jobs.work, Customers: soakCustomers(), Keys: soakKeys(), AdvertisedAddress: s.front,
 	}, slog.New(slog.DiscardHandler))
 	if err != nil {
--- a/standin/grid/grid.go
+++ b/standin/grid/grid.go
@@ -56,8 +56,8 @@
 	Capacity pointport.Shape
 	// Host is by which name clients call.
 	Host string
-	// HolderTime must lie between the orders of two holders of a machine.
-	HolderTime time.Duration
+	// MinHolderInterval must lie between the orders of two holders of a machine.
+	MinHolderInterval time.Duration
 	// Customers are those whose keys are good, and Keys holds their keys by name; without
 	// them nobody needs one. Callers that show none are served too.
 	Customers []customer.Customer
@@ -116,7 +116,7 @@
 	if g.storeAt, err = g.serve(platform.ServeStore(g.kv)); err != nil {
 		return err
 	}
-	g.list = newLaggingList(g.clock, g.fleet.Machines(g.settings.HolderTime))
+	g.list = newLaggingList(g.clock, g.fleet.Machines(g.settings.MinHolderInterval))
 	if g.machineAt, err = g.serve(platform.ServeMachines(g.list)); err != nil {
 		return err
 	}
@@ -295,8 +295,8 @@
 		Clients: at(2), Readiness: at(3), Peers: at(0), Metrics: at(1),
 		MemoryBytes: 284 << 20, CPU: 0.4, Bandwidth: 1000,
 		MaxHold: testbed.MaxHold, StopTime: testbed.DefaultStopTime, GangTime: testbed.DefaultGangTimeout,
-		StatusTime: 2 * time.Minute, Grace: 6 * time.Second, MoveTime: testbed.DefaultMoveTime, UpkeepTime: testbed.DefaultUpkeepTime,
-		Notice: 4500 * time.Millisecond, HolderTime: g.settings.HolderTime, MinLeaseTTL: time.Second, FarFactor: 2,
+		StatusTime: 2 * time.Minute, Grace: 6 * time.Second, MoveTime: testbed.DefaultMoveTime, UpkeepTime: testbed.DefaultMaintenanceTime,
+		Notice: 4500 * time.Millisecond, HolderTime: g.settings.MinHolderInterval, MinLeaseTTL: time.Second, FarFactor: 2,
 		EvacuationTime: testbed.EvacuationTime,
 	}
 }
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -100,8 +100,8 @@
 // Settings are a steward's name, times and limits.
 type Settings struct {
 	Name string
-	// HolderTime is the least time between the orders of two holders.
-	HolderTime time.Duration
+	// MinHolderInterval is the least time between the orders of two holders.
+	MinHolderInterval time.Duration
 	// OrdersPerSecond is how many orders for machines the platform accepts per second from all
 	// members together, zero if it does not report a limit.
 	OrdersPerSecond float64
@@ -144,7 +144,7 @@
 func Start(ctx context.Context, s Services, settings Settings, own member.Ownership, logger *slog.Logger) *Steward {
 	ctx, cancel := context.WithCancel(ctx)
 	limit := cmp.Or(settings.OrdersPerSecond, defaultOrdersPerSecond)
-	settings.Planner.HolderTime = settings.HolderTime + holderMargin
+	settings.Planner.MinHolderInterval = settings.MinHolderInterval + holderMargin
 	settings.Planner.OrdersPerSecond = sustainedShare * limit
 	st := &Steward{
 		services: s, settings: settings, own: own, cancel: cancel, done: make(chan struct{}),
@@ -155,7 +155,7 @@
 		sizes:   make(map[string]capacity.PoolSize), loggedEnded: make(map[string]map[pointport.IncarnationID]bool),
 	}
 	st.writer = member.NewWriter(s.KV, s.Clock, own, st.logger)
-	st.journal = newJournal(s.KV, st.writer, own, settings.HolderTime+holderMargin)
+	st.journal = newJournal(s.KV, st.writer, own, settings.MinHolderInterval+holderMargin)
 	go func() {
 		defer close(st.done)
 		st.run(ctx)
--- a/testbed/fleet.go
+++ b/testbed/fleet.go
@@ -131,7 +131,7 @@
 	DefaultGangTimeout = 3 * time.Second
 	DefaultStopTime    = 200 * time.Millisecond
 	DefaultMoveTime    = 1500 * time.Millisecond
-	DefaultUpkeepTime  = 2 * time.Second
+	DefaultMaintenanceTime  = 2 * time.Second
 	MaxHold            = 10 * time.Second
 )
 
@@ -139,7 +139,7 @@
 func New(clock pointport.Clock, options ...Option) *Fleet {
 	f := &Fleet{
 		clock: clock, work: PayloadWork, guards: true,
-		gangTime: DefaultGangTimeout, stopTime: DefaultStopTime, moveTime: DefaultMoveTime, upkeep: DefaultUpkeepTime,
+		gangTime: DefaultGangTimeout, stopTime: DefaultStopTime, moveTime: DefaultMoveTime, upkeep: DefaultMaintenanceTime,
 		random: rand.New(rand.NewPCG(1, 2)), address: noAddress,
 		machines: make(map[pointport.InstanceID]*Machine), present: make(map[pointport.Addressee]*incarnation),
 		changed: make(chan struct{}), done: make(map[string]bool), ends: make(map[*incarnation]map[int64]string), told: make(map[string]time.Time),
