--- a/capacity/planner.go
+++ b/capacity/planner.go
@@ -13,7 +13,7 @@
 
 // Settings are the platform's properties that a planner depends on.
 type Settings struct {
-	MoveTime   time.Duration // for how long a move makes an instance unavailable
+	MoveTime        time.Duration // for how long a move makes an instance unavailable
 	MaintenanceTime time.Duration // for how long maintenance makes an instance unavailable
 	// MinHolderInterval is the least time between the orders of two holders of a machine.
 	MinHolderInterval time.Duration
--- a/schedule/advice.go
+++ b/schedule/advice.go
@@ -51,8 +51,8 @@
 
 // permits reports whether a worker may run a task as far as labels, earlier runs and their ends,
 // crashes and advice are concerned.
-func (b *Scheduler) permits(t waitingTask, w *Worker, now time.Time) bool {
-	if !w.hasLabel(t.step.Label) || b.failedRecentlyOn(t, w, now) || b.keptApart(t, w, now) || w.hasGivenUp(t) {
+func (s *Scheduler) permits(t waitingTask, w *Worker, now time.Time) bool {
+	if !w.hasLabel(t.step.Label) || s.failedRecentlyOn(t, w, now) || s.keptApart(t, w, now) || w.hasGivenUp(t) {
 		return false
 	}
 	if !t.entry.job.Policy().Advised {
@@ -67,7 +67,7 @@
 }
 
 // ticketFor returns the ticket with which a task may run on a worker, empty if none is needed.
-func (b *Scheduler) ticketFor(t waitingTask, w *Worker) string {
+func (s *Scheduler) ticketFor(t waitingTask, w *Worker) string {
 	a := t.entry.advice[stepKey{t.ref.Occurrence, t.ref.Step}]
 	if a == nil {
 		return ""
@@ -76,7 +76,7 @@
 }
 
 // seekAdvice requests advice about further workers for a step that found none it may use.
-func (b *Scheduler) seekAdvice(now time.Time, t waitingTask) {
+func (s *Scheduler) seekAdvice(now time.Time, t waitingTask) {
 	if !t.entry.job.Policy().Advised {
 		return
 	}
@@ -92,21 +92,21 @@
 	if a.asking || now.Before(a.retryAt) {
 		return
 	}
-	ids := b.askable(now, t, a)
+	ids := s.askable(now, t, a)
 	if len(ids) == 0 {
 		return
 	}
 	a.asking = true
-	b.adviceRequests = append(b.adviceRequests, AdviceRequest{
+	s.adviceRequests = append(s.adviceRequests, AdviceRequest{
 		Job: t.entry.job.ID(), Step: workload.StepName(t.entry.job.ID(), t.ref), Incarnations: ids, key: key,
 	})
 }
 
 // askable returns the workers to ask about, those with the most free capacity first. Of those asked
 // about before, it returns only permitted ones whose ticket is about to expire.
-func (b *Scheduler) askable(now time.Time, t waitingTask, a *advice) []pointport.IncarnationID {
+func (s *Scheduler) askable(now time.Time, t waitingTask, a *advice) []pointport.IncarnationID {
 	var workers []*Worker
-	for _, w := range b.usableWorkers(now) {
+	for _, w := range s.usableWorkers(now) {
 		id := w.inc.ID()
 		ticket, good := a.good[id]
 		expired := good && !now.Add(ticketReserve).Before(ticket.until)
@@ -123,16 +123,16 @@
 }
 
 // TakeAdviceRequests returns the requests to send to the advisor now.
-func (b *Scheduler) TakeAdviceRequests() []AdviceRequest {
-	questions := b.adviceRequests
-	b.adviceRequests = nil
+func (s *Scheduler) TakeAdviceRequests() []AdviceRequest {
+	questions := s.adviceRequests
+	s.adviceRequests = nil
 	return questions
 }
 
 // AdviceAnswered handles the advisor's answer to a request that was sent at asked: the tickets,
 // valid from asked for valid, of the incarnations that may run the step, or an error.
-func (b *Scheduler) AdviceAnswered(q AdviceRequest, asked, now time.Time, tickets map[pointport.IncarnationID]string, valid time.Duration, err error) {
-	e := b.jobs[q.Job]
+func (s *Scheduler) AdviceAnswered(q AdviceRequest, asked, now time.Time, tickets map[pointport.IncarnationID]string, valid time.Duration, err error) {
+	e := s.jobs[q.Job]
 	if e == nil {
 		return
 	}
@@ -142,11 +142,11 @@
 	}
 	a.asking = false
 	if err != nil {
-		event.AdviceFailed.Log(b.logger, slog.String("step", q.Step), slog.Any("error", err))
+		event.AdviceFailed.Log(s.logger, slog.String("step", q.Step), slog.Any("error", err))
 		a.retryAt = now.Add(adviceRetry)
 		return
 	}
-	event.AdviceTaken.Log(b.logger, slog.String("step", q.Step), slog.Int("asked", len(q.Incarnations)),
+	event.AdviceTaken.Log(s.logger, slog.String("step", q.Step), slog.Int("asked", len(q.Incarnations)),
 		slog.Int("good", len(tickets)), slog.Duration("took", now.Sub(asked)))
 	for _, id := range q.Incarnations {
 		a.asked[id] = true
@@ -154,5 +154,5 @@
 	for id, text := range tickets {
 		a.good[id] = ticket{text: text, until: asked.Add(valid)}
 	}
-	b.invalidateReady(e)
+	s.invalidateReady(e)
 }
--- a/schedule/batch.go
+++ b/schedule/batch.go
@@ -57,25 +57,25 @@
 func (b *Batch) Starts() int { return len(b.starts) }
 
 // Urgent reports whether something waits for the next batch to be stored.
-func (b *Scheduler) Urgent() bool { return b.urgent || len(b.unstoredStarts) > 0 }
+func (s *Scheduler) Urgent() bool { return s.urgent || len(s.unstoredStarts) > 0 }
 
 // Pending reports whether there are changes to store.
-func (b *Scheduler) Pending() bool { return len(b.dirty) > 0 }
+func (s *Scheduler) Pending() bool { return len(s.dirty) > 0 }
 
 // TakeBatch returns the changes to store now, limited to a number of transaction entries. The
 // scheduler may be used further in the meantime, but the batch must be stored before the next one
 // is taken. The limit matters while the store is slow: each transaction then takes some tenths of a
 // second, and tasks whose placement is not stored reserve capacity without running.
-func (b *Scheduler) TakeBatch(entries int) Batch {
+func (s *Scheduler) TakeBatch(entries int) Batch {
 	batch := Batch{acks: make(map[*Worker]int64), Complete: true}
 	taken := make(map[*entry]bool)
-	b.urgent = false
-	b.batchLimited = entries <= smallBatchEntries
-	for _, e := range b.changedJobs() {
+	s.urgent = false
+	s.batchLimited = entries <= smallBatchEntries
+	for _, e := range s.changedJobs() {
 		record := Record{ID: e.job.ID(), Queue: e.job.Queue(), Customer: e.job.Customer(), Ended: e.ended}
 		if record.Entries() > entries {
 			batch.Complete = false
-			b.urgent = b.urgent || b.dirty[e]
+			s.urgent = s.urgent || s.dirty[e]
 			continue
 		}
 		entries -= record.Entries()
@@ -88,16 +88,16 @@
 		batch.endedOn = append(batch.endedOn, e.endedOn...)
 		e.endedOn = nil
 		taken[e] = true
-		delete(b.dirty, e)
+		delete(s.dirty, e)
 	}
-	b.unstoredStarts = slices.DeleteFunc(b.unstoredStarts, func(r *Run) bool {
+	s.unstoredStarts = slices.DeleteFunc(s.unstoredStarts, func(r *Run) bool {
 		if taken[r.entry] {
 			batch.starts = append(batch.starts, r)
 		}
 		return taken[r.entry]
 	})
 	if batch.Complete {
-		for _, w := range b.workers {
+		for _, w := range s.workers {
 			if w.lastEnd > w.acked {
 				batch.acks[w] = w.lastEnd
 			}
@@ -107,14 +107,14 @@
 }
 
 // changedJobs returns the jobs to store: those for which something waits first, and then by rank.
-func (b *Scheduler) changedJobs() []*entry {
-	out := make([]*entry, 0, len(b.dirty))
-	for e := range b.dirty {
+func (s *Scheduler) changedJobs() []*entry {
+	out := make([]*entry, 0, len(s.dirty))
+	for e := range s.dirty {
 		out = append(out, e)
 	}
 	sort.Slice(out, func(i, k int) bool {
-		if b.dirty[out[i]] != b.dirty[out[k]] {
-			return b.dirty[out[i]]
+		if s.dirty[out[i]] != s.dirty[out[k]] {
+			return s.dirty[out[i]]
 		}
 		return out[i].rank.less(out[k].rank)
 	})
@@ -130,19 +130,19 @@
 const smallBatchEntries = 64
 
 // LimitUnstoredStarts sets how many placed tasks may wait for their start to be stored.
-func (b *Scheduler) LimitUnstoredStarts(limit int) { b.maxUnstoredStarts = limit }
+func (s *Scheduler) LimitUnstoredStarts(limit int) { s.maxUnstoredStarts = limit }
 
 // placementsFull reports whether so many tasks, or tasks of so many jobs, wait to be stored that
 // further placements would only reserve capacity without running.
-func (b *Scheduler) placementsFull() bool {
-	if len(b.unstoredStarts) >= b.maxUnstoredStarts {
+func (s *Scheduler) placementsFull() bool {
+	if len(s.unstoredStarts) >= s.maxUnstoredStarts {
 		return true
 	}
-	if !b.batchLimited || len(b.unstoredStarts) < maxUnstoredJobs {
+	if !s.batchLimited || len(s.unstoredStarts) < maxUnstoredJobs {
 		return false
 	}
 	jobs := make(map[*entry]bool)
-	for _, r := range b.unstoredStarts {
+	for _, r := range s.unstoredStarts {
 		jobs[r.entry] = true
 	}
 	return len(jobs) >= maxUnstoredJobs
@@ -150,7 +150,7 @@
 
 // Stored records that a batch was stored at now, and releases the actions that depend on it.
 // TakeOrders returns the released orders.
-func (b *Scheduler) Stored(batch Batch, now time.Time) {
+func (s *Scheduler) Stored(batch Batch, now time.Time) {
 	for _, w := range batch.endedOn {
 		w.unstored--
 	}
@@ -158,38 +158,38 @@
 		w.acked = max(w.acked, n)
 	}
 	for _, e := range batch.ended {
-		b.endedJobs[e.job.ID()] = endedJob{e.ended, e.job.Customer(), now}
-		delete(b.jobs, e.job.ID())
-		delete(b.waitingJobs, e)
-		delete(b.recurring, e)
-		event.JobEnded.Log(b.logger, slog.String("job", e.job.ID()), slog.String("queue", e.job.Queue()),
+		s.endedJobs[e.job.ID()] = endedJob{e.ended, e.job.Customer(), now}
+		delete(s.jobs, e.job.ID())
+		delete(s.waitingJobs, e)
+		delete(s.recurring, e)
+		event.JobEnded.Log(s.logger, slog.String("job", e.job.ID()), slog.String("queue", e.job.Queue()),
 			slog.String("state", string(e.ended)), slog.Duration("after", now.Sub(e.job.Submitted())),
-			slog.Duration("objective", b.objective(e)))
+			slog.Duration("objective", s.objective(e)))
 	}
 	for _, r := range batch.starts {
 		if r.worker.runs[r.name] != r || r.state != runUnstored {
 			continue
 		}
 		r.state = runSent
-		b.pendingOrders = append(b.pendingOrders, startOrder(r))
+		s.pendingOrders = append(s.pendingOrders, startOrder(r))
 	}
 }
 
 // TakeOrders returns and clears the orders to send now.
-func (b *Scheduler) TakeOrders() []Order {
-	orders := b.pendingOrders
-	b.pendingOrders = nil
+func (s *Scheduler) TakeOrders() []Order {
+	orders := s.pendingOrders
+	s.pendingOrders = nil
 	return orders
 }
 
 // TakePolls returns and clears the workers to poll immediately.
-func (b *Scheduler) TakePolls() []*Worker {
+func (s *Scheduler) TakePolls() []*Worker {
 	var out []*Worker
-	for w := range b.pollNow {
+	for w := range s.pollNow {
 		if !w.ended && w.inc.Address() != "" {
 			out = append(out, w)
 		}
 	}
-	clear(b.pollNow)
+	clear(s.pollNow)
 	return out
 }
--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -47,21 +47,21 @@
 }
 
 // EndIncarnation handles proof that an incarnation has ended.
-func (b *Scheduler) EndIncarnation(now time.Time, id pointport.IncarnationID) {
-	if w := b.workers[id]; w != nil && !w.ended {
-		b.endConfirmed(w, now, "the platform says so")
+func (s *Scheduler) EndIncarnation(now time.Time, id pointport.IncarnationID) {
+	if w := s.workers[id]; w != nil && !w.ended {
+		s.endConfirmed(w, now, "the platform says so")
 	}
 }
 
 // endConfirmed handles the certain end of an incarnation. It does nothing while a start that was
 // sent to the incarnation may be on a later one of the same addressee and no later one is known: the
 // runs stay where they are until it is.
-func (b *Scheduler) endConfirmed(w *Worker, now time.Time, why string) {
-	later := b.presentIncarnation(w)
+func (s *Scheduler) endConfirmed(w *Worker, now time.Time, why string) {
+	later := s.presentIncarnation(w)
 	if later == nil && w.anyUncertain() {
 		return
 	}
-	b.workerEnded(w, now, why, later)
+	s.workerEnded(w, now, why, later)
 }
 
 // noteOrderedEnd records that an order to move or maintain the machine of an incarnation was carried
@@ -69,54 +69,54 @@
 // missed heartbeats, and the platform's list of machines lags too. Until one of them shows the end,
 // polls of the incarnation would fail, and it would count as silent and then as crashed, so that the
 // instance would be avoided when it comes back.
-func (b *Scheduler) noteOrderedEnd(now time.Time, end OrderedEnd) {
-	w := b.workers[end.Incarnation]
+func (s *Scheduler) noteOrderedEnd(now time.Time, end OrderedEnd) {
+	w := s.workers[end.Incarnation]
 	if w == nil || w.ended {
 		return
 	}
 	w.movedOrMaintained = true
 	if end.Sure && len(w.runs) == 0 {
-		b.endConfirmed(w, now, "its machine was moved")
+		s.endConfirmed(w, now, "its machine was moved")
 	}
 }
 
 // endReported handles a report, derived from the platform's list of machines, that an incarnation is
 // silent and no longer listed. An answer since then takes precedence, including a refused poll.
-func (b *Scheduler) endReported(now time.Time, id pointport.IncarnationID) {
-	w := b.workers[id]
+func (s *Scheduler) endReported(now time.Time, id pointport.IncarnationID) {
+	w := s.workers[id]
 	if w != nil && !w.ended && w.lease.clockKnown() && (!w.silent || w.pollRefused) {
-		event.IncarnationAlive.Log(b.logger, slog.String("incarnation", string(id)), slog.Int("runs", len(w.runs)), slog.Duration("sinceHeard", w.lease.sinceLastAnswer(now)))
+		event.IncarnationAlive.Log(s.logger, slog.String("incarnation", string(id)), slog.Int("runs", len(w.runs)), slog.Duration("sinceHeard", w.lease.sinceLastAnswer(now)))
 		return
 	}
-	b.EndIncarnation(now, id)
+	s.EndIncarnation(now, id)
 }
 
 // endEarlierIncarnations ends the earlier incarnations of a worker's machine after the worker has
 // answered a poll that was sent at sent. A machine has one incarnation at a time, so those that the
 // owner knew before sent, and has had no sign of since, have ended. Their tasks then need not wait
 // for the list of machines or for a lease to expire.
-func (b *Scheduler) endEarlierIncarnations(w *Worker, sent, now time.Time) {
+func (s *Scheduler) endEarlierIncarnations(w *Worker, sent, now time.Time) {
 	id := w.inc.Instance()
-	for _, former := range b.earlierCandidates(w) {
-		if former == w || former.ended || b.workers[former.inc.ID()] != former || !former.lastKnown().Before(sent) {
+	for _, former := range s.earlierCandidates(w) {
+		if former == w || former.ended || s.workers[former.inc.ID()] != former || !former.lastKnown().Before(sent) {
 			continue
 		}
 		switch {
 		case former.sharesAddressee(w):
-			b.workerEnded(former, now, "a later incarnation of its addressee answers", w)
+			s.workerEnded(former, now, "a later incarnation of its addressee answers", w)
 		case id != "" && former.inc.Instance() == id:
-			b.workerEnded(former, now, "a later incarnation of its instance answers", nil)
+			s.workerEnded(former, now, "a later incarnation of its instance answers", nil)
 		}
 	}
 }
 
 // earlierCandidates returns the workers that may be earlier incarnations of a worker's machine: all
 // workers at its first answer, and later only those that are not registered.
-func (b *Scheduler) earlierCandidates(w *Worker) []*Worker {
+func (s *Scheduler) earlierCandidates(w *Worker) []*Worker {
 	if w.lease.clockKnown() {
-		return b.unlisted
+		return s.unlisted
 	}
-	return slices.Collect(maps.Values(b.workers))
+	return slices.Collect(maps.Values(s.workers))
 }
 
 // lastKnown returns when the owner last had a sign of the incarnation: its last answer, or when the
@@ -130,38 +130,38 @@
 
 // workerEnded handles the end of an incarnation. The runs there have died, except those that may be
 // on later, a later incarnation of the same addressee; later is nil if none is known.
-func (b *Scheduler) workerEnded(w *Worker, now time.Time, why string, later *Worker) {
+func (s *Scheduler) workerEnded(w *Worker, now time.Time, why string, later *Worker) {
 	cause, there := w.endCause(now), w.begunRuns()
 	if later != nil {
-		b.moveToLater(now, w, later, cause)
+		s.moveToLater(now, w, later, cause)
 	}
 	died := w.begunRuns()
 	for _, r := range died {
 		r.uncertainty = nil // the end of this incarnation is counted, and only once
 	}
-	event.WorkerEnded.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
+	event.WorkerEnded.Log(s.logger, slog.String("incarnation", string(w.inc.ID())),
 		slog.Int("runs", len(w.runs)), slog.String("cause", string(cause)), slog.String("reason", why), slog.Duration("sinceHeard", w.lease.sinceLastAnswer(now)))
 	w.ended, w.endedAt = true, now
-	b.noteMisdirected(w)
-	b.dropAll(w, now, "its incarnation is over")
+	s.noteMisdirected(w)
+	s.dropAll(w, now, "its incarnation is over")
 	if cause == causeCrashed {
-		b.noteCrashOf(w, now)
-		b.countCrashes(now, w.expiredRuns, w.expiredRuns, nil)
-		b.countCrashes(now, died, there, w)
+		s.noteCrashOf(w, now)
+		s.countCrashes(now, w.expiredRuns, w.expiredRuns, nil)
+		s.countCrashes(now, died, there, w)
 		return
 	}
 	for _, r := range died {
-		b.logLost(now, r, cause, len(died)-1)
+		s.logLost(now, r, cause, len(died)-1)
 	}
 }
 
 // noteAnswerAfterEnd logs, once, that an incarnation that counts as ended has answered.
-func (b *Scheduler) noteAnswerAfterEnd(w *Worker, now time.Time) {
+func (s *Scheduler) noteAnswerAfterEnd(w *Worker, now time.Time) {
 	if w.answeredAfterEnd {
 		return
 	}
 	w.answeredAfterEnd = true
-	event.EndedIncarnationAnswered.Log(b.logger, slog.String("incarnation", string(w.inc.ID())), slog.Duration("since", now.Sub(w.endedAt)))
+	event.EndedIncarnationAnswered.Log(s.logger, slog.String("incarnation", string(w.inc.ID())), slog.Duration("since", now.Sub(w.endedAt)))
 }
 
 // begunRuns returns the runs that may have begun on the worker: those whose start was sent, and
@@ -177,7 +177,7 @@
 }
 
 // MarkSending records that an order is about to be sent.
-func (b *Scheduler) MarkSending(o Order) {
+func (s *Scheduler) MarkSending(o Order) {
 	if o.Kind == OrderStart {
 		o.Run.startSent = true
 	}
@@ -186,9 +186,9 @@
 // countCrashes counts the crash of an instance against the tasks of died, the runs that died there;
 // there lists all runs that were or may have been on the instance. at is nil if it is not known what
 // else ran there.
-func (b *Scheduler) countCrashes(now time.Time, died, there []*Run, at *Worker) {
+func (s *Scheduler) countCrashes(now time.Time, died, there []*Run, at *Worker) {
 	for _, r := range died {
-		b.countCrash(now, r, crashCase(there, r, at), len(there)-1)
+		s.countCrash(now, r, crashCase(there, r, at), len(there)-1)
 	}
 }
 
@@ -243,10 +243,10 @@
 
 // countCrash counts the crash of an instance against the task of a run there; otherRuns is the
 // number of other runs there.
-func (b *Scheduler) countCrash(now time.Time, r *Run, how workload.CrashCase, otherRuns int) {
+func (s *Scheduler) countCrash(now time.Time, r *Run, how workload.CrashCase, otherRuns int) {
 	e, t := r.entry, r.task()
 	if t == nil || t.Phase == workload.Done || e.ended != "" || e.job.Stopping() {
-		b.logLost(now, r, causeCrashed, otherRuns)
+		s.logLost(now, r, causeCrashed, otherRuns)
 		return
 	}
 	seen := e.crashesOf(r.ref)
@@ -254,27 +254,27 @@
 		how = workload.CrashAtStart // the instance itself may be the cause
 	}
 	seen.note(now, r.worker.inc.Instance())
-	b.markDirty(e, true)
+	s.markDirty(e, true)
 	verdict := e.job.Crash(r.ref, how)
-	b.logLost(now, r, causeCrashed, otherRuns)
+	s.logLost(now, r, causeCrashed, otherRuns)
 	if verdict == workload.CrashRetried {
 		return
 	}
-	event.TaskGivenUp.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
+	event.TaskGivenUp.Log(s.logger, slog.String("task", r.name), slog.Int("run", r.number),
 		slog.Int("crashes", t.Crashes), slog.Bool("alone", how == workload.CrashAlone), slog.Bool("jobFails", verdict == workload.CrashFailed))
 	if verdict == workload.CrashFailed {
-		b.stopAll(now, e, "instances have crashed under another task of its job")
+		s.stopAll(now, e, "instances have crashed under another task of its job")
 	}
-	b.endJobIfDone(now, e)
+	s.endJobIfDone(now, e)
 }
 
 // logLost logs that a run has died with its instance; otherRuns is the number of other runs there.
-func (b *Scheduler) logLost(now time.Time, r *Run, cause endCause, otherRuns int) {
+func (s *Scheduler) logLost(now time.Time, r *Run, cause endCause, otherRuns int) {
 	crashes := 0
 	if t := r.task(); t != nil {
 		crashes = t.Crashes
 	}
-	event.RunLost.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
+	event.RunLost.Log(s.logger, slog.String("task", r.name), slog.Int("run", r.number),
 		slog.String("incarnation", string(r.worker.inc.ID())), slog.String("cause", string(cause)),
 		slog.Duration("sinceSeen", r.sinceSeen(now)), slog.Int("beside", otherRuns), slog.Int("crashes", crashes))
 }
@@ -318,22 +318,22 @@
 
 // noteCrashOf counts a crash against the instance as if a run had failed there, so that an instance
 // that crashes under any task is avoided in its next incarnation.
-func (b *Scheduler) noteCrashOf(w *Worker, now time.Time) {
+func (s *Scheduler) noteCrashOf(w *Worker, now time.Time) {
 	if w.health.failed(now) {
-		event.WorkerSuspected.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
+		event.WorkerSuspected.Log(s.logger, slog.String("incarnation", string(w.inc.ID())),
 			slog.Int("failures", w.health.failures), slog.Duration("avoidedFor", w.health.avoidFor))
 	}
 	if id := w.inc.Instance(); id != "" {
-		b.crashedHealth[id] = w.health
+		s.crashedHealth[id] = w.health
 	}
 }
 
 // restoreHealth gives the next incarnation of an instance that has crashed the health of the
 // previous one.
-func (b *Scheduler) restoreHealth(w *Worker, id pointport.InstanceID) {
-	if h, ok := b.crashedHealth[id]; ok {
+func (s *Scheduler) restoreHealth(w *Worker, id pointport.InstanceID) {
+	if h, ok := s.crashedHealth[id]; ok {
 		w.health = h
-		delete(b.crashedHealth, id)
+		delete(s.crashedHealth, id)
 	}
 }
 
--- a/schedule/customer.go
+++ b/schedule/customer.go
@@ -35,26 +35,26 @@
 
 // accountOf returns a customer's account, and creates it if the customer is new. It returns nil for
 // the empty name.
-func (b *Scheduler) accountOf(name string) *account {
+func (s *Scheduler) accountOf(name string) *account {
 	if name == "" {
 		return nil
 	}
-	a := b.accounts[name]
+	a := s.accounts[name]
 	if a == nil {
 		a = &account{name: name}
-		a.allowed, a.capped = b.allowed[name]
-		b.accounts[name] = a
+		a.allowed, a.capped = s.allowed[name]
+		s.accounts[name] = a
 	}
 	return a
 }
 
 // SetAllowed sets how much each customer may use in this pool, in declared needs of tasks.
 // Customers that are not in the map have no limit.
-func (b *Scheduler) SetAllowed(allowed map[string]pointport.Shape) {
-	for name, a := range b.accounts {
+func (s *Scheduler) SetAllowed(allowed map[string]pointport.Shape) {
+	for name, a := range s.accounts {
 		a.allowed, a.capped = allowed[name]
 	}
-	b.allowed = allowed
+	s.allowed = allowed
 }
 
 // A CustomerUse is a customer's use of a pool. Its fields are exported because a codec reads and
@@ -68,8 +68,8 @@
 }
 
 // Uses calls visit with each customer's use of the pool.
-func (b *Scheduler) Uses(visit func(CustomerUse)) {
-	for _, a := range b.accounts {
+func (s *Scheduler) Uses(visit func(CustomerUse)) {
+	for _, a := range s.accounts {
 		visit(CustomerUse{Customer: a.name, Used: a.used, HeldBack: a.heldBack})
 	}
 }
@@ -98,27 +98,27 @@
 func (a *account) atCap() bool { return a != nil && a.heldBack != (pointport.Shape{}) }
 
 // noteHeldBack records that the cap holds back a group of tasks that are placed together.
-func (b *Scheduler) noteHeldBack(now time.Time, group []waitingTask) {
+func (s *Scheduler) noteHeldBack(now time.Time, group []waitingTask) {
 	a := group[0].entry.account
 	a.heldBack = a.heldBack.Plus(group[0].step.Need.Times(len(group)))
 	if now.Sub(a.capLoggedAt) < waitLogInterval {
 		return
 	}
 	a.capLoggedAt = now
-	event.CapReached.Log(b.logger, slog.String("customer", a.name), slog.String("job", group[0].entry.job.ID()),
+	event.CapReached.Log(s.logger, slog.String("customer", a.name), slog.String("job", group[0].entry.job.ID()),
 		slog.Any("used", a.used), slog.Any("allowed", a.allowed), slog.Any("heldBack", a.heldBack))
 }
 
 // resetHeldBack clears the sums of held back tasks before a new plan.
-func (b *Scheduler) resetHeldBack() {
-	for _, a := range b.accounts {
+func (s *Scheduler) resetHeldBack() {
+	for _, a := range s.accounts {
 		a.heldBack = pointport.Shape{}
 	}
 }
 
 // capFilter returns a function that reports whether the cap of a task's customer lets it start in
 // addition to the tasks that the function has accepted before.
-func (b *Scheduler) capFilter() func(t waitingTask) bool {
+func (s *Scheduler) capFilter() func(t waitingTask) bool {
 	accepted := make(map[*account]pointport.Shape)
 	return func(t waitingTask) bool {
 		a := t.entry.account
--- a/schedule/drain.go
+++ b/schedule/drain.go
@@ -15,20 +15,20 @@
 
 // handleDraining handles the announcement that an instance is about to leave: serving tasks move
 // off, and so do those that would not be done in time.
-func (b *Scheduler) handleDraining(now time.Time, w *Worker) {
-	event.WorkerDraining.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
+func (s *Scheduler) handleDraining(now time.Time, w *Worker) {
+	event.WorkerDraining.Log(s.logger, slog.String("incarnation", string(w.inc.ID())),
 		slog.Duration("left", w.inc.Remaining()), slog.Int("runs", len(w.runs)))
 	for _, r := range w.runs {
 		if r.step().Service {
-			b.stop(now, r, "its instance is leaving")
+			s.stop(now, r, "its instance is leaving")
 			continue
 		}
 		if r.state != runLive {
 			continue
 		}
-		left := b.remaining(now, r)
+		left := s.remaining(now, r)
 		if left > w.inc.Remaining()-drainReserve {
-			b.stop(now, r, "its instance is leaving before it would be done")
+			s.stop(now, r, "its instance is leaving before it would be done")
 		}
 	}
 }
--- a/schedule/evacuate.go
+++ b/schedule/evacuate.go
@@ -15,7 +15,7 @@
 // lose its work or, for a serving task, make it unavailable to its callers.
 
 // SetEvacuations sets which availability zones are evacuated.
-func (b *Scheduler) SetEvacuations(z evacuation.Zones) { *b.zones = z }
+func (s *Scheduler) SetEvacuations(z evacuation.Zones) { *s.zones = z }
 
 // zoneState returns whether tasks may be started in the worker's availability zone.
 func (w *Worker) zoneState() evacuation.ZoneState { return w.zones.State(w.inc.Zone()) }
@@ -27,17 +27,17 @@
 // zone is evacuated, the task waits again: at once if the start was never sent, otherwise after a
 // stop has ruled out that the unanswered start is carried out later. While the operators' request is
 // not known, the start is kept and retried later.
-func (b *Scheduler) skipStartInZone(now time.Time, r *Run) bool {
+func (s *Scheduler) skipStartInZone(now time.Time, r *Run) bool {
 	standing := r.worker.zoneState()
 	if standing == evacuation.Open {
 		return false
 	}
-	event.StartSkipped.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number), slog.String("incarnation", string(r.worker.inc.ID())),
+	event.StartSkipped.Log(s.logger, slog.String("task", r.name), slog.Int("run", r.number), slog.String("incarnation", string(r.worker.inc.ID())),
 		slog.String("zone", string(r.worker.inc.Zone())), slog.String("standing", standing.String()), slog.Bool("sentBefore", r.startSent))
 	if standing == evacuation.Unknown {
 		r.resendAt = now.Add(startRetryDelay)
 		return true
 	}
-	b.stop(now, r, "its availability zone is evacuated, and it is not known to run there")
+	s.stop(now, r, "its availability zone is evacuated, and it is not known to run there")
 	return true
 }
--- a/schedule/excess.go
+++ b/schedule/excess.go
@@ -42,23 +42,23 @@
 // pool or its present share if that is larger. One more job would then be late before it begins.
 // Jobs without a customer have no share; they are never refused this way and are ordered by
 // deadline alone.
-func (b *Scheduler) Excess(now time.Time) map[string]time.Duration {
+func (s *Scheduler) Excess(now time.Time) map[string]time.Duration {
 	var out map[string]time.Duration
-	workers := b.usableWorkers(now)
+	workers := s.usableWorkers(now)
 	var queue []*entry
-	for e := range b.waitingJobs {
+	for e := range s.waitingJobs {
 		queue = append(queue, e)
 	}
-	s := b.sharesOf(workers, queue)
-	backlogs := b.backlogs(s.capacity)
-	for _, a := range b.accounts {
+	totals := s.sharesOf(workers, queue)
+	backlogs := s.backlogs(totals.capacity)
+	for _, a := range s.accounts {
 		a.excess = 0
 		waiting, ok := backlogs[a]
 		if !ok {
 			a.overloadedSince = time.Time{}
 			continue
 		}
-		part := max(s.dominant(a), b.weightOf(a)/s.weights)
+		part := max(totals.dominant(a), s.weightOf(a)/totals.weights)
 		wait := time.Duration(float64(waiting.work) / part)
 		slack := waiting.slack / time.Duration(waiting.jobs)
 		switch {
@@ -79,14 +79,14 @@
 
 // backlogs returns the backlog of each customer: its waiting jobs that have not begun and can end
 // in time.
-func (b *Scheduler) backlogs(capacity pointport.Shape) map[*account]backlog {
+func (s *Scheduler) backlogs(capacity pointport.Shape) map[*account]backlog {
 	out := make(map[*account]backlog)
-	for e := range b.waitingJobs {
+	for e := range s.waitingJobs {
 		if e.account == nil || e.rank.class != classFresh || e.job.Begun() || len(e.ready) == 0 {
 			continue
 		}
 		sum := out[e.account]
-		sum.work += b.workOf(e, capacity)
+		sum.work += s.workOf(e, capacity)
 		sum.slack += e.rank.latest.Sub(e.job.Submitted())
 		sum.jobs++
 		out[e.account] = sum
@@ -96,13 +96,13 @@
 
 // workOf returns the work of a whole job: the sum over its steps of the share of the pool that a
 // step needs times its duration.
-func (b *Scheduler) workOf(e *entry, capacity pointport.Shape) time.Duration {
+func (s *Scheduler) workOf(e *entry, capacity pointport.Shape) time.Duration {
 	var sum time.Duration
 	spec := e.job.Spec()
 	for n := range spec.Steps {
 		step := &spec.Steps[n]
 		share := dominantShare(step.Reservation().Times(step.Count), capacity)
-		sum += time.Duration(share * float64(b.estimates.duration(e.job.Queue(), step)))
+		sum += time.Duration(share * float64(s.estimates.duration(e.job.Queue(), step)))
 	}
 	return sum
 }
--- a/schedule/explain.go
+++ b/schedule/explain.go
@@ -45,23 +45,23 @@
 }
 
 // Explain describes the state of a job. It returns false if the job is not known.
-func (b *Scheduler) Explain(now time.Time, id string) (Explanation, bool) {
-	if f, ok := b.endedJobs[id]; ok {
+func (s *Scheduler) Explain(now time.Time, id string) (Explanation, bool) {
+	if f, ok := s.endedJobs[id]; ok {
 		return Explanation{Job: id, Customer: f.customer, Status: f.status}, true
 	}
-	e, ok := b.jobs[id]
+	e, ok := s.jobs[id]
 	if !ok {
 		return Explanation{}, false
 	}
 	x := Explanation{Job: id, Customer: e.job.Customer(), Queue: e.job.Queue(), Status: e.job.Status()}
-	b.refreshReady(e)
+	s.refreshReady(e)
 	if len(e.ready) > 0 {
-		s := b.rankOf(now, e)
-		x.Latest, x.Late = s.latest, s.class == classLate
+		jobRank := s.rankOf(now, e)
+		x.Latest, x.Late = jobRank.latest, jobRank.class == classLate
 	}
 	e.job.Occurrences(func(o *workload.Occurrence) {
 		for n := range o.Steps {
-			x.Steps = append(x.Steps, b.explainStep(now, e, o, n))
+			x.Steps = append(x.Steps, s.explainStep(now, e, o, n))
 		}
 	})
 	sort.Slice(x.Steps, func(i, k int) bool {
@@ -71,7 +71,7 @@
 	return x, true
 }
 
-func (b *Scheduler) explainStep(now time.Time, e *entry, o *workload.Occurrence, n int) StepExplanation {
+func (s *Scheduler) explainStep(now time.Time, e *entry, o *workload.Occurrence, n int) StepExplanation {
 	x := StepExplanation{Occurrence: o.Index, Step: n, Tasks: len(o.Steps[n]), Done: len(o.Steps[n]) - o.Remaining(n)}
 	pending := 0
 	for i, t := range o.Steps[n] {
@@ -94,14 +94,14 @@
 	case !e.job.Ready(o, n):
 		x.Waits = fmt.Sprintf("%d tasks wait for earlier steps", pending)
 	default:
-		x.Waits = b.explainWait(now, waitingTask{e, workload.TaskRef{Occurrence: o.Index, Step: n}, &e.job.Spec().Steps[n]}, pending)
+		x.Waits = s.explainWait(now, waitingTask{e, workload.TaskRef{Occurrence: o.Index, Step: n}, &e.job.Spec().Steps[n]}, pending)
 	}
 	return x
 }
 
 // explainWait returns why ready tasks are not placed; t is one of them, and tasks is their number.
-func (b *Scheduler) explainWait(now time.Time, t waitingTask, tasks int) string {
-	workers := b.usableWorkers(now)
+func (s *Scheduler) explainWait(now time.Time, t waitingTask, tasks int) string {
+	workers := s.usableWorkers(now)
 	labelled, permitted, apart, fitting, open := 0, 0, 0, 0, 0
 	var most pointport.Shape
 	for _, w := range workers {
@@ -109,10 +109,10 @@
 			continue
 		}
 		labelled++
-		if b.keptApart(t, w, now) {
+		if s.keptApart(t, w, now) {
 			apart++
 		}
-		if !b.permits(t, w, now) {
+		if !s.permits(t, w, now) {
 			continue
 		}
 		permitted++
@@ -121,7 +121,7 @@
 			continue
 		}
 		fitting++
-		if !b.atStepLimit(t, w) {
+		if !s.atStepLimit(t, w) {
 			open++
 		}
 	}
@@ -132,7 +132,7 @@
 	}
 	switch {
 	case len(workers) == 0:
-		return fmt.Sprintf("%d tasks wait: no instance of the pool can be used%s", tasks, b.explainUnusable(now))
+		return fmt.Sprintf("%d tasks wait: no instance of the pool can be used%s", tasks, s.explainUnusable(now))
 	case labelled == 0:
 		return fmt.Sprintf("%d tasks wait: none of %d instances has the label %q", tasks, len(workers), t.step.Label)
 	case permitted == 0 && apart == labelled:
@@ -141,12 +141,12 @@
 		return fmt.Sprintf("%d tasks wait: the advisor has permitted none of %d instances yet", tasks, labelled)
 	case fitting == 0:
 		return fmt.Sprintf("%d tasks wait: each needs %d thousandths of a core and %d MiB; %d instances have at most %d and %d free%s",
-			tasks, need.CPUMilli, need.MemoryMiB, permitted, most.CPUMilli, most.MemoryMiB, b.explainUnusable(now))
+			tasks, need.CPUMilli, need.MemoryMiB, permitted, most.CPUMilli, most.MemoryMiB, s.explainUnusable(now))
 	case open == 0:
 		return fmt.Sprintf("%d tasks wait: %d instances with room hold %d of the step already", tasks, fitting, t.step.MaxPerInstance)
 	case t.step.Gang:
 		return fmt.Sprintf("%d tasks of a gang wait to fit all at once; %d instances have room for one", tasks, open)
-	case t.step.DataRack != "" && b.waitsForRack(now, t):
+	case t.step.DataRack != "" && s.waitsForRack(now, t):
 		return fmt.Sprintf("%d tasks wait for room in rack %s, where their data is", tasks, t.step.DataRack)
 	}
 	return fmt.Sprintf("%d tasks wait for the next plan, or for more pressing jobs; %d instances have room", tasks, open)
@@ -161,7 +161,7 @@
 
 // logWait logs why no task of a job can be placed, unless it began to wait or was logged only
 // recently. missed is the first of its tasks that was not placed.
-func (b *Scheduler) logWait(now time.Time, missed waitingTask) {
+func (s *Scheduler) logWait(now time.Time, missed waitingTask) {
 	e := missed.entry
 	if e.starved.IsZero() {
 		e.starved = now
@@ -177,14 +177,14 @@
 			tasks++
 		}
 	}
-	event.JobWaits.Log(b.logger, slog.String("job", e.job.ID()), slog.Int("step", missed.ref.Step), slog.Duration("waited", waited),
-		slog.Bool("late", e.rank.class == classLate), slog.String("reason", b.explainWait(now, missed, tasks)))
+	event.JobWaits.Log(s.logger, slog.String("job", e.job.ID()), slog.Int("step", missed.ref.Step), slog.Duration("waited", waited),
+		slog.Bool("late", e.rank.class == classLate), slog.String("reason", s.explainWait(now, missed, tasks)))
 }
 
 // explainUnusable returns the number of unusable workers for each reason, as text.
-func (b *Scheduler) explainUnusable(now time.Time) string {
+func (s *Scheduler) explainUnusable(now time.Time) string {
 	reasons := make(map[string]int)
-	for _, w := range b.workers {
+	for _, w := range s.workers {
 		if reason := w.unusableReason(now); reason != "" {
 			reasons[reason]++
 		}
--- a/schedule/explain_customer.go
+++ b/schedule/explain_customer.go
@@ -38,20 +38,20 @@
 }
 
 // ExplainCustomer describes the state of a customer in the pool. The caller sets Pool.
-func (b *Scheduler) ExplainCustomer(now time.Time, name string) CustomerExplanation {
+func (s *Scheduler) ExplainCustomer(now time.Time, name string) CustomerExplanation {
 	x := CustomerExplanation{Customer: name}
-	a := b.accounts[name]
+	a := s.accounts[name]
 	if a == nil {
 		return x
 	}
-	queue := b.rankedJobs(now)
-	s := b.sharesOf(b.usableWorkers(now), queue)
+	queue := s.rankedJobs(now)
+	totals := s.sharesOf(s.usableWorkers(now), queue)
 	x.Used, x.Capped, x.Allowed, x.HeldBack = a.used, a.capped, a.allowed, a.heldBack
-	x.Share, x.Excess = s.dominant(a), a.excess
-	if s.weights > 0 {
-		x.Part = b.weightOf(a) / s.weights
+	x.Share, x.Excess = totals.dominant(a), a.excess
+	if totals.weights > 0 {
+		x.Part = s.weightOf(a) / totals.weights
 	}
-	for _, e := range b.jobs {
+	for _, e := range s.jobs {
 		if e.account != a {
 			continue
 		}
@@ -63,7 +63,7 @@
 			x.Late++
 		}
 	}
-	b.visitInOrder(s, queue, func(e *entry) bool {
+	s.visitInOrder(totals, queue, func(e *entry) bool {
 		if e.account == a {
 			return false
 		}
--- a/schedule/gang.go
+++ b/schedule/gang.go
@@ -27,7 +27,7 @@
 }
 
 // otherMembers returns the runs of the other members of a run's gang, by index.
-func (b *Scheduler) otherMembers(r *Run) []*Run {
+func (s *Scheduler) otherMembers(r *Run) []*Run {
 	var out []*Run
 	for ref, other := range r.entry.runs {
 		if other != r && ref.Occurrence == r.ref.Occurrence && ref.Step == r.ref.Step {
@@ -39,16 +39,16 @@
 }
 
 // stopRestOfGang stops the other members of a run's gang because the run has ended or never started.
-func (b *Scheduler) stopRestOfGang(now time.Time, r *Run, reason string) {
-	for _, member := range b.otherMembers(r) {
-		b.stop(now, member, reason)
+func (s *Scheduler) stopRestOfGang(now time.Time, r *Run, reason string) {
+	for _, member := range s.otherMembers(r) {
+		s.stop(now, member, reason)
 	}
 }
 
 // gangDone handles the successful end of a gang: the end of one member counts for all.
-func (b *Scheduler) gangDone(now time.Time, r *Run) {
-	for _, member := range b.otherMembers(r) {
-		b.removeRun(now, member)
+func (s *Scheduler) gangDone(now time.Time, r *Run) {
+	for _, member := range s.otherMembers(r) {
+		s.removeRun(now, member)
 	}
 	for i := range r.entry.job.Spec().Steps[r.ref.Step].Count {
 		ref := r.ref
@@ -57,14 +57,14 @@
 			r.entry.job.Finish(ref)
 		}
 	}
-	b.markDirty(r.entry, true)
-	b.endJobIfDone(now, r.entry)
+	s.markDirty(r.entry, true)
+	s.endJobIfDone(now, r.entry)
 }
 
 // expireGangs gives up gangs whose members do not all start in time, before the members have waited
 // in vain.
-func (b *Scheduler) expireGangs(now time.Time) {
-	for g := range b.gangs {
+func (s *Scheduler) expireGangs(now time.Time) {
+	for g := range s.gangs {
 		gathered, first := 0, (*Run)(nil)
 		for ref, r := range g.entry.runs {
 			if ref.Occurrence != g.k || ref.Step != g.step || r.number != g.number {
@@ -77,13 +77,13 @@
 		}
 		switch {
 		case first == nil, gathered == g.entry.job.Spec().Steps[g.step].Count:
-			delete(b.gangs, g)
-		case now.Sub(g.since) > time.Duration(gatherShare*float64(b.settings.GangTimeout)):
-			delete(b.gangs, g)
-			event.GangGivenUp.Log(b.logger, slog.String("job", g.entry.job.ID()), slog.Int("step", g.step),
+			delete(s.gangs, g)
+		case now.Sub(g.since) > time.Duration(gatherShare*float64(s.settings.GangTimeout)):
+			delete(s.gangs, g)
+			event.GangGivenUp.Log(s.logger, slog.String("job", g.entry.job.ID()), slog.Int("step", g.step),
 				slog.Int("run", g.number), slog.Int("gathered", gathered))
-			b.stop(now, first, "its gang did not gather in time")
-			b.stopRestOfGang(now, first, "its gang did not gather in time")
+			s.stop(now, first, "its gang did not gather in time")
+			s.stopRestOfGang(now, first, "its gang did not gather in time")
 		}
 	}
 }
--- a/schedule/health.go
+++ b/schedule/health.go
@@ -61,7 +61,7 @@
 
 // failedRecentlyOn reports whether a task should not be placed on a worker because it, or another
 // member of its gang, has just failed there.
-func (b *Scheduler) failedRecentlyOn(t waitingTask, w *Worker, now time.Time) bool {
+func (s *Scheduler) failedRecentlyOn(t waitingTask, w *Worker, now time.Time) bool {
 	if len(t.entry.avoidUntil) == 0 {
 		return false
 	}
--- a/schedule/isolation.go
+++ b/schedule/isolation.go
@@ -57,24 +57,24 @@
 }
 
 // updateReachability reviews the suspicion after the registered instances have been counted.
-func (b *Scheduler) updateReachability(now time.Time, t tally) {
-	b.reachability.silentShare = t.silentShare()
-	suspects := b.shouldSuspect(now, t.silent)
-	if suspects == b.SuspectsIsolation() {
+func (s *Scheduler) updateReachability(now time.Time, t tally) {
+	s.reachability.silentShare = t.silentShare()
+	suspects := s.shouldSuspect(now, t.silent)
+	if suspects == s.SuspectsIsolation() {
 		return
 	}
-	event.OwnerSuspectsIsolation.Log(b.logger, slog.Bool("doubts", suspects), slog.Int("silent", t.silent), slog.Int("asked", t.polled), slog.Duration("after", b.IsolationSuspectedFor(now)))
-	b.reachability.suspectedSince = time.Time{}
+	event.OwnerSuspectsIsolation.Log(s.logger, slog.Bool("doubts", suspects), slog.Int("silent", t.silent), slog.Int("asked", t.polled), slog.Duration("after", s.IsolationSuspectedFor(now)))
+	s.reachability.suspectedSince = time.Time{}
 	if suspects {
-		b.reachability.suspectedSince = now
+		s.reachability.suspectedSince = now
 	}
 }
 
 // shouldSuspect reports whether an owner with this many silent instances has reason to suspect
 // isolation, or to continue to.
-func (b *Scheduler) shouldSuspect(now time.Time, silent int) bool {
-	h := &b.reachability
-	if b.SuspectsIsolation() {
+func (s *Scheduler) shouldSuspect(now time.Time, silent int) bool {
+	h := &s.reachability
+	if s.SuspectsIsolation() {
 		return silent >= isolationMinSilent && h.silentShare >= recoveryShare
 	}
 	if silent < isolationMinSilent || h.silentShare < isolationShare {
@@ -91,13 +91,13 @@
 // itself isolated. While it does, no run on a registered instance expires, and few starts should be
 // in flight: they would compete with polls for bandwidth and processor time, and most would get no
 // answer.
-func (b *Scheduler) SuspectsIsolation() bool { return !b.reachability.suspectedSince.IsZero() }
+func (s *Scheduler) SuspectsIsolation() bool { return !s.reachability.suspectedSince.IsZero() }
 
 // IsolationSuspectedFor returns for how long the owner has suspected isolation, zero while it does
 // not.
-func (b *Scheduler) IsolationSuspectedFor(now time.Time) time.Duration {
-	if !b.SuspectsIsolation() {
+func (s *Scheduler) IsolationSuspectedFor(now time.Time) time.Duration {
+	if !s.SuspectsIsolation() {
 		return 0
 	}
-	return now.Sub(b.reachability.suspectedSince)
+	return now.Sub(s.reachability.suspectedSince)
 }
--- a/schedule/later_incarnation.go
+++ b/schedule/later_incarnation.go
@@ -44,34 +44,34 @@
 }
 
 // replaced handles an answer that came from another incarnation than the worker's.
-func (b *Scheduler) replaced(w *Worker, now time.Time, gone *pointport.GoneError) {
-	b.workerEnded(w, now, "another incarnation answered", b.laterIncarnation(w, now, gone.AnsweredBy))
+func (s *Scheduler) replaced(w *Worker, now time.Time, gone *pointport.GoneError) {
+	s.workerEnded(w, now, "another incarnation answered", s.laterIncarnation(w, now, gone.AnsweredBy))
 }
 
 // laterIncarnation returns the worker for id, the incarnation that answered in place of w, or nil if
 // the answer came from another addressee. The incarnation may not be registered yet; until it is, it
 // is polled at the address at which it answered.
-func (b *Scheduler) laterIncarnation(w *Worker, now time.Time, id pointport.IncarnationID) *Worker {
+func (s *Scheduler) laterIncarnation(w *Worker, now time.Time, id pointport.IncarnationID) *Worker {
 	if id == "" {
 		return nil
 	}
-	later := b.worker(now, id)
+	later := s.worker(now, id)
 	if later.ended {
-		return b.presentIncarnation(w)
+		return s.presentIncarnation(w)
 	}
 	if later.inc.Address() == "" {
 		later.inc = pointport.NewIncarnation(id, w.inc.Pool(), w.inc.Address(), pointport.WithInstance(w.inc.Instance()),
 			pointport.WithZone(w.inc.Zone()), pointport.WithRack(w.inc.Rack()), pointport.WithLabels(w.inc.Labels()))
-		b.pollNow[later] = struct{}{}
+		s.pollNow[later] = struct{}{}
 	}
 	return later
 }
 
 // presentIncarnation returns the incarnation of a worker's addressee that was seen last, has an
 // address and has not ended; nil if none is known.
-func (b *Scheduler) presentIncarnation(w *Worker) *Worker {
+func (s *Scheduler) presentIncarnation(w *Worker) *Worker {
 	var present *Worker
-	for _, o := range b.workers {
+	for _, o := range s.workers {
 		if o.sharesAddressee(w) && !o.ended && o.inc.Address() != "" && (present == nil || o.lastKnown().After(present.lastKnown())) {
 			present = o
 		}
@@ -80,8 +80,8 @@
 }
 
 // anotherRegistered reports whether another incarnation of a worker's addressee is registered.
-func (b *Scheduler) anotherRegistered(w *Worker) bool {
-	for _, o := range b.workers {
+func (s *Scheduler) anotherRegistered(w *Worker) bool {
+	for _, o := range s.workers {
 		if o.sharesAddressee(w) && o.listed && !o.ended {
 			return true
 		}
@@ -91,7 +91,7 @@
 
 // moveToLater moves the runs of a worker that has ended to later, if later may have them or may
 // still accept their starts.
-func (b *Scheduler) moveToLater(now time.Time, former, later *Worker, cause endCause) {
+func (s *Scheduler) moveToLater(now time.Time, former, later *Worker, cause endCause) {
 	died := former.begunRuns()
 	for _, r := range died {
 		if !r.mayBeOnLater() || later.runs[r.name] != nil {
@@ -110,10 +110,10 @@
 			r.stopAgainAt = now
 		}
 		r.resendAt = time.Time{} // its start may only be sent again if the run is placed on this worker
-		event.RunMayHaveFollowed.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number), slog.String("incarnation", string(former.inc.ID())),
+		event.RunMayHaveFollowed.Log(s.logger, slog.String("task", r.name), slog.Int("run", r.number), slog.String("incarnation", string(former.inc.ID())),
 			slog.String("later", string(later.inc.ID())), slog.Int("unanswered", r.unanswered), slog.Duration("sinceSeen", r.sinceSeen(now)))
 	}
-	b.pollNow[later] = struct{}{}
+	s.pollNow[later] = struct{}{}
 }
 
 // maxOrderDelay bounds how long an order may be in flight, and be delayed by the incarnation that it
@@ -123,28 +123,28 @@
 // misdirectedUntil returns until when a later incarnation may run tasks, or extend what it runs, by
 // an order that was sent at sent and meant for an earlier incarnation. An instance grants at most
 // MaxHold.
-func (b *Scheduler) misdirectedUntil(sent time.Time) time.Time {
-	return sent.Add(maxOrderDelay + time.Duration(float64(b.settings.MaxHold)*slowClock) + lapseSlack)
+func (s *Scheduler) misdirectedUntil(sent time.Time) time.Time {
+	return sent.Add(maxOrderDelay + time.Duration(float64(s.settings.MaxHold)*slowClock) + lapseSlack)
 }
 
 // executionExpiry returns when everything whose start was sent to the worker has certainly ended if
 // no further answer comes, including what a later incarnation may have accepted.
-func (b *Scheduler) executionExpiry(w *Worker) time.Time {
+func (s *Scheduler) executionExpiry(w *Worker) time.Time {
 	if !w.anyUncertain() {
 		return w.lease.expiry()
 	}
-	return laterTime(w.lease.expiry(), b.misdirectedUntil(w.lease.lastExtension))
+	return laterTime(w.lease.expiry(), s.misdirectedUntil(w.lease.lastExtension))
 }
 
 // noteMisdirected records until when orders to a worker that has ended may extend what later
 // incarnations of its addressee run.
-func (b *Scheduler) noteMisdirected(w *Worker) {
+func (s *Scheduler) noteMisdirected(w *Worker) {
 	if !w.inc.ID().SharesAddressee() {
 		return
 	}
-	to, until := w.inc.ID().Addressee(), b.misdirectedUntil(w.lease.lastExtension)
-	b.misdirectedLeaseEnds[to] = laterTime(b.misdirectedLeaseEnds[to], until)
-	for _, o := range b.workers {
+	to, until := w.inc.ID().Addressee(), s.misdirectedUntil(w.lease.lastExtension)
+	s.misdirectedLeaseEnds[to] = laterTime(s.misdirectedLeaseEnds[to], until)
+	for _, o := range s.workers {
 		if o.sharesAddressee(w) {
 			o.lease.misdirectedUntil = laterTime(o.lease.misdirectedUntil, until)
 		}
@@ -167,43 +167,43 @@
 // notListedByLater handles an answer, to a poll sent at sent, in which the incarnation to which a
 // run was moved does not list it. It reports whether the run has ended. A start that may still be in
 // flight is ruled out by a stop first.
-func (b *Scheduler) notListedByLater(now, sent time.Time, r *Run) bool {
+func (s *Scheduler) notListedByLater(now, sent time.Time, r *Run) bool {
 	if r.state == runLive && r.unanswered == 0 {
 		return sent.After(r.liveAt)
 	}
-	b.stop(now, r, "a later incarnation of its instance does not list it, and its start may still be in flight")
+	s.stop(now, r, "a later incarnation of its instance does not list it, and its start may still be in flight")
 	return false
 }
 
 // recordEarlierLoss counts the end of the earlier incarnation against a run that was moved to a
 // later one and is not there.
-func (b *Scheduler) recordEarlierLoss(now time.Time, r *Run) {
+func (s *Scheduler) recordEarlierLoss(now time.Time, r *Run) {
 	u := r.uncertainty
 	r.uncertainty = nil
 	if u.cause != causeCrashed {
-		b.logLost(now, r, u.cause, u.otherRuns)
+		s.logLost(now, r, u.cause, u.otherRuns)
 		return
 	}
-	b.countCrash(now, r, u.how, u.otherRuns)
+	s.countCrash(now, r, u.how, u.otherRuns)
 }
 
 // rememberStart records that a start may still be in flight to a later incarnation of a worker
 // although the run is no longer wanted.
-func (b *Scheduler) rememberStart(now time.Time, w *Worker, run pointport.TaskRun) {
+func (s *Scheduler) rememberStart(now time.Time, w *Worker, run pointport.TaskRun) {
 	if !w.inc.ID().SharesAddressee() {
 		return
 	}
 	to := w.inc.ID().Addressee()
-	if b.startsInFlight[to] == nil {
-		b.startsInFlight[to] = make(map[pointport.TaskRun]time.Time)
+	if s.startsInFlight[to] == nil {
+		s.startsInFlight[to] = make(map[pointport.TaskRun]time.Time)
 	}
-	b.startsInFlight[to][run] = now
+	s.startsInFlight[to][run] = now
 }
 
 // startsToRuleOut returns the starts that an incarnation which is new to the owner must rule out
 // first.
-func (b *Scheduler) startsToRuleOut(id pointport.IncarnationID) map[pointport.TaskRun]bool {
-	all := b.startsInFlight[id.Addressee()]
+func (s *Scheduler) startsToRuleOut(id pointport.IncarnationID) map[pointport.TaskRun]bool {
+	all := s.startsInFlight[id.Addressee()]
 	if len(all) == 0 {
 		return nil
 	}
@@ -215,20 +215,20 @@
 }
 
 // forgetOrders removes the records of orders that can no longer be in flight.
-func (b *Scheduler) forgetOrders(now time.Time) {
-	for to, until := range b.misdirectedLeaseEnds {
+func (s *Scheduler) forgetOrders(now time.Time) {
+	for to, until := range s.misdirectedLeaseEnds {
 		if now.After(until) {
-			delete(b.misdirectedLeaseEnds, to)
+			delete(s.misdirectedLeaseEnds, to)
 		}
 	}
-	for to, all := range b.startsInFlight {
+	for to, all := range s.startsInFlight {
 		for run, at := range all {
 			if now.Sub(at) > ruleOutRetention {
 				delete(all, run)
 			}
 		}
 		if len(all) == 0 {
-			delete(b.startsInFlight, to)
+			delete(s.startsInFlight, to)
 		}
 	}
 }
--- a/schedule/order.go
+++ b/schedule/order.go
@@ -49,24 +49,24 @@
 )
 
 // OrderAnswered handles the answer to an order; err is nil if the order was carried out.
-func (b *Scheduler) OrderAnswered(o Order, now time.Time, clock pointport.InstanceTime, err error) {
+func (s *Scheduler) OrderAnswered(o Order, now time.Time, clock pointport.InstanceTime, err error) {
 	w := o.Worker
 	if w.ended {
 		var rejected *pointport.RejectedError
 		if (err == nil || errors.As(err, &rejected)) && !w.inc.ID().SharesAddressee() {
-			b.noteAnswerAfterEnd(w, now)
+			s.noteAnswerAfterEnd(w, now)
 		}
 		return
 	}
 	var gone *pointport.GoneError
 	if errors.As(err, &gone) {
-		b.replaced(w, now, gone)
+		s.replaced(w, now, gone)
 		return
 	}
 	if err == nil && o.Kind != OrderPace && !w.inc.ID().SharesAddressee() { // the answer to a pace has no clock
 		w.lease.observeClock(now, clock)
 	}
-	b.checkFence(err)
+	s.checkFence(err)
 	if o.Kind == OrderStop && ruledOut(err) {
 		delete(w.startsToRuleOut, o.TaskRun)
 	}
@@ -77,13 +77,13 @@
 	r.startSent = r.startSent || o.Kind == OrderStart
 	switch o.Kind {
 	case OrderStart:
-		b.startAnswered(r, now, clock, err)
+		s.startAnswered(r, now, clock, err)
 	case OrderStop:
-		b.stopAnswered(r, now, err)
+		s.stopAnswered(r, now, err)
 	}
 }
 
-func (b *Scheduler) startAnswered(r *Run, now time.Time, clock pointport.InstanceTime, err error) {
+func (s *Scheduler) startAnswered(r *Run, now time.Time, clock pointport.InstanceTime, err error) {
 	if r.state != runSent {
 		return
 	}
@@ -91,53 +91,53 @@
 		if r.worker.inc.ID().SharesAddressee() {
 			clock = r.worker.lease.clockAt(now) // a later incarnation may have answered
 		}
-		b.markLive(r, now, clock)
+		s.markLive(r, now, clock)
 		return
 	}
 	var rejected *pointport.RejectedError
 	if !errors.As(err, &rejected) {
-		b.startUnanswered(r, now, err)
+		s.startUnanswered(r, now, err)
 		return
 	}
-	event.StartRefused.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
+	event.StartRefused.Log(s.logger, slog.String("task", r.name), slog.Int("run", r.number),
 		slog.String("incarnation", string(r.worker.inc.ID())), slog.String("reason", string(rejected.Reason)))
 	switch rejected.Reason {
 	case pointport.RejectOldRun:
-		b.awaitReport(r, now)
+		s.awaitReport(r, now)
 	case pointport.RejectFence:
 		// Another owner decides about the task now.
 	default:
 		if rejected.Reason == pointport.RejectNoCapacity || rejected.Reason == pointport.RejectUnhealthy {
 			r.worker.refusingUntil = now.Add(refusalBackoff)
 		}
-		b.startRefused(r, now)
+		s.startRefused(r, now)
 	}
 }
 
 // startRefused requeues the task of a start that had no effect. If an earlier order of the same
 // start is unanswered, that one may still be carried out, so the run is stopped first.
-func (b *Scheduler) startRefused(r *Run, now time.Time) {
+func (s *Scheduler) startRefused(r *Run, now time.Time) {
 	if r.unanswered > 0 {
-		b.stop(now, r, "its start was refused, and an earlier order may still be carried out")
+		s.stop(now, r, "its start was refused, and an earlier order may still be carried out")
 		return
 	}
-	b.drop(now, r, "its start was refused")
-	b.urgent = true
+	s.drop(now, r, "its start was refused")
+	s.urgent = true
 }
 
 // startUnanswered schedules another attempt of a start. Repeating it is safe: an instance that
 // already has the run does nothing.
-func (b *Scheduler) startUnanswered(r *Run, now time.Time, err error) {
+func (s *Scheduler) startUnanswered(r *Run, now time.Time, err error) {
 	var unavailable *pointport.UnavailableError
 	if errors.As(err, &unavailable) && !unavailable.Ambiguous && r.unanswered == 0 {
 		// The order was never sent.
 		r.worker.refusingUntil = now.Add(refusalBackoff)
-		b.startRefused(r, now)
+		s.startRefused(r, now)
 		return
 	}
 	r.unanswered++
 	r.resendAt = now.Add(startRetryDelay)
-	event.StartUnanswered.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
+	event.StartUnanswered.Log(s.logger, slog.String("task", r.name), slog.Int("run", r.number),
 		slog.String("incarnation", string(r.worker.inc.ID())), slog.Int("times", r.unanswered), slog.Any("error", err))
 	if r.unanswered >= silentAfter {
 		r.worker.markSilent(now)
@@ -152,7 +152,7 @@
 // A task whose start was never sent is requeued at once. It need not wait until the instance
 // expires, and on an instance that does not answer, its end would go unreported. A start that was
 // sent before without an answer is ruled out by a stop.
-func (b *Scheduler) SkipStart(now time.Time, o Order) bool {
+func (s *Scheduler) SkipStart(now time.Time, o Order) bool {
 	if o.Kind != OrderStart {
 		return false
 	}
@@ -163,21 +163,21 @@
 	case r.stopping || r.detached():
 		return true // its start was sent before: a run that is stopped or detached unsent is dropped
 	case w.overcommitted() && r.startSent:
-		b.stop(now, r, "its instance has shrunk, and it is not known to run there")
+		s.stop(now, r, "its instance has shrunk, and it is not known to run there")
 	case w.overcommitted():
-		b.dropUnsent(now, r, "its instance shrank before its start was sent")
+		s.dropUnsent(now, r, "its instance shrank before its start was sent")
 	case w.silent && !r.startSent:
-		b.dropUnsent(now, r, "its instance fell silent before its start was sent")
+		s.dropUnsent(now, r, "its instance fell silent before its start was sent")
 	default:
-		return b.skipStartInZone(now, r)
+		return s.skipStartInZone(now, r)
 	}
 	return true
 }
 
 // dropUnsent drops a run whose start was never sent, and requeues its task.
-func (b *Scheduler) dropUnsent(now time.Time, r *Run, reason string) {
-	b.drop(now, r, reason)
-	b.urgent = true
+func (s *Scheduler) dropUnsent(now time.Time, r *Run, reason string) {
+	s.drop(now, r, reason)
+	s.urgent = true
 }
 
 // startOrder returns the order to start a run.
@@ -189,9 +189,9 @@
 	return o
 }
 
-func (b *Scheduler) stopAnswered(r *Run, now time.Time, err error) {
+func (s *Scheduler) stopAnswered(r *Run, now time.Time, err error) {
 	if ruledOut(err) {
-		b.awaitReport(r, now)
+		s.awaitReport(r, now)
 		return
 	}
 	// The stop is sent again: soon to an instance that has refused it and may recover at once,
@@ -199,7 +199,7 @@
 	var rejected *pointport.RejectedError
 	if errors.As(err, &rejected) {
 		r.stopAgainAt = now.Add(refusedStopRetryDelay)
-		event.StopRefused.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
+		event.StopRefused.Log(s.logger, slog.String("task", r.name), slog.Int("run", r.number),
 			slog.String("incarnation", string(r.worker.inc.ID())), slog.String("reason", string(rejected.Reason)))
 	}
 }
@@ -214,9 +214,9 @@
 }
 
 // awaitReport waits for a report that shows the outcome of a run that will not start any more.
-func (b *Scheduler) awaitReport(r *Run, now time.Time) {
+func (s *Scheduler) awaitReport(r *Run, now time.Time) {
 	r.state, r.reportAfter = runAwaitingReport, now
-	b.pollNow[r.worker] = struct{}{}
+	s.pollNow[r.worker] = struct{}{}
 }
 
 // mustRuleOut records a run that is given up on the worker although its start may still be in
@@ -236,21 +236,21 @@
 
 // ruleOutStarts stops the runs that were given up on workers that answer again. It skips workers
 // that are not polled, because their silence would go unnoticed.
-func (b *Scheduler) ruleOutStarts(now time.Time) {
-	for _, w := range b.workers {
+func (s *Scheduler) ruleOutStarts(now time.Time) {
+	for _, w := range s.workers {
 		if len(w.startsToRuleOut) == 0 || !w.polled() || w.silent || now.Before(w.ruleOutAt) {
 			continue
 		}
 		w.ruleOutAt = now.Add(startRetryDelay)
 		for run := range w.startsToRuleOut {
-			b.pendingOrders = append(b.pendingOrders, Order{Kind: OrderStop, Worker: w, TaskRun: run})
+			s.pendingOrders = append(s.pendingOrders, Order{Kind: OrderStop, Worker: w, TaskRun: run})
 		}
 	}
 }
 
 // resendOrders sends overdue starts and stops again.
-func (b *Scheduler) resendOrders(now time.Time) {
-	for _, w := range b.workers {
+func (s *Scheduler) resendOrders(now time.Time) {
+	for _, w := range s.workers {
 		if w.ended || w.inc.Address() == "" {
 			continue
 		}
@@ -258,10 +258,10 @@
 			switch {
 			case r.stopping && !now.Before(r.stopAgainAt):
 				r.stopAgainAt = now.Add(stopRetryDelay)
-				b.pendingOrders = append(b.pendingOrders, Order{Kind: OrderStop, Run: r, Worker: w, TaskRun: r.TaskRun()})
-			case r.state == runSent && !r.stopping && !r.detached() && !r.resendAt.IsZero() && now.After(r.resendAt) && now.Before(b.executionExpiry(w)):
+				s.pendingOrders = append(s.pendingOrders, Order{Kind: OrderStop, Run: r, Worker: w, TaskRun: r.TaskRun()})
+			case r.state == runSent && !r.stopping && !r.detached() && !r.resendAt.IsZero() && now.After(r.resendAt) && now.Before(s.executionExpiry(w)):
 				r.resendAt = time.Time{}
-				b.pendingOrders = append(b.pendingOrders, startOrder(r))
+				s.pendingOrders = append(s.pendingOrders, startOrder(r))
 			}
 		}
 	}
--- a/schedule/pace.go
+++ b/schedule/pace.go
@@ -27,7 +27,7 @@
 
 // adjustPace sets the pace of the filling tasks on a worker by the tail latencies of those that
 // serve there.
-func (b *Scheduler) adjustPace(now time.Time, w *Worker) {
+func (s *Scheduler) adjustPace(now time.Time, w *Worker) {
 	if now.Sub(w.paced) < paceEvery {
 		return
 	}
@@ -57,9 +57,9 @@
 		if pace == r.pace {
 			continue
 		}
-		event.PaceSet.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
+		event.PaceSet.Log(s.logger, slog.String("task", r.name), slog.Int("run", r.number),
 			slog.String("incarnation", string(w.inc.ID())), slog.Int("percent", pace), slog.Float64("tailOfTarget", worst))
 		r.pace, w.paced = pace, now
-		b.pendingOrders = append(b.pendingOrders, Order{Kind: OrderPace, Run: r, Worker: w, TaskRun: r.TaskRun(), Percent: pace})
+		s.pendingOrders = append(s.pendingOrders, Order{Kind: OrderPace, Run: r, Worker: w, TaskRun: r.TaskRun(), Percent: pace})
 	}
 }
--- a/schedule/plan.go
+++ b/schedule/plan.go
@@ -15,29 +15,29 @@
 
 // Plan decides what to do at now: it expires runs and gangs, sends overdue orders again, begins due
 // occurrences, moves serving tasks, and places waiting tasks as far as they fit.
-func (b *Scheduler) Plan(now time.Time) {
-	b.sweep(now)
-	b.ruleOutStarts(now)
-	b.resendOrders(now)
-	b.beginDueOccurrences(now)
-	b.relocate(now)
-	b.expireGangs(now)
-	b.resetHeldBack()
-	if len(b.waitingJobs) == 0 {
+func (s *Scheduler) Plan(now time.Time) {
+	s.sweep(now)
+	s.ruleOutStarts(now)
+	s.resendOrders(now)
+	s.beginDueOccurrences(now)
+	s.relocate(now)
+	s.expireGangs(now)
+	s.resetHeldBack()
+	if len(s.waitingJobs) == 0 {
 		return
 	}
-	workers := b.usableWorkers(now)
-	queue := b.rankedJobs(now)
+	workers := s.usableWorkers(now)
+	queue := s.rankedJobs(now)
 	if len(workers) == 0 {
 		for _, e := range queue {
-			b.logWait(now, e.ready[0])
+			s.logWait(now, e.ready[0])
 		}
 		return
 	}
-	p := placement{scheduler: b, now: now, workers: workers}
-	b.scarceLabels = labelsRequired(queue)
-	b.visitInOrder(b.sharesOf(workers, queue), queue, func(e *entry) bool {
-		if b.placementsFull() {
+	p := placement{scheduler: s, now: now, workers: workers}
+	s.scarceLabels = labelsRequired(queue)
+	s.visitInOrder(s.sharesOf(workers, queue), queue, func(e *entry) bool {
+		if s.placementsFull() {
 			return false
 		}
 		p.placeJob(e)
@@ -63,19 +63,19 @@
 }
 
 // beginDueOccurrences begins the occurrences of recurring jobs that are due.
-func (b *Scheduler) beginDueOccurrences(now time.Time) {
-	for e := range b.recurring {
-		if e.ended == "" && e.job.BeginDue(now.Add(b.settings.Early)) {
-			b.markDirty(e, false)
+func (s *Scheduler) beginDueOccurrences(now time.Time) {
+	for e := range s.recurring {
+		if e.ended == "" && e.job.BeginDue(now.Add(s.settings.Early)) {
+			s.markDirty(e, false)
 		}
 	}
 }
 
 // NextDue returns when the next occurrence of any job is due. It returns false if there is none.
-func (b *Scheduler) NextDue() (time.Time, bool) {
+func (s *Scheduler) NextDue() (time.Time, bool) {
 	var next time.Time
 	found := false
-	for e := range b.recurring {
+	for e := range s.recurring {
 		if due, ok := e.job.NextDue(); ok && (!found || due.Before(next)) {
 			next, found = due, true
 		}
@@ -204,9 +204,9 @@
 }
 
 // usableWorkers returns the workers on which tasks may be placed, sorted by incarnation.
-func (b *Scheduler) usableWorkers(now time.Time) []*Worker {
+func (s *Scheduler) usableWorkers(now time.Time) []*Worker {
 	var out []*Worker
-	for _, w := range b.workers {
+	for _, w := range s.workers {
 		if w.usable(now) {
 			out = append(out, w)
 		}
@@ -216,15 +216,15 @@
 }
 
 // bestWorker returns the worker with the highest score for a task, or nil if none can take it.
-func (b *Scheduler) bestWorker(now time.Time, t waitingTask, workers []*Worker) *Worker {
+func (s *Scheduler) bestWorker(now time.Time, t waitingTask, workers []*Worker) *Worker {
 	var best *Worker
 	bestScore := 0.0
 	reservation := t.step.Reservation()
 	for _, w := range workers {
-		if !w.free.Fits(reservation) || !b.permits(t, w, now) || b.atStepLimit(t, w) {
+		if !w.free.Fits(reservation) || !s.permits(t, w, now) || s.atStepLimit(t, w) {
 			continue
 		}
-		score := b.score(now, t, w)
+		score := s.score(now, t, w)
 		if best == nil || score > bestScore {
 			best, bestScore = w, score
 		}
@@ -235,9 +235,9 @@
 // waitsForRack reports whether a task should wait for a worker in the rack of its data: started in
 // another rack now, it would end too late, and its rack has usable workers, where it can still end
 // in time.
-func (b *Scheduler) waitsForRack(now time.Time, t waitingTask) bool {
+func (s *Scheduler) waitsForRack(now time.Time, t waitingTask) bool {
 	rackUsable := false
-	for _, w := range b.workers {
+	for _, w := range s.workers {
 		if w.inc.Rack() == t.step.DataRack && w.usable(now) {
 			rackUsable = true
 			break
@@ -246,19 +246,19 @@
 	if !rackUsable {
 		return false
 	}
-	duration := b.estimates.duration(t.entry.job.Queue(), t.step)
-	extra := time.Duration(float64(duration) * (b.settings.RemoteDataSlowdown - 1))
+	duration := s.estimates.duration(t.entry.job.Queue(), t.step)
+	extra := time.Duration(float64(duration) * (s.settings.RemoteDataSlowdown - 1))
 	latest := t.entry.rank.latest
 	return now.Before(latest) && now.Add(extra).After(latest)
 }
 
 // atStepLimit reports whether a worker already holds the maximum number of tasks of the step.
-func (b *Scheduler) atStepLimit(t waitingTask, w *Worker) bool {
-	return t.step.MaxPerInstance > 0 && b.tasksOfStep(t, w) >= t.step.MaxPerInstance
+func (s *Scheduler) atStepLimit(t waitingTask, w *Worker) bool {
+	return t.step.MaxPerInstance > 0 && s.tasksOfStep(t, w) >= t.step.MaxPerInstance
 }
 
 // tasksOfStep returns how many tasks of the step a worker holds.
-func (b *Scheduler) tasksOfStep(t waitingTask, w *Worker) int {
+func (s *Scheduler) tasksOfStep(t waitingTask, w *Worker) int {
 	return w.steps[stepRef{t.entry, t.ref.Occurrence, t.ref.Step}]
 }
 
@@ -287,7 +287,7 @@
 
 // score returns how well a worker suits a task; higher is better. Work is packed, so that instances
 // become empty and can move to pools that need them more.
-func (b *Scheduler) score(now time.Time, t waitingTask, w *Worker) float64 {
+func (s *Scheduler) score(now time.Time, t waitingTask, w *Worker) float64 {
 	score := -freeShare(w.free, w.inc.Capacity())
 	if now.Before(w.coldUntil) {
 		score -= coldScore
@@ -303,10 +303,10 @@
 		score += servingScore
 	}
 	score -= apartScore * float64(t.entry.neighboursToAvoid(t, w))
-	if t.step.Label == "" && w.hasAnyLabel(b.scarceLabels) {
+	if t.step.Label == "" && w.hasAnyLabel(s.scarceLabels) {
 		score -= scarceScore
 	}
-	if t.step.Service && b.closingSoon[w.inc.Instance()] {
+	if t.step.Service && s.closingSoon[w.inc.Instance()] {
 		score -= soonScore
 	}
 	return score
@@ -326,18 +326,18 @@
 
 // assign places a task on a worker under a run number; candidates is the number of workers
 // considered, for the log. The start is sent once the placement is stored.
-func (b *Scheduler) assign(now time.Time, t waitingTask, w *Worker, number, candidates int) {
+func (s *Scheduler) assign(now time.Time, t waitingTask, w *Worker, number, candidates int) {
 	t.entry.job.Place(t.ref, w.inc.ID(), number)
-	r := b.newRun(now, t.entry, t.ref, w, number, runUnstored)
-	r.ticket = b.ticketFor(t, w)
+	r := s.newRun(now, t.entry, t.ref, w, number, runUnstored)
+	r.ticket = s.ticketFor(t, w)
 	if rack := t.step.DataRack; rack != "" && w.inc.Rack() != rack {
-		b.rackDemand.add(now, rack, t.step.Reservation())
+		s.rackDemand.add(now, rack, t.step.Reservation())
 	}
-	b.unstoredStarts = append(b.unstoredStarts, r)
-	b.markDirty(t.entry, true)
-	event.TaskPlaced.Log(b.logger, slog.String("task", r.name), slog.Int("run", number),
+	s.unstoredStarts = append(s.unstoredStarts, r)
+	s.markDirty(t.entry, true)
+	event.TaskPlaced.Log(s.logger, slog.String("task", r.name), slog.Int("run", number),
 		slog.String("incarnation", string(w.inc.ID())), slog.Int64("freeCPUMilli", w.free.CPUMilli), slog.Int("candidates", candidates),
-		slog.String("class", t.entry.rank.class.String()), slog.Duration("expected", b.estimates.duration(t.entry.job.Queue(), t.step)))
+		slog.String("class", t.entry.rank.class.String()), slog.Duration("expected", s.estimates.duration(t.entry.job.Queue(), t.step)))
 }
 
 // A waitingTask is a pending task whose predecessors are done.
--- a/schedule/poll_timeout.go
+++ b/schedule/poll_timeout.go
@@ -12,9 +12,9 @@
 const maxExtraPollTimeout = 1600 * time.Millisecond
 
 // ExtraPollTimeout returns how much longer than usual to wait for the answer to a poll of w.
-func (b *Scheduler) ExtraPollTimeout(w *Worker) time.Duration {
+func (s *Scheduler) ExtraPollTimeout(w *Worker) time.Duration {
 	if !w.silent {
 		return 0
 	}
-	return time.Duration(b.reachability.silentShare * float64(maxExtraPollTimeout))
+	return time.Duration(s.reachability.silentShare * float64(maxExtraPollTimeout))
 }
--- a/schedule/preempt.go
+++ b/schedule/preempt.go
@@ -22,9 +22,9 @@
 
 // preempt frees resources for a task by stopping others of lower priority on the worker where that
 // loses the least work.
-func (b *Scheduler) preempt(now time.Time, t waitingTask, workers []*Worker) {
+func (s *Scheduler) preempt(now time.Time, t waitingTask, workers []*Worker) {
 	e := t.entry
-	if e.job.Policy().Priority != 0 || b.preemptibleRuns == 0 {
+	if e.job.Policy().Priority != 0 || s.preemptibleRuns == 0 {
 		return
 	}
 	if now.Sub(e.starved) < preemptAfter || now.Sub(e.preempted) < preemptEvery {
@@ -34,24 +34,24 @@
 	var best []*Run
 	bestCost := time.Duration(0)
 	for _, w := range workers {
-		if !b.permits(t, w, now) || b.atStepLimit(t, w) {
+		if !s.permits(t, w, now) || s.atStepLimit(t, w) {
 			continue
 		}
-		victims, cost := b.victims(now, w, t.step.Reservation())
+		victims, cost := s.victims(now, w, t.step.Reservation())
 		if len(victims) > 0 && (best == nil || cost < bestCost) {
 			best, bestCost = victims, cost
 		}
 	}
 	for _, r := range best {
-		event.RunPreempted.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
+		event.RunPreempted.Log(s.logger, slog.String("task", r.name), slog.Int("run", r.number),
 			slog.String("incarnation", string(r.worker.inc.ID())), slog.String("by", e.job.ID()))
-		b.stop(now, r, "a job of priority 0 needs its resources")
+		s.stop(now, r, "a job of priority 0 needs its resources")
 	}
 }
 
 // victims returns the runs of lower priority that must stop on a worker to free the given resources,
 // and the work that is lost with them.
-func (b *Scheduler) victims(now time.Time, w *Worker, need pointport.Shape) ([]*Run, time.Duration) {
+func (s *Scheduler) victims(now time.Time, w *Worker, need pointport.Shape) ([]*Run, time.Duration) {
 	free := w.free
 	var low []*Run
 	for _, r := range w.runs {
--- a/schedule/quarantine.go
+++ b/schedule/quarantine.go
@@ -55,7 +55,7 @@
 
 // keptApart reports whether a task may not be placed on a worker because it or a task there needs an
 // instance of its own, or because this instance has crashed under it.
-func (b *Scheduler) keptApart(t waitingTask, w *Worker, now time.Time) bool {
+func (s *Scheduler) keptApart(t waitingTask, w *Worker, now time.Time) bool {
 	if w.quarantined > 0 && !w.holdsOnly(t) {
 		return true
 	}
@@ -100,21 +100,21 @@
 
 // reviewSuspicion updates the suspicion against the task of a run that a report lists: the run may
 // have lasted long enough to show that the task does not crash instances.
-func (b *Scheduler) reviewSuspicion(now time.Time, r *Run) {
+func (s *Scheduler) reviewSuspicion(now time.Time, r *Run) {
 	if len(r.entry.crashed) == 0 {
 		return
 	}
 	lasted := now.Sub(r.liveAt)
 	if t := r.task(); lasted >= quarantineFor && t != nil && t.Crashes > 0 && t.Settled != r.number {
 		t.Settled = r.number // stored for the next owner, which has not seen the run's start
-		b.markDirty(r.entry, false)
+		s.markDirty(r.entry, false)
 	}
 	if lasted >= r.quarantineTime {
 		r.worker.clearSuspicion(r)
 	}
 	if r.step().Service && lasted >= exoneratedAfter && r.progress >= atWork && r.entry.suspected(r.ref) {
 		r.entry.job.ResetCrashes(r.ref)
-		b.markDirty(r.entry, false)
+		s.markDirty(r.entry, false)
 	}
 }
 
--- a/schedule/rank.go
+++ b/schedule/rank.go
@@ -55,15 +55,15 @@
 func (c class) String() string { return [...]string{"serving", "begun", "fresh", "late"}[c] }
 
 // rankedJobs returns the jobs with ready tasks, lowest rank first.
-func (b *Scheduler) rankedJobs(now time.Time) []*entry {
-	out := make([]*entry, 0, len(b.waitingJobs))
-	for e := range b.waitingJobs {
-		b.refreshReady(e)
+func (s *Scheduler) rankedJobs(now time.Time) []*entry {
+	out := make([]*entry, 0, len(s.waitingJobs))
+	for e := range s.waitingJobs {
+		s.refreshReady(e)
 		if len(e.ready) == 0 {
-			delete(b.waitingJobs, e)
+			delete(s.waitingJobs, e)
 			continue
 		}
-		e.rank = b.rankOf(now, e)
+		e.rank = s.rankOf(now, e)
 		out = append(out, e)
 	}
 	sort.Slice(out, func(i, k int) bool {
@@ -81,16 +81,16 @@
 }
 
 // objective returns how long a job may take, by the current estimates of its work.
-func (b *Scheduler) objective(e *entry) time.Duration {
+func (s *Scheduler) objective(e *entry) time.Duration {
 	longest := time.Duration(0)
-	for _, c := range b.estimates.criticalPaths(e.job.Queue(), e.job.Spec()) {
+	for _, c := range s.estimates.criticalPaths(e.job.Queue(), e.job.Spec()) {
 		longest = max(longest, c)
 	}
 	return allowance(e.job.Policy(), longest)
 }
 
 // refreshReady rebuilds the list of a job's ready tasks if it is outdated.
-func (b *Scheduler) refreshReady(e *entry) {
+func (s *Scheduler) refreshReady(e *entry) {
 	if !e.stale {
 		return
 	}
@@ -138,18 +138,18 @@
 }
 
 // rankOf computes the rank of a job, which must have ready tasks.
-func (b *Scheduler) rankOf(now time.Time, e *entry) rank {
+func (s *Scheduler) rankOf(now time.Time, e *entry) rank {
 	job := e.job
-	s := rank{priority: job.Policy().Priority, class: classFresh}
+	out := rank{priority: job.Policy().Priority, class: classFresh}
 	if e.ready[0].step.Service {
-		s.class, s.latest = classServing, job.Submitted()
-		return s
+		out.class, out.latest = classServing, job.Submitted()
+		return out
 	}
 	if job.Begun() {
-		s.class = classBegun
+		out.class = classBegun
 	}
 	if now.Sub(e.criticalPathsAt) > criticalPathInterval {
-		e.criticalPaths, e.criticalPathsAt = b.estimates.criticalPaths(job.Queue(), job.Spec()), now
+		e.criticalPaths, e.criticalPathsAt = s.estimates.criticalPaths(job.Queue(), job.Spec()), now
 	}
 	paths := e.criticalPaths
 	longest := time.Duration(0)
@@ -165,9 +165,9 @@
 	if due := job.Spec().Due(first.Occurrence); !due.IsZero() {
 		from = due
 	}
-	s.latest = from.Add(allowance(job.Policy(), longest) - left)
-	if now.Add(startMargin + time.Duration(estimateMargin*float64(left))).After(s.latest) {
-		s.class = classLate
+	out.latest = from.Add(allowance(job.Policy(), longest) - left)
+	if now.Add(startMargin + time.Duration(estimateMargin*float64(left))).After(out.latest) {
+		out.class = classLate
 	}
-	return s
+	return out
 }
--- a/schedule/registration.go
+++ b/schedule/registration.go
@@ -26,33 +26,33 @@
 
 // SetRegistryCoverage sets the interval in which the registrations that the scheduler was last given
 // could be read.
-func (b *Scheduler) SetRegistryCoverage(s RegistryCoverage) { b.registryCoverage = s }
+func (s *Scheduler) SetRegistryCoverage(coverage RegistryCoverage) { s.registryCoverage = coverage }
 
 // gone reports whether a worker's registration has been removed for good: it has been missing for
 // longer than one that expired by mistake. Time in which the registrations could not be read does
 // not count, because the registration may have been there.
-func (b *Scheduler) gone(w *Worker) bool {
-	if w.listed || w.unlistedSince.IsZero() || b.registryCoverage.Since.IsZero() {
+func (s *Scheduler) gone(w *Worker) bool {
+	if w.listed || w.unlistedSince.IsZero() || s.registryCoverage.Since.IsZero() {
 		return false
 	}
-	if b.laterRegistered(w) {
+	if s.laterRegistered(w) {
 		return true
 	}
 	from := w.unlistedSince
-	if b.registryCoverage.Since.After(from) {
-		from = b.registryCoverage.Since
+	if s.registryCoverage.Since.After(from) {
+		from = s.registryCoverage.Since
 	}
-	return b.registryCoverage.Until.Sub(from) >= goneAfter
+	return s.registryCoverage.Until.Sub(from) >= goneAfter
 }
 
 // laterRegistered reports whether a later incarnation of a worker's instance is registered,
 // which is possible only once the earlier one has ended.
-func (b *Scheduler) laterRegistered(w *Worker) bool {
+func (s *Scheduler) laterRegistered(w *Worker) bool {
 	id := w.inc.Instance()
 	if id == "" {
 		return false // its registration was never seen
 	}
-	for _, other := range b.workers {
+	for _, other := range s.workers {
 		if other != w && other.listed && !other.ended && other.inc.Instance() == id && other.knownSince.After(w.knownSince) {
 			return true
 		}
@@ -61,12 +61,12 @@
 }
 
 // updateListed records which workers are registered.
-func (b *Scheduler) updateListed(now time.Time, listed map[pointport.IncarnationID]bool) {
-	b.unlisted = b.unlisted[:0]
-	for id, w := range b.workers {
+func (s *Scheduler) updateListed(now time.Time, listed map[pointport.IncarnationID]bool) {
+	s.unlisted = s.unlisted[:0]
+	for id, w := range s.workers {
 		w.listed = listed[id]
 		if !w.listed && !w.ended {
-			b.unlisted = append(b.unlisted, w)
+			s.unlisted = append(s.unlisted, w)
 		}
 		switch {
 		case w.listed:
--- a/schedule/relocate.go
+++ b/schedule/relocate.go
@@ -21,29 +21,29 @@
 // relocate stops serving tasks on workers that are being emptied, as far as their steps allow and
 // there are free resources for them elsewhere, where they are placed at once. Without free resources
 // they stay: emptying an instance later does less harm than an unavailable service.
-func (b *Scheduler) relocate(now time.Time) {
-	if now.Sub(b.tookOverAt) < takeoverPause {
+func (s *Scheduler) relocate(now time.Time) {
+	if now.Sub(s.tookOverAt) < takeoverPause {
 		return
 	}
 	var h *servingCapacity
-	for _, w := range b.workers {
+	for _, w := range s.workers {
 		if !w.evacuating || !w.closed(now) || w.ended {
 			continue
 		}
 		for _, r := range w.runs {
-			if !r.step().Service || r.stopping || r.state != runLive || !b.mayMiss(r) {
+			if !r.step().Service || r.stopping || r.state != runLive || !s.mayMiss(r) {
 				continue
 			}
 			if h == nil {
-				h = b.newServingCapacity(now)
+				h = s.newServingCapacity(now)
 				h.takeWaiting()
 			}
 			if !h.take(waitingTask{r.entry, r.ref, r.step()}) {
 				continue
 			}
-			event.ServingMoved.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
+			event.ServingMoved.Log(s.logger, slog.String("task", r.name), slog.Int("run", r.number),
 				slog.String("incarnation", string(w.inc.ID())))
-			b.stop(now, r, "its instance is being emptied")
+			s.stop(now, r, "its instance is being emptied")
 		}
 	}
 }
@@ -64,9 +64,9 @@
 	step   stepRef
 }
 
-func (b *Scheduler) newServingCapacity(now time.Time) *servingCapacity {
+func (s *Scheduler) newServingCapacity(now time.Time) *servingCapacity {
 	h := &servingCapacity{
-		book: b, now: now, workers: b.usableWorkers(now),
+		book: s, now: now, workers: s.usableWorkers(now),
 		left: make(map[*Worker]pointport.Shape), promised: make(map[stepOnWorker]int),
 	}
 	for _, w := range h.workers {
@@ -115,11 +115,11 @@
 
 // missingForServing returns how many more instances are needed for the serving tasks that wait, and
 // for those that are to move, and fit nowhere.
-func (b *Scheduler) missingForServing(now time.Time) missing {
-	h := b.newServingCapacity(now)
+func (s *Scheduler) missingForServing(now time.Time) missing {
+	h := s.newServingCapacity(now)
 	unplaced := h.takeWaiting()
 	var unmoved []waitingTask
-	for _, w := range b.workers {
+	for _, w := range s.workers {
 		if !w.evacuating || !w.closed(now) || w.ended {
 			continue
 		}
@@ -153,9 +153,9 @@
 
 // largestInstance returns the largest amount of each resource that any known instance has; it is
 // zero until an instance is known.
-func (b *Scheduler) largestInstance() pointport.Shape {
+func (s *Scheduler) largestInstance() pointport.Shape {
 	var most pointport.Shape
-	for _, w := range b.workers {
+	for _, w := range s.workers {
 		most = largest(most, w.inc.Capacity())
 	}
 	return most
@@ -163,7 +163,7 @@
 
 // mayMiss reports whether a serving task may be stopped for a moment: the number of the step's other
 // tasks that are not serving is below what the step allows to be missing.
-func (b *Scheduler) mayMiss(r *Run) bool {
+func (s *Scheduler) mayMiss(r *Run) bool {
 	o := r.entry.job.Occurrence(r.ref.Occurrence)
 	if o == nil {
 		return true
--- a/schedule/report.go
+++ b/schedule/report.go
@@ -12,51 +12,51 @@
 // This file defines how reports of instances are processed.
 
 // Report processes a report that came at now in answer to a poll sent at sent.
-func (b *Scheduler) Report(w *Worker, sent, now time.Time, report pointport.Report) {
+func (s *Scheduler) Report(w *Worker, sent, now time.Time, report pointport.Report) {
 	if w.ended {
-		b.noteAnswerAfterEnd(w, now)
-		b.processEnds(w, now, report.Ended) // a task that is done must not run again
+		s.noteAnswerAfterEnd(w, now)
+		s.processEnds(w, now, report.Ended) // a task that is done must not run again
 		return
 	}
-	b.endEarlierIncarnations(w, sent, now)
+	s.endEarlierIncarnations(w, sent, now)
 	w.lease.observeClock(now, report.Clock)
 	w.reportedAt = now
 	w.silent = false // only a report clears this: the answer to an order does not show what runs there
 	w.answeredUnlisted = w.answeredUnlisted || !w.listed
 	w.expiredRuns = nil // the instance is alive, so it did not crash under them
-	b.processEnds(w, now, report.Ended)
-	b.processRunning(w, now, report)
-	b.dropUnlisted(w, sent, now, report)
-	b.stopStalledRuns(now, w)
-	b.adjustPace(now, w)
+	s.processEnds(w, now, report.Ended)
+	s.processRunning(w, now, report)
+	s.dropUnlisted(w, sent, now, report)
+	s.stopStalledRuns(now, w)
+	s.adjustPace(now, w)
 }
 
 // processEnds processes the ends that an instance lists.
-func (b *Scheduler) processEnds(w *Worker, now time.Time, ends []pointport.TaskEnd) {
+func (s *Scheduler) processEnds(w *Worker, now time.Time, ends []pointport.TaskEnd) {
 	for _, end := range ends {
-		b.processEnd(w, now, end)
+		s.processEnd(w, now, end)
 	}
 }
 
 // processRunning processes the list of runs that an instance reports as running.
-func (b *Scheduler) processRunning(w *Worker, now time.Time, report pointport.Report) {
+func (s *Scheduler) processRunning(w *Worker, now time.Time, report pointport.Report) {
 	w.strays = 0
 	for _, row := range report.Running {
 		r := w.runs[row.Task]
 		if r == nil || r.number != row.Run {
 			w.strays++
-			b.stopStray(w, row.TaskRun)
+			s.stopStray(w, row.TaskRun)
 			continue
 		}
 		r.confirmListed()
-		b.markLive(r, now, report.Clock)
+		s.markLive(r, now, report.Clock)
 		if r.detached() {
-			b.stop(now, r, "it no longer belongs to its job")
+			s.stop(now, r, "it no longer belongs to its job")
 			continue
 		}
 		r.load = row.Load
 		r.observeProgress(now, report.Clock, row.Progress)
-		b.reviewSuspicion(now, r)
+		s.reviewSuspicion(now, r)
 		if t := r.task(); t != nil && row.Checkpoint != "" {
 			t.Checkpoint = row.Checkpoint
 		}
@@ -65,7 +65,7 @@
 
 // markLive marks r as running at now; clock is the time on the instance's clock in the answer that
 // shows it.
-func (b *Scheduler) markLive(r *Run, now time.Time, clock pointport.InstanceTime) {
+func (s *Scheduler) markLive(r *Run, now time.Time, clock pointport.InstanceTime) {
 	if r.state == runAwaitingReport || r.state == runLive {
 		return
 	}
@@ -74,25 +74,25 @@
 	r.liveClock, r.reportClock = clock, clock
 	if !r.entry.begun && !r.inherited {
 		r.entry.begun = true
-		event.JobBegun.Log(b.logger, slog.String("job", r.entry.job.ID()), slog.String("task", r.name), slog.Int("run", r.number),
+		event.JobBegun.Log(s.logger, slog.String("job", r.entry.job.ID()), slog.String("task", r.name), slog.Int("run", r.number),
 			slog.String("incarnation", string(r.worker.inc.ID())), slog.Duration("after", now.Sub(r.entry.job.Submitted())))
 	}
 }
 
 // stopStray stops a run that no task is placed as.
-func (b *Scheduler) stopStray(w *Worker, run pointport.TaskRun) {
-	event.StrayRun.Log(b.logger, slog.String("task", run.Task), slog.Int("run", run.Run),
-		slog.String("incarnation", string(w.inc.ID())), slog.String("elsewhere", string(b.runsOn(run.Task))))
-	b.pendingOrders = append(b.pendingOrders, Order{Kind: OrderStop, Worker: w, TaskRun: run})
+func (s *Scheduler) stopStray(w *Worker, run pointport.TaskRun) {
+	event.StrayRun.Log(s.logger, slog.String("task", run.Task), slog.Int("run", run.Run),
+		slog.String("incarnation", string(w.inc.ID())), slog.String("elsewhere", string(s.runsOn(run.Task))))
+	s.pendingOrders = append(s.pendingOrders, Order{Kind: OrderStop, Worker: w, TaskRun: run})
 }
 
 // runsOn returns the incarnation on which a task has a run, empty if it has none.
-func (b *Scheduler) runsOn(task string) pointport.IncarnationID {
+func (s *Scheduler) runsOn(task string) pointport.IncarnationID {
 	id, ref, err := workload.ParseTaskName(task)
 	if err != nil {
 		return "" // not the name of a task
 	}
-	if e := b.jobs[id]; e != nil && e.runs[ref] != nil {
+	if e := s.jobs[id]; e != nil && e.runs[ref] != nil {
 		return e.runs[ref].worker.inc.ID()
 	}
 	return ""
@@ -100,7 +100,7 @@
 
 // dropUnlisted drops the runs that have ended because their instance no longer lists them. It does
 // nothing if the report may omit ends.
-func (b *Scheduler) dropUnlisted(w *Worker, sent, now time.Time, report pointport.Report) {
+func (s *Scheduler) dropUnlisted(w *Worker, sent, now time.Time, report pointport.Report) {
 	if len(report.Ended) >= maxListedEnds {
 		return
 	}
@@ -121,35 +121,35 @@
 		case r.state == runAwaitingReport:
 			gone = sent.After(r.reportAfter)
 		case r.uncertainty != nil:
-			gone = b.notListedByLater(now, sent, r)
+			gone = s.notListedByLater(now, sent, r)
 		case r.state == runLive:
 			gone = sent.After(r.liveAt)
 		}
 		if gone {
-			b.drop(now, r, "its instance does not list it")
+			s.drop(now, r, "its instance does not list it")
 		}
 	}
 }
 
 // processEnd processes the end of a run.
-func (b *Scheduler) processEnd(w *Worker, now time.Time, end pointport.TaskEnd) {
+func (s *Scheduler) processEnd(w *Worker, now time.Time, end pointport.TaskEnd) {
 	r := w.runs[end.Task]
 	if end.Number <= w.lastEnd {
-		b.logKnownEnd(w, r, end)
+		s.logKnownEnd(w, r, end)
 		return
 	}
 	w.lastEnd = end.Number
 	if r == nil || r.number != end.Run {
-		b.givenUpEnded(w, now, end)
+		s.givenUpEnded(w, now, end)
 		return
 	}
-	event.RunEnded.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
+	event.RunEnded.Log(s.logger, slog.String("task", r.name), slog.Int("run", r.number),
 		slog.String("incarnation", string(w.inc.ID())), slog.String("how", string(end.Kind)),
 		slog.Duration("after", now.Sub(r.placedAt)), slog.Duration("startedAfter", r.startedAfter()))
 	r.confirmListed()
 	if r.detached() {
-		b.removeRun(now, r)
-		b.givenUpEnded(w, now, end)
+		s.removeRun(now, r)
+		s.givenUpEnded(w, now, end)
 		return
 	}
 	if t := r.task(); t != nil && end.Checkpoint != "" {
@@ -157,28 +157,28 @@
 	}
 	switch end.Kind {
 	case pointport.EndDone:
-		b.runDone(now, r)
+		s.runDone(now, r)
 	case pointport.EndFailed:
-		b.runFailed(now, r)
+		s.runFailed(now, r)
 	default:
-		b.drop(now, r, string(end.Kind))
+		s.drop(now, r, string(end.Kind))
 	}
-	b.noteUnstored(w, r.entry)
+	s.noteUnstored(w, r.entry)
 }
 
 // logKnownEnd logs an end that is skipped as already processed although its run is still on the
 // worker. That is unexpected, because processing an end removes the run; r may be nil.
-func (b *Scheduler) logKnownEnd(w *Worker, r *Run, end pointport.TaskEnd) {
+func (s *Scheduler) logKnownEnd(w *Worker, r *Run, end pointport.TaskEnd) {
 	if r == nil || r.number != end.Run {
 		return
 	}
-	event.RunEndAlreadySeen.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number), slog.String("incarnation", string(w.inc.ID())),
+	event.RunEndAlreadySeen.Log(s.logger, slog.String("task", r.name), slog.Int("run", r.number), slog.String("incarnation", string(w.inc.ID())),
 		slog.String("how", string(end.Kind)), slog.Int64("number", end.Number), slog.Int64("seen", w.lastEnd))
 }
 
 // noteUnstored records that a run of a job has ended on a worker, if the end has changed the job.
-func (b *Scheduler) noteUnstored(w *Worker, e *entry) {
-	if _, changed := b.dirty[e]; !changed {
+func (s *Scheduler) noteUnstored(w *Worker, e *entry) {
+	if _, changed := s.dirty[e]; !changed {
 		return
 	}
 	e.endedOn = append(e.endedOn, w)
@@ -189,12 +189,12 @@
 // the task is done and must not be started again; on an instance that was silent until its lease
 // ended, a run may have ended before that. A failure counts like that of any run; otherwise a task
 // that fails each time would be started more often than its limit of failed runs allows.
-func (b *Scheduler) givenUpEnded(w *Worker, now time.Time, end pointport.TaskEnd) {
+func (s *Scheduler) givenUpEnded(w *Worker, now time.Time, end pointport.TaskEnd) {
 	if end.Kind != pointport.EndDone && end.Kind != pointport.EndFailed {
 		return
 	}
 	id, ref, err := workload.ParseTaskName(end.Task)
-	e := b.jobs[id]
+	e := s.jobs[id]
 	if err != nil || e == nil || e.ended != "" {
 		return
 	}
@@ -204,22 +204,22 @@
 	}
 	step := &e.job.Spec().Steps[ref.Step]
 	if end.Kind == pointport.EndFailed {
-		b.givenUpFailed(w, now, e, ref, end.Run)
+		s.givenUpFailed(w, now, e, ref, end.Run)
 		return
 	}
 	if step.Service {
 		return
 	}
-	b.finishGivenUp(now, e, gangTasks(step, ref))
-	b.noteUnstored(w, e)
+	s.finishGivenUp(now, e, gangTasks(step, ref))
+	s.noteUnstored(w, e)
 }
 
 // finishGivenUp marks tasks as done by runs that were given up, and stops their present runs.
-func (b *Scheduler) finishGivenUp(now time.Time, e *entry, refs []workload.TaskRef) {
+func (s *Scheduler) finishGivenUp(now time.Time, e *entry, refs []workload.TaskRef) {
 	for _, ref := range refs {
 		if present := e.runs[ref]; present != nil {
-			b.stop(now, present, "an earlier run of its task has ended")
-			b.detach(present)
+			s.stop(now, present, "an earlier run of its task has ended")
+			s.detach(present)
 		}
 	}
 	stepDone := false
@@ -228,8 +228,8 @@
 			stepDone = e.job.Finish(ref) || stepDone
 		}
 	}
-	b.markDirty(e, stepDone)
-	b.endJobIfDone(now, e)
+	s.markDirty(e, stepDone)
+	s.endJobIfDone(now, e)
 }
 
 // gangTasks returns the tasks that are done when ref is done: all tasks of a gang, because its
@@ -247,7 +247,7 @@
 }
 
 // givenUpFailed counts the failure of a run that was given up.
-func (b *Scheduler) givenUpFailed(w *Worker, now time.Time, e *entry, ref workload.TaskRef, run int) {
+func (s *Scheduler) givenUpFailed(w *Worker, now time.Time, e *entry, ref workload.TaskRef, run int) {
 	if e.job.Stopping() || e.job.Spec().Steps[ref.Step].Service {
 		return
 	}
@@ -256,55 +256,55 @@
 	if e.job.Task(ref).Failures == before {
 		return // this failure is already counted
 	}
-	event.RunEnded.Log(b.logger, slog.String("task", workload.TaskName(e.job.ID(), ref)), slog.Int("run", run),
+	event.RunEnded.Log(s.logger, slog.String("task", workload.TaskName(e.job.ID(), ref)), slog.Int("run", run),
 		slog.String("incarnation", string(w.inc.ID())), slog.String("how", string(pointport.EndFailed)), slog.Bool("givenUp", true))
-	b.markDirty(e, true)
-	b.noteUnstored(w, e)
+	s.markDirty(e, true)
+	s.noteUnstored(w, e)
 	if jobFailed {
-		b.stopAll(now, e, "an earlier run of its task has failed, and the limit of failed runs is reached")
+		s.stopAll(now, e, "an earlier run of its task has failed, and the limit of failed runs is reached")
 	}
-	b.endJobIfDone(now, e)
+	s.endJobIfDone(now, e)
 }
 
-func (b *Scheduler) runDone(now time.Time, r *Run) {
+func (s *Scheduler) runDone(now time.Time, r *Run) {
 	if !r.liveAt.IsZero() && !r.inherited && r.from == 0 {
-		b.estimates.observe(r.entry.job.Queue(), r.step(), now.Sub(r.liveAt))
+		s.estimates.observe(r.entry.job.Queue(), r.step(), now.Sub(r.liveAt))
 		r.entry.addDuration(stepKey{r.ref.Occurrence, r.ref.Step}, now.Sub(r.liveAt))
 	}
 	if r.worker.health.succeeded() {
-		event.WorkerCleared.Log(b.logger, slog.String("incarnation", string(r.worker.inc.ID())))
+		event.WorkerCleared.Log(s.logger, slog.String("incarnation", string(r.worker.inc.ID())))
 	}
-	b.removeRun(now, r)
+	s.removeRun(now, r)
 	t := r.task()
 	if t == nil || t.Phase == workload.Done {
 		return
 	}
 	if r.step().Gang {
-		b.gangDone(now, r)
+		s.gangDone(now, r)
 		return
 	}
 	stepDone := r.entry.job.Finish(r.ref)
-	b.markDirty(r.entry, stepDone)
-	b.endJobIfDone(now, r.entry)
+	s.markDirty(r.entry, stepDone)
+	s.endJobIfDone(now, r.entry)
 }
 
-func (b *Scheduler) runFailed(now time.Time, r *Run) {
+func (s *Scheduler) runFailed(now time.Time, r *Run) {
 	if r.worker.health.failed(now) {
-		event.WorkerSuspected.Log(b.logger, slog.String("incarnation", string(r.worker.inc.ID())),
+		event.WorkerSuspected.Log(s.logger, slog.String("incarnation", string(r.worker.inc.ID())),
 			slog.Int("failures", r.worker.health.failures), slog.Duration("avoidedFor", r.worker.health.avoidFor))
 	}
-	b.removeRun(now, r)
+	s.removeRun(now, r)
 	if r.task() == nil {
 		return
 	}
 	jobFailed := r.entry.job.Fail(r.ref, r.number)
 	r.entry.avoidFailedWorker(r.ref, now)
-	b.markDirty(r.entry, true)
+	s.markDirty(r.entry, true)
 	switch {
 	case jobFailed:
-		b.stopAll(now, r.entry, "another task of its job has failed too often")
+		s.stopAll(now, r.entry, "another task of its job has failed too often")
 	case r.step().Gang:
-		b.stopRestOfGang(now, r, "another member of its gang has failed")
+		s.stopRestOfGang(now, r, "another member of its gang has failed")
 	}
-	b.endJobIfDone(now, r.entry)
+	s.endJobIfDone(now, r.entry)
 }
--- a/schedule/resize.go
+++ b/schedule/resize.go
@@ -12,7 +12,7 @@
 // resize records the capacity that an instance reports. What runs there continues even if it takes
 // more than the new capacity: the free capacity is then negative, so nothing fits until enough runs
 // have ended.
-func (b *Scheduler) resize(w *Worker, capacity pointport.Shape) {
+func (s *Scheduler) resize(w *Worker, capacity pointport.Shape) {
 	before := w.inc.Capacity()
 	if capacity == before {
 		return
@@ -21,7 +21,7 @@
 	if before == (pointport.Shape{}) {
 		return // its first registration
 	}
-	event.InstanceResized.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
+	event.InstanceResized.Log(s.logger, slog.String("incarnation", string(w.inc.ID())),
 		slog.Int64("cpuMilli", capacity.CPUMilli), slog.Int64("memoryMiB", capacity.MemoryMiB),
 		slog.Int64("cpuMilliBefore", before.CPUMilli), slog.Int64("memoryMiBBefore", before.MemoryMiB),
 		slog.Int64("freeCPUMilli", w.free.CPUMilli), slog.Int64("freeMemoryMiB", w.free.MemoryMiB), slog.Int("runs", len(w.runs)))
--- a/schedule/scheduler.go
+++ b/schedule/scheduler.go
@@ -176,31 +176,31 @@
 }
 
 // Fenced reports whether an instance has seen a higher fencing token than this owner's.
-func (b *Scheduler) Fenced() bool { return b.fenced }
+func (s *Scheduler) Fenced() bool { return s.fenced }
 
 // Add adds a job. Its placed tasks were placed by an earlier owner and become inherited runs.
 // Adding a known job changes nothing; Add reports whether the job was new.
-func (b *Scheduler) Add(now time.Time, j *workload.Job) bool {
-	if _, ok := b.jobs[j.ID()]; ok {
+func (s *Scheduler) Add(now time.Time, j *workload.Job) bool {
+	if _, ok := s.jobs[j.ID()]; ok {
 		return false
 	}
-	if _, ok := b.endedJobs[j.ID()]; ok {
+	if _, ok := s.endedJobs[j.ID()]; ok {
 		return false
 	}
-	e := &entry{job: j, account: b.accountOf(j.Customer()), runs: make(map[workload.TaskRef]*Run), begun: j.Begun()}
-	b.jobs[j.ID()] = e
+	e := &entry{job: j, account: s.accountOf(j.Customer()), runs: make(map[workload.TaskRef]*Run), begun: j.Begun()}
+	s.jobs[j.ID()] = e
 	if !j.Begun() && j.Spec().Recur.Times == 0 && !e.account.atCap() {
-		b.arrivals.add(now, j, b.estimates)
+		s.arrivals.add(now, j, s.estimates)
 	}
 	if j.Spec().Recur.Times > 0 {
-		b.recurring[e] = struct{}{}
+		s.recurring[e] = struct{}{}
 	}
-	b.invalidateReady(e)
-	b.inheritRuns(now, e)
+	s.invalidateReady(e)
+	s.inheritRuns(now, e)
 	if j.Stopping() {
-		b.stopAll(now, e, "its job was cancelled or has failed")
+		s.stopAll(now, e, "its job was cancelled or has failed")
 	}
-	b.endJobIfDone(now, e)
+	s.endJobIfDone(now, e)
 	return true
 }
 
@@ -219,7 +219,7 @@
 
 // inheritRuns creates runs for the tasks that an earlier owner has placed, and keeps pending tasks
 // that failed before away from the instance on which they failed.
-func (b *Scheduler) inheritRuns(now time.Time, e *entry) {
+func (s *Scheduler) inheritRuns(now time.Time, e *entry) {
 	e.inheritCrashes(now)
 	e.job.Occurrences(func(o *workload.Occurrence) {
 		for n, step := range o.Steps {
@@ -231,42 +231,42 @@
 				if step[i].Phase != workload.Placed {
 					continue
 				}
-				w := b.worker(now, step[i].On)
-				b.newRun(now, e, ref, w, step[i].Run, runInherited)
+				w := s.worker(now, step[i].On)
+				s.newRun(now, e, ref, w, step[i].Run, runInherited)
 			}
 		}
 	})
 }
 
-func (b *Scheduler) newRun(now time.Time, e *entry, ref workload.TaskRef, w *Worker, number int, s runState) *Run {
+func (s *Scheduler) newRun(now time.Time, e *entry, ref workload.TaskRef, w *Worker, number int, state runState) *Run {
 	r := &Run{
 		entry: e, ref: ref, name: workload.TaskName(e.job.ID(), ref), number: number,
-		worker: w, state: s, placedAt: now, pace: fullPace,
+		worker: w, state: state, placedAt: now, pace: fullPace,
 	}
 	r.suspected, r.quarantined, r.quarantineTime = e.suspected(ref), e.quarantines(ref), e.quarantineTime(ref)
 	e.runs[ref] = r
 	w.addRun(r)
 	e.account.addUse(r.step().Need)
 	if e.job.Policy().Priority > 0 {
-		b.preemptibleRuns++
+		s.preemptibleRuns++
 	}
 	return r
 }
 
 // worker returns the worker for an incarnation, and creates it if the incarnation is new.
-func (b *Scheduler) worker(now time.Time, id pointport.IncarnationID) *Worker {
-	w := b.workers[id]
+func (s *Scheduler) worker(now time.Time, id pointport.IncarnationID) *Worker {
+	w := s.workers[id]
 	if w == nil {
 		w = &Worker{
 			knownSince:      now,
 			inc:             pointport.NewIncarnation(id, "", ""),
 			runs:            make(map[string]*Run),
 			steps:           make(map[stepRef]int),
-			lease:           executionLease{inherited: b.tookOverAt.Add(b.predecessorBound(id)), misdirectedUntil: b.misdirectedLeaseEnds[id.Addressee()]},
-			startsToRuleOut: b.startsToRuleOut(id),
-			zones:           b.zones,
+			lease:           executionLease{inherited: s.tookOverAt.Add(s.predecessorBound(id)), misdirectedUntil: s.misdirectedLeaseEnds[id.Addressee()]},
+			startsToRuleOut: s.startsToRuleOut(id),
+			zones:           s.zones,
 		}
-		b.workers[id] = w
+		s.workers[id] = w
 	}
 	return w
 }
@@ -275,17 +275,17 @@
 // incarnation may keep something running. Where a later incarnation may share the addressee, it can
 // take the order and read the extension by its own clock, so the bound then covers MaxHold, the
 // longest time for which an instance runs anything without a further order.
-func (b *Scheduler) predecessorBound(id pointport.IncarnationID) time.Duration {
-	bound := b.settings.PredecessorBound
-	if id.SharesAddressee() && b.settings.MaxHold > b.settings.Lease {
-		bound += time.Duration(float64(b.settings.MaxHold-b.settings.Lease) * slowClock)
+func (s *Scheduler) predecessorBound(id pointport.IncarnationID) time.Duration {
+	bound := s.settings.PredecessorBound
+	if id.SharesAddressee() && s.settings.MaxHold > s.settings.Lease {
+		bound += time.Duration(float64(s.settings.MaxHold-s.settings.Lease) * slowClock)
 	}
 	return bound
 }
 
 // Cancel cancels a job on behalf of its customer. It reports whether the job is known.
-func (b *Scheduler) Cancel(now time.Time, id string) bool {
-	e, ok := b.jobs[id]
+func (s *Scheduler) Cancel(now time.Time, id string) bool {
+	e, ok := s.jobs[id]
 	if !ok {
 		return false
 	}
@@ -293,43 +293,43 @@
 		return true
 	}
 	e.job.Cancel()
-	b.markDirty(e, true)
-	b.stopAll(now, e, "its customer cancelled it")
-	b.endJobIfDone(now, e)
+	s.markDirty(e, true)
+	s.stopAll(now, e, "its customer cancelled it")
+	s.endJobIfDone(now, e)
 	return true
 }
 
 // Status returns the stored status of a job: an end that is not stored yet is reported as running.
-func (b *Scheduler) Status(id string) (workload.Status, bool) {
-	if f, ok := b.endedJobs[id]; ok {
+func (s *Scheduler) Status(id string) (workload.Status, bool) {
+	if f, ok := s.endedJobs[id]; ok {
 		return f.status, true
 	}
-	e, ok := b.jobs[id]
+	e, ok := s.jobs[id]
 	if !ok {
 		return "", false
 	}
-	if s := e.job.Status(); !s.Ended() {
-		return s, true
+	if status := e.job.Status(); !status.Ended() {
+		return status, true
 	}
 	return workload.Running, true
 }
 
 // CustomerOf returns the name of a job's customer, empty if the job has none. It returns false if
 // the job is not known.
-func (b *Scheduler) CustomerOf(id string) (string, bool) {
-	if f, ok := b.endedJobs[id]; ok {
+func (s *Scheduler) CustomerOf(id string) (string, bool) {
+	if f, ok := s.endedJobs[id]; ok {
 		return f.customer, true
 	}
-	if e, ok := b.jobs[id]; ok {
+	if e, ok := s.jobs[id]; ok {
 		return e.job.Customer(), true
 	}
 	return "", false
 }
 
 // Waiting returns how many jobs of a queue have not begun.
-func (b *Scheduler) Waiting(queue string) int {
+func (s *Scheduler) Waiting(queue string) int {
 	n := 0
-	for _, e := range b.jobs {
+	for _, e := range s.jobs {
 		if e.job.Queue() == queue && !e.job.Begun() && !e.job.Stopping() {
 			n++
 		}
@@ -339,44 +339,44 @@
 
 // invalidateReady marks the list of a job's ready tasks as outdated and the job as possibly
 // waiting.
-func (b *Scheduler) invalidateReady(e *entry) {
+func (s *Scheduler) invalidateReady(e *entry) {
 	e.stale = true
-	b.waitingJobs[e] = struct{}{}
+	s.waitingJobs[e] = struct{}{}
 }
 
 // markDirty marks a job as changed and to be stored; urgent reports whether something waits for
 // that.
-func (b *Scheduler) markDirty(e *entry, urgent bool) {
-	b.invalidateReady(e)
-	b.dirty[e] = b.dirty[e] || urgent
-	b.urgent = b.urgent || urgent
+func (s *Scheduler) markDirty(e *entry, urgent bool) {
+	s.invalidateReady(e)
+	s.dirty[e] = s.dirty[e] || urgent
+	s.urgent = s.urgent || urgent
 }
 
 // endJobIfDone records the end of a job once its status is final and it has no runs left.
-func (b *Scheduler) endJobIfDone(now time.Time, e *entry) {
+func (s *Scheduler) endJobIfDone(now time.Time, e *entry) {
 	if e.ended != "" {
 		return
 	}
-	e.job.BeginDue(now.Add(b.settings.Early))
-	s := e.job.Status()
-	if !s.Ended() || len(e.runs) > 0 {
+	e.job.BeginDue(now.Add(s.settings.Early))
+	status := e.job.Status()
+	if !status.Ended() || len(e.runs) > 0 {
 		return
 	}
-	e.ended = s
-	b.markDirty(e, true)
+	e.ended = status
+	s.markDirty(e, true)
 }
 
 // stopAll orders every run of a job to stop.
-func (b *Scheduler) stopAll(now time.Time, e *entry, reason string) {
+func (s *Scheduler) stopAll(now time.Time, e *entry, reason string) {
 	for _, r := range e.runs {
-		b.stop(now, r, reason)
+		s.stop(now, r, reason)
 	}
 }
 
 // stop orders a run to stop, or drops it if its start was never sent.
-func (b *Scheduler) stop(now time.Time, r *Run, reason string) {
+func (s *Scheduler) stop(now time.Time, r *Run, reason string) {
 	if r.state == runUnstored || r.state == runSent && !r.startSent {
-		b.drop(now, r, reason)
+		s.drop(now, r, reason)
 		return
 	}
 	if r.stopping {
@@ -384,38 +384,38 @@
 	}
 	r.stopping, r.stopAgainAt, r.stopReason = true, now.Add(stopRetryDelay), reason
 	if r.worker.inc.Address() != "" {
-		b.pendingOrders = append(b.pendingOrders, Order{Kind: OrderStop, Run: r, Worker: r.worker, TaskRun: r.TaskRun()})
+		s.pendingOrders = append(s.pendingOrders, Order{Kind: OrderStop, Run: r, Worker: r.worker, TaskRun: r.TaskRun()})
 	}
 }
 
 // drop removes a run that has ended or will never start, and requeues its task.
-func (b *Scheduler) drop(now time.Time, r *Run, reason string) {
+func (s *Scheduler) drop(now time.Time, r *Run, reason string) {
 	detached := r.detached()
 	if r.state != runUnstored {
-		event.TaskReturned.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
+		event.TaskReturned.Log(s.logger, slog.String("task", r.name), slog.Int("run", r.number),
 			slog.String("incarnation", string(r.worker.inc.ID())), slog.String("reason", reason),
 			slog.Int("unanswered", r.unanswered), slog.Duration("sinceHeard", r.worker.lease.sinceLastAnswer(now)))
 	}
-	b.removeRun(now, r)
+	s.removeRun(now, r)
 	if t := r.task(); !detached && t != nil && t.Phase == workload.Placed && t.Run == r.number {
 		r.entry.job.Requeue(r.ref)
-		b.markDirty(r.entry, false)
+		s.markDirty(r.entry, false)
 	}
 	if r.uncertainty != nil {
-		b.recordEarlierLoss(now, r)
+		s.recordEarlierLoss(now, r)
 	}
 	if detached {
 		return
 	}
 	if r.step().Gang {
-		b.stopRestOfGang(now, r, "another member of its gang has ended")
+		s.stopRestOfGang(now, r, "another member of its gang has ended")
 	}
-	b.endJobIfDone(now, r.entry)
+	s.endJobIfDone(now, r.entry)
 }
 
 // detach removes a run from its job. The run stays on its worker and keeps its capacity reserved
 // there until it is known to have ended.
-func (b *Scheduler) detach(r *Run) {
+func (s *Scheduler) detach(r *Run) {
 	if r.entry.runs[r.ref] == r {
 		delete(r.entry.runs, r.ref)
 	}
@@ -426,14 +426,14 @@
 
 // removeRun removes a run from its job and its worker. It remembers a start that may still be in
 // flight.
-func (b *Scheduler) removeRun(now time.Time, r *Run) {
+func (s *Scheduler) removeRun(now time.Time, r *Run) {
 	if r.startInFlight() {
-		b.rememberStart(now, r.worker, r.TaskRun())
+		s.rememberStart(now, r.worker, r.TaskRun())
 	}
 	if r.worker.runs[r.name] == r {
 		r.entry.account.removeUse(r.step().Need)
 		if r.entry.job.Policy().Priority > 0 {
-			b.preemptibleRuns--
+			s.preemptibleRuns--
 		}
 	}
 	if r.abandoned {
@@ -446,38 +446,38 @@
 }
 
 // SetIncarnations updates the workers from the registrations of the pool's instances.
-func (b *Scheduler) SetIncarnations(now time.Time, all []pointport.Incarnation) {
+func (s *Scheduler) SetIncarnations(now time.Time, all []pointport.Incarnation) {
 	listed := make(map[pointport.IncarnationID]bool, len(all))
 	for _, inc := range all {
 		listed[inc.ID()] = true
-		b.register(now, inc)
+		s.register(now, inc)
 	}
-	b.updateListed(now, listed)
-	b.sweep(now)
+	s.updateListed(now, listed)
+	s.sweep(now)
 }
 
-func (b *Scheduler) register(now time.Time, inc pointport.Incarnation) {
-	w := b.worker(now, inc.ID())
+func (s *Scheduler) register(now time.Time, inc pointport.Incarnation) {
+	w := s.worker(now, inc.ID())
 	if !w.registered {
 		w.registered = true
-		b.pollNow[w] = struct{}{}
-		b.restoreHealth(w, inc.Instance())
+		s.pollNow[w] = struct{}{}
+		s.restoreHealth(w, inc.Instance())
 	}
-	b.resize(w, inc.Capacity())
+	s.resize(w, inc.Capacity())
 	leaving := inc.Draining() && !w.inc.Draining()
 	if inc.ColdRemaining() != w.inc.ColdRemaining() { // each change of the registration gives the remaining cold time
 		w.coldUntil = now.Add(inc.ColdRemaining())
 	}
 	w.inc = inc
 	if leaving {
-		b.handleDraining(now, w)
+		s.handleDraining(now, w)
 	}
 }
 
 // Workers returns the workers to poll, sorted by incarnation.
-func (b *Scheduler) Workers() []*Worker {
+func (s *Scheduler) Workers() []*Worker {
 	var out []*Worker
-	for _, w := range b.workers {
+	for _, w := range s.workers {
 		if w.polled() {
 			out = append(out, w)
 		}
@@ -487,4 +487,4 @@
 }
 
 // WorkerCount returns how many incarnations are known.
-func (b *Scheduler) WorkerCount() int { return len(b.workers) }
+func (s *Scheduler) WorkerCount() int { return len(s.workers) }
--- a/schedule/share.go
+++ b/schedule/share.go
@@ -22,10 +22,10 @@
 }
 
 // SetWeights sets the weights of customers; a customer without an entry has weight one.
-func (b *Scheduler) SetWeights(weights map[string]float64) { b.weights = weights }
+func (s *Scheduler) SetWeights(weights map[string]float64) { s.weights = weights }
 
-func (b *Scheduler) weightOf(a *account) float64 {
-	if w := b.weights[a.name]; w > 0 {
+func (s *Scheduler) weightOf(a *account) float64 {
+	if w := s.weights[a.name]; w > 0 {
 		return w
 	}
 	return 1
@@ -33,10 +33,10 @@
 
 // sharesOf returns the totals for some workers and for the customers that have runs in the pool or
 // jobs in the queue.
-func (b *Scheduler) sharesOf(workers []*Worker, queue []*entry) shares {
-	var s shares
+func (s *Scheduler) sharesOf(workers []*Worker, queue []*entry) shares {
+	var totals shares
 	for _, w := range workers {
-		s.capacity = s.capacity.Plus(w.inc.Capacity())
+		totals.capacity = totals.capacity.Plus(w.inc.Capacity())
 	}
 	active := make(map[*account]bool)
 	for _, e := range queue {
@@ -44,12 +44,12 @@
 			active[e.account] = true
 		}
 	}
-	for _, a := range b.accounts {
+	for _, a := range s.accounts {
 		if active[a] || a.used != (pointport.Shape{}) {
-			s.weights += b.weightOf(a)
+			totals.weights += s.weightOf(a)
 		}
 	}
-	return s
+	return totals
 }
 
 // dominantShare returns the share of a capacity that tasks need: of its processors or its memory,
@@ -62,8 +62,8 @@
 func (s shares) dominant(a *account) float64 { return dominantShare(a.used, s.capacity) }
 
 // exceedsPart reports whether a customer's share exceeds its part of the pool.
-func (b *Scheduler) exceedsPart(s shares, a *account) bool {
-	return a != nil && s.weights > 0 && s.dominant(a) > b.weightOf(a)/s.weights
+func (s *Scheduler) exceedsPart(totals shares, a *account) bool {
+	return a != nil && totals.weights > 0 && totals.dominant(a) > s.weightOf(a)/totals.weights
 }
 
 // yieldsToOthers reports whether jobs of the class wait behind others of the same priority and
@@ -78,7 +78,7 @@
 // visitInOrder calls visit for the jobs of a queue. Among jobs with the same priority and class,
 // those whose customer exceeds its part when their turn comes are visited last. It stops when visit
 // returns false.
-func (b *Scheduler) visitInOrder(s shares, queue []*entry, visit func(*entry) bool) {
+func (s *Scheduler) visitInOrder(totals shares, queue []*entry, visit func(*entry) bool) {
 	var deferred []*entry
 	for n, e := range queue {
 		if n > 0 && !samePriorityAndClass(queue[n-1], e) {
@@ -87,7 +87,7 @@
 			}
 			deferred = deferred[:0]
 		}
-		if e.rank.class.yieldsToOthers() && b.exceedsPart(s, e.account) {
+		if e.rank.class.yieldsToOthers() && s.exceedsPart(totals, e.account) {
 			deferred = append(deferred, e)
 			continue
 		}
--- a/schedule/silence.go
+++ b/schedule/silence.go
@@ -14,25 +14,25 @@
 
 // PollFailed handles a poll of a worker that got no answer, or an answer that shows that the
 // incarnation has ended.
-func (b *Scheduler) PollFailed(w *Worker, now time.Time, err error) {
-	b.checkFence(err)
+func (s *Scheduler) PollFailed(w *Worker, now time.Time, err error) {
+	s.checkFence(err)
 	if w.ended {
 		return // several polls may report the end, which is handled once
 	}
 	var gone *pointport.GoneError
 	if errors.As(err, &gone) {
-		b.replaced(w, now, gone)
+		s.replaced(w, now, gone)
 		return
 	}
 	if !w.silent {
-		event.WorkerSilent.Log(b.logger, slog.String("incarnation", string(w.inc.ID())),
+		event.WorkerSilent.Log(s.logger, slog.String("incarnation", string(w.inc.ID())),
 			slog.Duration("expiresIn", w.lease.expiry().Sub(now)), slog.Any("error", err))
 	}
 	w.markSilent(now)
 	var rejected *pointport.RejectedError
 	w.pollRefused = errors.As(err, &rejected)
-	if now.Sub(w.silentSince) > abandonAfter && b.reachability.fewAnswersSince.IsZero() {
-		b.abandon(now, w)
+	if now.Sub(w.silentSince) > abandonAfter && s.reachability.fewAnswersSince.IsZero() {
+		s.abandon(now, w)
 	}
 }
 
@@ -42,21 +42,21 @@
 
 // abandon requeues the tasks on a silent worker of which copies may run concurrently, so that they
 // need not wait until the worker's lease expires.
-func (b *Scheduler) abandon(now time.Time, w *Worker) {
+func (s *Scheduler) abandon(now time.Time, w *Worker) {
 	for _, r := range w.runs {
 		if r.step().Copies && !r.step().Gang && r.state != runUnstored && r.entry.runs[r.ref] == r && r.entry.mayAbandon(r.ref) {
-			event.TaskReturned.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
+			event.TaskReturned.Log(s.logger, slog.String("task", r.name), slog.Int("run", r.number),
 				slog.String("incarnation", string(w.inc.ID())), slog.String("reason", "its instance is silent, and a copy may run elsewhere"))
-			b.detach(r)
+			s.detach(r)
 			r.entry.noteAbandoned(r)
 			if r.state == runSent {
 				// It is not known to run, so it is ruled out by a stop: a start order that arrives
 				// later would run it although a copy may have finished.
-				b.stop(now, r, "its task was given to another instance")
+				s.stop(now, r, "its task was given to another instance")
 			}
 			r.entry.job.Requeue(r.ref)
-			b.markDirty(r.entry, true)
-			b.endJobIfDone(now, r.entry)
+			s.markDirty(r.entry, true)
+			s.endJobIfDone(now, r.entry)
 		}
 	}
 }
@@ -68,18 +68,18 @@
 	return t.entry.abandoned[t.ref] > 0 && w.runs[workload.TaskName(t.entry.job.ID(), t.ref)] != nil
 }
 
-func (b *Scheduler) checkFence(err error) {
+func (s *Scheduler) checkFence(err error) {
 	var rejected *pointport.RejectedError
 	if errors.As(err, &rejected) && rejected.Reason == pointport.RejectFence {
-		b.fenced = true
+		s.fenced = true
 	}
 }
 
-func (b *Scheduler) dropAll(w *Worker, now time.Time, reason string) {
+func (s *Scheduler) dropAll(w *Worker, now time.Time, reason string) {
 	for _, r := range w.runs {
-		b.drop(now, r, reason)
+		s.drop(now, r, reason)
 	}
-	b.urgent = true
+	s.urgent = true
 }
 
 // expire drops the runs of a worker that has been silent until its lease expired.
@@ -96,30 +96,30 @@
 // instance answers nobody and keeps registering, its tasks wait without a time limit. The wait ends
 // when a later incarnation of the instance appears, when the platform reports that the incarnation
 // has ended, or when its registration ends.
-func (b *Scheduler) expire(w *Worker, now time.Time) {
-	gone := b.gone(w)
+func (s *Scheduler) expire(w *Worker, now time.Time) {
+	gone := s.gone(w)
 	var expired []*Run
 	for _, r := range w.runs {
-		if r.mayBeOnLater() && r.mayBeDone() && b.anotherRegistered(w) {
+		if r.mayBeOnLater() && r.mayBeDone() && s.anotherRegistered(w) {
 			continue // that incarnation's report shows what became of it
 		}
-		if gone || !b.SuspectsIsolation() && !r.mayBeDone() {
+		if gone || !s.SuspectsIsolation() && !r.mayBeDone() {
 			expired = append(expired, r)
 		}
 	}
 	if len(expired) == 0 {
 		return
 	}
-	event.WorkerExpired.Log(b.logger, slog.String("incarnation", string(w.inc.ID())), slog.Int("runs", len(expired)), slog.Int("unheard", len(w.runs)-len(expired)),
+	event.WorkerExpired.Log(s.logger, slog.String("incarnation", string(w.inc.ID())), slog.Int("runs", len(expired)), slog.Int("unheard", len(w.runs)-len(expired)),
 		slog.Bool("gone", gone), slog.Duration("sinceHeard", w.lease.sinceLastAnswer(now)))
 	for _, r := range expired {
 		w.mustRuleOut(r)
 		w.expiredRuns = append(w.expiredRuns, r)
 	}
 	for _, r := range expired {
-		b.drop(now, r, "its instance was silent until its time was over")
+		s.drop(now, r, "its instance was silent until its time was over")
 	}
-	b.urgent = true
+	s.urgent = true
 }
 
 // mayBeDone reports whether a run may have ended with a result that forbids starting its task again.
@@ -145,34 +145,34 @@
 // there. A crash is not proven, and a zone that is cut off may come back: counting it against all
 // runs gave up a serving task, at work for 10 s each time, after two network partitions and one
 // crash. So it counts only against runs that had just started, which may have caused the silence.
-func (b *Scheduler) countUnproven(now time.Time, w *Worker) {
+func (s *Scheduler) countUnproven(now time.Time, w *Worker) {
 	if !w.ended && w.endCause(now) == causeCrashed {
-		b.countCrashes(now, justStarted(w.expiredRuns), justStarted(w.expiredRuns), nil)
+		s.countCrashes(now, justStarted(w.expiredRuns), justStarted(w.expiredRuns), nil)
 	}
 	w.expiredRuns = nil
 }
 
 // sweep drops the runs of workers that have been silent until their lease expired, and forgets
 // workers that are gone.
-func (b *Scheduler) sweep(now time.Time) {
+func (s *Scheduler) sweep(now time.Time) {
 	var polled tally
-	for id, w := range b.workers {
+	for id, w := range s.workers {
 		polled.count(w)
-		if len(w.runs) > 0 && now.After(b.executionExpiry(w)) && (w.silent || !w.lease.clockKnown()) {
-			b.expire(w, now)
+		if len(w.runs) > 0 && now.After(s.executionExpiry(w)) && (w.silent || !w.lease.clockKnown()) {
+			s.expire(w, now)
 		}
 		if len(w.runs) == 0 && !w.listed && (w.ended || now.After(w.lease.expiry())) {
-			b.countUnproven(now, w)
+			s.countUnproven(now, w)
 			if !w.remembered(now) {
-				delete(b.workers, id)
+				delete(s.workers, id)
 			}
 		}
 	}
-	b.forgetOrders(now)
-	b.updateReachability(now, polled)
-	for id, f := range b.endedJobs {
-		if now.Sub(f.at) > b.settings.KeepEnded {
-			delete(b.endedJobs, id)
+	s.forgetOrders(now)
+	s.updateReachability(now, polled)
+	for id, f := range s.endedJobs {
+		if now.Sub(f.at) > s.settings.KeepEnded {
+			delete(s.endedJobs, id)
 		}
 	}
 }
--- a/schedule/stall.go
+++ b/schedule/stall.go
@@ -36,17 +36,17 @@
 )
 
 // stopStalledRuns stops the runs of a worker that would be done sooner elsewhere.
-func (b *Scheduler) stopStalledRuns(now time.Time, w *Worker) {
+func (s *Scheduler) stopStalledRuns(now time.Time, w *Worker) {
 	for _, r := range w.runs {
 		if r.state != runLive || r.stopping || r.step().Service || r.step().Gang || r.progress >= wholePercent || r.pace < fullPace {
 			continue
 		}
 		again := r.entry.stalled[r.ref]
 		stuck := r.stuck() && again < maxStuckRestarts
-		if !stuck && (again > 0 || !b.tooSlow(r)) {
+		if !stuck && (again > 0 || !s.tooSlow(r)) {
 			continue
 		}
-		event.RunStalled.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
+		event.RunStalled.Log(s.logger, slog.String("task", r.name), slog.Int("run", r.number),
 			slog.String("incarnation", string(w.inc.ID())), slog.Duration("age", r.age()),
 			slog.Int("progress", r.progress), slog.Duration("unchanged", r.unchanged()))
 		if r.entry.stalled == nil {
@@ -54,7 +54,7 @@
 		}
 		r.entry.stalled[r.ref]++
 		w.health.stalled(now)
-		b.stop(now, r, "it would be done sooner elsewhere")
+		s.stop(now, r, "it would be done sooner elsewhere")
 	}
 }
 
@@ -72,17 +72,17 @@
 
 // tooSlow reports whether a run would be done sooner elsewhere, judged by the other runs of its
 // step.
-func (b *Scheduler) tooSlow(r *Run) bool {
+func (s *Scheduler) tooSlow(r *Run) bool {
 	if r.age() < slowMinAge || r.progress <= r.from {
 		return false
 	}
-	peerDuration := b.peerDuration(r)
+	peerDuration := s.peerDuration(r)
 	if peerDuration == 0 {
 		return false
 	}
 	total := r.total()
 	factor := slowFactor
-	if b.slowness(r.worker) > slowTogetherFactor {
+	if s.slowness(r.worker) > slowTogetherFactor {
 		factor = slowTogetherFactor
 	}
 	left := total * time.Duration(wholePercent-r.progress) / wholePercent
@@ -129,13 +129,13 @@
 
 // slowness returns the mean ratio of the durations of the runs on a worker to those elsewhere, zero
 // if there are too few runs to tell.
-func (b *Scheduler) slowness(w *Worker) float64 {
+func (s *Scheduler) slowness(w *Worker) float64 {
 	sum, n := 0.0, 0
 	for _, r := range w.runs {
 		if r.state != runLive || r.step().Service || !r.measured() {
 			continue
 		}
-		if peerDuration := b.peerDuration(r); peerDuration > 0 {
+		if peerDuration := s.peerDuration(r); peerDuration > 0 {
 			sum += float64(r.total()) / float64(peerDuration)
 			n++
 		}
@@ -149,7 +149,7 @@
 
 // peerDuration returns how long the other tasks of a run's step take: those that are done or, if
 // there are none, those that run on other instances. It returns zero if neither can be measured.
-func (b *Scheduler) peerDuration(r *Run) time.Duration {
+func (s *Scheduler) peerDuration(r *Run) time.Duration {
 	if took := r.entry.durations[stepKey{r.ref.Occurrence, r.ref.Step}]; took.n > 0 {
 		return took.mean()
 	}
@@ -169,13 +169,13 @@
 }
 
 // remaining returns the expected remaining time of a run.
-func (b *Scheduler) remaining(now time.Time, r *Run) time.Duration {
+func (s *Scheduler) remaining(now time.Time, r *Run) time.Duration {
 	age := now.Sub(r.liveAt)
 	if r.measured() {
 		left := r.total() * time.Duration(wholePercent-r.progress) / wholePercent
 		return max(0, left-now.Sub(r.progressAt))
 	}
-	expected := b.estimates.duration(r.entry.job.Queue(), r.step())
+	expected := s.estimates.duration(r.entry.job.Queue(), r.step())
 	if took := r.entry.durations[stepKey{r.ref.Occurrence, r.ref.Step}]; took.n > 0 {
 		expected = took.mean()
 	}
--- a/schedule/survey.go
+++ b/schedule/survey.go
@@ -106,54 +106,54 @@
 const closureTime = 2 * time.Second
 
 // Survey applies a request and returns the state of the pool.
-func (b *Scheduler) Survey(now time.Time, req SurveyRequest) Survey {
+func (s *Scheduler) Survey(now time.Time, req SurveyRequest) Survey {
 	for _, end := range req.Ordered {
-		b.noteOrderedEnd(now, end)
+		s.noteOrderedEnd(now, end)
 	}
 	for _, id := range req.Ended {
-		b.endReported(now, id)
+		s.endReported(now, id)
 	}
-	b.close(now, req.Closures)
-	b.closingSoon = make(map[pointport.InstanceID]bool, len(req.ClosingSoon))
+	s.close(now, req.Closures)
+	s.closingSoon = make(map[pointport.InstanceID]bool, len(req.ClosingSoon))
 	for _, id := range req.ClosingSoon {
-		b.closingSoon[id] = true
+		s.closingSoon[id] = true
 	}
-	var s Survey
-	afford := b.capFilter()
-	for e := range b.waitingJobs {
-		b.refreshReady(e)
+	var survey Survey
+	afford := s.capFilter()
+	for e := range s.waitingJobs {
+		s.refreshReady(e)
 		for _, t := range e.ready {
 			if !afford(t) {
 				continue // its customer's cap, not a lack of resources, holds it back
 			}
 			need := t.step.Reservation()
-			s.Waiting = s.Waiting.Plus(need)
+			survey.Waiting = survey.Waiting.Plus(need)
 			if e.rank.class == classLate {
-				s.WaitingLate = s.WaitingLate.Plus(need)
+				survey.WaitingLate = survey.WaitingLate.Plus(need)
 			}
 			if label := t.step.Label; label != "" {
-				s.want(label, need)
+				survey.want(label, need)
 			}
-			s.Widest = largest(s.Widest, need)
+			survey.Widest = largest(survey.Widest, need)
 		}
 	}
-	for rack, need := range b.rackDemand.current(now) {
-		s.want(rack, need)
+	for rack, need := range s.rackDemand.current(now) {
+		survey.want(rack, need)
 	}
-	s.Need = b.need(now, s.Waiting)
-	s.Late = s.WaitingLate.Plus(b.lateReservations())
-	s.Arrived = b.arrivals.any
-	s.Spread = b.spread(now)
-	m := b.missingForServing(now)
-	s.Unserved, s.Unmoved = m.waiting, m.moving
-	for _, w := range b.workers {
+	survey.Need = s.need(now, survey.Waiting)
+	survey.Late = survey.WaitingLate.Plus(s.lateReservations())
+	survey.Arrived = s.arrivals.any
+	survey.Spread = s.spread(now)
+	m := s.missingForServing(now)
+	survey.Unserved, survey.Unmoved = m.waiting, m.moving
+	for _, w := range s.workers {
 		if w.ended || w.inc.Instance() == "" || !w.listed && len(w.runs) == 0 {
 			continue
 		}
-		s.Instances = append(s.Instances, b.loadOf(now, w))
+		survey.Instances = append(survey.Instances, s.loadOf(now, w))
 	}
-	sort.Slice(s.Instances, func(i, k int) bool { return s.Instances[i].Instance < s.Instances[k].Instance })
-	return s
+	sort.Slice(survey.Instances, func(i, k int) bool { return survey.Instances[i].Instance < survey.Instances[k].Instance })
+	return survey
 }
 
 // want adds to the resources that are wanted on instances with a label.
@@ -166,16 +166,16 @@
 
 // spread returns how many more instances are needed for waiting tasks that no worker can hold
 // because of their step's limit of tasks on one instance, recent failures or crashes.
-func (b *Scheduler) spread(now time.Time) int {
+func (s *Scheduler) spread(now time.Time) int {
 	type group struct {
 		entry   *entry
 		k, step int
 	}
 	crowded := make(map[group]int)
-	workers := b.usableWorkers(now)
-	for e := range b.waitingJobs {
+	workers := s.usableWorkers(now)
+	for e := range s.waitingJobs {
 		for _, t := range e.ready {
-			if e.account.withinCap(t.step.Need) && (t.step.MaxPerInstance > 0 || len(e.avoidUntil) > 0 || len(e.crashed) > 0) && b.bestWorker(now, t, workers) == nil {
+			if e.account.withinCap(t.step.Need) && (t.step.MaxPerInstance > 0 || len(e.avoidUntil) > 0 || len(e.crashed) > 0) && s.bestWorker(now, t, workers) == nil {
 				crowded[group{t.entry, t.ref.Occurrence, t.ref.Step}]++
 			}
 		}
@@ -195,7 +195,7 @@
 	}
 }
 
-func (b *Scheduler) loadOf(now time.Time, w *Worker) InstanceLoad {
+func (s *Scheduler) loadOf(now time.Time, w *Worker) InstanceLoad {
 	return InstanceLoad{
 		Instance: w.inc.Instance(), Incarnation: w.inc.ID(), Runs: len(w.runs), Serving: w.serving,
 		Closed: w.closed(now), Silent: w.silent || !w.lease.clockKnown(), Avoided: w.health.avoided(now),
@@ -204,12 +204,12 @@
 }
 
 // close sets which instances are closed.
-func (b *Scheduler) close(now time.Time, closures []Closure) {
+func (s *Scheduler) close(now time.Time, closures []Closure) {
 	asked := make(map[pointport.InstanceID]Closure, len(closures))
 	for _, c := range closures {
 		asked[c.Instance] = c
 	}
-	for _, w := range b.workers {
+	for _, w := range s.workers {
 		c, ok := asked[w.inc.Instance()]
 		if !ok || w.inc.Instance() == "" {
 			w.closedUntil, w.evacuating = time.Time{}, false
@@ -224,25 +224,25 @@
 
 // need returns the resources that the pool's tasks take or wait for, or those expected from the rate
 // of arrivals and the serving tasks, whichever is more of each resource.
-func (b *Scheduler) need(now time.Time, waiting pointport.Shape) pointport.Shape {
+func (s *Scheduler) need(now time.Time, waiting pointport.Shape) pointport.Shape {
 	sum := waiting
-	for _, w := range b.workers {
+	for _, w := range s.workers {
 		for _, r := range w.runs {
 			if !r.staysInZone() {
 				sum = sum.Plus(r.step().Reservation())
 			}
 		}
 	}
-	coming := b.arrivals.current(now)
-	coming = coming.Plus(b.servingReservations())
+	coming := s.arrivals.current(now)
+	coming = coming.Plus(s.servingReservations())
 	return largest(sum, coming)
 }
 
 // lateReservations returns the resources taken by tasks of jobs that were unlikely to end in time
 // when tasks of theirs were last placed.
-func (b *Scheduler) lateReservations() pointport.Shape {
+func (s *Scheduler) lateReservations() pointport.Shape {
 	var sum pointport.Shape
-	for _, w := range b.workers {
+	for _, w := range s.workers {
 		for _, r := range w.runs {
 			if r.entry.rank.class == classLate {
 				sum = sum.Plus(r.step().Reservation())
@@ -253,9 +253,9 @@
 }
 
 // servingReservations returns the resources that serving tasks take.
-func (b *Scheduler) servingReservations() pointport.Shape {
+func (s *Scheduler) servingReservations() pointport.Shape {
 	var sum pointport.Shape
-	for _, w := range b.workers {
+	for _, w := range s.workers {
 		for _, r := range w.runs {
 			if r.step().Service && !r.staysInZone() {
 				sum = sum.Plus(r.step().Reservation())
--- a/testbed/fleet.go
+++ b/testbed/fleet.go
@@ -128,11 +128,11 @@
 
 // The times of a fleet, as the users' platform has them.
 const (
-	DefaultGangTimeout = 3 * time.Second
-	DefaultStopTime    = 200 * time.Millisecond
-	DefaultMoveTime    = 1500 * time.Millisecond
-	DefaultMaintenanceTime  = 2 * time.Second
-	MaxHold            = 10 * time.Second
+	DefaultGangTimeout     = 3 * time.Second
+	DefaultStopTime        = 200 * time.Millisecond
+	DefaultMoveTime        = 1500 * time.Millisecond
+	DefaultMaintenanceTime = 2 * time.Second
+	MaxHold                = 10 * time.Second
 )
 
 // New returns a fleet without machines.
