--- a/cli/join.go
+++ b/cli/join.go
@@ -156,7 +156,7 @@
 		services.Advisor = m.Advisor(platform.NewAdvisor(s.Advisor))
 	}
 	services.Metrics, services.BriefMetrics = m.Handler(), m.BriefHandler()
-	services.OperatorAPI = func(jobs *intake.Service, owners *peer.Owners, catalog func() *workload.Catalog) http.Handler {
+	services.OperatorAPI = func(jobs *intake.Service, owners *peer.OwnerClient, catalog func() *workload.Catalog) http.Handler {
 		return operator.NewWorkloads(jobs.ForCaller(customer.Operator()), owners, catalog)
 	}
 	n, err := node.Start(ctx, services, node.Parameters{
@@ -197,7 +197,7 @@
 	m.Gauge("pointport_owner_lag_seconds", "Longest time in the last second that something waited for the owner of a pool here.", func() float64 { return n.Load().Lag.Seconds() })
 	m.Gauge("pointport_starts_window", "Starts that an owner here may have under way, the smallest of its pools; 0 without one.", func() float64 { return float64(n.Load().Window) })
 	m.Gauge("pointport_orders_delegated", "Whether an owner here sends its orders through peers.", boolGauge(func() bool { return n.Load().Delegating }))
-	m.Customers(func() []meter.Customer { return customerMetrics(n.CustomerUses()) })
+	m.Customers(func() []meter.Customer { return customerMetrics(n.CustomerUsage()) })
 	m.Counter("pointport_log_lines_left_out_total", "Lines left out because there were too many of their event.", func() float64 { return float64(limiter.LeftOut()) })
 	m.Counter("pointport_log_lines_dropped_total", "Lines dropped because the log took no more.", func() float64 { return float64(sink.Dropped()) })
 }
@@ -206,9 +206,9 @@
 
 // customerMetrics converts the processor use of customers from thousandths of a core to
 // cores.
-func customerMetrics(uses []schedule.CustomerUse) []meter.Customer {
-	out := make([]meter.Customer, 0, len(uses))
-	for _, u := range uses {
+func customerMetrics(usage []schedule.CustomerUsage) []meter.Customer {
+	out := make([]meter.Customer, 0, len(usage))
+	for _, u := range usage {
 		out = append(out, meter.Customer{Name: u.Customer, Used: float64(u.Used.CPUMilli) / milliPerCore, HeldBack: float64(u.HeldBack.CPUMilli) / milliPerCore})
 	}
 	return out
--- a/customer/caller.go
+++ b/customer/caller.go
@@ -9,16 +9,16 @@
 	Key Digest `json:"key,omitzero"`
 	// Version is the version of the configuration in which the key was found.
 	Version int64 `json:"version,omitempty"`
-	// Operates reports whether the caller is an operator, who may access all jobs.
-	Operates bool `json:"operates,omitempty"`
+	// IsOperator reports whether the caller is an operator, who may access all jobs.
+	IsOperator bool `json:"operates,omitempty"`
 }
 
 // Operator returns a caller that is an operator.
-func Operator() Caller { return Caller{Operates: true} }
+func Operator() Caller { return Caller{IsOperator: true} }
 
 // CanAccess reports whether the caller may read and cancel a job of the customer owner. A job
 // submitted without a key has no owner: everyone who knows its ID may access it.
-func (c Caller) CanAccess(owner string) bool { return c.Operates || owner == "" || owner == c.Name }
+func (c Caller) CanAccess(owner string) bool { return c.IsOperator || owner == "" || owner == c.Name }
 
 // Revoked reports whether the caller's key no longer belongs to its customer in d, the
 // directory of the given version of the configuration. It is false unless that version is
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -174,7 +174,7 @@
 		claim.WithLogger(e.logger), claim.WithRetention(s.claimRetention), claim.WithWriteRate(s.claimWriteRate, claim.DefaultBatchDelay))
 	e.gateway = gateway.New(e.clock, e.claims,
 		gateway.WithLogger(e.logger), gateway.WithZone(pointport.ZoneID(s.zone)),
-		gateway.WithShare(func(zone pointport.ZoneID) int { return e.shares.allowed(zone) }), gateway.WithChooser(s.newChooser), gateway.WithRegistry(e.registry))
+		gateway.WithConnectionShare(func(zone pointport.ZoneID) int { return e.shares.allowed(zone) }), gateway.WithChooser(s.newChooser), gateway.WithRegistry(e.registry))
 	e.shares = newShares(e)
 	go func() { e.shares.run(ctx) }()
 	e.updater = startGatewayUpdater(ctx, e)
--- a/daemon/listen.go
+++ b/daemon/listen.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	relayStore := remote.New(e.platform.Base(), remote.WithWatchTimeout(relay.StoreWait))
+	relayStore := remote.New(e.platform.Base(), remote.WithWatchTimeout(relay.StoreWatchTimeout))
 	operators := http.NewServeMux()
 	operators.Handle(relay.Path, relay.NewServer(ctx, relayStore, e.clock))
 	operators.Handle("/", api)
--- a/daemon/shares.go
+++ b/daemon/shares.go
@@ -132,7 +132,7 @@
 func (s *connectionShares) applyLimit(zone pointport.ZoneID, h *share.Holder) {
 	limit := h.ElasticLimit()
 	if s.entry.gateway.MostConnections(zone) > s.fixed(zone)+limit {
-		s.entry.gateway.TrimIdle(zone)
+		s.entry.gateway.CloseIdle(zone)
 	}
 	if limit != s.lastLogged[zone] {
 		event.ShareChanged.Log(s.entry.logger, slog.String("zone", string(zone)), slog.Int("from", s.lastLogged[zone]), slog.Int("to", limit))
--- a/delegate/stream.go
+++ b/delegate/stream.go
@@ -177,7 +177,7 @@
 	o.Number = s.number
 	answer := make(chan resultLine, 1)
 	s.pending[o.Number] = answer
-	s.lines <- o // does not block: the queue has room, and only the holder of the lock adds to it
+	s.lines <- o // does not block: the queue is large enough, and only the holder of the lock adds to it
 	return o.Number, answer, nil
 }
 
--- a/dispatch/service.go
+++ b/dispatch/service.go
@@ -134,9 +134,11 @@
 // WithZone sets the availability zone of this entry instance.
 func WithZone(z pointport.ZoneID) Option { return func(s *Service) { s.zone = z } }
 
-// WithShare sets how many connections this entry instance may have to one
+// WithConnectionShare sets how many connections this entry instance may have to one
 // upstream of an availability zone.
-func WithShare(share func(pointport.ZoneID) int) Option { return func(s *Service) { s.share = share } }
+func WithConnectionShare(share func(pointport.ZoneID) int) Option {
+	return func(s *Service) { s.share = share }
+}
 
 // WithLogger sets the logger for events.
 func WithLogger(l *slog.Logger) Option { return func(s *Service) { s.logger = l } }
--- a/dispatch/service_test.go
+++ b/dispatch/service_test.go
@@ -369,7 +369,7 @@
 			const slots, upstreams = 3, 3
 			var allowed atomic.Int64
 			allowed.Store(slots)
-			s := newService(t, "upstream: {slots: 3}\nqueue: 5\n", upstreams, dispatch.WithShare(func(pointport.ZoneID) int { return int(allowed.Load()) }))
+			s := newService(t, "upstream: {slots: 3}\nqueue: 5\n", upstreams, dispatch.WithConnectionShare(func(pointport.ZoneID) int { return int(allowed.Load()) }))
 			var mu sync.Mutex
 			held := []*dispatch.Grant{}
 			requested, answered := 0, 0
@@ -457,7 +457,7 @@
 func TestShareChangesBetweenPicks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		random := rand.New(rand.NewPCG(1, 2))
-		s := newService(t, "upstream: {slots: 1}\n", 1, dispatch.WithShare(func(pointport.ZoneID) int { return random.IntN(2) }))
+		s := newService(t, "upstream: {slots: 1}\n", 1, dispatch.WithConnectionShare(func(pointport.ZoneID) int { return random.IntN(2) }))
 		const requests = 20
 		results := make(chan error, requests)
 		for range requests {
--- a/evacuation/zones.go
+++ b/evacuation/zones.go
@@ -17,7 +17,7 @@
 	Revision pointport.Revision
 }
 
-// A ZoneState tells whether something may be started in an availability zone.
+// A ZoneState describes whether something may be started in an availability zone.
 type ZoneState uint8
 
 // The states of an availability zone.
@@ -50,7 +50,7 @@
 	return Zones{known: true, requests: sorted}
 }
 
-// State tells whether something may be started in an availability zone.
+// State describes whether something may be started in an availability zone.
 func (z Zones) State(zone pointport.ZoneID) ZoneState {
 	if !z.known {
 		return Unknown
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -55,10 +55,12 @@
 // WithZone sets the availability zone of this entry instance.
 func WithZone(z pointport.ZoneID) Option { return func(g *Gateway) { g.zone = z } }
 
-// WithShare sets the function that returns how many connections this entry
+// WithConnectionShare sets the function that returns how many connections this entry
 // instance may have to one upstream of an availability zone. The default is maxIdle
 // for every zone.
-func WithShare(share func(pointport.ZoneID) int) Option { return func(g *Gateway) { g.share = share } }
+func WithConnectionShare(share func(pointport.ZoneID) int) Option {
+	return func(g *Gateway) { g.share = share }
+}
 
 // WithChooser sets the function that makes the chooser of upstreams of each
 // service.
@@ -119,7 +121,7 @@
 func (g *Gateway) newService(t *config.Template) *dispatch.Service {
 	options := []dispatch.Option{dispatch.WithZone(g.zone), dispatch.WithLogger(g.logger)}
 	if g.share != nil {
-		options = append(options, dispatch.WithShare(g.share))
+		options = append(options, dispatch.WithConnectionShare(g.share))
 	}
 	if g.chooser != nil {
 		options = append(options, dispatch.WithChooser(g.chooser()))
@@ -157,9 +159,9 @@
 	return g.share(zone)
 }
 
-// TrimIdle closes the idle connections to the upstreams of zone. It is called after
+// CloseIdle closes the idle connections to the upstreams of zone. It is called after
 // this entry instance's share of them has been lowered.
-func (g *Gateway) TrimIdle(zone pointport.ZoneID) {
+func (g *Gateway) CloseIdle(zone pointport.ZoneID) {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	for _, u := range g.upstreams {
--- a/intake/service.go
+++ b/intake/service.go
@@ -41,15 +41,15 @@
 	RetryAfter = time.Second
 )
 
-// Owners is a client of the owners of pools, which run on this instance or on
+// OwnerClient is a client of the owners of pools, which run on this instance or on
 // another one.
-type Owners interface {
+type OwnerClient interface {
 	// NotifySubmitted notifies a pool's owner of a job that was accepted by the change
 	// with revision at. It does not block.
 	NotifySubmitted(pool, id, customer string, accepted []byte, at pointport.Revision)
-	// Excess returns for how long a pool's owner accepts no more jobs of a customer, or
+	// BacklogRefusal returns for how long a pool's owner accepts no more jobs of a customer, or
 	// zero if it accepts them. It does not block.
-	Excess(pool, customer string) time.Duration
+	BacklogRefusal(pool, customer string) time.Duration
 	// Cancel asks a pool's owner to cancel a job. It returns false if the owner does not
 	// know the job, or the caller may not access it.
 	Cancel(ctx context.Context, pool, id string, by customer.Caller) (bool, error)
@@ -67,7 +67,7 @@
 // one caller. It is safe for concurrent use.
 type Service struct {
 	kv     pointport.KV
-	owners Owners
+	owners OwnerClient
 	clock  pointport.Clock
 	// reachable reports whether the store answers at present.
 	reachable func() bool
@@ -97,7 +97,7 @@
 
 // NewService returns a service for callers without a key. reachable reports whether
 // the store answers at present.
-func NewService(kv pointport.KV, owners Owners, clock pointport.Clock, reachable func() bool, logger *slog.Logger, options ...Option) *Service {
+func NewService(kv pointport.KV, owners OwnerClient, clock pointport.Clock, reachable func() bool, logger *slog.Logger, options ...Option) *Service {
 	svc := &Service{kv: kv, owners: owners, clock: clock, reachable: reachable, lowMemory: func() bool { return false }, logger: logger}
 	svc.customers = func() (*customer.Directory, int64) { return nil, 0 }
 	for _, o := range options {
@@ -149,15 +149,15 @@
 
 func (e *UnknownJobError) Error() string { return fmt.Sprintf("there is no job %s", e.ID) }
 
-// An ExcessError means that a job was not accepted, and never runs, because its
+// A BacklogError means that a job was not accepted, and never runs, because its
 // customer's backlog already takes longer to run than any waiting job is of use.
-type ExcessError struct {
+type BacklogError struct {
 	ID         string
 	Customer   string
 	RetryAfter time.Duration // after which time to retry
 }
 
-func (e *ExcessError) Error() string {
+func (e *BacklogError) Error() string {
 	return fmt.Sprintf("job %s is not taken: what %s has waiting already takes too long; come back in %v", e.ID, e.Customer, e.RetryAfter)
 }
 
--- a/intake/submit.go
+++ b/intake/submit.go
@@ -44,14 +44,14 @@
 }
 
 // Submit checks a job and stores it, at a peer if this member cannot. It fails with a
-// *workload.SpecError, a *RefusedError, an *ExcessError, a *RevokedError, a *TakenError or
+// *workload.SpecError, a *RefusedError, a *BacklogError, a *RevokedError, a *TakenError or
 // an *AmbiguousError.
 func (svc *Service) Submit(ctx context.Context, q *workload.Queue, id string, spec *workload.Spec) error {
 	if err := svc.checkSpec(spec); err != nil {
 		event.JobInvalid.Log(svc.logger, slog.String("job", id), slog.String("queue", q.Name), slog.Any("error", err))
 		return err
 	}
-	if err := svc.checkExcess(ctx, q, id); err != nil {
+	if err := svc.checkBacklog(ctx, q, id); err != nil {
 		return err
 	}
 	accepted, err := workload.New(id, q.Name, q.Policy, spec, svc.clock.Now(), workload.WithCustomer(svc.caller.Name)).EncodeAccepted()
@@ -92,11 +92,11 @@
 	return nil
 }
 
-// checkExcess returns an *ExcessError if the customer's backlog is too long already. It does
+// checkBacklog returns a *BacklogError if the customer's backlog is too long already. It does
 // not refuse a job that was accepted by an earlier submission whose answer was lost: such a
 // job does not add to the backlog, and it runs, which a refused job never does.
-func (svc *Service) checkExcess(ctx context.Context, q *workload.Queue, id string) error {
-	after := svc.owners.Excess(q.Pool, svc.caller.Name)
+func (svc *Service) checkBacklog(ctx context.Context, q *workload.Queue, id string) error {
+	after := svc.owners.BacklogRefusal(q.Pool, svc.caller.Name)
 	if after <= 0 {
 		return nil
 	}
@@ -105,7 +105,7 @@
 		return nil
 	}
 	event.JobExcess.Log(svc.logger, slog.String("job", id), slog.String("queue", q.Name), slog.String("customer", svc.caller.Name), slog.Duration("after", after))
-	return &ExcessError{ID: id, Customer: svc.caller.Name, RetryAfter: after}
+	return &BacklogError{ID: id, Customer: svc.caller.Name, RetryAfter: after}
 }
 
 // storeAtPeer asks a peer to store a job that this member could not store, because of
--- a/member/pool_manager.go
+++ b/member/pool_manager.go
@@ -24,7 +24,7 @@
 	// with a lower load, so that pools do not change owners too often.
 	minOwnershipTime = 4 * time.Second
 	// avoidFor is how long a member leaves a pool to others after its controller reported
-	// itself unfit. During that time it takes the pool avoidDelay later than its rank allows,
+	// that it should be handed over. During that time it takes the pool avoidDelay later than its rank allows,
 	// in case nobody else does: more than the rank delays of 30 members.
 	avoidFor   = 30 * time.Second
 	avoidDelay = 2 * time.Second
@@ -58,14 +58,15 @@
 // FitnessReporter is a Controller that can detect that it cannot do its work although other
 // members could. Its pool is then handed over to another member.
 type FitnessReporter interface {
-	// Unfit reports whether another member should own the pool.
-	Unfit() bool
+	// ShouldHandOver reports whether another member should own the pool.
+	ShouldHandOver() bool
 }
 
-// unfit reports whether a controller implements FitnessReporter and reports itself unfit.
-func unfit(c Controller) bool {
+// shouldHandOver reports whether a controller implements FitnessReporter and reports that
+// its pool should be handed over.
+func shouldHandOver(c Controller) bool {
 	r, ok := c.(FitnessReporter)
-	return ok && r.Unfit()
+	return ok && r.ShouldHandOver()
 }
 
 // PoolManager runs the controllers of the pools that this member owns. It is safe for
@@ -145,7 +146,7 @@
 func (m *PoolManager[T]) round(ctx context.Context) time.Duration {
 	m.removeEnded()
 	next := checkInterval
-	if !m.roster.Known() || m.isStopped() {
+	if !m.roster.Loaded() || m.isStopped() {
 		return next
 	}
 	now := m.clock.Now()
@@ -215,7 +216,7 @@
 		// The owner key is under this member's lease because the answer to a Take was lost or
 		// a Release did not take effect. The ownership is not proven until it is checked.
 		return m.startOrRelease(ctx, m.roster.newOwnership(pool, holding.Fence, holding.Revision, time.Time{}))
-	case running && now.Sub(m.startedAt[pool]) > minOwnershipTime && unfit(c) && len(m.roster.Peers()) > 0:
+	case running && now.Sub(m.startedAt[pool]) > minOwnershipTime && shouldHandOver(c) && len(m.roster.Peers()) > 0:
 		event.PoolHandedOff.Log(m.logger, slog.String("pool", pool))
 		m.avoidedUntil[pool] = now.Add(avoidFor)
 		m.handOver(ctx, c)
--- a/member/pool_manager_test.go
+++ b/member/pool_manager_test.go
@@ -85,7 +85,7 @@
 	unfit *atomic.Bool
 }
 
-func (d fitnessController) Unfit() bool { return d.unfit.Load() }
+func (d fitnessController) ShouldHandOver() bool { return d.unfit.Load() }
 
 // TestPoolOfUnfitControllerIsHandedOver guards against a pool that stays with an unfit
 // controller, or returns to it, while there is another member. A member without peers keeps
--- a/member/roster.go
+++ b/member/roster.go
@@ -253,8 +253,8 @@
 	return r.changed
 }
 
-// Known reports whether the roster has been read.
-func (r *Roster) Known() bool {
+// Loaded reports whether the roster has been read.
+func (r *Roster) Loaded() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.loaded
--- a/node/customer_overload_test.go
+++ b/node/customer_overload_test.go
@@ -50,7 +50,7 @@
 					ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 					err := asCustomer(at, customer).Submit(ctx, q, id, spec)
 					cancel()
-					var excess *intake.ExcessError
+					var excess *intake.BacklogError
 					if errors.As(err, &excess) {
 						if excess.RetryAfter <= 0 || customer != "bistro" {
 							t.Errorf("a job of %s is refused: %v", customer, err)
--- a/node/node.go
+++ b/node/node.go
@@ -71,7 +71,7 @@
 	Metrics, BriefMetrics http.Handler
 	// OperatorAPI returns the handler of the operators' API, which is served on the address of
 	// the metrics; nil if it is not served.
-	OperatorAPI func(*intake.Service, *peer.Owners, func() *workload.Catalog) http.Handler
+	OperatorAPI func(*intake.Service, *peer.OwnerClient, func() *workload.Catalog) http.Handler
 	// PeerTransport sends requests to peers; nil for a default HTTP transport.
 	PeerTransport http.RoundTripper
 }
@@ -140,7 +140,7 @@
 	poolManager    *member.PoolManager[*shard.Owner]
 	stewardManager *member.PoolManager[*steward.Steward]
 	intake         *intake.Service
-	owners         *peer.Owners
+	owners         *peer.OwnerClient
 	peerClient     *http.Client // for requests and orders to peers
 	servers        []*http.Server
 	clientServer   *http.Server
@@ -167,7 +167,7 @@
 	n.registrations = newRegistrations(ctx, s.KV, s.Clock, s.Registrations, logger)
 	n.evacuations = newEvacuations(ctx, s.KV, s.Clock, s.Evacuations, cmp.Or(p.EvacuationTime, DefaultEvacuationTime), logger)
 	n.poolManager = member.StartPoolManager(ctx, s.Clock, n.session, n.roster, n.configs.workPools, n.startOwner(ctx), logger)
-	n.owners = peer.NewOwners(n.poolManager, n.roster, n.peerClient, s.Clock, logger)
+	n.owners = peer.NewOwnerClient(n.poolManager, n.roster, n.peerClient, s.Clock, logger)
 	if s.Machines != nil {
 		n.startSteward(ctx, n.owners)
 	}
@@ -370,13 +370,13 @@
 	return sum
 }
 
-// CustomerUses returns each customer's usage, summed over the pools that this node owns.
-func (n *Node) CustomerUses() []schedule.CustomerUse {
-	sum := make(map[string]schedule.CustomerUse)
+// CustomerUsage returns each customer's usage, summed over the pools that this node owns.
+func (n *Node) CustomerUsage() []schedule.CustomerUsage {
+	sum := make(map[string]schedule.CustomerUsage)
 	for _, o := range n.poolManager.Controllers() {
-		for _, u := range o.Uses() {
+		for _, u := range o.CustomerUsage() {
 			was := sum[u.Customer]
-			sum[u.Customer] = schedule.CustomerUse{Customer: u.Customer, Used: was.Used.Plus(u.Used), HeldBack: was.HeldBack.Plus(u.HeldBack)}
+			sum[u.Customer] = schedule.CustomerUsage{Customer: u.Customer, Used: was.Used.Plus(u.Used), HeldBack: was.HeldBack.Plus(u.HeldBack)}
 		}
 	}
 	return slices.Collect(maps.Values(sum))
--- a/node/trace_test.go
+++ b/node/trace_test.go
@@ -24,9 +24,9 @@
 	if err := log.Read(strings.NewReader(c.jsonLogs.containing(""))); err != nil {
 		c.t.Fatal(err)
 	}
-	story := log.Timeline(id)
+	timeline := log.Timeline(id)
 	var out strings.Builder
-	if err := story.Write(&out); err != nil {
+	if err := timeline.Write(&out); err != nil {
 		c.t.Fatal(err)
 	}
 	return out.String()
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -93,29 +93,29 @@
 // ErrNoOwner is returned when no owner of a pool is known.
 var ErrNoOwner = errors.New("the pool has no owner at present")
 
-// Owners is a client of the owners of pools. It is safe for concurrent use.
-type Owners struct {
-	manager  *member.PoolManager[*shard.Owner]
-	roster   *member.Roster
-	http     *http.Client
-	timeout  time.Duration
-	avoided  *deadlines[string]      // peers that are not asked for a while
-	canStore *deadlines[string]      // peers that have recently stored a job
-	excess   *deadlines[customerKey] // customers whose jobs are refused by owners
-	logger   *slog.Logger
+// OwnerClient is a client of the owners of pools. It is safe for concurrent use.
+type OwnerClient struct {
+	manager         *member.PoolManager[*shard.Owner]
+	roster          *member.Roster
+	http            *http.Client
+	timeout         time.Duration
+	avoided         *deadlines[string]      // peers that are not asked for a while
+	canStore        *deadlines[string]      // peers that have recently stored a job
+	backlogRefusals *deadlines[customerKey] // customers whose jobs are refused by owners
+	logger          *slog.Logger
 }
 
-var _ intake.Owners = (*Owners)(nil)
+var _ intake.OwnerClient = (*OwnerClient)(nil)
 
-// NewOwners returns a client of the owners that manager runs in this process, and of the
+// NewOwnerClient returns a client of the owners that manager runs in this process, and of the
 // others that the roster names.
-func NewOwners(manager *member.PoolManager[*shard.Owner], roster *member.Roster, client *http.Client, clock pointport.Clock, logger *slog.Logger) *Owners {
-	return &Owners{manager: manager, roster: roster, http: client, timeout: DefaultTimeout, avoided: newDeadlines[string](clock), canStore: newDeadlines[string](clock), excess: newDeadlines[customerKey](clock), logger: logger}
+func NewOwnerClient(manager *member.PoolManager[*shard.Owner], roster *member.Roster, client *http.Client, clock pointport.Clock, logger *slog.Logger) *OwnerClient {
+	return &OwnerClient{manager: manager, roster: roster, http: client, timeout: DefaultTimeout, avoided: newDeadlines[string](clock), canStore: newDeadlines[string](clock), backlogRefusals: newDeadlines[customerKey](clock), logger: logger}
 }
 
 // askOwner sends a request to the owner of its pool on another instance. It fails with
 // ErrNoOwner if none is known.
-func (o *Owners) askOwner(ctx context.Context, path string, req request) (reply, error) {
+func (o *OwnerClient) askOwner(ctx context.Context, path string, req request) (reply, error) {
 	holding, ok := o.roster.Holding(req.Pool)
 	if !ok || holding.Mine {
 		return reply{}, ErrNoOwner
@@ -124,7 +124,7 @@
 }
 
 // send sends a request to a member.
-func (o *Owners) send(ctx context.Context, to member.Member, path string, req request) (reply, error) {
+func (o *OwnerClient) send(ctx context.Context, to member.Member, path string, req request) (reply, error) {
 	body, err := json.Marshal(req)
 	if err != nil {
 		return reply{}, err
@@ -149,7 +149,7 @@
 
 // NotifySubmitted notifies a pool's owner of an accepted job, and records from the answer whether
 // the owner wants more jobs of the customer.
-func (o *Owners) NotifySubmitted(pool, id, customerName string, accepted []byte, revision pointport.Revision) {
+func (o *OwnerClient) NotifySubmitted(pool, id, customerName string, accepted []byte, revision pointport.Revision) {
 	if local, ok := o.manager.Controller(pool); ok {
 		local.Submitted(id, accepted, revision)
 		return
@@ -161,14 +161,14 @@
 			return
 		}
 		if customerName != "" {
-			o.recordExcess(pool, customerName, r.Excess)
+			o.recordBacklogRefusal(pool, customerName, r.Excess)
 		}
 	}()
 }
 
 // Cancel asks a pool's owner to cancel a job. It returns false if the owner does not know the
 // job or the caller may not access it.
-func (o *Owners) Cancel(ctx context.Context, pool, id string, caller customer.Caller) (bool, error) {
+func (o *OwnerClient) Cancel(ctx context.Context, pool, id string, caller customer.Caller) (bool, error) {
 	if local, ok := o.manager.Controller(pool); ok {
 		return local.Cancel(ctx, id, caller)
 	}
@@ -178,7 +178,7 @@
 
 // Status asks a pool's owner for the status of a job. It returns false if the owner does not
 // know the job or the caller may not access it.
-func (o *Owners) Status(ctx context.Context, pool, id string, caller customer.Caller) (workload.Status, bool, error) {
+func (o *OwnerClient) Status(ctx context.Context, pool, id string, caller customer.Caller) (workload.Status, bool, error) {
 	if local, ok := o.manager.Controller(pool); ok {
 		return local.Status(ctx, id, caller)
 	}
@@ -187,7 +187,7 @@
 }
 
 // Waiting asks a pool's owner how many jobs of a queue have not started.
-func (o *Owners) Waiting(ctx context.Context, pool, queue string) (int, error) {
+func (o *OwnerClient) Waiting(ctx context.Context, pool, queue string) (int, error) {
 	if local, ok := o.manager.Controller(pool); ok {
 		return local.Waiting(ctx, queue)
 	}
@@ -196,7 +196,7 @@
 }
 
 // Survey asks a pool's owner for a survey of the pool.
-func (o *Owners) Survey(ctx context.Context, pool string, req schedule.SurveyRequest) (schedule.Survey, error) {
+func (o *OwnerClient) Survey(ctx context.Context, pool string, req schedule.SurveyRequest) (schedule.Survey, error) {
 	if local, ok := o.manager.Controller(pool); ok {
 		return local.Survey(ctx, req)
 	}
@@ -206,7 +206,7 @@
 
 // Explain asks a pool's owner for the state of a job and the reason for it. It reports whether
 // the owner knows the job.
-func (o *Owners) Explain(ctx context.Context, pool, id string) (schedule.Explanation, bool, error) {
+func (o *OwnerClient) Explain(ctx context.Context, pool, id string) (schedule.Explanation, bool, error) {
 	if local, ok := o.manager.Controller(pool); ok {
 		return local.Explain(ctx, id)
 	}
@@ -215,7 +215,7 @@
 }
 
 // ExplainCustomer asks a pool's owner for the state of a customer.
-func (o *Owners) ExplainCustomer(ctx context.Context, pool, name string) (schedule.CustomerExplanation, error) {
+func (o *OwnerClient) ExplainCustomer(ctx context.Context, pool, name string) (schedule.CustomerExplanation, error) {
 	if local, ok := o.manager.Controller(pool); ok {
 		return local.ExplainCustomer(ctx, name)
 	}
@@ -265,7 +265,7 @@
 	}
 	handle(submittedPath, func(_ context.Context, o *shard.Owner, req request) (reply, error) {
 		o.Submitted(req.Job, req.Accepted, req.AcceptedAt)
-		return reply{Known: true, Excess: o.Excess(req.CalledBy.Name)}, nil
+		return reply{Known: true, Excess: o.BacklogRefusal(req.CalledBy.Name)}, nil
 	})
 	handle(cancelPath, func(ctx context.Context, o *shard.Owner, req request) (reply, error) {
 		known, err := o.Cancel(ctx, req.Job, req.CalledBy)
--- a/peer/store_job.go
+++ b/peer/store_job.go
@@ -44,7 +44,7 @@
 //
 // It fails with an *intake.AmbiguousError if the job may have been stored, and otherwise with an
 // *intake.RefusedError, an *intake.RevokedError or an *intake.TakenError.
-func (o *Owners) StoreAtPeer(ctx context.Context, s intake.Submission) (string, error) {
+func (o *OwnerClient) StoreAtPeer(ctx context.Context, s intake.Submission) (string, error) {
 	var unsure error
 	peers, cause := o.storePeers(ctx, s)
 	for _, m := range peers {
@@ -82,7 +82,7 @@
 // may have been stored: when the store was unreachable for four seconds while a zone was cut
 // off, the jobs of 197 of the 252 customers who could not be given a definite answer had been
 // sent to such a peer (one day with 349 instances).
-func (o *Owners) storePeers(ctx context.Context, s intake.Submission) ([]member.Member, error) {
+func (o *OwnerClient) storePeers(ctx context.Context, s intake.Submission) ([]member.Member, error) {
 	var ask []member.Member
 	for _, m := range o.peersFor(s.ID) {
 		if o.avoided.remaining(m.Name) > 0 {
@@ -103,7 +103,7 @@
 
 // askCanStore returns the peers that report that they can reach the store. It asks all of them
 // concurrently.
-func (o *Owners) askCanStore(ctx context.Context, s intake.Submission, peers []member.Member) []member.Member {
+func (o *OwnerClient) askCanStore(ctx context.Context, s intake.Submission, peers []member.Member) []member.Member {
 	ctx, cancel := context.WithTimeout(ctx, canStoreTimeout)
 	defer cancel()
 	canStore := make([]bool, len(peers))
@@ -127,7 +127,7 @@
 }
 
 // peersFor returns the peers in the order in which they are asked to store a job.
-func (o *Owners) peersFor(id string) []member.Member {
+func (o *OwnerClient) peersFor(id string) []member.Member {
 	peers := o.roster.Peers()
 	if len(peers) == 0 {
 		return nil
--- a/relay/server.go
+++ b/relay/server.go
@@ -27,11 +27,11 @@
 const (
 	// Path is the path of a relayed watch.
 	Path = "/v1/relay/"
-	// StoreWait is how long the store should hold the relay's own watches. It bounds how late
+	// StoreWatchTimeout is how long the store should hold the relay's own watches. It bounds how late
 	// the relay notices that it is cut off from the store.
-	StoreWait = time.Second
+	StoreWatchTimeout = time.Second
 	// maxAge is how old the store's last answer may be when the relay answers from it.
-	maxAge = 2 * StoreWait
+	maxAge = 2 * StoreWatchTimeout
 	// maxWait bounds how long a relayed watch waits.
 	maxWait = 30 * time.Second
 	// idleTimeout is how long a key is watched after the last request for it.
@@ -52,7 +52,7 @@
 
 var _ http.Handler = (*Server)(nil)
 
-// NewServer returns a relay for store, whose watches should be held for StoreWait. It works
+// NewServer returns a relay for store, whose watches should be held for StoreWatchTimeout. It works
 // until ctx ends.
 func NewServer(ctx context.Context, store pointport.Watcher, clock pointport.Clock) *Server {
 	return &Server{ctx: ctx, store: store, clock: clock, watches: make(map[string]*keyWatch)}
--- a/schedule/customer.go
+++ b/schedule/customer.go
@@ -27,8 +27,8 @@
 	// overloadedSince is since when the customer submits far more work than its part of the pool
 	// can process in time, zero while it does not.
 	overloadedSince time.Time
-	// excess is how long further jobs of the customer should be refused, as last computed.
-	excess time.Duration
+	// refuseFor is how long further jobs of the customer should be refused, as last computed.
+	refuseFor time.Duration
 	// capLoggedAt is when it was last logged that the cap holds tasks back.
 	capLoggedAt time.Time
 }
@@ -57,9 +57,9 @@
 	s.allowed = allowed
 }
 
-// A CustomerUse is a customer's use of a pool. Its fields are exported because a codec reads and
+// A CustomerUsage is a customer's use of a pool. Its fields are exported because a codec reads and
 // writes them.
-type CustomerUse struct {
+type CustomerUsage struct {
 	Customer string          `json:"customer"`
 	Used     pointport.Shape `json:"used"`
 	// HeldBack is the sum of the declared needs of the tasks that only the customer's cap keeps
@@ -67,10 +67,10 @@
 	HeldBack pointport.Shape `json:"heldBack"`
 }
 
-// Uses calls visit with each customer's use of the pool.
-func (s *Scheduler) Uses(visit func(CustomerUse)) {
+// VisitUsage calls visit with each customer's use of the pool.
+func (s *Scheduler) VisitUsage(visit func(CustomerUsage)) {
 	for _, a := range s.accounts {
-		visit(CustomerUse{Customer: a.name, Used: a.used, HeldBack: a.heldBack})
+		visit(CustomerUsage{Customer: a.name, Used: a.used, HeldBack: a.heldBack})
 	}
 }
 
--- a/schedule/evacuate.go
+++ b/schedule/evacuate.go
@@ -23,10 +23,10 @@
 // evacuated reports whether the worker's availability zone is evacuated.
 func (w *Worker) evacuated() bool { return w.zoneState() == evacuation.Evacuated }
 
-// skipStartInZone reports whether a start is not sent because of its instance's availability zone. If the
-// zone is evacuated, the task waits again: at once if the start was never sent, otherwise after a
-// stop has ruled out that the unanswered start is carried out later. While the operators' request is
-// not known, the start is kept and retried later.
+// skipStartInZone reports whether a start is not sent because of its instance's availability zone.
+// If the zone is evacuated, the task waits again: at once if the start was never sent, otherwise
+// after a stop has ruled out that the unanswered start is carried out later. While the operators'
+// request is not known, the start is kept and retried later.
 func (s *Scheduler) skipStartInZone(now time.Time, r *Run) bool {
 	standing := r.worker.zoneState()
 	if standing == evacuation.Open {
--- a/schedule/excess.go
+++ b/schedule/excess.go
@@ -36,13 +36,13 @@
 	jobs  int
 }
 
-// Excess computes how long further jobs of each overloading customer should be refused, and returns
-// the nonzero durations by customer name. A customer is overloading if, for some time, its waiting
+// BacklogRefusals computes how long further jobs of each overloading customer should be refused,
+// and returns the nonzero durations by customer name. A customer is overloading if, for some time, its waiting
 // jobs that can still end in time have needed far longer than they can wait, given its part of the
 // pool or its present share if that is larger. One more job would then be late before it begins.
 // Jobs without a customer have no share; they are never refused this way and are ordered by
 // deadline alone.
-func (s *Scheduler) Excess(now time.Time) map[string]time.Duration {
+func (s *Scheduler) BacklogRefusals(now time.Time) map[string]time.Duration {
 	var out map[string]time.Duration
 	workers := s.usableWorkers(now)
 	var queue []*entry
@@ -52,7 +52,7 @@
 	totals := s.sharesOf(workers, queue)
 	backlogs := s.backlogs(totals.capacity)
 	for _, a := range s.accounts {
-		a.excess = 0
+		a.refuseFor = 0
 		waiting, ok := backlogs[a]
 		if !ok {
 			a.overloadedSince = time.Time{}
@@ -70,8 +70,8 @@
 			if out == nil {
 				out = make(map[string]time.Duration)
 			}
-			a.excess = wait - slack
-			out[a.name] = a.excess
+			a.refuseFor = wait - slack
+			out[a.name] = a.refuseFor
 		}
 	}
 	return out
--- a/schedule/explain_customer.go
+++ b/schedule/explain_customer.go
@@ -47,7 +47,7 @@
 	queue := s.rankedJobs(now)
 	totals := s.sharesOf(s.usableWorkers(now), queue)
 	x.Used, x.Capped, x.Allowed, x.HeldBack = a.used, a.capped, a.allowed, a.heldBack
-	x.Share, x.Excess = totals.dominant(a), a.excess
+	x.Share, x.Excess = totals.dominant(a), a.refuseFor
 	if totals.weights > 0 {
 		x.Part = s.weightOf(a) / totals.weights
 	}
--- a/schedule/gang.go
+++ b/schedule/gang.go
@@ -13,8 +13,8 @@
 // This file defines gangs: the tasks of a step that can only work together. They are placed together
 // under one run number, and the end of one ends all.
 
-// gatherShare is the share of GangTimeout after which a gang whose members are not all running is given
-// up. A member that waits out the whole time has held its resources for nothing.
+// gatherShare is the share of GangTimeout after which a gang whose members are not all running is
+// given up. A member that waits out the whole time has held its resources for nothing.
 const gatherShare = 0.6
 
 // A gang is one start of all tasks of a step.
--- a/schedule/incarnation_end_test.go
+++ b/schedule/incarnation_end_test.go
@@ -77,8 +77,8 @@
 func TestOldAnswerProvesNothing(t *testing.T) {
 	b, running, other := schedulerWithTwoIncarnations(t)
 	asked := start.Add(100 * time.Millisecond)
-	heard := start.Add(200 * time.Millisecond)
-	b.Report(running, heard, heard, pointport.Report{Clock: 1, Running: []pointport.RunningTask{{TaskRun: pointport.TaskRun{Task: "a.0.0.0", Run: 1}}}})
+	answered := start.Add(200 * time.Millisecond)
+	b.Report(running, answered, answered, pointport.Report{Clock: 1, Running: []pointport.RunningTask{{TaskRun: pointport.TaskRun{Task: "a.0.0.0", Run: 1}}}})
 	b.Report(other, asked, start.Add(3*time.Second), pointport.Report{Clock: 1})
 	if running.Ended() {
 		t.Error("an incarnation that has answered later counts as ended")
--- a/schedule/later_incarnation_test.go
+++ b/schedule/later_incarnation_test.go
@@ -13,7 +13,7 @@
 // This file tests what becomes of orders to an instance that restarts and keeps its addressee.
 
 // restarted returns the registration of the incarnation that an instance has after n restarts.
-// All of them share one addressee. The clock that tells when they began is set back at each
+// All of them share one addressee. The clock that shows when they began is set back at each
 // restart.
 func restarted(n int) pointport.Incarnation {
 	id := pointport.NewIncarnationID("i", time.UnixMilli(int64(1000-n)))
@@ -97,14 +97,14 @@
 		t.Errorf("with a start that any incarnation may have answered, the poll acknowledges ends up to %d, want none", got.Acknowledged)
 	}
 	b.Report(w, now, now, reportOfRun(first.TaskRun))
-	look := w.NextPoll()
-	if look != (schedule.Poll{Acknowledged: 9}) || !w.AckInFlight(now) {
-		t.Errorf("once the run is listed, the poll is %+v and starts are held back: %v, want an acknowledgement of 9 that does not wait, and starts held back", look, w.AckInFlight(now))
+	poll := w.NextPoll()
+	if poll != (schedule.Poll{Acknowledged: 9}) || !w.AckInFlight(now) {
+		t.Errorf("once the run is listed, the poll is %+v and starts are held back: %v, want an acknowledgement of 9 that does not wait, and starts held back", poll, w.AckInFlight(now))
 	}
 	if again := w.NextPoll(); again.Acknowledged != 0 || !again.MayWait {
 		t.Errorf("beside that poll, the next one is %+v, want one that waits and acknowledges nothing", again)
 	}
-	if !w.PollDone(look, now, true) || w.AckInFlight(now) {
+	if !w.PollDone(poll, now, true) || w.AckInFlight(now) {
 		t.Error("once the acknowledging poll is answered, starts are still held back, or no poll is due at once")
 	}
 	if after := w.NextPoll(); after != (schedule.Poll{MayWait: true}) {
--- a/schedule/order.go
+++ b/schedule/order.go
@@ -40,8 +40,8 @@
 	// refusalBackoff is how long nothing is placed on an instance that has refused a start for lack
 	// of capacity or because it is unhealthy, or that could not be reached.
 	refusalBackoff = 300 * time.Millisecond
-	// startRetryDelay is the delay before an unanswered start is sent again, stopRetryDelay the delay before
-	// a stop is sent again.
+	// startRetryDelay is the delay before an unanswered start is sent again, stopRetryDelay the delay
+	// before a stop is sent again.
 	startRetryDelay = 150 * time.Millisecond
 	stopRetryDelay  = time.Second
 	// refusedStopRetryDelay is the delay before a refused stop is sent again.
--- a/schedule/poll_timeout_test.go
+++ b/schedule/poll_timeout_test.go
@@ -19,8 +19,8 @@
 	if got := all.ExtraPollTimeout(every[0]); got < time.Second {
 		t.Errorf("timeout is extended by %v when all instances are silent, want at least 1s", got)
 	}
-	heard, _ := schedulerWithSilent(2, 0)
-	if got := heard.ExtraPollTimeout(heard.Workers()[0]); got != 0 {
+	none, _ := schedulerWithSilent(2, 0)
+	if got := none.ExtraPollTimeout(none.Workers()[0]); got != 0 {
 		t.Errorf("timeout is extended by %v for an instance that answers, want 0", got)
 	}
 }
--- a/schedule/relocate.go
+++ b/schedule/relocate.go
@@ -51,11 +51,11 @@
 // servingCapacity is the resources that workers have for serving tasks once the other tasks there
 // have ended. Resources that are promised to one task are not available to the next.
 type servingCapacity struct {
-	book     *Scheduler
-	now      time.Time
-	workers  []*Worker
-	left     map[*Worker]pointport.Shape
-	promised map[stepOnWorker]int
+	scheduler *Scheduler
+	now       time.Time
+	workers   []*Worker
+	left      map[*Worker]pointport.Shape
+	promised  map[stepOnWorker]int
 }
 
 // A stepOnWorker is a step on one worker.
@@ -66,7 +66,7 @@
 
 func (s *Scheduler) newServingCapacity(now time.Time) *servingCapacity {
 	h := &servingCapacity{
-		book: s, now: now, workers: s.usableWorkers(now),
+		scheduler: s, now: now, workers: s.usableWorkers(now),
 		left: make(map[*Worker]pointport.Shape), promised: make(map[stepOnWorker]int),
 	}
 	for _, w := range h.workers {
@@ -80,10 +80,10 @@
 	need := t.step.Reservation()
 	for _, w := range h.workers {
 		at := stepOnWorker{w, stepRef{t.entry, t.ref.Occurrence, t.ref.Step}}
-		if !h.left[w].Fits(need) || !h.book.permits(t, w, h.now) {
+		if !h.left[w].Fits(need) || !h.scheduler.permits(t, w, h.now) {
 			continue
 		}
-		if most := t.step.MaxPerInstance; most > 0 && h.book.tasksOfStep(t, w)+h.promised[at] >= most {
+		if most := t.step.MaxPerInstance; most > 0 && h.scheduler.tasksOfStep(t, w)+h.promised[at] >= most {
 			continue
 		}
 		h.left[w] = h.left[w].Minus(need)
@@ -96,8 +96,8 @@
 // takeWaiting promises resources to the waiting serving tasks and returns those that fit nowhere.
 func (h *servingCapacity) takeWaiting() []waitingTask {
 	var unplaced []waitingTask
-	for e := range h.book.waitingJobs {
-		h.book.refreshReady(e)
+	for e := range h.scheduler.waitingJobs {
+		h.scheduler.refreshReady(e)
 		for _, t := range e.ready {
 			if t.step.Service && !h.take(t) {
 				unplaced = append(unplaced, t)
@@ -137,7 +137,7 @@
 // added. Tasks that need a label are left out, because instances are supplied for labels separately,
 // and so are tasks that fit on no instance.
 func (h *servingCapacity) addInstances(tasks []waitingTask) int {
-	capacity := h.book.largestInstance()
+	capacity := h.scheduler.largestInstance()
 	opened := 0
 	for _, t := range tasks {
 		if t.step.Label != "" || !capacity.Fits(t.step.Reservation()) || h.take(t) {
--- a/schedule/resize_test.go
+++ b/schedule/resize_test.go
@@ -32,7 +32,7 @@
 
 const capacitySimInstances = 3
 
-// register tells the scheduler the current capacity of all instances.
+// register reports to the scheduler the current capacity of all instances.
 func (s *capacitySim) register() {
 	var all []pointport.Incarnation
 	for n := range capacitySimInstances {
--- a/schedule/run.go
+++ b/schedule/run.go
@@ -77,8 +77,9 @@
 	// at 100.
 	progress int
 	load     int
-	// progressAt is when a report first showed the present progress, movedClock what the instance's
-	// clock showed then. shownAt is the instance's clock in the newest report of the run.
+	// progressAt is when a report first showed the present progress, progressClock what the
+	// instance's clock showed then. reportClock is the instance's clock in the newest report of the
+	// run.
 	progressAt                 time.Time
 	progressClock, reportClock pointport.InstanceTime
 	// pace is the share of its work that the run was last ordered to do, in percent.
--- a/schedule/scheduler.go
+++ b/schedule/scheduler.go
@@ -100,8 +100,8 @@
 	// startsInFlight holds starts that are no longer wanted but may still be carried out by any
 	// incarnation with the same addressee, with the time at which each was given up.
 	startsInFlight map[pointport.Addressee]map[pointport.TaskRun]time.Time
-	// misdirectedLeaseEnds holds until when an order to an ended incarnation may extend the lease of runs on a
-	// later incarnation of the same addressee.
+	// misdirectedLeaseEnds holds until when an order to an ended incarnation may extend the lease of
+	// runs on a later incarnation of the same addressee.
 	misdirectedLeaseEnds map[pointport.Addressee]time.Time
 	// crashedHealth holds the health of instances that have crashed and have not registered again.
 	crashedHealth map[pointport.InstanceID]health
--- a/schedule/share_test.go
+++ b/schedule/share_test.go
@@ -171,7 +171,7 @@
 				c.submit(name)
 			}
 		}
-		excess := c.scheduler.Excess(c.now)
+		excess := c.scheduler.BacklogRefusals(c.now)
 		if at >= 4*time.Second && at < 14*time.Second && excess["c0"] == 0 {
 			c.submit("c0") // 50 jobs a second, of which the pool completes 20
 		}
--- a/schedule/simulation_model_test.go
+++ b/schedule/simulation_model_test.go
@@ -246,7 +246,7 @@
 	panic("no instance at " + address)
 }
 
-// register tells the owner some time later which instances are registered.
+// register reports to the owner, some time later, which instances are registered.
 func (w *simulation) register() {
 	w.after(w.drawDuration("registered", 300*time.Millisecond), func() {
 		w.owner.handle(func() {
@@ -557,7 +557,7 @@
 	}
 }
 
-// survey has the steward close an instance, and tells the scheduler which incarnations are
+// survey has the steward close an instance, and reports to the scheduler which incarnations are
 // known to have ended.
 func (w *simulation) survey(m *modelInstance) {
 	var over []pointport.IncarnationID
--- a/schedule/survey.go
+++ b/schedule/survey.go
@@ -22,8 +22,8 @@
 type SurveyRequest struct {
 	// Closures lists the instances to close; all others are open.
 	Closures []Closure `json:"closures,omitempty"`
-	// ClosingSoon lists the instances that will be emptied before long, which are less suitable for serving
-	// tasks.
+	// ClosingSoon lists the instances that will be emptied before long, which are less suitable for
+	// serving tasks.
 	ClosingSoon []pointport.InstanceID `json:"soon,omitempty"`
 	// Ended lists incarnations that are known to have ended.
 	Ended []pointport.IncarnationID `json:"over,omitempty"`
--- a/schedule/worker.go
+++ b/schedule/worker.go
@@ -38,8 +38,8 @@
 	pollRefused bool
 	// ended reports whether the incarnation is known to have ended.
 	ended bool
-	// endedAt is when the end became known; answeredOver reports whether the incarnation has
-	// answered since.
+	// endedAt is when the end became known; answeredAfterEnd reports whether the incarnation
+	// has answered since.
 	endedAt          time.Time
 	answeredAfterEnd bool
 	// registered reports whether the registration has ever been seen, listed whether it is there
--- a/shard/caps.go
+++ b/shard/caps.go
@@ -84,7 +84,7 @@
 	if o.caps == nil || o.caps.transferring {
 		return
 	}
-	o.scheduler.Uses(func(u schedule.CustomerUse) {
+	o.scheduler.VisitUsage(func(u schedule.CustomerUsage) {
 		o.caps.ledger.SetUsage(u.Customer, quota.Usage{Used: u.Used, Wanted: u.HeldBack})
 	})
 	changes := o.caps.ledger.Changes(now, accountsPerTxn)
--- a/shard/excess.go
+++ b/shard/excess.go
@@ -10,19 +10,19 @@
 
 // This file defines how an owner publishes for which customers further jobs are refused.
 
-// excessInterval is the time between two updates. Members apply a result for a second or
+// backlogRefusalInterval is the time between two updates. Members apply a result for a second or
 // longer.
-const excessInterval = 100 * time.Millisecond
+const backlogRefusalInterval = 100 * time.Millisecond
 
-// updateExcess computes for which customers further jobs are refused.
-func (o *Owner) updateExcess(now time.Time) {
-	if now.Sub(o.excessAt) < excessInterval {
+// updateBacklogRefusals computes for which customers further jobs are refused.
+func (o *Owner) updateBacklogRefusals(now time.Time) {
+	if now.Sub(o.backlogRefusalsAt) < backlogRefusalInterval {
 		return
 	}
-	o.excessAt = now
-	o.publishUses()
-	next := o.scheduler.Excess(now)
-	before := o.excess.Swap(&next)
+	o.backlogRefusalsAt = now
+	o.publishUsage()
+	next := o.scheduler.BacklogRefusals(now)
+	before := o.backlogRefusals.Swap(&next)
 	for name, d := range next {
 		if before == nil || (*before)[name] == 0 {
 			event.CustomerExcess.Log(o.logger, slog.String("customer", name), slog.Duration("for", d), slog.Bool("refused", true))
@@ -38,25 +38,26 @@
 	}
 }
 
-// publishUses publishes what each customer uses.
-func (o *Owner) publishUses() {
-	var uses []schedule.CustomerUse
-	o.scheduler.Uses(func(u schedule.CustomerUse) { uses = append(uses, u) })
-	o.uses.Store(&uses)
+// publishUsage publishes what each customer uses.
+func (o *Owner) publishUsage() {
+	var usage []schedule.CustomerUsage
+	o.scheduler.VisitUsage(func(u schedule.CustomerUsage) { usage = append(usage, u) })
+	o.usage.Store(&usage)
 }
 
-// Uses returns what each customer uses of the pool, at most about excessInterval ago.
-func (o *Owner) Uses() []schedule.CustomerUse {
-	if all := o.uses.Load(); all != nil {
+// CustomerUsage returns what each customer uses of the pool, at most about
+// backlogRefusalInterval ago.
+func (o *Owner) CustomerUsage() []schedule.CustomerUsage {
+	if all := o.usage.Load(); all != nil {
 		return *all
 	}
 	return nil
 }
 
-// Excess returns for how long further jobs of a customer are to be refused, zero if they are
+// BacklogRefusal returns for how long further jobs of a customer are to be refused, zero if they are
 // accepted.
-func (o *Owner) Excess(customer string) time.Duration {
-	all := o.excess.Load()
+func (o *Owner) BacklogRefusal(customer string) time.Duration {
+	all := o.backlogRefusals.Load()
 	if all == nil {
 		return 0
 	}
--- a/shard/orders.go
+++ b/shard/orders.go
@@ -129,7 +129,7 @@
 // mayStart reports whether one more start may be sent.
 func (o *Owner) mayStart() bool { return float64(o.starts.inFlight) < o.startLimit() }
 
-// block records that a queue waits for room in the window.
+// block records that a queue waits until the window allows more starts.
 func (o *Owner) block(q *workerQueue) {
 	if !q.blocked {
 		q.blocked = true
@@ -137,7 +137,7 @@
 	}
 }
 
-// sendBlocked sends from blocked queues while the window has room, the longest blocked first.
+// sendBlocked sends from blocked queues while the window allows it, the longest blocked first.
 func (o *Owner) sendBlocked(ctx context.Context, now time.Time) {
 	for len(o.blocked) > 0 && o.mayStart() {
 		q := o.blocked[0]
--- a/shard/owner.go
+++ b/shard/owner.go
@@ -129,9 +129,9 @@
 	gangTimeout        time.Duration
 	remoteDataSlowdown float64
 
-	publishedWindow     atomic.Int64
-	publishedDelegating atomic.Bool
-	publishedUnfit      atomic.Bool
+	publishedWindow         atomic.Int64
+	publishedDelegating     atomic.Bool
+	publishedShouldHandOver atomic.Bool
 
 	inbox chan func(now time.Time)
 	ready chan struct{} // closed once the scheduler has the stored jobs
@@ -151,7 +151,7 @@
 	planInterval      time.Duration // least time between the last plan and the next
 	polls             map[*schedule.Worker]*pollState
 	queues            map[*schedule.Worker]*workerQueue
-	blocked           []*workerQueue // queues that wait for room in the window
+	blocked           []*workerQueue // queues that wait until the window allows more starts
 	window            window
 	starts            starts
 	startsBeingStored int // in the batch that is being written
@@ -159,12 +159,13 @@
 	waiters           []waiter
 	removals          []string
 	caps              *caps
-	// excess is for how long to refuse further jobs, by customer, computed at excessAt.
-	excess atomic.Pointer[map[string]time.Duration]
-	// uses contains the resources that each customer uses, computed at the same time.
-	uses     atomic.Pointer[[]schedule.CustomerUse]
-	excessAt time.Time
-	cancel   context.CancelFunc
+	// backlogRefusals is for how long to refuse further jobs, by customer, computed at
+	// backlogRefusalsAt.
+	backlogRefusals atomic.Pointer[map[string]time.Duration]
+	// usage contains the resources that each customer uses, computed at the same time.
+	usage             atomic.Pointer[[]schedule.CustomerUsage]
+	backlogRefusalsAt time.Time
+	cancel            context.CancelFunc
 }
 
 // An Option configures an Owner.
@@ -332,7 +333,7 @@
 		o.scheduler.LimitUnstoredStarts(o.maxNewStarts())
 		o.applyCaps(ctx)
 		o.scheduler.Plan(now)
-		o.updateExcess(now)
+		o.updateBacklogRefusals(now)
 		cost := o.clock.Now().Sub(now)
 		o.planInterval = min(max(minPlanInterval, planIntervalFactor*cost), maxPlanInterval)
 		o.requestAdvice(ctx, now)
--- a/shard/owner_load.go
+++ b/shard/owner_load.go
@@ -62,14 +62,14 @@
 	Delegating bool
 }
 
-// unfitAfter is for how long an owner must suspect that it is cut off before another member
+// handOverAfter is for how long an owner must suspect that it is cut off before another member
 // should own its pool. Network partitions of five to six seconds heal sooner, and a new owner
 // needs some time to take over the running tasks.
-const unfitAfter = 8 * time.Second
+const handOverAfter = 8 * time.Second
 
-// Unfit reports whether so few instances have answered for so long that another member should
-// own the pool.
-func (o *Owner) Unfit() bool { return o.publishedUnfit.Load() }
+// ShouldHandOver reports whether so few instances have answered for so long that another
+// member should own the pool.
+func (o *Owner) ShouldHandOver() bool { return o.publishedShouldHandOver.Load() }
 
 // Load returns the owner's load.
 func (o *Owner) Load() Load {
@@ -80,7 +80,7 @@
 func (o *Owner) publishLoad(now time.Time) {
 	o.publishedWindow.Store(int64(o.window.size))
 	o.publishedDelegating.Store(o.delegating)
-	o.publishedUnfit.Store(o.scheduler.IsolationSuspectedFor(now) > unfitAfter)
+	o.publishedShouldHandOver.Store(o.scheduler.IsolationSuspectedFor(now) > handOverAfter)
 	if worst, fresh := o.lag.takeLast(now); fresh && worst >= lateThreshold {
 		event.OwnerLate.Log(o.logger, slog.Duration("lag", worst), slog.Int("workers", o.scheduler.WorkerCount()),
 			slog.Int("messages", len(o.inbox)), slog.Int("window", int(o.window.size)), slog.Duration("plan", o.planInterval/planIntervalFactor))
--- a/shard/window.go
+++ b/shard/window.go
@@ -46,7 +46,7 @@
 	if took > fastAnswer {
 		return w.narrow(now)
 	}
-	if float64(inFlight) >= w.size/2 { // a window that is not used says nothing about a wider one
+	if float64(inFlight) >= w.size/2 { // a window that is not used does not show whether a wider one works
 		w.widen()
 	}
 	return false
