--- a/capacity/planner_test.go
+++ b/capacity/planner_test.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	moveTime   = 1500 * time.Millisecond
-	upkeepTime = 2 * time.Second
-	spareName  = "spare"
+	moveTime        = 1500 * time.Millisecond
+	maintenanceTime = 2 * time.Second
+	spareName       = "spare"
 )
 
-var settings = capacity.Settings{MoveTime: moveTime, MaintenanceTime: upkeepTime, MinHolderInterval: 3 * time.Second}
+var settings = capacity.Settings{MoveTime: moveTime, MaintenanceTime: maintenanceTime, MinHolderInterval: 3 * time.Second}
 
 // A fleet simulates machines that carry out orders, the list of them and the surveys of pools.
 type fleet struct {
@@ -169,7 +169,7 @@
 		f.maintained[o.Wave]++
 	}
 	m.State, m.Addressee = pointport.MachineMaintenance, ""
-	f.backAt[m.ID] = f.now.Add(upkeepTime)
+	f.backAt[m.ID] = f.now.Add(maintenanceTime)
 	if o.Pool != "" {
 		m.Pool, m.State = o.Pool, pointport.MachineMoving
 		f.backAt[m.ID] = f.now.Add(moveTime)
@@ -454,7 +454,7 @@
 	}
 	p.SetWaves(f.now, []capacity.Wave{{ID: 1, Machines: all, Bound: 2, Duration: 20 * time.Second}})
 	for range 8 {
-		if d := f.step(p, 250*time.Millisecond, nil); len(d.Orders) > 0 && f.now.Sub(time.Unix(1000, 0)) < upkeepTime {
+		if d := f.step(p, 250*time.Millisecond, nil); len(d.Orders) > 0 && f.now.Sub(time.Unix(1000, 0)) < maintenanceTime {
 			for _, o := range d.Orders {
 				if o.Wave != 0 {
 					t.Fatalf("%+v is ordered while two machines may be unavailable", o)
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -365,7 +365,7 @@
 	}
 	n, err := node.Start(ctx, services, node.Parameters{
 		Name: name, Zone: "north", Addresses: node.Addresses{Peers: ""}, LeaseTTL: member.DefaultTTL,
-		TaskLease: 4 * time.Second, Grace: 6 * time.Second, MinHolderInterval: holderTime, PeerName: name, MachineOrdersPerSecond: c.machineOrdersPerSecond,
+		TaskLease: 4 * time.Second, Grace: 6 * time.Second, MinHolderInterval: minHolderInterval, PeerName: name, MachineOrdersPerSecond: c.machineOrdersPerSecond,
 		GangTimeout: testbed.DefaultGangTimeout, RemoteDataSlowdown: 2,
 		ConfigApplyTime: c.configApplyTime,
 		Capacity:        capacity.Settings{MoveTime: testbed.DefaultMoveTime, MaintenanceTime: testbed.DefaultMaintenanceTime}, Keys: c.keyPolicy,
@@ -387,7 +387,7 @@
 // machines returns the service for machines, with a machine list of the configured age, until
 // ctx ends.
 func (c *cluster) machines(ctx context.Context) pointport.Machines {
-	exact := c.fleet.Machines(holderTime)
+	exact := c.fleet.Machines(minHolderInterval)
 	if c.machineCounter != nil {
 		c.machineCounter.Machines = exact
 		return c.machineCounter
@@ -400,8 +400,8 @@
 	return l
 }
 
-// holderTime is the least time between the orders of two holders of a machine.
-const holderTime = 3 * time.Second
+// minHolderInterval is the least time between the orders of two holders of a machine.
+const minHolderInterval = 3 * time.Second
 
 // setStoreFault sets the function that decides the fault of each store call by a node.
 func (c *cluster) setStoreFault(fate func(node, op string) memory.Fault) {
--- a/schedule/advice.go
+++ b/schedule/advice.go
@@ -52,7 +52,7 @@
 // permits reports whether a worker may run a task as far as labels, earlier runs and their ends,
 // crashes and advice are concerned.
 func (s *Scheduler) permits(t waitingTask, w *Worker, now time.Time) bool {
-	if !w.hasLabel(t.step.Label) || s.failedRecentlyOn(t, w, now) || s.keptApart(t, w, now) || w.hasGivenUp(t) {
+	if !w.hasLabel(t.step.Label) || s.failedRecentlyOn(t, w, now) || s.keptApart(t, w, now) || w.hasReplacedRun(t) {
 		return false
 	}
 	if !t.entry.job.Policy().Advised {
--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -337,18 +337,18 @@
 	}
 }
 
-// mayAbandon reports whether a task may be given to another instance although the fate of its
-// present run is not known. It may not if an instance may have crashed under it before: a task that
+// mayReplace reports whether a task may be given to another instance although the outcome of
+// its present run is not known. It may not if an instance may have crashed under it before: a task that
 // crashes instances would otherwise crash another one every half second before the end of the first
 // is known.
-func (e *entry) mayAbandon(ref workload.TaskRef) bool {
-	return e.job.Task(ref).Crashes == 0 && e.abandoned[ref] == 0
+func (e *entry) mayReplace(ref workload.TaskRef) bool {
+	return e.job.Task(ref).Crashes == 0 && e.replacedRuns[ref] == 0
 }
 
-func (e *entry) noteAbandoned(r *Run) {
-	if e.abandoned == nil {
-		e.abandoned = make(map[workload.TaskRef]int)
+func (e *entry) noteReplaced(r *Run) {
+	if e.replacedRuns == nil {
+		e.replacedRuns = make(map[workload.TaskRef]int)
 	}
-	r.abandoned = true
-	e.abandoned[r.ref]++
+	r.replaced = true
+	e.replacedRuns[r.ref]++
 }
--- a/schedule/report.go
+++ b/schedule/report.go
@@ -140,7 +140,7 @@
 	}
 	w.lastEnd = end.Number
 	if r == nil || r.number != end.Run {
-		s.givenUpEnded(w, now, end)
+		s.replacedRunEnded(w, now, end)
 		return
 	}
 	event.RunEnded.Log(s.logger, slog.String("task", r.name), slog.Int("run", r.number),
@@ -149,7 +149,7 @@
 	r.confirmListed()
 	if r.detached() {
 		s.removeRun(now, r)
-		s.givenUpEnded(w, now, end)
+		s.replacedRunEnded(w, now, end)
 		return
 	}
 	if t := r.task(); t != nil && end.Checkpoint != "" {
@@ -185,11 +185,11 @@
 	w.unstored++
 }
 
-// givenUpEnded processes the end of a run that is no longer current for its task. If it succeeded,
-// the task is done and must not be started again; on an instance that was silent until its lease
-// ended, a run may have ended before that. A failure counts like that of any run; otherwise a task
+// replacedRunEnded processes the end of a run that is no longer current for its task. If it
+// succeeded, the task is done and must not be started again; on an instance that was silent until
+// its lease ended, a run may have ended before that. A failure counts like that of any run; otherwise a task
 // that fails each time would be started more often than its limit of failed runs allows.
-func (s *Scheduler) givenUpEnded(w *Worker, now time.Time, end pointport.TaskEnd) {
+func (s *Scheduler) replacedRunEnded(w *Worker, now time.Time, end pointport.TaskEnd) {
 	if end.Kind != pointport.EndDone && end.Kind != pointport.EndFailed {
 		return
 	}
@@ -204,18 +204,18 @@
 	}
 	step := &e.job.Spec().Steps[ref.Step]
 	if end.Kind == pointport.EndFailed {
-		s.givenUpFailed(w, now, e, ref, end.Run)
+		s.replacedRunFailed(w, now, e, ref, end.Run)
 		return
 	}
 	if step.Service {
 		return
 	}
-	s.finishGivenUp(now, e, gangTasks(step, ref))
+	s.finishByReplacedRun(now, e, gangTasks(step, ref))
 	s.noteUnstored(w, e)
 }
 
-// finishGivenUp marks tasks as done by runs that were given up, and stops their present runs.
-func (s *Scheduler) finishGivenUp(now time.Time, e *entry, refs []workload.TaskRef) {
+// finishByReplacedRun marks tasks as done by runs that were replaced, and stops their present runs.
+func (s *Scheduler) finishByReplacedRun(now time.Time, e *entry, refs []workload.TaskRef) {
 	for _, ref := range refs {
 		if present := e.runs[ref]; present != nil {
 			s.stop(now, present, "an earlier run of its task has ended")
@@ -246,8 +246,8 @@
 	return out
 }
 
-// givenUpFailed counts the failure of a run that was given up.
-func (s *Scheduler) givenUpFailed(w *Worker, now time.Time, e *entry, ref workload.TaskRef, run int) {
+// replacedRunFailed counts the failure of a run that was replaced.
+func (s *Scheduler) replacedRunFailed(w *Worker, now time.Time, e *entry, ref workload.TaskRef, run int) {
 	if e.job.Stopping() || e.job.Spec().Steps[ref.Step].Service {
 		return
 	}
--- a/schedule/run.go
+++ b/schedule/run.go
@@ -60,8 +60,8 @@
 	// uncertainty is set while it is not known whether the run died with an earlier incarnation or
 	// is on its worker's.
 	uncertainty *uncertainty
-	// abandoned reports whether the task was given to another instance while this one was silent.
-	abandoned bool
+	// replaced reports whether the task was given to another instance while this one was silent.
+	replaced bool
 	// suspected reports whether an instance has crashed under an earlier run of the task.
 	// quarantined reports whether so many have that nothing else is placed beside this run until it
 	// has run long enough without a crash.
--- a/schedule/scheduler.go
+++ b/schedule/scheduler.go
@@ -57,9 +57,9 @@
 	// crashed holds the instance crashes that this owner has seen under tasks. A task under which
 	// instances had crashed before the takeover has at least an empty entry.
 	crashed map[workload.TaskRef]*crashes
-	// abandoned counts the runs of a task that were given up while their instance was silent and
+	// replacedRuns counts the runs of a task that were replaced while their instance was silent and
 	// whose outcome is not known yet.
-	abandoned map[workload.TaskRef]int
+	replacedRuns map[workload.TaskRef]int
 	// durations holds the durations of the tasks that are done, by step.
 	durations map[stepKey]stepDurations
 	// advice is the advisor's answers about the job's steps.
@@ -436,8 +436,8 @@
 			s.preemptibleRuns--
 		}
 	}
-	if r.abandoned {
-		r.entry.abandoned[r.ref]--
+	if r.replaced {
+		r.entry.replacedRuns[r.ref]--
 	}
 	r.worker.removeRun(r)
 	if r.entry.runs[r.ref] == r {
--- a/schedule/silence.go
+++ b/schedule/silence.go
@@ -31,24 +31,24 @@
 	w.markSilent(now)
 	var rejected *pointport.RejectedError
 	w.pollRefused = errors.As(err, &rejected)
-	if now.Sub(w.silentSince) > abandonAfter && s.reachability.fewAnswersSince.IsZero() {
-		s.abandon(now, w)
+	if now.Sub(w.silentSince) > replaceAfter && s.reachability.fewAnswersSince.IsZero() {
+		s.replaceRuns(now, w)
 	}
 }
 
-// abandonAfter is for how long a worker must be silent before tasks of which copies may run
+// replaceAfter is for how long a worker must be silent before tasks of which copies may run
 // concurrently are started elsewhere.
-const abandonAfter = 500 * time.Millisecond
+const replaceAfter = 500 * time.Millisecond
 
-// abandon requeues the tasks on a silent worker of which copies may run concurrently, so that they
+// replaceRuns requeues the tasks on a silent worker of which copies may run concurrently, so that they
 // need not wait until the worker's lease expires.
-func (s *Scheduler) abandon(now time.Time, w *Worker) {
+func (s *Scheduler) replaceRuns(now time.Time, w *Worker) {
 	for _, r := range w.runs {
-		if r.step().Copies && !r.step().Gang && r.state != runUnstored && r.entry.runs[r.ref] == r && r.entry.mayAbandon(r.ref) {
+		if r.step().Copies && !r.step().Gang && r.state != runUnstored && r.entry.runs[r.ref] == r && r.entry.mayReplace(r.ref) {
 			event.TaskReturned.Log(s.logger, slog.String("task", r.name), slog.Int("run", r.number),
 				slog.String("incarnation", string(w.inc.ID())), slog.String("reason", "its instance is silent, and a copy may run elsewhere"))
 			s.detach(r)
-			r.entry.noteAbandoned(r)
+			r.entry.noteReplaced(r)
 			if r.state == runSent {
 				// It is not known to run, so it is ruled out by a stop: a start order that arrives
 				// later would run it although a copy may have finished.
@@ -61,11 +61,11 @@
 	}
 }
 
-// hasGivenUp reports whether a worker has a run of a task that was given up for a copy elsewhere and
-// whose fate is not known yet. A worker has at most one run of a task at a time, and the instance
-// would refuse another one.
-func (w *Worker) hasGivenUp(t waitingTask) bool {
-	return t.entry.abandoned[t.ref] > 0 && w.runs[workload.TaskName(t.entry.job.ID(), t.ref)] != nil
+// hasReplacedRun reports whether a worker has a run of a task that was replaced by a copy elsewhere
+// and whose outcome is not known yet. A worker has at most one run of a task at a time, and the
+// instance would refuse another one.
+func (w *Worker) hasReplacedRun(t waitingTask) bool {
+	return t.entry.replacedRuns[t.ref] > 0 && w.runs[workload.TaskName(t.entry.job.ID(), t.ref)] != nil
 }
 
 func (s *Scheduler) checkFence(err error) {
--- a/testbed/machines.go
+++ b/testbed/machines.go
@@ -14,15 +14,17 @@
 
 // Machines lists, moves and maintains the machines of a fleet.
 type Machines struct {
-	fleet      *Fleet
-	holderTime time.Duration
+	fleet             *Fleet
+	minHolderInterval time.Duration
 }
 
 var _ pointport.Machines = (*Machines)(nil)
 
 // Machines returns the fleet's list and its orders. Two holders that order one
-// machine within holderTime count as a violation.
-func (f *Fleet) Machines(holderTime time.Duration) *Machines { return &Machines{f, holderTime} }
+// machine within minHolderInterval count as a violation.
+func (f *Fleet) Machines(minHolderInterval time.Duration) *Machines {
+	return &Machines{f, minHolderInterval}
+}
 
 // List returns all machines.
 func (m *Machines) List(context.Context) ([]pointport.Machine, error) {
@@ -108,7 +110,7 @@
 		m.fleet.violate(now, string(x.id), fmt.Sprintf("is ordered with fence %d after %d", by.Fence, x.holder.Fence))
 	case x.holder.Name != "" && by.Fence == x.holder.Fence && by.Name != x.holder.Name:
 		m.fleet.violate(now, string(x.id), "is ordered by two holders with one fence")
-	case x.holder.Name != "" && by.Name != x.holder.Name && now.Sub(x.ordered) < m.holderTime:
+	case x.holder.Name != "" && by.Name != x.holder.Name && now.Sub(x.ordered) < m.minHolderInterval:
 		m.fleet.violate(now, string(x.id), "is ordered by two holders in turn")
 	}
 	x.holder, x.ordered = by, now
