--- a/command/job.go
+++ b/command/job.go
@@ -40,7 +40,7 @@
 	Billed   bool            `json:"billed"`
 }
 
-// A FieldError reports an invalid field of a request. Reason says what the field
+// A FieldError reports an invalid field of a request. Reason states what the field
 // must be.
 type FieldError struct {
 	Field  string
--- a/dispatch/upstream.go
+++ b/dispatch/upstream.go
@@ -76,7 +76,7 @@
 		if now.Before(u.ejectedUntil) {
 			return 0
 		}
-		// The ejection is over, but no request has succeeded since: allow one trial
+		// The ejection has ended, but no request has succeeded since: allow one trial
 		// request at a time.
 		return min(1, share) - u.inFlight
 	}
--- a/node/config_link_test.go
+++ b/node/config_link_test.go
@@ -113,7 +113,7 @@
 		for {
 			nodeConn, err := l.Accept()
 			if err != nil {
-				return // the test is over
+				return // the test has ended
 			}
 			go n.forward(nodeConn, to, limiter, chunkSize)
 		}
@@ -127,7 +127,7 @@
 	defer nodeConn.Close()
 	storeConn, err := net.Dial("tcp", to)
 	if err != nil {
-		return // the test is over
+		return // the test has ended
 	}
 	defer storeConn.Close()
 	// A small window keeps few bytes in flight, so that an aborted response ends soon. With a
--- a/node/evacuation.go
+++ b/node/evacuation.go
@@ -58,7 +58,7 @@
 	sinceRead     clocks.Interval // since the read that zones comes from was sent; before one, since the first call of Zones
 	lastUsed      time.Time       // when Zones was last called
 	lastErr       error           // of the last read, nil if it succeeded
-	unknownLogged bool            // whether the last log line about it says that the requests are unknown
+	unknownLogged bool            // whether the last log line about it reports that the requests are unknown
 }
 
 // newEvacuations returns evacuations that are read from the first call of Zones until ctx ends.
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -201,7 +201,7 @@
 	}, withWork(shortWork))
 }
 
-// checkUnknownReasonLogged fails the test unless the log says that the evacuation requests are
+// checkUnknownReasonLogged fails the test unless the log states that the evacuation requests are
 // unknown, with the error of the store.
 func (c *cluster) checkUnknownReasonLogged(t *testing.T) {
 	t.Helper()
--- a/node/follow.go
+++ b/node/follow.go
@@ -78,7 +78,7 @@
 
 	mu                sync.Mutex
 	sinceConfirmed    clocks.Interval // since the version in force was last known to be the newest
-	unconfirmedLogged bool            // whether the last log line about it says that the version is unconfirmed
+	unconfirmedLogged bool            // whether the last log line about it reports that the version is unconfirmed
 }
 
 // startConfigs follows the configuration until ctx ends. size returns the number of members,
--- a/schedule/crash.go
+++ b/schedule/crash.go
@@ -337,8 +337,8 @@
 	}
 }
 
-// mayReplace reports whether a task may be given to another instance although the outcome of
-// its present run is not known. It may not if an instance may have crashed under it before: a task that
+// mayReplace reports whether a task may be given to another instance although the outcome of its
+// present run is not known. It may not if an instance may have crashed under it before: a task that
 // crashes instances would otherwise crash another one every half second before the end of the first
 // is known.
 func (e *entry) mayReplace(ref workload.TaskRef) bool {
--- a/schedule/crash_test.go
+++ b/schedule/crash_test.go
@@ -61,9 +61,9 @@
 			now := start.Add(seen)
 			c.before(b, now)
 			b.EndIncarnation(now, incarnation(0).ID())
-			over, lost := linesOf(t, &out, "incarnation ended"), linesOf(t, &out, "run lost")
-			if len(over) != 1 || over[0]["cause"] != c.cause {
-				t.Errorf("log lines of the end %v, want one with cause %q", over, c.cause)
+			ended, lost := linesOf(t, &out, "incarnation ended"), linesOf(t, &out, "run lost")
+			if len(ended) != 1 || ended[0]["cause"] != c.cause {
+				t.Errorf("log lines of the end %v, want one with cause %q", ended, c.cause)
 			}
 			if len(lost) != c.tasks {
 				t.Fatalf("log lines of lost runs %v, want %d", lost, c.tasks)
@@ -461,7 +461,7 @@
 	// One crash fewer than the number at which a crash right after a start fails the task, and
 	// less time at work than that after which crashes are forgotten.
 	const before, atWork = 3, 7 * time.Second
-	over := map[string]func(b *schedule.Scheduler, now time.Time){
+	ends := map[string]func(b *schedule.Scheduler, now time.Time){
 		"unregistered before the first answer": func(b *schedule.Scheduler, now time.Time) {
 			b.SetIncarnations(now.Add(settings.PredecessorBound+time.Second), nil)
 		},
@@ -474,7 +474,7 @@
 			b.EndIncarnation(now.Add(time.Second), incarnation(0).ID())
 		},
 	}
-	for name, end := range over {
+	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
 			// Two serving tasks, so that neither is alone on the instance.
 			j := crashedJob("a", before, step(2, 500, func(s *workload.Step) { s.Service = true }))
--- a/schedule/resize_test.go
+++ b/schedule/resize_test.go
@@ -63,11 +63,11 @@
 			continue
 		}
 		s.scheduler.MarkSending(o)
-		fate := rapid.SampledFrom([]string{"answered", "answered", "lost", "answer lost"}).Draw(s.t, "fate")
-		if fate != "lost" {
+		delivery := rapid.SampledFrom([]string{"answered", "answered", "lost", "answer lost"}).Draw(s.t, "fate")
+		if delivery != "lost" {
 			s.carryOut(o)
 		}
-		if fate == "answered" {
+		if delivery == "answered" {
 			s.scheduler.OrderAnswered(o, s.now, pointport.InstanceTime(s.now.Sub(start)), nil)
 			continue
 		}
--- a/shard/owner_load.go
+++ b/shard/owner_load.go
@@ -33,7 +33,7 @@
 	l.worst = max(l.worst, waited)
 }
 
-// advance begins a new period if the current one is over.
+// advance begins a new period if the current one has ended.
 func (l *lagMeter) advance(now time.Time) {
 	if now.Sub(l.start) < lagPeriod {
 		return
