--- a/schedule/batch_test.go
+++ b/schedule/batch_test.go
@@ -19,32 +19,32 @@
 // unstored ends exactly until their jobs are stored, and all tasks start eventually.
 func TestPartialBatches(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newTestScheduler()
+		s := newTestScheduler()
 		var all []pointport.Incarnation
 		for i := range 8 {
 			all = append(all, incarnation(i))
 		}
-		registerIdle(b, start, all...)
+		registerIdle(s, start, all...)
 		jobs := rapid.IntRange(1, 40).Draw(t, "jobs")
 		for n := range jobs {
-			b.Add(start, job(fmt.Sprintf("job%d", n), policy, step(rapid.IntRange(1, 3).Draw(t, "tasks"), 100, nil)))
+			s.Add(start, job(fmt.Sprintf("job%d", n), policy, step(rapid.IntRange(1, 3).Draw(t, "tasks"), 100, nil)))
 		}
 		stored := make(map[string]bool)
 		ended, number := make(map[string]bool), int64(0)
 		unstored := make(map[pointport.IncarnationID]map[string]bool) // the jobs that have unstored ends, by incarnation
 		for round := 0; round < 400 && len(ended) < jobs; round++ {
-			b.Plan(start)
+			s.Plan(start)
 			limit := rapid.IntRange(3, 12).Draw(t, "entries")
-			batch := b.TakeBatch(limit)
+			batch := s.TakeBatch(limit)
 			if used := batch.Entries(); used > limit {
 				t.Fatalf("batch has %d entries, want at most %d", used, limit)
 			}
 			acked := make(map[*schedule.Worker]int64)
-			for _, w := range b.Workers() {
+			for _, w := range s.Workers() {
 				acked[w] = w.NextPoll().Acknowledged
 			}
-			b.Stored(batch, start)
-			for _, w := range b.Workers() {
+			s.Stored(batch, start)
+			for _, w := range s.Workers() {
 				if w.NextPoll().Acknowledged != acked[w] && !batch.Complete {
 					t.Fatalf("ends are acknowledged although some jobs are not stored yet")
 				}
@@ -58,12 +58,12 @@
 					ended[r.ID] = true
 				}
 			}
-			for _, l := range b.Survey(start, schedule.SurveyRequest{}).Instances {
+			for _, l := range s.Survey(start, schedule.SurveyRequest{}).Instances {
 				if l.Unstored != (len(unstored[l.Incarnation]) > 0) {
 					t.Fatalf("instance %s has unstored ends: %t, but %d jobs have some", l.Incarnation, l.Unstored, len(unstored[l.Incarnation]))
 				}
 			}
-			for _, o := range b.TakeOrders() {
+			for _, o := range s.TakeOrders() {
 				id, _, err := workload.ParseTaskName(o.TaskRun.Task)
 				if err != nil {
 					t.Fatal(err)
@@ -77,8 +77,8 @@
 					unstored[at] = make(map[string]bool)
 				}
 				unstored[at][id] = true
-				b.OrderAnswered(o, start, 1, nil)
-				b.Report(o.Worker, start, start, pointport.Report{Clock: 1, Ended: []pointport.TaskEnd{
+				s.OrderAnswered(o, start, 1, nil)
+				s.Report(o.Worker, start, start, pointport.Report{Clock: 1, Ended: []pointport.TaskEnd{
 					{Number: number, TaskRun: o.TaskRun, Kind: pointport.EndDone},
 				}})
 			}
@@ -93,23 +93,23 @@
 // next transaction can store. Tasks of further jobs would reserve capacity and not start while
 // the store is slow.
 func TestNoMoreIsPlacedThanCanBeStored(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0), incarnation(1))
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0), incarnation(1))
 	for n := range 60 {
-		b.Add(start, job(fmt.Sprintf("job%d", n), policy, step(1, 100, nil)))
+		s.Add(start, job(fmt.Sprintf("job%d", n), policy, step(1, 100, nil)))
 	}
 	const oneTransaction = 29
-	b.TakeBatch(oneTransaction)
+	s.TakeBatch(oneTransaction)
 	for batch := range 2 {
-		b.Plan(start)
-		b.Plan(start)
-		b.Stored(b.TakeBatch(oneTransaction), start)
-		if got := startsByIncarnation(b.TakeOrders()); got["i-0"]+got["i-1"] != 24 {
+		s.Plan(start)
+		s.Plan(start)
+		s.Stored(s.TakeBatch(oneTransaction), start)
+		if got := startsByIncarnation(s.TakeOrders()); got["i-0"]+got["i-1"] != 24 {
 			t.Errorf("batch %[2]d has starts %[1]v, want 24", got, batch)
 		}
 	}
-	b.TakeBatch(everything)
-	if got := startsByIncarnation(orders(b, start)); got["i-0"]+got["i-1"] != 12 {
+	s.TakeBatch(everything)
+	if got := startsByIncarnation(orders(s, start)); got["i-0"]+got["i-1"] != 12 {
 		t.Errorf("starts %v once the transaction is large enough for all, want those of the other 12 jobs", got)
 	}
 }
@@ -117,14 +117,14 @@
 // TestUrgentRecordsGoFirst checks that a batch that is too small for all changes contains the
 // records first for which something waits.
 func TestUrgentRecordsGoFirst(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0))
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0))
 	for n := range 5 {
-		b.Add(start, job(fmt.Sprintf("job%d", n), policy, step(2, 100, nil)))
+		s.Add(start, job(fmt.Sprintf("job%d", n), policy, step(2, 100, nil)))
 	}
 	var first schedule.Order
-	for _, o := range orders(b, start) {
-		b.OrderAnswered(o, start, 1, nil)
+	for _, o := range orders(s, start) {
+		s.OrderAnswered(o, start, 1, nil)
 		first = o
 	}
 	// Storing one end of each job is not urgent; storing the end of a whole job is.
@@ -133,8 +133,8 @@
 		ends = append(ends, pointport.TaskEnd{Number: int64(n + 1), Kind: pointport.EndDone, TaskRun: pointport.TaskRun{Task: fmt.Sprintf("job%d.0.0.0", n), Run: 1}})
 	}
 	ends = append(ends, pointport.TaskEnd{Number: 6, Kind: pointport.EndDone, TaskRun: pointport.TaskRun{Task: "job3.0.0.1", Run: 1}})
-	b.Report(first.Worker, start, start, pointport.Report{Clock: 1, Ended: ends})
-	batch := b.TakeBatch(3)
+	s.Report(first.Worker, start, start, pointport.Report{Clock: 1, Ended: ends})
+	batch := s.TakeBatch(3)
 	if len(batch.Records) != 1 || batch.Records[0].ID != "job3" || batch.Complete {
 		t.Errorf("batch %+v, want only the job that has ended", batch.Records)
 	}
--- a/schedule/crash_test.go
+++ b/schedule/crash_test.go
@@ -26,41 +26,41 @@
 	const seen = 700 * time.Millisecond
 	cases := []struct {
 		name   string
-		before func(b *schedule.Scheduler, now time.Time)
+		before func(s *schedule.Scheduler, now time.Time)
 		tasks  int
 		cause  string
 	}{
 		{"unannounced", func(*schedule.Scheduler, time.Time) {}, 2, "crashed"},
-		{"it was draining", func(b *schedule.Scheduler, now time.Time) {
-			b.SetIncarnations(now, []pointport.Incarnation{incarnation(0, pointport.WithDraining(time.Minute))})
+		{"it was draining", func(s *schedule.Scheduler, now time.Time) {
+			s.SetIncarnations(now, []pointport.Incarnation{incarnation(0, pointport.WithDraining(time.Minute))})
 		}, 2, "left"},
-		{"it answered after its registration was gone", func(b *schedule.Scheduler, now time.Time) {
-			b.SetIncarnations(now, nil)
-			for _, w := range b.Workers() {
-				b.Report(w, now, now, reportOfFirstRuns(2, 1))
+		{"it answered after its registration was gone", func(s *schedule.Scheduler, now time.Time) {
+			s.SetIncarnations(now, nil)
+			for _, w := range s.Workers() {
+				s.Report(w, now, now, reportOfFirstRuns(2, 1))
 			}
 		}, 2, "left"},
-		{"it was closed and empty", func(b *schedule.Scheduler, now time.Time) {
-			b.Survey(now, schedule.SurveyRequest{Closures: []schedule.Closure{{Instance: "m-0"}}})
+		{"it was closed and empty", func(s *schedule.Scheduler, now time.Time) {
+			s.Survey(now, schedule.SurveyRequest{Closures: []schedule.Closure{{Instance: "m-0"}}})
 		}, 0, "ordered"},
-		{"it was closed but not empty yet", func(b *schedule.Scheduler, now time.Time) {
-			b.Survey(now, schedule.SurveyRequest{Closures: []schedule.Closure{{Instance: "m-0"}}})
+		{"it was closed but not empty yet", func(s *schedule.Scheduler, now time.Time) {
+			s.Survey(now, schedule.SurveyRequest{Closures: []schedule.Closure{{Instance: "m-0"}}})
 		}, 2, "crashed"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
-			b := schedule.NewScheduler(start, settings, slog.New(slog.NewJSONHandler(&out, nil)))
-			registerIdle(b, start, incarnation(0))
+			s := schedule.NewScheduler(start, settings, slog.New(slog.NewJSONHandler(&out, nil)))
+			registerIdle(s, start, incarnation(0))
 			if c.tasks > 0 {
-				b.Add(start, job("a", policy, step(c.tasks, 100, nil)))
+				s.Add(start, job("a", policy, step(c.tasks, 100, nil)))
 			}
-			for _, o := range orders(b, start) {
-				b.OrderAnswered(o, start, 1, nil)
+			for _, o := range orders(s, start) {
+				s.OrderAnswered(o, start, 1, nil)
 			}
 			now := start.Add(seen)
-			c.before(b, now)
-			b.EndIncarnation(now, incarnation(0).ID())
+			c.before(s, now)
+			s.EndIncarnation(now, incarnation(0).ID())
 			ended, lost := linesOf(t, &out, "incarnation ended"), linesOf(t, &out, "run lost")
 			if len(ended) != 1 || ended[0]["cause"] != c.cause {
 				t.Errorf("log lines of the end %v, want one with cause %q", ended, c.cause)
@@ -328,19 +328,19 @@
 // is what a task with crashes is placed on, so a broken instance would get the task again and
 // again.
 func TestTaskDoesNotReturnToTheInstanceThatCrashedUnderIt(t *testing.T) {
-	b := newTestScheduler()
+	s := newTestScheduler()
 	restarts := 10
 	bad := func() pointport.Incarnation { return incarnation(restarts, pointport.WithInstance("m-bad")) }
 	sound := incarnation(1, pointport.WithLabels([]string{"sound"}))
-	registerIdle(b, start, bad())
+	registerIdle(s, start, bad())
 	j := job("a", policy, step(1, 500, nil))
-	b.Add(start, j)
-	acceptStarts(b, orders(b, start), start)
-	b.EndIncarnation(start, bad().ID())
+	s.Add(start, j)
+	acceptStarts(s, orders(s, start), start)
+	s.EndIncarnation(start, bad().ID())
 	restarts++
-	b.Add(start, job("serving", policy, step(1, 500, func(s *workload.Step) { s.Service, s.Label = true, "sound" })))
-	registerIdle(b, start, sound, bad())
-	got := orders(b, start)
+	s.Add(start, job("serving", policy, step(1, 500, func(s *workload.Step) { s.Service, s.Label = true, "sound" })))
+	registerIdle(s, start, sound, bad())
+	got := orders(s, start)
 	if p := startsByIncarnation(got); p[sound.ID()] != 2 {
 		t.Errorf("starts %v, want both tasks on the sound instance", p)
 	}
@@ -350,18 +350,18 @@
 // that crashed under it, if there is no other one, and that it fails only after the fourth
 // crash, because crashes of one instance alone may be the fault of the instance.
 func TestCrashesOfOneInstanceFailTaskLater(t *testing.T) {
-	b := newTestScheduler()
+	s := newTestScheduler()
 	j := job("a", policy, step(1, 500, nil))
-	b.Add(start, j)
+	s.Add(start, j)
 	now, crashes := start, 0
 	for tick := 0; tick < 1000 && !j.Failed(); tick++ {
 		inc := incarnation(10+crashes, pointport.WithInstance("m-bad"))
-		registerIdle(b, now, inc)
-		all := orders(b, now)
-		acceptStarts(b, all, now)
+		registerIdle(s, now, inc)
+		all := orders(s, now)
+		acceptStarts(s, all, now)
 		if startsByIncarnation(all)[inc.ID()] > 0 {
 			crashes++
-			b.EndIncarnation(now, inc.ID())
+			s.EndIncarnation(now, inc.ID())
 		}
 		now = now.Add(100 * time.Millisecond)
 	}
@@ -374,26 +374,26 @@
 // that has crashed twice in a row, whatever ran there, as on one whose runs fail. The count is
 // kept across its incarnations.
 func TestCrashesCountAgainstTheInstance(t *testing.T) {
-	b := newTestScheduler()
+	s := newTestScheduler()
 	now := start
 	for restarts := range 2 {
-		registerIdle(b, now, incarnation(restarts, pointport.WithInstance("m-bad")))
-		b.Add(now, job(fmt.Sprintf("j%d", restarts), policy, step(1, 500, nil)))
-		all := orders(b, now)
+		registerIdle(s, now, incarnation(restarts, pointport.WithInstance("m-bad")))
+		s.Add(now, job(fmt.Sprintf("j%d", restarts), policy, step(1, 500, nil)))
+		all := orders(s, now)
 		if got := startsByIncarnation(all); got[incarnation(restarts).ID()] == 0 {
 			t.Fatalf("starts %v on incarnation %d, want some", got, restarts)
 		}
-		acceptStarts(b, all, now)
+		acceptStarts(s, all, now)
 		now = now.Add(time.Second)
-		b.EndIncarnation(now, incarnation(restarts).ID())
+		s.EndIncarnation(now, incarnation(restarts).ID())
 	}
-	registerIdle(b, now, incarnation(2, pointport.WithInstance("m-bad")))
-	b.Add(now, job("fresh", policy, step(1, 500, nil)))
-	if got := startsByIncarnation(orders(b, now)); len(got) != 0 {
+	registerIdle(s, now, incarnation(2, pointport.WithInstance("m-bad")))
+	s.Add(now, job("fresh", policy, step(1, 500, nil)))
+	if got := startsByIncarnation(orders(s, now)); len(got) != 0 {
 		t.Errorf("starts %v right after the second crash, want none", got)
 	}
 	now = now.Add(2100 * time.Millisecond)
-	if got := startsByIncarnation(orders(b, now)); got["i-2"] == 0 {
+	if got := startsByIncarnation(orders(s, now)); got["i-2"] == 0 {
 		t.Errorf("starts %v 2.1 s after the second crash, want some", got)
 	}
 }
@@ -412,20 +412,20 @@
 		lived time.Duration
 		want  int
 	}{{10 * time.Second, 0}, {100 * time.Millisecond, 1}} {
-		b := newTestScheduler()
+		s := newTestScheduler()
 		j := job("a", policy, step(1, 500, func(s *workload.Step) { s.Service = true }))
-		b.Add(start, j)
-		registerIdle(b, start, incarnation(0))
-		started := orders(b, start)
-		acceptStarts(b, started, start)
-		w := b.Workers()[0]
+		s.Add(start, j)
+		registerIdle(s, start, incarnation(0))
+		started := orders(s, start)
+		acceptStarts(s, started, start)
+		w := s.Workers()[0]
 		now := start.Add(c.lived)
-		reportRuns(b, started, w, now, 100)
+		reportRuns(s, started, w, now, 100)
 		w.ExtendLease(now, settings.Lease)
-		b.PollFailed(w, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
-		b.SetIncarnations(now, nil)
+		s.PollFailed(w, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
+		s.SetIncarnations(now, nil)
 		now = now.Add(10 * time.Second)
-		b.SetIncarnations(now, nil)
+		s.SetIncarnations(now, nil)
 		if task := j.Task(workload.TaskRef{}); task.Phase != workload.Pending || task.Crashes != c.want {
 			t.Errorf("after %v at work: phase %d with %d crashes, want it pending with %d", c.lived, task.Phase, task.Crashes, c.want)
 		}
@@ -437,15 +437,15 @@
 // incarnation. If each answer counted as a crash, the next incarnation would be avoided like
 // that of an instance that crashes repeatedly.
 func TestCrashReportedByTwoPollsCountsOnce(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0))
-	crashed := b.Workers()[0]
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0))
+	crashed := s.Workers()[0]
 	for range 2 {
-		b.PollFailed(crashed, start, &pointport.GoneError{Incarnation: incarnation(0).ID()})
+		s.PollFailed(crashed, start, &pointport.GoneError{Incarnation: incarnation(0).ID()})
 	}
-	registerIdle(b, start, incarnation(1, pointport.WithInstance(incarnation(0).Instance())))
-	b.Add(start, job("a", policy, step(1, 100, nil)))
-	if got := startsByIncarnation(orders(b, start)); len(got) != 1 {
+	registerIdle(s, start, incarnation(1, pointport.WithInstance(incarnation(0).Instance())))
+	s.Add(start, job("a", policy, step(1, 100, nil)))
+	if got := startsByIncarnation(orders(s, start)); len(got) != 1 {
 		t.Errorf("starts %v on an instance that has crashed once, want one", got)
 	}
 }
@@ -461,17 +461,17 @@
 	// One crash fewer than the number at which a crash right after a start fails the task, and
 	// less time at work than that after which crashes are forgotten.
 	const before, atWork = 3, 7 * time.Second
-	ends := map[string]func(b *schedule.Scheduler, now time.Time){
-		"unregistered before the first answer": func(b *schedule.Scheduler, now time.Time) {
-			b.SetIncarnations(now.Add(settings.PredecessorBound+time.Second), nil)
+	ends := map[string]func(s *schedule.Scheduler, now time.Time){
+		"unregistered before the first answer": func(s *schedule.Scheduler, now time.Time) {
+			s.SetIncarnations(now.Add(settings.PredecessorBound+time.Second), nil)
 		},
-		"ended before the first answer": func(b *schedule.Scheduler, now time.Time) {
-			b.EndIncarnation(now.Add(time.Second), incarnation(0).ID())
+		"ended before the first answer": func(s *schedule.Scheduler, now time.Time) {
+			s.EndIncarnation(now.Add(time.Second), incarnation(0).ID())
 		},
-		"ended after the first answer": func(b *schedule.Scheduler, now time.Time) {
-			b.SetIncarnations(now, []pointport.Incarnation{incarnation(0)})
-			b.Report(b.Workers()[0], now, now, reportOfFirstRuns(2, 1))
-			b.EndIncarnation(now.Add(time.Second), incarnation(0).ID())
+		"ended after the first answer": func(s *schedule.Scheduler, now time.Time) {
+			s.SetIncarnations(now, []pointport.Incarnation{incarnation(0)})
+			s.Report(s.Workers()[0], now, now, reportOfFirstRuns(2, 1))
+			s.EndIncarnation(now.Add(time.Second), incarnation(0).ID())
 		},
 	}
 	for name, end := range ends {
--- a/schedule/evacuate_test.go
+++ b/schedule/evacuate_test.go
@@ -57,16 +57,16 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newTestScheduler()
-			registerIdle(b, start, north(0), north(2), south(1))
-			b.SetEvacuations(northEvacuated)
-			b.Add(start, job("a", policy, c.step))
-			got := startsByZone(orders(b, start))
+			s := newTestScheduler()
+			registerIdle(s, start, north(0), north(2), south(1))
+			s.SetEvacuations(northEvacuated)
+			s.Add(start, job("a", policy, c.step))
+			got := startsByZone(orders(s, start))
 			if got["north"] != 0 || got["south"] != c.want {
 				t.Errorf("starts %v, want none in north and %d in south", got, c.want)
 			}
-			b.SetEvacuations(evacuation.None)
-			if got := startsByZone(orders(b, start.Add(time.Second))); c.want == 0 && got["north"] == 0 {
+			s.SetEvacuations(evacuation.None)
+			if got := startsByZone(orders(s, start.Add(time.Second))); c.want == 0 && got["north"] == 0 {
 				t.Error("nothing starts in north once it is open")
 			}
 		})
@@ -76,16 +76,16 @@
 // TestOccurrencesAreNotStartedInAnEvacuatedZone checks that occurrences of a recurring job
 // that become due are started in the open availability zone.
 func TestOccurrencesAreNotStartedInAnEvacuatedZone(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, north(0), south(1))
+	s := newTestScheduler()
+	registerIdle(s, start, north(0), south(1))
 	recurring := workload.New("a", "q", policy, &workload.Spec{
 		Steps: []workload.Step{step(2, 100, nil)}, Recur: workload.Recurrence{Times: 4, First: start.Add(time.Second), Every: time.Second},
 	}, start)
-	b.Add(start, recurring)
-	b.SetEvacuations(northEvacuated)
+	s.Add(start, recurring)
+	s.SetEvacuations(northEvacuated)
 	all := 0
 	for n := range 4 {
-		got := startsByZone(orders(b, start.Add(time.Duration(n+1)*time.Second)))
+		got := startsByZone(orders(s, start.Add(time.Duration(n+1)*time.Second)))
 		if got["north"] != 0 {
 			t.Fatalf("starts %v, want none in north", got)
 		}
@@ -100,19 +100,19 @@
 // it is not known which availability zones are evacuated, and that the explanation of the job
 // states this.
 func TestNothingIsPlacedWhileEvacuationsAreUnknown(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, north(0), south(1))
-	b.Add(start, job("a", policy, step(2, 500, nil)))
-	b.SetEvacuations(evacuation.Zones{})
-	if got := startsByZone(orders(b, start)); len(got) != 0 {
+	s := newTestScheduler()
+	registerIdle(s, start, north(0), south(1))
+	s.Add(start, job("a", policy, step(2, 500, nil)))
+	s.SetEvacuations(evacuation.Zones{})
+	if got := startsByZone(orders(s, start)); len(got) != 0 {
 		t.Errorf("starts %v while evacuations are unknown, want none", got)
 	}
-	x, _ := b.Explain(start, "a")
+	x, _ := s.Explain(start, "a")
 	if got := x.Steps[0].Waits; !strings.Contains(got, "may be evacuated") {
 		t.Errorf("the wait is explained as %q", got)
 	}
-	b.SetEvacuations(northEvacuated)
-	if got := startsByZone(orders(b, start)); got["south"] != 2 {
+	s.SetEvacuations(northEvacuated)
+	if got := startsByZone(orders(s, start)); got["south"] != 2 {
 		t.Errorf("starts %v once the evacuations are known, want two in south", got)
 	}
 }
@@ -120,12 +120,12 @@
 // TestWaitForAnEvacuatedZoneIsExplained checks that the explanation of a job that waits
 // because of an evacuation states the evacuation.
 func TestWaitForAnEvacuatedZoneIsExplained(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, north(0))
-	b.Add(start, job("a", policy, step(2, 500, nil)))
-	b.SetEvacuations(northEvacuated)
-	orders(b, start)
-	x, _ := b.Explain(start, "a")
+	s := newTestScheduler()
+	registerIdle(s, start, north(0))
+	s.Add(start, job("a", policy, step(2, 500, nil)))
+	s.SetEvacuations(northEvacuated)
+	orders(s, start)
+	x, _ := s.Explain(start, "a")
 	if got := x.Steps[0].Waits; !strings.Contains(got, "in an evacuated availability zone") {
 		t.Errorf("the wait is explained as %q", got)
 	}
@@ -137,26 +137,26 @@
 // answered.
 func TestUnsentStartsAreSkipped(t *testing.T) {
 	for _, sentBefore := range []bool{false, true} {
-		b := newTestScheduler()
-		registerIdle(b, start, north(0))
-		b.Add(start, job("a", policy, step(1, 500, nil)))
-		sent := orders(b, start)
-		if len(sent) != 1 || b.SkipStart(start, sent[0]) {
+		s := newTestScheduler()
+		registerIdle(s, start, north(0))
+		s.Add(start, job("a", policy, step(1, 500, nil)))
+		sent := orders(s, start)
+		if len(sent) != 1 || s.SkipStart(start, sent[0]) {
 			t.Fatalf("orders %v, want one start that is not skipped", sent)
 		}
 		first, now := sent[0], start.Add(time.Second)
 		if sentBefore {
-			b.OrderAnswered(first, start, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true, Err: errors.New("reset")})
+			s.OrderAnswered(first, start, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true, Err: errors.New("reset")})
 		}
-		b.SetEvacuations(northEvacuated)
-		if !b.SkipStart(now, first) {
+		s.SetEvacuations(northEvacuated)
+		if !s.SkipStart(now, first) {
 			t.Fatalf("the start is not skipped (sent before: %v)", sentBefore)
 		}
-		b.SetIncarnations(now, []pointport.Incarnation{north(0), south(1)})
-		for _, w := range b.Workers() {
-			b.Report(w, now, now, pointport.Report{Clock: 1})
+		s.SetIncarnations(now, []pointport.Incarnation{north(0), south(1)})
+		for _, w := range s.Workers() {
+			s.Report(w, now, now, pointport.Report{Clock: 1})
 		}
-		later := orders(b, now)
+		later := orders(s, now)
 		if got := startsByZone(later); got["north"] != 0 || got["south"] > 0 == sentBefore {
 			t.Errorf("starts %v (sent before: %v), want none in north, and one in south only if the start was not sent before", got, sentBefore)
 		}
@@ -170,25 +170,25 @@
 // neither sent again nor stopped while the evacuations are unknown, and that it is sent again
 // once its availability zone is known to be open.
 func TestUnansweredStartWaitsWhileEvacuationsAreUnknown(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, north(0))
-	b.Add(start, job("a", policy, step(1, 500, nil)))
-	first := orders(b, start)[0]
+	s := newTestScheduler()
+	registerIdle(s, start, north(0))
+	s.Add(start, job("a", policy, step(1, 500, nil)))
+	first := orders(s, start)[0]
 	first.Worker.ExtendLease(start, settings.Lease)
-	b.OrderAnswered(first, start, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true, Err: errors.New("reset")})
-	b.SetEvacuations(evacuation.Zones{})
+	s.OrderAnswered(first, start, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true, Err: errors.New("reset")})
+	s.SetEvacuations(evacuation.Zones{})
 	now := start
 	for range 5 {
 		now = now.Add(200 * time.Millisecond)
-		for _, o := range orders(b, now) {
-			if o.Kind == schedule.OrderStop || !b.SkipStart(now, o) {
+		for _, o := range orders(s, now) {
+			if o.Kind == schedule.OrderStop || !s.SkipStart(now, o) {
 				t.Fatalf("%+v is sent while evacuations are unknown", o)
 			}
 		}
 	}
-	b.SetEvacuations(evacuation.None)
+	s.SetEvacuations(evacuation.None)
 	now = now.Add(200 * time.Millisecond)
-	if again := orders(b, now); len(again) != 1 || again[0].Kind != schedule.OrderStart || b.SkipStart(now, again[0]) {
+	if again := orders(s, now); len(again) != 1 || again[0].Kind != schedule.OrderStart || s.SkipStart(now, again[0]) {
 		t.Errorf("orders %+v, want the start once more", again)
 	}
 }
@@ -197,29 +197,29 @@
 // on, that the pool reserves no capacity elsewhere for its serving tasks, and that a serving
 // task that ends there restarts elsewhere.
 func TestRunsInAnEvacuatedZoneGoOn(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, north(0))
-	b.Add(start, job("serves", policy, servingStep(2, 1000, nil)))
-	b.Add(start, job("ends", policy, step(1, 1000, nil)))
-	acceptAndReport(b, start, orders(b, start))
-	before := b.Survey(start, schedule.SurveyRequest{}).Need.CPUMilli
-	b.SetEvacuations(northEvacuated)
+	s := newTestScheduler()
+	registerIdle(s, start, north(0))
+	s.Add(start, job("serves", policy, servingStep(2, 1000, nil)))
+	s.Add(start, job("ends", policy, step(1, 1000, nil)))
+	acceptAndReport(s, start, orders(s, start))
+	before := s.Survey(start, schedule.SurveyRequest{}).Need.CPUMilli
+	s.SetEvacuations(northEvacuated)
 	now := start.Add(2 * time.Second)
-	if got := countStops(orders(b, now)); got != 0 {
+	if got := countStops(orders(s, now)); got != 0 {
 		t.Errorf("%d tasks are stopped by the evacuation, want none", got)
 	}
-	if got := b.Survey(now, schedule.SurveyRequest{}).Need.CPUMilli; before < 3000 || got != 1000 {
+	if got := s.Survey(now, schedule.SurveyRequest{}).Need.CPUMilli; before < 3000 || got != 1000 {
 		t.Errorf("the pool needs %d thousandths of a core, and %d before the evacuation; want 1000, and at least 3000 before", got, before)
 	}
-	b.SetIncarnations(now, []pointport.Incarnation{north(0), south(1)})
-	w := b.Workers()[0]
+	s.SetIncarnations(now, []pointport.Incarnation{north(0), south(1)})
+	w := s.Workers()[0]
 	ended := pointport.TaskEnd{Number: 1, TaskRun: pointport.TaskRun{Task: "serves.0.0.0", Run: 1}, Kind: pointport.EndFailed}
-	b.Report(w, now, now, pointport.Report{Clock: 1, Ended: []pointport.TaskEnd{ended}, Running: []pointport.RunningTask{
+	s.Report(w, now, now, pointport.Report{Clock: 1, Ended: []pointport.TaskEnd{ended}, Running: []pointport.RunningTask{
 		{TaskRun: pointport.TaskRun{Task: "serves.0.0.1", Run: 1}, Progress: 100},
 	}})
-	b.Report(b.Workers()[1], now, now, pointport.Report{Clock: 1})
+	s.Report(s.Workers()[1], now, now, pointport.Report{Clock: 1})
 	now = now.Add(3 * time.Second)
-	if got := startsByZone(orders(b, now)); got["north"] != 0 || got["south"] == 0 {
+	if got := startsByZone(orders(s, now)); got["north"] != 0 || got["south"] == 0 {
 		t.Errorf("starts %v after a serving task has ended, want some in south and none in north", got)
 	}
 }
@@ -227,30 +227,30 @@
 // TestServingTasksDoNotMoveToAnEvacuatedZone checks that a serving task whose instance is
 // emptied for maintenance does not move to an evacuated availability zone.
 func TestServingTasksDoNotMoveToAnEvacuatedZone(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, south(1))
-	b.Add(start, job("a", policy, servingStep(1, 1000, nil)))
-	acceptAndReport(b, start, orders(b, start))
+	s := newTestScheduler()
+	registerIdle(s, start, south(1))
+	s.Add(start, job("a", policy, servingStep(1, 1000, nil)))
+	acceptAndReport(s, start, orders(s, start))
 	now := start.Add(3 * time.Second)
-	registerNewIdle(b, now, south(1), north(0))
-	b.SetEvacuations(northEvacuated)
-	s := b.Survey(now, schedule.SurveyRequest{Closures: []schedule.Closure{{Instance: "m-1", Evacuate: true}}})
-	if got := countStops(orders(b, now)); got != 0 || s.Unmoved != 1 {
-		t.Errorf("%d serving tasks are stopped and %d instances are missing for moves, want 0 and 1", got, s.Unmoved)
+	registerNewIdle(s, now, south(1), north(0))
+	s.SetEvacuations(northEvacuated)
+	survey := s.Survey(now, schedule.SurveyRequest{Closures: []schedule.Closure{{Instance: "m-1", Evacuate: true}}})
+	if got := countStops(orders(s, now)); got != 0 || survey.Unmoved != 1 {
+		t.Errorf("%d serving tasks are stopped and %d instances are missing for moves, want 0 and 1", got, survey.Unmoved)
 	}
 }
 
 // TestAdvisorIsNotAskedAboutAnEvacuatedZone checks that the advisor is not asked about
 // instances in an evacuated availability zone.
 func TestAdvisorIsNotAskedAboutAnEvacuatedZone(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, north(0), south(1))
-	b.SetEvacuations(northEvacuated)
+	s := newTestScheduler()
+	registerIdle(s, start, north(0), south(1))
+	s.SetEvacuations(northEvacuated)
 	advised := policy
 	advised.Advised = true
-	b.Add(start, job("a", advised, step(1, 500, nil)))
-	orders(b, start)
-	for _, q := range b.TakeAdviceRequests() {
+	s.Add(start, job("a", advised, step(1, 500, nil)))
+	orders(s, start)
+	for _, q := range s.TakeAdviceRequests() {
 		for _, id := range q.Incarnations {
 			if id == "i-0" {
 				t.Errorf("advice request %+v contains an instance in the evacuated zone", q)
@@ -262,18 +262,18 @@
 // TestNothingIsPreemptedInAnEvacuatedZone checks that a task of priority 0 preempts nothing in
 // an evacuated availability zone, where it could not start.
 func TestNothingIsPreemptedInAnEvacuatedZone(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, north(0))
+	s := newTestScheduler()
+	registerIdle(s, start, north(0))
 	low := policy
 	low.Priority = 1
-	b.Add(start, job("low", low, step(1, 4000, nil)))
-	acceptAndReport(b, start, orders(b, start))
-	b.SetEvacuations(northEvacuated)
-	b.Add(start, job("urgent", policy, step(1, 4000, nil)))
+	s.Add(start, job("low", low, step(1, 4000, nil)))
+	acceptAndReport(s, start, orders(s, start))
+	s.SetEvacuations(northEvacuated)
+	s.Add(start, job("urgent", policy, step(1, 4000, nil)))
 	now := start
 	for range 20 {
 		now = now.Add(100 * time.Millisecond)
-		if got := countStops(orders(b, now)); got != 0 {
+		if got := countStops(orders(s, now)); got != 0 {
 			t.Fatalf("%d tasks are stopped, want none", got)
 		}
 	}
@@ -284,16 +284,16 @@
 // these have free capacity, on cold ones rather than wait, and on all alike once they are
 // warm.
 func TestZoneThatComesBackColdGetsWorkGradually(t *testing.T) {
-	b := newTestScheduler()
+	s := newTestScheduler()
 	cold := []pointport.IncarnationOption{pointport.WithZone("north"), pointport.WithColdRemaining(2 * time.Second)}
-	registerIdle(b, start, incarnation(0, cold...), incarnation(2, cold...), south(1), south(3))
+	registerIdle(s, start, incarnation(0, cold...), incarnation(2, cold...), south(1), south(3))
 	few, many := step(8, 1000, nil), step(12, 1000, nil)
-	b.Add(start, job("few", policy, few))
-	if got := startsByZone(orders(b, start)); got["north"] != 0 || got["south"] != 8 {
+	s.Add(start, job("few", policy, few))
+	if got := startsByZone(orders(s, start)); got["north"] != 0 || got["south"] != 8 {
 		t.Errorf("starts %v, want all on the warm instances, which have free capacity", got)
 	}
-	b.Add(start, job("many", policy, many))
-	if got := startsByZone(orders(b, start)); got["north"] != 8 {
+	s.Add(start, job("many", policy, many))
+	if got := startsByZone(orders(s, start)); got["north"] != 8 {
 		t.Errorf("starts %v, want as many on cold instances as fit there", got)
 	}
 	warm := newTestScheduler()
--- a/schedule/expiry_test.go
+++ b/schedule/expiry_test.go
@@ -24,39 +24,39 @@
 // In a log the failure shows as 'instance expired' and 'task returned' of run 1 half a second
 // after its end, and a start of run 2 shortly after that.
 func TestTaskThatEndedBeforeItsInstanceExpiredIsNotRunAgain(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0))
-	b.Add(start, job("a", policy, step(1, 100, nil)))
-	sent := orders(b, start)
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0))
+	s.Add(start, job("a", policy, step(1, 100, nil)))
+	sent := orders(s, start)
 	if len(sent) != 1 {
 		t.Fatalf("orders %v, want one start", sent)
 	}
 	first := sent[0]
 	first.Worker.ExtendLease(start, settings.Lease)
-	b.OrderAnswered(first, start, 0, silence)
+	s.OrderAnswered(first, start, 0, silence)
 	now := start
 	for range 60 { // well beyond the execution lease
 		now = now.Add(100 * time.Millisecond)
-		b.PollFailed(first.Worker, now, silence)
-		for _, o := range orders(b, now) {
-			b.OrderAnswered(o, now, 0, silence)
+		s.PollFailed(first.Worker, now, silence)
+		for _, o := range orders(s, now) {
+			s.OrderAnswered(o, now, 0, silence)
 		}
 	}
-	if s, _ := b.Status("a"); s.Ended() {
+	if s, _ := s.Status("a"); s.Ended() {
 		t.Fatalf("the job is %s before its task was reported", s)
 	}
-	b.Report(first.Worker, now, now, pointport.Report{Clock: 1, Ended: []pointport.TaskEnd{
+	s.Report(first.Worker, now, now, pointport.Report{Clock: 1, Ended: []pointport.TaskEnd{
 		{Number: 1, TaskRun: first.TaskRun, Kind: pointport.EndDone},
 	}})
 	for range 20 {
 		now = now.Add(100 * time.Millisecond)
-		for _, o := range orders(b, now) {
+		for _, o := range orders(s, now) {
 			if o.Kind == schedule.OrderStart {
 				t.Fatalf("%v is started although run %d of its task is done", o.TaskRun, first.Run.TaskRun().Run)
 			}
 		}
 	}
-	if s, _ := b.Status("a"); !s.Ended() {
+	if s, _ := s.Status("a"); !s.Ended() {
 		t.Errorf("the job is %s, want it ended", s)
 	}
 }
@@ -74,9 +74,9 @@
 // takes to be back. All others start elsewhere when the execution lease has expired, and tasks
 // that may have copies within a second.
 func TestTasksOfSilentInstancesWaitForReports(t *testing.T) {
-	s := func(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
+	seconds := func(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
 	missing := func(from, until float64) func(time.Duration) bool {
-		return func(at time.Duration) bool { return at >= s(from) && at < s(until) }
+		return func(at time.Duration) bool { return at >= seconds(from) && at < seconds(until) }
 	}
 	cases := map[string]struct {
 		unregistered func(at time.Duration) bool // reports whether the registration is missing; nil for never
@@ -88,25 +88,25 @@
 		nowhere      bool // the task never starts elsewhere
 	}{
 		"registered":           {nowhere: true},
-		"unregistered":         {unregistered: missing(3, 999), least: s(6), atMost: s(6.2)},
-		"unregistered at once": {unregistered: missing(0, 999), least: s(4), atMost: s(4.5)},
-		"unregistered late":    {unregistered: missing(7, 999), least: s(10), atMost: s(10.2)},
+		"unregistered":         {unregistered: missing(3, 999), least: seconds(6), atMost: seconds(6.2)},
+		"unregistered at once": {unregistered: missing(0, 999), least: seconds(4), atMost: seconds(4.5)},
+		"unregistered late":    {unregistered: missing(7, 999), least: seconds(10), atMost: seconds(10.2)},
 		"lapsed by mistake":    {unregistered: missing(5, 7.5), nowhere: true},
-		"unregistered while the store is unreadable": {unregistered: missing(7, 999), unreadable: missing(8, 30), least: s(33), atMost: s(33.2)},
-		"later incarnation":                          {unregistered: missing(3, 999), laterAt: 5, least: s(5), atMost: s(5.2)},
+		"unregistered while the store is unreadable": {unregistered: missing(7, 999), unreadable: missing(8, 30), least: seconds(33), atMost: seconds(33.2)},
+		"later incarnation":                          {unregistered: missing(3, 999), laterAt: 5, least: seconds(5), atMost: seconds(5.2)},
 		"later incarnation, both registered":         {laterAt: 5, nowhere: true},
-		"serving tasks":                              {change: func(s *workload.Step) { s.Service = true }, least: s(4), atMost: s(5)},
-		"tasks with copies":                          {change: func(s *workload.Step) { s.Copies = true }, least: s(.5), atMost: s(1)},
+		"serving tasks":                              {change: func(s *workload.Step) { s.Service = true }, least: seconds(4), atMost: seconds(5)},
+		"tasks with copies":                          {change: func(s *workload.Step) { s.Copies = true }, least: seconds(.5), atMost: seconds(1)},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newTestScheduler()
+			s := newTestScheduler()
 			other := []pointport.Incarnation{incarnation(0), incarnation(1)}
-			registerIdle(b, start, other...)
-			b.Add(start, job("a", policy, step(1, 100, c.change)))
-			first := orders(b, start)[0]
+			registerIdle(s, start, other...)
+			s.Add(start, job("a", policy, step(1, 100, c.change)))
+			first := orders(s, start)[0]
 			first.Worker.ExtendLease(start, settings.Lease)
-			b.OrderAnswered(first, start, 0, nil)
+			s.OrderAnswered(first, start, 0, nil)
 			silent := first.Worker.Incarnation()
 			if silent.ID() == other[0].ID() {
 				other = other[1:]
@@ -117,12 +117,12 @@
 			coverage := schedule.RegistryCoverage{Since: start}
 			for at := time.Duration(0); at < observationTime; at += 50 * time.Millisecond {
 				now := start.Add(at)
-				b.PollFailed(first.Worker, now, silence)
+				s.PollFailed(first.Worker, now, silence)
 				registered := other
 				if c.unregistered == nil || !c.unregistered(at) {
 					registered = append(registered[:1:1], silent)
 				}
-				if c.laterAt > 0 && at >= s(c.laterAt) {
+				if c.laterAt > 0 && at >= seconds(c.laterAt) {
 					registered = append(registered[:len(registered):len(registered)], again)
 				}
 				switch unreadable := c.unreadable != nil && c.unreadable(at); {
@@ -133,9 +133,9 @@
 				default:
 					coverage.Until = now
 				}
-				b.SetIncarnations(now, registered)
-				b.SetRegistryCoverage(coverage)
-				for _, o := range orders(b, now) {
+				s.SetIncarnations(now, registered)
+				s.SetRegistryCoverage(coverage)
+				for _, o := range orders(s, now) {
 					if o.Kind != schedule.OrderStart || o.Worker == first.Worker {
 						continue
 					}
@@ -156,20 +156,20 @@
 // execution lease of its tasks on a silent instance has expired. None of its tasks starts
 // again, so there is no need to wait for the report of their ends.
 func TestCancelledJobDoesNotWaitForSilentInstance(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0))
-	b.Add(start, job("a", policy, step(1, 100, nil)))
-	first := orders(b, start)[0]
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0))
+	s.Add(start, job("a", policy, step(1, 100, nil)))
+	first := orders(s, start)[0]
 	first.Worker.ExtendLease(start, settings.Lease)
-	b.OrderAnswered(first, start, 0, nil)
-	b.Cancel(start, "a")
+	s.OrderAnswered(first, start, 0, nil)
+	s.Cancel(start, "a")
 	now := start
 	for range 60 {
 		now = now.Add(100 * time.Millisecond)
-		b.PollFailed(first.Worker, now, silence)
-		orders(b, now)
+		s.PollFailed(first.Worker, now, silence)
+		orders(s, now)
 	}
-	if status, _ := b.Status("a"); status != workload.Cancelled {
+	if status, _ := s.Status("a"); status != workload.Cancelled {
 		t.Errorf("the job is %s, want cancelled", status)
 	}
 }
@@ -178,21 +178,21 @@
 // when its instance becomes silent is skipped, and that its task starts elsewhere without
 // waiting until the instance expires.
 func TestStartThatWaitsForSilentInstanceGoesElsewhere(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0), incarnation(1))
-	b.Add(start, job("a", policy, step(1, 100, nil)))
-	sent := orders(b, start)
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0), incarnation(1))
+	s.Add(start, job("a", policy, step(1, 100, nil)))
+	sent := orders(s, start)
 	if len(sent) != 1 {
 		t.Fatalf("orders %v, want one start", sent)
 	}
-	if b.SkipStart(start, sent[0]) {
+	if s.SkipStart(start, sent[0]) {
 		t.Fatal("the start is skipped although its instance answers")
 	}
-	b.PollFailed(sent[0].Worker, start, silence)
-	if !b.SkipStart(start, sent[0]) {
+	s.PollFailed(sent[0].Worker, start, silence)
+	if !s.SkipStart(start, sent[0]) {
 		t.Fatal("the start is not skipped although its instance is silent")
 	}
-	again := orders(b, start.Add(10*time.Millisecond))
+	again := orders(s, start.Add(10*time.Millisecond))
 	if len(again) != 1 || again[0].Worker == sent[0].Worker {
 		t.Errorf("orders %v, want one start on the other instance", again)
 	}
@@ -201,14 +201,14 @@
 // TestStartThatMayHaveArrivedIsNotSkipped checks that a start that may have reached its
 // instance by an earlier order is not skipped.
 func TestStartThatMayHaveArrivedIsNotSkipped(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0))
-	b.Add(start, job("a", policy, step(1, 100, nil)))
-	sent := orders(b, start)
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0))
+	s.Add(start, job("a", policy, step(1, 100, nil)))
+	sent := orders(s, start)
 	sent[0].Worker.ExtendLease(start, settings.Lease)
-	b.OrderAnswered(sent[0], start, 0, silence)
-	b.PollFailed(sent[0].Worker, start, silence)
-	if b.SkipStart(start, sent[0]) {
+	s.OrderAnswered(sent[0], start, 0, silence)
+	s.PollFailed(sent[0].Worker, start, silence)
+	if s.SkipStart(start, sent[0]) {
 		t.Error("the start is skipped although an earlier order of it may have arrived")
 	}
 }
@@ -216,18 +216,18 @@
 // TestPlacementRespectsUnstoredStartLimit checks that no more tasks are placed than the limit
 // of starts that wait to be stored and sent allows.
 func TestPlacementRespectsUnstoredStartLimit(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0), incarnation(1))
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0), incarnation(1))
 	for _, id := range []string{"a", "b", "c", "d"} {
-		b.Add(start, job(id, policy, step(4, 100, nil)))
+		s.Add(start, job(id, policy, step(4, 100, nil)))
 	}
-	b.LimitUnstoredStarts(8)
-	if n := len(startsByIncarnation(orders(b, start))); n == 0 {
+	s.LimitUnstoredStarts(8)
+	if n := len(startsByIncarnation(orders(s, start))); n == 0 {
 		t.Fatal("nothing is placed below the limit")
 	}
-	b.LimitUnstoredStarts(0)
-	b.Add(start, job("e", policy, step(1, 100, nil)))
-	if got := orders(b, start); len(got) != 0 {
+	s.LimitUnstoredStarts(0)
+	s.Add(start, job("e", policy, step(1, 100, nil)))
+	if got := orders(s, start); len(got) != 0 {
 		t.Errorf("%d orders with a limit of 0, want none", len(got))
 	}
 }
@@ -236,18 +236,18 @@
 // again when the report of its end is handled only after the owner has learned that the
 // incarnation has ended since. An answer of an ended incarnation must still be evaluated.
 func TestEndHandledAfterItsIncarnationEndedCounts(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0), incarnation(1))
-	b.Add(start, job("a", policy, step(1, 100, nil)))
-	first := orders(b, start)[0]
-	b.MarkSending(first)
-	b.OrderAnswered(first, start, clockAt(start), nil)
-	b.EndIncarnation(start, first.Worker.Incarnation().ID())
-	b.Report(first.Worker, start, start, reportOfOrderEnd(first, pointport.EndDone))
-	if got := startsByIncarnation(orders(b, start)); len(got) != 0 {
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0), incarnation(1))
+	s.Add(start, job("a", policy, step(1, 100, nil)))
+	first := orders(s, start)[0]
+	s.MarkSending(first)
+	s.OrderAnswered(first, start, clockAt(start), nil)
+	s.EndIncarnation(start, first.Worker.Incarnation().ID())
+	s.Report(first.Worker, start, start, reportOfOrderEnd(first, pointport.EndDone))
+	if got := startsByIncarnation(orders(s, start)); len(got) != 0 {
 		t.Errorf("starts %v although the task is done", got)
 	}
-	if s, _ := b.Status("a"); s != workload.Completed {
+	if s, _ := s.Status("a"); s != workload.Completed {
 		t.Errorf("the job is %q, want completed", s)
 	}
 }
@@ -257,37 +257,37 @@
 // silent until its execution lease expired or was known to have ended. The completed end of a
 // replaced run must count for a gang too.
 func TestGangThatEndedBeforeItWasRequeuedIsNotRunAgain(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0))
-	b.Add(start, job("a", policy, step(2, 100, func(s *workload.Step) { s.Gang = true })))
-	both := orders(b, start)
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0))
+	s.Add(start, job("a", policy, step(2, 100, func(s *workload.Step) { s.Gang = true })))
+	both := orders(s, start)
 	for _, o := range both {
-		b.MarkSending(o)
-		b.OrderAnswered(o, start, clockAt(start), nil)
+		s.MarkSending(o)
+		s.OrderAnswered(o, start, clockAt(start), nil)
 	}
-	b.SetIncarnations(start, []pointport.Incarnation{incarnation(0), incarnation(1)})
-	for _, w := range b.Workers() {
+	s.SetIncarnations(start, []pointport.Incarnation{incarnation(0), incarnation(1)})
+	for _, w := range s.Workers() {
 		if w != both[0].Worker {
-			b.Report(w, start, start, pointport.Report{Clock: 1})
+			s.Report(w, start, start, pointport.Report{Clock: 1})
 		}
 	}
-	b.EndIncarnation(start, incarnation(0).ID())
-	again := orders(b, start) // on the other instance, before the first one has reported
+	s.EndIncarnation(start, incarnation(0).ID())
+	again := orders(s, start) // on the other instance, before the first one has reported
 	if got := startsByIncarnation(again); got[incarnation(1).ID()] != 2 {
 		t.Fatalf("starts %v, want the gang on the other instance", got)
 	}
-	b.Report(both[0].Worker, start, start, pointport.Report{Clock: 1, Ended: []pointport.TaskEnd{
+	s.Report(both[0].Worker, start, start, pointport.Report{Clock: 1, Ended: []pointport.TaskEnd{
 		{Number: 1, TaskRun: both[0].TaskRun, Kind: pointport.EndDone}, {Number: 2, TaskRun: both[1].TaskRun, Kind: pointport.EndDone},
 	}})
 	for _, o := range again {
-		if o.Kind == schedule.OrderStart && !b.SkipStart(start, o) {
+		if o.Kind == schedule.OrderStart && !s.SkipStart(start, o) {
 			t.Errorf("the start of %v is not skipped although its gang is done", o.TaskRun)
 		}
 	}
-	if got := startsByIncarnation(orders(b, start)); len(got) != 0 {
+	if got := startsByIncarnation(orders(s, start)); len(got) != 0 {
 		t.Errorf("starts %v although the gang is done", got)
 	}
-	if s, _ := b.Status("a"); s != workload.Completed {
+	if s, _ := s.Status("a"); s != workload.Completed {
 		t.Errorf("the job is %q, want completed", s)
 	}
 }
--- a/schedule/isolation_test.go
+++ b/schedule/isolation_test.go
@@ -26,19 +26,19 @@
 // schedulerWithSilent returns a scheduler with a number of instances, and the workers of those
 // that have been silent for a second.
 func schedulerWithSilent(all, silent int) (*schedule.Scheduler, []*schedule.Worker) {
-	b := newTestScheduler()
+	s := newTestScheduler()
 	var incs []pointport.Incarnation
 	for n := range all {
 		incs = append(incs, incarnation(n))
 	}
-	registerIdle(b, start, incs...)
-	workers := b.Workers()[:silent]
+	registerIdle(s, start, incs...)
+	workers := s.Workers()[:silent]
 	for _, w := range workers {
-		b.PollFailed(w, start, silence)
+		s.PollFailed(w, start, silence)
 	}
-	b.Plan(start)
-	b.Plan(start.Add(time.Second))
-	return b, workers
+	s.Plan(start)
+	s.Plan(start.Add(time.Second))
+	return s, workers
 }
 
 // TestOwnerWithFewAnswersSuspectsIsolation checks that an owner suspects that it is isolated when
@@ -51,8 +51,8 @@
 	}{
 		{2, 1, false}, {2, 2, false}, {3, 3, false}, {10, 5, false}, {11, 6, false}, {12, 8, true}, {102, 68, true}, {102, 102, true},
 	} {
-		if b, _ := schedulerWithSilent(c.all, c.silent); b.SuspectsIsolation() != c.want {
-			t.Errorf("%d of %d instances are silent: owner suspects isolation: %v, want %v", c.silent, c.all, b.SuspectsIsolation(), c.want)
+		if s, _ := schedulerWithSilent(c.all, c.silent); s.SuspectsIsolation() != c.want {
+			t.Errorf("%d of %d instances are silent: owner suspects isolation: %v, want %v", c.silent, c.all, s.SuspectsIsolation(), c.want)
 		}
 	}
 }
@@ -61,19 +61,19 @@
 // to do so once most instances answer, and not as soon as a few more answer than when it
 // began.
 func TestSuspicionEndsOnceMostInstancesAnswer(t *testing.T) {
-	b, silent := schedulerWithSilent(100, 60)
+	s, silent := schedulerWithSilent(100, 60)
 	reportIdle := func(workers []*schedule.Worker) {
 		for _, w := range workers {
-			b.Report(w, start, start, pointport.Report{Clock: 1})
+			s.Report(w, start, start, pointport.Report{Clock: 1})
 		}
-		b.Plan(start)
+		s.Plan(start)
 	}
 	reportIdle(silent[:20])
-	if !b.SuspectsIsolation() {
+	if !s.SuspectsIsolation() {
 		t.Error("the owner no longer suspects isolation while 40 of 100 instances are silent")
 	}
 	reportIdle(silent[20:40])
-	if b.SuspectsIsolation() {
+	if s.SuspectsIsolation() {
 		t.Error("the owner suspects isolation while 20 of 100 instances are silent")
 	}
 }
@@ -82,38 +82,38 @@
 // do not make an owner suspect isolation, which would delay the starts that are possible
 // meanwhile.
 func TestShortSilenceIsNoIsolation(t *testing.T) {
-	b := newTestScheduler()
+	s := newTestScheduler()
 	var all []pointport.Incarnation
 	for n := range 20 {
 		all = append(all, incarnation(n))
 	}
-	registerIdle(b, start, all...)
+	registerIdle(s, start, all...)
 	now := start
 	for range 10 {
-		for _, w := range b.Workers() {
-			b.PollFailed(w, now, silence)
+		for _, w := range s.Workers() {
+			s.PollFailed(w, now, silence)
 		}
 		for range 9 {
-			b.Plan(now)
-			if b.SuspectsIsolation() {
+			s.Plan(now)
+			if s.SuspectsIsolation() {
 				t.Fatal("the owner suspects isolation after less than a second of silence")
 			}
 			now = now.Add(100 * time.Millisecond)
 		}
-		for _, w := range b.Workers() {
-			b.Report(w, now, now, pointport.Report{Clock: pointport.InstanceTime(now.Sub(start))})
+		for _, w := range s.Workers() {
+			s.Report(w, now, now, pointport.Report{Clock: pointport.InstanceTime(now.Sub(start))})
 		}
-		b.Plan(now)
+		s.Plan(now)
 	}
 }
 
 // TestSilenceOfUnregisteredInstancesIsNoIsolation checks that silent instances that are no longer
 // registered do not make an owner suspect isolation.
 func TestSilenceOfUnregisteredInstancesIsNoIsolation(t *testing.T) {
-	b, _ := schedulerWithSilent(10, 8)
-	b.SetIncarnations(start, []pointport.Incarnation{incarnation(8), incarnation(9)})
-	b.Plan(start)
-	if b.SuspectsIsolation() {
+	s, _ := schedulerWithSilent(10, 8)
+	s.SetIncarnations(start, []pointport.Incarnation{incarnation(8), incarnation(9)})
+	s.Plan(start)
+	if s.SuspectsIsolation() {
 		t.Error("the owner suspects isolation although all registered instances answer")
 	}
 }
@@ -128,18 +128,18 @@
 		"with copies": func(s *workload.Step) { s.Copies = true },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newTestScheduler()
+			s := newTestScheduler()
 			var all []pointport.Incarnation
 			for n := range 10 {
 				all = append(all, incarnation(n))
 			}
-			registerIdle(b, start, all...)
-			b.Add(start, job("a", policy, step(1, 100, change)))
-			first := orders(b, start)[0]
+			registerIdle(s, start, all...)
+			s.Add(start, job("a", policy, step(1, 100, change)))
+			first := orders(s, start)[0]
 			first.Worker.ExtendLease(start, settings.Lease)
-			b.OrderAnswered(first, start, 1, nil)
+			s.OrderAnswered(first, start, 1, nil)
 			silent := []*schedule.Worker{first.Worker}
-			for _, w := range b.Workers() {
+			for _, w := range s.Workers() {
 				if w != first.Worker && len(silent) < 8 {
 					silent = append(silent, w)
 				}
@@ -147,9 +147,9 @@
 			now := start
 			for range 300 { // half a minute
 				for _, w := range silent {
-					b.PollFailed(w, now, silence)
+					s.PollFailed(w, now, silence)
 				}
-				for _, o := range orders(b, now) {
+				for _, o := range orders(s, now) {
 					if o.Kind == schedule.OrderStart {
 						t.Fatalf("%v is started %v after most instances became silent, want no start", o.TaskRun, now.Sub(start))
 					}
@@ -157,12 +157,12 @@
 				now = now.Add(100 * time.Millisecond)
 			}
 			for _, w := range silent[1:] {
-				b.Report(w, now, now, pointport.Report{Clock: pointport.InstanceTime(now.Sub(start))})
+				s.Report(w, now, now, pointport.Report{Clock: pointport.InstanceTime(now.Sub(start))})
 			}
 			again := 0
 			for range 20 {
-				b.PollFailed(first.Worker, now, silence)
-				again += len(startsByIncarnation(orders(b, now)))
+				s.PollFailed(first.Worker, now, silence)
+				again += len(startsByIncarnation(orders(s, now)))
 				now = now.Add(100 * time.Millisecond)
 			}
 			if again != 1 {
--- a/schedule/late_end_test.go
+++ b/schedule/late_end_test.go
@@ -16,32 +16,32 @@
 // the gang waits again. It also returns the starts that were carried out and the time.
 func schedulerWithExpiredGang(t *testing.T) (*schedule.Scheduler, []schedule.Order, time.Time) {
 	t.Helper()
-	b := newTestScheduler()
+	s := newTestScheduler()
 	both := []pointport.Incarnation{incarnation(0), incarnation(1)}
-	registerIdle(b, start, both...)
-	b.Add(start, job("a", policy, step(2, 3000, func(s *workload.Step) { s.Gang = true })))
-	sent := orders(b, start)
+	registerIdle(s, start, both...)
+	s.Add(start, job("a", policy, step(2, 3000, func(s *workload.Step) { s.Gang = true })))
+	sent := orders(s, start)
 	if len(startsByIncarnation(sent)) != 2 {
 		t.Fatalf("orders %v, want a start on each instance", sent)
 	}
 	for _, o := range sent {
-		b.MarkSending(o)
+		s.MarkSending(o)
 		o.Worker.ExtendLease(start, settings.Lease)
-		b.OrderAnswered(o, start, 1, nil)
+		s.OrderAnswered(o, start, 1, nil)
 	}
 	now := start
 	for range 50 { // well beyond the execution lease
 		now = now.Add(100 * time.Millisecond)
-		b.SetIncarnations(now, nil)
+		s.SetIncarnations(now, nil)
 		for _, o := range sent {
-			b.PollFailed(o.Worker, now, silence)
+			s.PollFailed(o.Worker, now, silence)
 		}
-		for _, o := range orders(b, now) {
-			b.OrderAnswered(o, now, 0, silence)
+		for _, o := range orders(s, now) {
+			s.OrderAnswered(o, now, 0, silence)
 		}
 	}
-	b.SetIncarnations(now, both)
-	return b, sent, now
+	s.SetIncarnations(now, both)
+	return s, sent, now
 }
 
 // reportOfEnd returns a report that lists the end of a run.
@@ -54,21 +54,21 @@
 // the gang was requeued, and report its ends once the network is back. The late end of a run
 // counts for a gang as it does for a single task.
 func TestGangThatEndedBeforeItsInstancesExpiredIsNotRunAgain(t *testing.T) {
-	b, sent, now := schedulerWithExpiredGang(t)
-	for _, w := range b.Workers() {
+	s, sent, now := schedulerWithExpiredGang(t)
+	for _, w := range s.Workers() {
 		for _, o := range sent {
 			if o.Worker.Incarnation().ID() == w.Incarnation().ID() {
-				b.Report(w, now, now, reportOfEnd(o.TaskRun, pointport.EndDone))
+				s.Report(w, now, now, reportOfEnd(o.TaskRun, pointport.EndDone))
 			}
 		}
 	}
 	for range 20 {
 		now = now.Add(100 * time.Millisecond)
-		if got := startsByIncarnation(orders(b, now)); len(got) != 0 {
+		if got := startsByIncarnation(orders(s, now)); len(got) != 0 {
 			t.Fatalf("starts %v although the gang is done", got)
 		}
 	}
-	if s, _ := b.Status("a"); s != workload.Completed {
+	if s, _ := s.Status("a"); s != workload.Completed {
 		t.Errorf("the job is %s, want completed", s)
 	}
 }
@@ -77,32 +77,32 @@
 // stopped when the completed end of its first run is reported late. The end of one member
 // stands for the whole gang.
 func TestGangIsStoppedOnceAnEarlierRunOfItIsDone(t *testing.T) {
-	b, sent, now := schedulerWithExpiredGang(t)
-	for _, w := range b.Workers() {
-		b.Report(w, now, now, pointport.Report{Clock: 1})
+	s, sent, now := schedulerWithExpiredGang(t)
+	for _, w := range s.Workers() {
+		s.Report(w, now, now, pointport.Report{Clock: 1})
 	}
-	again := orders(b, now)
+	again := orders(s, now)
 	if len(startsByIncarnation(again)) != 2 {
 		t.Fatalf("orders %v, want the gang started again", again)
 	}
 	for _, o := range again {
-		b.MarkSending(o)
-		b.OrderAnswered(o, now, 1, nil)
+		s.MarkSending(o)
+		s.OrderAnswered(o, now, 1, nil)
 	}
 	now = now.Add(time.Second)
 	late := again[0].Worker
 	for _, o := range sent {
 		if o.Worker.Incarnation().ID() == late.Incarnation().ID() {
-			b.Report(late, now, now, reportOfEnd(o.TaskRun, pointport.EndDone))
+			s.Report(late, now, now, reportOfEnd(o.TaskRun, pointport.EndDone))
 		}
 	}
-	stopped := orders(b, now)
+	stopped := orders(s, now)
 	for _, o := range again {
 		if o.Kind == schedule.OrderStart && len(ordersFor(stopped, schedule.OrderStop, o.TaskRun)) == 0 {
 			t.Errorf("%v is not stopped although an earlier run of its gang is done", o.TaskRun)
 		}
 	}
-	if s, _ := b.Status("a"); s != workload.Completed {
+	if s, _ := s.Status("a"); s != workload.Completed {
 		t.Errorf("the job is %s, want completed", s)
 	}
 }
@@ -114,18 +114,18 @@
 func TestInstanceIsNotEmptyBeforeALateEndIsStored(t *testing.T) {
 	for name, how := range map[string]pointport.EndKind{"done": pointport.EndDone, "failed": pointport.EndFailed} {
 		t.Run(name, func(t *testing.T) {
-			b, sent, now := schedulerWithExpiredGang(t)
+			s, sent, now := schedulerWithExpiredGang(t)
 			at := sent[0].Worker.Incarnation().ID()
-			for _, w := range b.Workers() {
+			for _, w := range s.Workers() {
 				if w.Incarnation().ID() == at {
-					b.Report(w, now, now, reportOfEnd(sent[0].TaskRun, how))
+					s.Report(w, now, now, reportOfEnd(sent[0].TaskRun, how))
 				}
 			}
-			if countsAsEmpty(t, b, now, at) {
+			if countsAsEmpty(t, s, now, at) {
 				t.Error("the instance counts as empty although the end that it has reported is not stored")
 			}
-			b.Stored(b.TakeBatch(everything), now)
-			if !countsAsEmpty(t, b, now, at) {
+			s.Stored(s.TakeBatch(everything), now)
+			if !countsAsEmpty(t, s, now, at) {
 				t.Error("the instance does not count as empty once the end is stored")
 			}
 		})
@@ -134,9 +134,9 @@
 
 // countsAsEmpty reports whether an instance counts as empty, so that it may be moved or
 // maintained.
-func countsAsEmpty(t *testing.T, b *schedule.Scheduler, now time.Time, id pointport.IncarnationID) bool {
+func countsAsEmpty(t *testing.T, s *schedule.Scheduler, now time.Time, id pointport.IncarnationID) bool {
 	t.Helper()
-	for _, l := range b.Survey(now, schedule.SurveyRequest{}).Instances {
+	for _, l := range s.Survey(now, schedule.SurveyRequest{}).Instances {
 		if l.Incarnation == id {
 			return l.Empty()
 		}
--- a/schedule/memory_test.go
+++ b/schedule/memory_test.go
@@ -21,15 +21,15 @@
 }
 
 // runJobs runs count jobs to their end, one after the other, and returns the time after that.
-func runJobs(b *schedule.Scheduler, now time.Time, first, count int) time.Time {
+func runJobs(s *schedule.Scheduler, now time.Time, first, count int) time.Time {
 	for n := range count {
 		now = now.Add(20 * time.Millisecond)
-		b.Add(now, job(fmt.Sprintf("%016x", first+n), policy, step(4, 100, nil)))
-		for _, o := range orders(b, now) {
-			b.OrderAnswered(o, now, pointport.InstanceTime(now.Sub(start)), nil)
+		s.Add(now, job(fmt.Sprintf("%016x", first+n), policy, step(4, 100, nil)))
+		for _, o := range orders(s, now) {
+			s.OrderAnswered(o, now, pointport.InstanceTime(now.Sub(start)), nil)
 			end := pointport.TaskEnd{Number: o.Worker.NextPoll().Acknowledged + 1, TaskRun: o.TaskRun, Kind: pointport.EndDone}
-			b.Report(o.Worker, now, now, pointport.Report{Clock: pointport.InstanceTime(now.Sub(start)), Ended: []pointport.TaskEnd{end}})
-			b.Stored(b.TakeBatch(everything), now)
+			s.Report(o.Worker, now, now, pointport.Report{Clock: pointport.InstanceTime(now.Sub(start)), Ended: []pointport.TaskEnd{end}})
+			s.Stored(s.TakeBatch(everything), now)
 		}
 	}
 	return now
@@ -38,17 +38,17 @@
 // TestEndedJobsLeaveMemory checks that jobs that have ended and are stored are freed: the jobs
 // of a day must not make the heap grow.
 func TestEndedJobsLeaveMemory(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0), incarnation(1))
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0), incarnation(1))
 	const warm, day = 4000, 40_000
-	now := runJobs(b, start, 0, warm)
+	now := runJobs(s, start, 0, warm)
 	before := heapInUse()
-	runJobs(b, now, warm, day)
+	runJobs(s, now, warm, day)
 	const slack = 1 << 20 // bytes
 	if grown := heapInUse() - before; grown > slack {
 		t.Errorf("%d ended jobs still use %d bytes, %d each", day, grown, grown/day)
 	}
-	runtime.KeepAlive(b)
+	runtime.KeepAlive(s)
 }
 
 // BenchmarkMemory reports the bytes that a worker, an open job and a task of it use.
@@ -56,24 +56,24 @@
 	for range bench.N {
 		const workers, jobs, tasks = 1000, 1000, 16
 		before := heapInUse()
-		b := newTestScheduler()
+		s := newTestScheduler()
 		var all []pointport.Incarnation
 		for n := range workers {
 			all = append(all, incarnation(n))
 		}
-		registerIdle(b, start, all...)
+		registerIdle(s, start, all...)
 		withWorkers := heapInUse()
 		for n := range jobs {
-			b.Add(start, job(fmt.Sprintf("%016x", n), policy, step(1, 100, nil)))
+			s.Add(start, job(fmt.Sprintf("%016x", n), policy, step(1, 100, nil)))
 		}
 		withJobs := heapInUse()
 		for n := range jobs {
-			b.Add(start, job(fmt.Sprintf("%016x", jobs+n), policy, step(1+tasks, 100, nil)))
+			s.Add(start, job(fmt.Sprintf("%016x", jobs+n), policy, step(1+tasks, 100, nil)))
 		}
 		withTasks := heapInUse()
 		bench.ReportMetric(float64(withWorkers-before)/workers, "B/worker")
 		bench.ReportMetric(float64(withJobs-withWorkers)/jobs, "B/job")
 		bench.ReportMetric(float64(withTasks-2*withJobs+withWorkers)/(jobs*tasks), "B/task")
-		runtime.KeepAlive(b)
+		runtime.KeepAlive(s)
 	}
 }
--- a/schedule/moved_instance_test.go
+++ b/schedule/moved_instance_test.go
@@ -18,27 +18,27 @@
 // instances were moved to the pool for them. On a quiet day, 1,162 of 1,401 ended incarnations
 // were logged as crashed, and instances came under suspicion 224 times.
 func TestInstanceThatIsMovedHasNotCrashed(t *testing.T) {
-	b := newTestScheduler()
+	s := newTestScheduler()
 	now := start
 	silence := &pointport.UnavailableError{Op: "hold", Ambiguous: true}
 	for round := range 4 {
 		inc := pointport.NewIncarnation(pointport.IncarnationID([]string{"i-0", "i-1", "i-2", "i-3"}[round]), "p", "10.0.0.1:1",
 			pointport.WithInstance("m-0"), pointport.WithCapacity(size))
-		registerIdle(b, now, inc)
-		w := b.Workers()[0]
-		if s := b.Survey(now, schedule.SurveyRequest{}); len(s.Instances) != 1 || s.Instances[0].Avoided {
-			t.Fatalf("round %d: the pool has %+v, want one instance that is not avoided", round, s.Instances)
+		registerIdle(s, now, inc)
+		w := s.Workers()[0]
+		if survey := s.Survey(now, schedule.SurveyRequest{}); len(survey.Instances) != 1 || survey.Instances[0].Avoided {
+			t.Fatalf("round %d: the pool has %+v, want one instance that is not avoided", round, survey.Instances)
 		}
 		now = now.Add(time.Second)
-		b.PollFailed(w, now, silence)
+		s.PollFailed(w, now, silence)
 		ended := schedule.OrderedEnd{Incarnation: inc.ID(), Sure: round%2 == 0}
-		s := b.Survey(now, schedule.SurveyRequest{Ordered: []schedule.OrderedEnd{ended}})
-		if ended.Sure != (len(s.Instances) == 0 && len(b.Workers()) == 0) {
-			t.Errorf("round %d: after an order that has surely ended the incarnation: %v, the pool has %+v", round, ended.Sure, s.Instances)
+		survey := s.Survey(now, schedule.SurveyRequest{Ordered: []schedule.OrderedEnd{ended}})
+		if ended.Sure != (len(survey.Instances) == 0 && len(s.Workers()) == 0) {
+			t.Errorf("round %d: after an order that has surely ended the incarnation: %v, the pool has %+v", round, ended.Sure, survey.Instances)
 		}
-		b.Survey(now.Add(time.Second), schedule.SurveyRequest{Ended: []pointport.IncarnationID{inc.ID()}})
+		s.Survey(now.Add(time.Second), schedule.SurveyRequest{Ended: []pointport.IncarnationID{inc.ID()}})
 		now = now.Add(3 * time.Second)
-		b.SetIncarnations(now, nil)
+		s.SetIncarnations(now, nil)
 	}
 }
 
@@ -46,12 +46,12 @@
 // end its incarnation while a task is placed there, because it is not known what became of the
 // task.
 func TestOrderDoesNotEndInstanceWithTasks(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0))
-	b.Add(start, job("a", policy, step(1, 500, nil)))
-	orders(b, start)
-	s := b.Survey(start, schedule.SurveyRequest{Ordered: []schedule.OrderedEnd{{Incarnation: "i-0", Sure: true}}})
-	if len(s.Instances) != 1 || s.Instances[0].Runs != 1 {
-		t.Errorf("the pool has %+v, want the instance with its run", s.Instances)
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0))
+	s.Add(start, job("a", policy, step(1, 500, nil)))
+	orders(s, start)
+	survey := s.Survey(start, schedule.SurveyRequest{Ordered: []schedule.OrderedEnd{{Incarnation: "i-0", Sure: true}}})
+	if len(survey.Instances) != 1 || survey.Instances[0].Runs != 1 {
+		t.Errorf("the pool has %+v, want the instance with its run", survey.Instances)
 	}
 }
--- a/schedule/quarantine_test.go
+++ b/schedule/quarantine_test.go
@@ -25,25 +25,25 @@
 }
 
 // acceptStarts answers start orders as carried out at now.
-func acceptStarts(b *schedule.Scheduler, all []schedule.Order, now time.Time) {
+func acceptStarts(s *schedule.Scheduler, all []schedule.Order, now time.Time) {
 	for _, o := range all {
 		if o.Kind == schedule.OrderStart {
-			b.MarkSending(o)
-			b.OrderAnswered(o, now, 1, nil)
+			s.MarkSending(o)
+			s.OrderAnswered(o, now, 1, nil)
 		}
 	}
 }
 
 // reportRuns handles a report of a worker at now that lists the runs started there, all with
 // the same progress.
-func reportRuns(b *schedule.Scheduler, all []schedule.Order, w *schedule.Worker, now time.Time, progress int) {
+func reportRuns(s *schedule.Scheduler, all []schedule.Order, w *schedule.Worker, now time.Time, progress int) {
 	r := pointport.Report{Clock: 1}
 	for _, o := range all {
 		if o.Kind == schedule.OrderStart && o.Worker == w {
 			r.Running = append(r.Running, pointport.RunningTask{TaskRun: o.TaskRun, Progress: progress})
 		}
 	}
-	b.Report(w, now, now, r)
+	s.Report(w, now, now, r)
 }
 
 // TestTasksOfCrashedInstanceArePlacedApart checks that tasks that were on one instance when it
@@ -51,13 +51,13 @@
 // all. In 1,500 drawn pools, a task that crashes its instances ended 3.4 runs of other tasks
 // this way instead of 4.9.
 func TestTasksOfCrashedInstanceArePlacedApart(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0))
-	b.Add(start, job("a", policy, step(3, 500, nil)))
-	acceptStarts(b, orders(b, start), start)
-	b.EndIncarnation(start, incarnation(0).ID())
-	registerIdle(b, start, incarnation(1), incarnation(2), incarnation(3))
-	got := startsByIncarnation(orders(b, start))
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0))
+	s.Add(start, job("a", policy, step(3, 500, nil)))
+	acceptStarts(s, orders(s, start), start)
+	s.EndIncarnation(start, incarnation(0).ID())
+	registerIdle(s, start, incarnation(1), incarnation(2), incarnation(3))
+	got := startsByIncarnation(orders(s, start))
 	if len(got) != 3 {
 		t.Errorf("starts %v, want one on each instance", got)
 	}
@@ -67,42 +67,42 @@
 // for an empty instance for a while, and that nothing is placed beside it there until it has
 // run for a while.
 func TestSuspectedTaskRunsAlone(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0), incarnation(1))
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0), incarnation(1))
 	busy := func(s *workload.Step) { s.Service, s.MaxPerInstance = true, 1 }
-	b.Add(start, job("serving", policy, step(2, 500, busy)))
-	before := orders(b, start)
-	acceptStarts(b, before, start)
-	b.Add(start, crashedJob("suspect", 2, step(1, 500, nil)))
-	if got := startsByIncarnation(orders(b, start.Add(time.Second))); len(got) != 0 {
+	s.Add(start, job("serving", policy, step(2, 500, busy)))
+	before := orders(s, start)
+	acceptStarts(s, before, start)
+	s.Add(start, crashedJob("suspect", 2, step(1, 500, nil)))
+	if got := startsByIncarnation(orders(s, start.Add(time.Second))); len(got) != 0 {
 		t.Fatalf("starts %v beside serving tasks after 1 s, want none yet", got)
 	}
-	x, _ := b.Explain(start.Add(time.Second), "suspect")
+	x, _ := s.Explain(start.Add(time.Second), "suspect")
 	if want := "1 tasks wait: after crashes, tasks are kept apart on all of 2 instances"; x.Steps[0].Waits != want {
 		t.Errorf("the wait is explained as %q, want %q", x.Steps[0].Waits, want)
 	}
-	b.SetIncarnations(start.Add(time.Second), []pointport.Incarnation{incarnation(0), incarnation(1), incarnation(2)})
-	for _, w := range b.Workers() {
-		reportRuns(b, before, w, start.Add(time.Second), 100)
+	s.SetIncarnations(start.Add(time.Second), []pointport.Incarnation{incarnation(0), incarnation(1), incarnation(2)})
+	for _, w := range s.Workers() {
+		reportRuns(s, before, w, start.Add(time.Second), 100)
 	}
-	alone := orders(b, start.Add(time.Second))
+	alone := orders(s, start.Add(time.Second))
 	if got := startsByIncarnation(alone); got["i-2"] != 1 || len(got) != 1 {
 		t.Fatalf("starts %v, want one on the empty instance", got)
 	}
-	acceptStarts(b, alone, start.Add(time.Second))
-	b.Add(start, job("others", policy, step(12, 500, nil)))
-	beside := orders(b, start.Add(1100*time.Millisecond))
+	acceptStarts(s, alone, start.Add(time.Second))
+	s.Add(start, job("others", policy, step(12, 500, nil)))
+	beside := orders(s, start.Add(1100*time.Millisecond))
 	if got := startsByIncarnation(beside); got["i-2"] != 0 || got["i-0"] == 0 {
 		t.Fatalf("starts %v, want none beside the suspected task", got)
 	}
-	acceptStarts(b, beside, start.Add(1100*time.Millisecond))
-	b.Add(start, job("later", policy, step(16, 500, nil)))
-	for _, w := range b.Workers() {
+	acceptStarts(s, beside, start.Add(1100*time.Millisecond))
+	s.Add(start, job("later", policy, step(16, 500, nil)))
+	for _, w := range s.Workers() {
 		if w.Incarnation().ID() == "i-2" {
-			reportRuns(b, alone, w, start.Add(3100*time.Millisecond), 10)
+			reportRuns(s, alone, w, start.Add(3100*time.Millisecond), 10)
 		}
 	}
-	if got := startsByIncarnation(orders(b, start.Add(3100*time.Millisecond))); got["i-2"] == 0 {
+	if got := startsByIncarnation(orders(s, start.Add(3100*time.Millisecond))); got["i-2"] == 0 {
 		t.Errorf("starts %v, want some beside a suspected task that has run for 2 s", got)
 	}
 }
@@ -111,26 +111,26 @@
 // others, where these are few, if no instance is empty for a while. A third crash there does
 // not show which task caused it, so only a fourth one fails the task.
 func TestSuspectedTaskEventuallyRunsBesideOthers(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0))
-	b.Add(start, job("serving", policy, step(1, 500, func(s *workload.Step) { s.Service = true })))
-	acceptStarts(b, orders(b, start), start)
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0))
+	s.Add(start, job("serving", policy, step(1, 500, func(s *workload.Step) { s.Service = true })))
+	acceptStarts(s, orders(s, start), start)
 	suspect := crashedJob("suspect", 2, step(1, 500, nil))
-	b.Add(start, suspect)
+	s.Add(start, suspect)
 	now := start.Add(1600 * time.Millisecond)
-	beside := orders(b, now)
+	beside := orders(s, now)
 	if got := startsByIncarnation(beside); got["i-0"] != 1 {
 		t.Fatalf("starts %v after 1.6 s, want one beside the serving task", got)
 	}
-	acceptStarts(b, beside, now)
-	b.EndIncarnation(now, "i-0")
-	if status, _ := b.Status("suspect"); status != workload.Running || suspect.Failed() {
+	acceptStarts(s, beside, now)
+	s.EndIncarnation(now, "i-0")
+	if status, _ := s.Status("suspect"); status != workload.Running || suspect.Failed() {
 		t.Fatalf("the job is %q after a third crash beside another task, want it to go on", status)
 	}
-	registerIdle(b, now, incarnation(1), incarnation(2))
-	acceptStarts(b, orders(b, now), now)
-	for _, w := range b.Workers() {
-		b.EndIncarnation(now, w.Incarnation().ID())
+	registerIdle(s, now, incarnation(1), incarnation(2))
+	acceptStarts(s, orders(s, now), now)
+	for _, w := range s.Workers() {
+		s.EndIncarnation(now, w.Incarnation().ID())
 	}
 	if !suspect.Failed() {
 		t.Errorf("the job has not failed after a fourth crash")
@@ -140,14 +140,14 @@
 // TestStartNotSentCountsNoCrash checks that a crash does not count against a task whose start
 // was not sent yet when its instance crashed.
 func TestStartNotSentCountsNoCrash(t *testing.T) {
-	b := newTestScheduler()
+	s := newTestScheduler()
 	j := job("a", policy, step(1, 500, nil))
-	b.Add(start, j)
-	registerIdle(b, start, incarnation(0))
-	if got := startsByIncarnation(orders(b, start)); got["i-0"] != 1 {
+	s.Add(start, j)
+	registerIdle(s, start, incarnation(0))
+	if got := startsByIncarnation(orders(s, start)); got["i-0"] != 1 {
 		t.Fatalf("starts %v, want one", got)
 	}
-	b.EndIncarnation(start, "i-0")
+	s.EndIncarnation(start, "i-0")
 	if got := j.Task(workload.TaskRef{}).Crashes; got != 0 {
 		t.Errorf("%d crashes count against a task whose start was never sent, want 0", got)
 	}
@@ -157,23 +157,23 @@
 // more instance and not on a third while it is not known what became of its silent instance,
 // because each start may crash one more instance.
 func TestOneCopyWhileACrashIsUncertain(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0), incarnation(1), incarnation(2), incarnation(3))
-	b.Add(start, job("a", policy, step(1, 500, func(s *workload.Step) { s.Copies = true })))
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0), incarnation(1), incarnation(2), incarnation(3))
+	s.Add(start, job("a", policy, step(1, 500, func(s *workload.Step) { s.Copies = true })))
 	silence := &pointport.UnavailableError{Op: "start", Ambiguous: true}
 	starts := make(map[pointport.IncarnationID]bool)
 	for now := start; now.Before(start.Add(3 * time.Second)); now = now.Add(100 * time.Millisecond) {
-		for _, o := range orders(b, now) {
-			b.MarkSending(o)
+		for _, o := range orders(s, now) {
+			s.MarkSending(o)
 			if o.Kind == schedule.OrderStart {
 				o.Worker.ExtendLease(now, settings.Lease)
 				starts[o.Worker.Endpoint().Incarnation] = true
 			}
-			b.OrderAnswered(o, now, 0, silence)
+			s.OrderAnswered(o, now, 0, silence)
 		}
-		for _, w := range b.Workers() {
+		for _, w := range s.Workers() {
 			if starts[w.Incarnation().ID()] {
-				b.PollFailed(w, now, silence)
+				s.PollFailed(w, now, silence)
 			}
 		}
 	}
@@ -185,18 +185,18 @@
 // TestServingTaskAtWorkHasItsCrashesReset checks that earlier crashes no longer count against a
 // serving task that has been at work for long.
 func TestServingTaskAtWorkHasItsCrashesReset(t *testing.T) {
-	b := newTestScheduler()
+	s := newTestScheduler()
 	j := crashedJob("a", 2, step(1, 500, func(s *workload.Step) { s.Service = true }))
-	b.Add(start, j)
-	registerIdle(b, start, incarnation(0))
-	started := orders(b, start)
-	acceptStarts(b, started, start)
+	s.Add(start, j)
+	registerIdle(s, start, incarnation(0))
+	started := orders(s, start)
+	acceptStarts(s, started, start)
 	for second := range 11 {
-		for _, w := range b.Workers() {
-			reportRuns(b, started, w, start.Add(time.Duration(second)*time.Second), 100)
+		for _, w := range s.Workers() {
+			reportRuns(s, started, w, start.Add(time.Duration(second)*time.Second), 100)
 		}
 	}
-	b.EndIncarnation(start.Add(11*time.Second), "i-0")
+	s.EndIncarnation(start.Add(11*time.Second), "i-0")
 	if got := j.Task(workload.TaskRef{}).Crashes; got != 1 || j.Failed() {
 		t.Errorf("%d crashes count after 11 s at work, want 1", got)
 	}
@@ -206,37 +206,37 @@
 // because of crashes that other tasks cause. It has been at work for seconds each time its
 // instance crashes, and another task was just started there.
 func TestServingTaskBesideCrashingTasksDoesNotFail(t *testing.T) {
-	b := newTestScheduler()
+	s := newTestScheduler()
 	j := job("serving", policy, step(1, 500, func(s *workload.Step) { s.Service = true }))
-	b.Add(start, j)
+	s.Add(start, j)
 	now := start
 	for restarts := range 6 {
-		registerIdle(b, now, incarnation(restarts))
+		registerIdle(s, now, incarnation(restarts))
 		now = now.Add(2 * time.Second) // the task has waited for an empty instance
-		started := orders(b, now)
+		started := orders(s, now)
 		if len(started) != 1 {
 			t.Fatalf("orders %v on incarnation %d after %d crashes, want one start", started, restarts, j.Task(workload.TaskRef{}).Crashes)
 		}
-		acceptStarts(b, started, now)
-		w := b.Workers()[0]
+		acceptStarts(s, started, now)
+		w := s.Workers()[0]
 		other, joined := string(rune('a'+restarts)), false
 		for second := 0; second < 40 && !joined; second++ {
 			now = now.Add(time.Second)
-			reportRuns(b, started, w, now, 100)
+			reportRuns(s, started, w, now, 100)
 			if second < 4 {
 				continue
 			}
-			b.Add(now, job(other, policy, step(1, 500, nil)))
-			for _, o := range orders(b, now) {
-				b.MarkSending(o)
+			s.Add(now, job(other, policy, step(1, 500, nil)))
+			for _, o := range orders(s, now) {
+				s.MarkSending(o)
 				joined = true
 			}
 		}
 		if !joined {
 			t.Fatalf("no other task is placed beside the task on incarnation %d", restarts)
 		}
-		b.EndIncarnation(now.Add(100*time.Millisecond), w.Incarnation().ID())
-		b.Cancel(now, other)
+		s.EndIncarnation(now.Add(100*time.Millisecond), w.Incarnation().ID())
+		s.Cancel(now, other)
 	}
 }
 
@@ -244,29 +244,29 @@
 // four seconds after its start, beside tasks that were placed there since, is eventually
 // placed alone and fails.
 func TestTaskThatCrashesItsInstanceLateFails(t *testing.T) {
-	b := newTestScheduler()
+	s := newTestScheduler()
 	late := job("late", policy, step(1, 500, func(s *workload.Step) { s.Service = true }))
-	b.Add(start, late)
+	s.Add(start, late)
 	now, crashes := start, 0
 	for restarts := 0; restarts < 20 && !late.Failed(); restarts++ {
-		registerIdle(b, now, incarnation(restarts))
+		registerIdle(s, now, incarnation(restarts))
 		now = now.Add(2 * time.Second)
-		started := orders(b, now)
-		acceptStarts(b, started, now)
-		w := b.Workers()[0]
+		started := orders(s, now)
+		acceptStarts(s, started, now)
+		w := s.Workers()[0]
 		joined := false
 		for range 4 {
 			now = now.Add(time.Second)
-			reportRuns(b, started, w, now, 100)
+			reportRuns(s, started, w, now, 100)
 			if !joined {
-				b.Add(now, job(fmt.Sprintf("j%d", restarts), policy, step(1, 500, nil)))
-				more := orders(b, now)
-				acceptStarts(b, more, now)
+				s.Add(now, job(fmt.Sprintf("j%d", restarts), policy, step(1, 500, nil)))
+				more := orders(s, now)
+				acceptStarts(s, more, now)
 				started, joined = append(started, more...), len(startsByIncarnation(more)) > 0
 			}
 		}
 		crashes++
-		b.EndIncarnation(now, w.Incarnation().ID())
+		s.EndIncarnation(now, w.Incarnation().ID())
 	}
 	if !late.Failed() || crashes > 6 {
 		t.Errorf("after %d crashes, the task has failed: %v; want it to fail after at most 6", crashes, late.Failed())
--- a/schedule/relocate_test.go
+++ b/schedule/relocate_test.go
@@ -23,16 +23,16 @@
 
 // acceptAndReport answers all start orders as carried out, and handles reports that list their
 // runs at full progress.
-func acceptAndReport(b *schedule.Scheduler, now time.Time, sent []schedule.Order) {
+func acceptAndReport(s *schedule.Scheduler, now time.Time, sent []schedule.Order) {
 	rows := make(map[*schedule.Worker][]pointport.RunningTask)
 	for _, o := range sent {
 		if o.Kind == schedule.OrderStart {
-			b.OrderAnswered(o, now, 1, nil)
+			s.OrderAnswered(o, now, 1, nil)
 			rows[o.Worker] = append(rows[o.Worker], pointport.RunningTask{TaskRun: o.TaskRun, Progress: 100})
 		}
 	}
-	for _, w := range b.Workers() {
-		b.Report(w, now, now, pointport.Report{Clock: 1, Running: rows[w]})
+	for _, w := range s.Workers() {
+		s.Report(w, now, now, pointport.Report{Clock: 1, Running: rows[w]})
 	}
 }
 
@@ -47,39 +47,39 @@
 	return n
 }
 
-// TestServingTasksStayUntilThereIsRoom checks that a serving task stays on an instance that is
+// TestServingTasksStayUntilThereIsCapacity checks that a serving task stays on an instance that is
 // being emptied until there is free capacity for it elsewhere, and that the survey counts the
 // instance that is missing for the move.
-func TestServingTasksStayUntilThereIsRoom(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0))
-	b.Add(start, job("a", policy, servingStep(2, 1000, func(s *workload.Step) { s.MayMiss = 2 })))
-	acceptAndReport(b, start, orders(b, start))
+func TestServingTasksStayUntilThereIsCapacity(t *testing.T) {
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0))
+	s.Add(start, job("a", policy, servingStep(2, 1000, func(s *workload.Step) { s.MayMiss = 2 })))
+	acceptAndReport(s, start, orders(s, start))
 	now := start.Add(3 * time.Second)
 	request := schedule.SurveyRequest{Closures: []schedule.Closure{{Instance: "m-0", Evacuate: true}}}
-	s := b.Survey(now, request)
-	if s.Unmoved != 1 || s.Unserved != 0 {
-		t.Errorf("%d instances are missing for moves and %d for waiting tasks, want 1 and 0", s.Unmoved, s.Unserved)
+	survey := s.Survey(now, request)
+	if survey.Unmoved != 1 || survey.Unserved != 0 {
+		t.Errorf("%d instances are missing for moves and %d for waiting tasks, want 1 and 0", survey.Unmoved, survey.Unserved)
 	}
-	if got := countStops(orders(b, now)); got != 0 {
+	if got := countStops(orders(s, now)); got != 0 {
 		t.Fatalf("%d serving tasks are stopped without free capacity elsewhere, want none", got)
 	}
-	registerNewIdle(b, now, incarnation(0), incarnation(1))
-	if s := b.Survey(now, request); s.Unmoved != 0 {
-		t.Errorf("%d instances are missing for moves although one is empty, want 0", s.Unmoved)
+	registerNewIdle(s, now, incarnation(0), incarnation(1))
+	if survey := s.Survey(now, request); survey.Unmoved != 0 {
+		t.Errorf("%d instances are missing for moves although one is empty, want 0", survey.Unmoved)
 	}
-	if got := countStops(orders(b, now)); got == 0 {
+	if got := countStops(orders(s, now)); got == 0 {
 		t.Error("no serving task moves although there is free capacity")
 	}
 }
 
 // registerNewIdle registers instances and handles a report from each new one that it runs
 // nothing.
-func registerNewIdle(b *schedule.Scheduler, now time.Time, all ...pointport.Incarnation) {
-	b.SetIncarnations(now, all)
-	for _, w := range b.Workers() {
+func registerNewIdle(s *schedule.Scheduler, now time.Time, all ...pointport.Incarnation) {
+	s.SetIncarnations(now, all)
+	for _, w := range s.Workers() {
 		if !w.HasAnswered() {
-			b.Report(w, now, now, pointport.Report{Clock: 1})
+			s.Report(w, now, now, pointport.Report{Clock: 1})
 		}
 	}
 }
@@ -102,11 +102,11 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newTestScheduler()
-			registerIdle(b, start, incarnation(0))
-			b.Add(start, job("a", policy, c.step))
-			orders(b, start)
-			if got := b.Survey(start, schedule.SurveyRequest{}).Unserved; got != c.want {
+			s := newTestScheduler()
+			registerIdle(s, start, incarnation(0))
+			s.Add(start, job("a", policy, c.step))
+			orders(s, start)
+			if got := s.Survey(start, schedule.SurveyRequest{}).Unserved; got != c.want {
 				t.Errorf("%d instances are missing, want %d", got, c.want)
 			}
 		})
--- a/schedule/replaced_run_test.go
+++ b/schedule/replaced_run_test.go
@@ -18,10 +18,10 @@
 // start, accepted by an instance that has just recovered, would run a completed task again
 // (1.5 s after its end in one case).
 func TestAbandonedStartIsRuledOut(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0), incarnation(1))
-	b.Add(start, job("a", policy, step(1, 100, func(s *workload.Step) { s.Copies = true })))
-	sent := orders(b, start)
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0), incarnation(1))
+	s.Add(start, job("a", policy, step(1, 100, func(s *workload.Step) { s.Copies = true })))
+	sent := orders(s, start)
 	if len(sent) != 1 {
 		t.Fatalf("orders %v, want one start", sent)
 	}
@@ -32,22 +32,22 @@
 	started, stopped := 0, 0
 	for range 30 {
 		now = now.Add(100 * time.Millisecond)
-		b.PollFailed(first.Worker, now, silence)
-		for _, o := range orders(b, now) {
+		s.PollFailed(first.Worker, now, silence)
+		for _, o := range orders(s, now) {
 			switch {
 			case o.Worker != first.Worker && o.Kind == schedule.OrderStart:
 				started++
-				b.OrderAnswered(o, now, 1, nil)
+				s.OrderAnswered(o, now, 1, nil)
 			case o.Worker == first.Worker && o.Kind == schedule.OrderStart && started > 0:
 				t.Fatalf("%v is started on a silent instance after its task was started on another one", o.TaskRun)
 			case o.Worker == first.Worker && o.Kind == schedule.OrderStop && o.TaskRun == first.TaskRun:
 				stopped++
-				b.OrderAnswered(o, now, 0, silence)
+				s.OrderAnswered(o, now, 0, silence)
 			default:
-				b.OrderAnswered(o, now, 0, silence)
+				s.OrderAnswered(o, now, 0, silence)
 			}
 		}
-		b.OrderAnswered(first, now, 0, silence)
+		s.OrderAnswered(first, now, 0, silence)
 	}
 	if started != 1 || stopped == 0 {
 		t.Errorf("%d starts elsewhere and %d stops of the first run, want one start and at least one stop", started, stopped)
@@ -59,29 +59,29 @@
 // a copy was started, has used all its attempts, so its job fails and the copy is stopped.
 // Otherwise the task would be started more often than its policy allows.
 func TestFailedEndOfReplacedRunCounts(t *testing.T) {
-	b := newTestScheduler()
+	s := newTestScheduler()
 	j := job("a", policy, step(1, 100, func(s *workload.Step) { s.Copies = true }))
-	b.Add(start, j)
+	s.Add(start, j)
 	now := start
 	number := make(map[pointport.IncarnationID]int64)
 	failed := func(o schedule.Order) {
 		id := o.Worker.Incarnation().ID()
 		number[id]++
-		b.Report(o.Worker, now, now, pointport.Report{Clock: 1, Ended: []pointport.TaskEnd{{Number: number[id], TaskRun: o.TaskRun, Kind: pointport.EndFailed}}})
+		s.Report(o.Worker, now, now, pointport.Report{Clock: 1, Ended: []pointport.TaskEnd{{Number: number[id], TaskRun: o.TaskRun, Kind: pointport.EndFailed}}})
 	}
 	next := func() schedule.Order {
 		t.Helper()
 		for range 100 {
 			now = now.Add(100 * time.Millisecond)
-			for _, w := range b.Workers() {
+			for _, w := range s.Workers() {
 				if !w.Silent() {
-					b.Report(w, now, now, pointport.Report{Clock: 1, Running: runningOn(w, j)})
+					s.Report(w, now, now, pointport.Report{Clock: 1, Running: runningOn(w, j)})
 				}
 			}
-			for _, o := range orders(b, now) {
-				b.MarkSending(o)
+			for _, o := range orders(s, now) {
+				s.MarkSending(o)
 				if o.Kind == schedule.OrderStart {
-					b.OrderAnswered(o, now, 1, nil)
+					s.OrderAnswered(o, now, 1, nil)
 					return o
 				}
 			}
@@ -89,15 +89,15 @@
 		t.Fatal("no start is ordered within 10 s")
 		return schedule.Order{}
 	}
-	registerIdle(b, start, incarnation(0), incarnation(1), incarnation(2), incarnation(3))
+	registerIdle(s, start, incarnation(0), incarnation(1), incarnation(2), incarnation(3))
 	for range policy.MaxAttempts - 1 {
 		failed(next())
 	}
 	third := next()
 	third.Worker.ExtendLease(now, settings.Lease)
 	silence := &pointport.UnavailableError{Op: "hold", Ambiguous: true}
-	b.PollFailed(third.Worker, now, silence)
-	b.PollFailed(third.Worker, now.Add(600*time.Millisecond), silence)
+	s.PollFailed(third.Worker, now, silence)
+	s.PollFailed(third.Worker, now.Add(600*time.Millisecond), silence)
 	now = now.Add(600 * time.Millisecond)
 	copied := next()
 	if copied.TaskRun.Run != policy.MaxAttempts+1 {
@@ -108,7 +108,7 @@
 		t.Fatalf("the job has not failed after %d failed runs", policy.MaxAttempts)
 	}
 	stopped := false
-	for _, o := range orders(b, now) {
+	for _, o := range orders(s, now) {
 		stopped = stopped || o.Kind == schedule.OrderStop && o.TaskRun == copied.TaskRun
 		if o.Kind == schedule.OrderStart {
 			t.Errorf("%v is started", o.TaskRun)
@@ -132,16 +132,16 @@
 	if err := again.RestoreProgress(j.EncodeProgress()); err != nil {
 		t.Fatal(err)
 	}
-	b := newTestScheduler()
-	b.Add(start, again)
-	b.SetIncarnations(start, []pointport.Incarnation{incarnation(0), incarnation(1)})
+	s := newTestScheduler()
+	s.Add(start, again)
+	s.SetIncarnations(start, []pointport.Incarnation{incarnation(0), incarnation(1)})
 	end := pointport.TaskEnd{Number: 1, TaskRun: pointport.TaskRun{Task: "a.0.0.0", Run: 1}, Kind: pointport.EndFailed}
-	for _, w := range b.Workers() {
+	for _, w := range s.Workers() {
 		r := pointport.Report{Clock: 1}
 		if w.Incarnation().ID() == incarnation(0).ID() {
 			r.Ended = []pointport.TaskEnd{end}
 		}
-		b.Report(w, start, start, r)
+		s.Report(w, start, start, r)
 	}
 	if got := again.Task(ref).Failures; got != 1 {
 		t.Errorf("%d failed runs are counted, want 1", got)
@@ -163,28 +163,28 @@
 // copy goes to another instance, that one crashes, and the first instance answers again with
 // the replaced run.
 func TestCopyIsNotPlacedBesideReplacedRun(t *testing.T) {
-	b, first, second, now := schedulerWithUnsentCopy(t)
-	if b.SkipStart(now, second) {
+	s, first, second, now := schedulerWithUnsentCopy(t)
+	if s.SkipStart(now, second) {
 		t.Fatal("the start of the copy is skipped")
 	}
-	b.MarkSending(second)
-	b.EndIncarnation(now, second.Worker.Incarnation().ID())
+	s.MarkSending(second)
+	s.EndIncarnation(now, second.Worker.Incarnation().ID())
 	now = now.Add(2 * time.Second) // its quarantine is over
-	b.Report(first.Worker, now, now, pointport.Report{Clock: clockAt(now), Running: []pointport.RunningTask{{TaskRun: first.TaskRun, Progress: 10}}})
-	if got := startsByIncarnation(orders(b, now)); len(got) != 0 {
+	s.Report(first.Worker, now, now, pointport.Report{Clock: clockAt(now), Running: []pointport.RunningTask{{TaskRun: first.TaskRun, Progress: 10}}})
+	if got := startsByIncarnation(orders(s, now)); len(got) != 0 {
 		t.Errorf("starts %v beside the replaced run, want none", got)
 	}
 	now = now.Add(300 * time.Millisecond)
-	b.Report(first.Worker, now, now, reportOfOrderEnd(first, pointport.EndStopped))
-	all := orders(b, now)
+	s.Report(first.Worker, now, now, reportOfOrderEnd(first, pointport.EndStopped))
+	all := orders(s, now)
 	if len(startsByIncarnation(all)) != 1 {
 		t.Fatalf("starts %v once the replaced run has ended, want one", startsByIncarnation(all))
 	}
 	third := all[0]
-	b.OrderAnswered(third, now, clockAt(now), nil)
-	b.Report(third.Worker, now, now, pointport.Report{Clock: clockAt(now), Ended: []pointport.TaskEnd{{Number: 2, TaskRun: third.TaskRun, Kind: pointport.EndDone}}})
-	b.Add(now, job("whole", policy, step(1, size.CPUMilli, nil)))
-	if got := startsByIncarnation(orders(b, now)); len(got) != 1 {
+	s.OrderAnswered(third, now, clockAt(now), nil)
+	s.Report(third.Worker, now, now, pointport.Report{Clock: clockAt(now), Ended: []pointport.TaskEnd{{Number: 2, TaskRun: third.TaskRun, Kind: pointport.EndDone}}})
+	s.Add(now, job("whole", policy, step(1, size.CPUMilli, nil)))
+	if got := startsByIncarnation(orders(s, now)); len(got) != 1 {
 		t.Errorf("starts %v, want one that uses the whole instance", got)
 	}
 }
--- a/schedule/ruled_out_test.go
+++ b/schedule/ruled_out_test.go
@@ -35,29 +35,29 @@
 func TestRefusedStopDoesNotRuleOutItsStart(t *testing.T) {
 	for _, reason := range []pointport.RejectReason{pointport.RejectUnhealthy, pointport.RejectInvalid} {
 		t.Run(string(reason), func(t *testing.T) {
-			b := newTestScheduler()
-			registerIdle(b, start, incarnation(0), incarnation(1))
-			b.Add(start, job("a", policy, step(1, 100, nil)))
-			first := orders(b, start)[0]
-			b.MarkSending(first)
+			s := newTestScheduler()
+			registerIdle(s, start, incarnation(0), incarnation(1))
+			s.Add(start, job("a", policy, step(1, 100, nil)))
+			first := orders(s, start)[0]
+			s.MarkSending(first)
 			first.Worker.ExtendLease(start, settings.Lease)
 			now := start.Add(400 * time.Millisecond)
-			b.OrderAnswered(first, now, 0, silence)
+			s.OrderAnswered(first, now, 0, silence)
 			now = now.Add(200 * time.Millisecond)
-			again := ordersFor(orders(b, now), schedule.OrderStart, first.TaskRun)
+			again := ordersFor(orders(s, now), schedule.OrderStart, first.TaskRun)
 			if len(again) != 1 {
 				t.Fatalf("%d starts, want the first one once more", len(again))
 			}
-			b.OrderAnswered(again[0], now, 0, refusal(first, pointport.RejectUnhealthy))
-			stops := ordersFor(orders(b, now), schedule.OrderStop, first.TaskRun)
+			s.OrderAnswered(again[0], now, 0, refusal(first, pointport.RejectUnhealthy))
+			stops := ordersFor(orders(s, now), schedule.OrderStop, first.TaskRun)
 			if len(stops) != 1 {
 				t.Fatalf("%d stops, want one that rules the start out", len(stops))
 			}
-			b.OrderAnswered(stops[0], now, 0, refusal(first, reason))
+			s.OrderAnswered(stops[0], now, 0, refusal(first, reason))
 			for range 20 { // until the stop has been ordered again
 				now = now.Add(100 * time.Millisecond)
-				b.Report(first.Worker, now.Add(-time.Millisecond), now, pointport.Report{Clock: pointport.InstanceTime(now.Sub(start))})
-				all := orders(b, now)
+				s.Report(first.Worker, now.Add(-time.Millisecond), now, pointport.Report{Clock: pointport.InstanceTime(now.Sub(start))})
+				all := orders(s, now)
 				if got := startsByIncarnation(all); len(got) != 0 {
 					t.Fatalf("starts %v, %v after a start that may still be carried out, want none", got, now.Sub(start))
 				}
@@ -68,10 +68,10 @@
 			if len(stops) == 0 {
 				t.Fatal("the stop is not ordered again")
 			}
-			b.OrderAnswered(stops[0], now, pointport.InstanceTime(now.Sub(start)), nil)
+			s.OrderAnswered(stops[0], now, pointport.InstanceTime(now.Sub(start)), nil)
 			now = now.Add(time.Millisecond)
-			b.Report(first.Worker, now, now, pointport.Report{Clock: pointport.InstanceTime(now.Sub(start))})
-			if got := startsByIncarnation(orders(b, now)); len(got) != 1 {
+			s.Report(first.Worker, now, now, pointport.Report{Clock: pointport.InstanceTime(now.Sub(start))})
+			if got := startsByIncarnation(orders(s, now)); len(got) != 1 {
 				t.Errorf("starts %v once the start is ruled out, want one", got)
 			}
 		})
@@ -84,31 +84,31 @@
 // then, unless stays is set.
 func schedulerWithExpiredStart(t *testing.T, stays bool) (*schedule.Scheduler, schedule.Order, time.Time) {
 	t.Helper()
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0))
-	b.Add(start, job("a", policy, step(1, 100, func(s *workload.Step) { s.Service = true })))
-	first := orders(b, start)[0]
-	b.MarkSending(first)
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0))
+	s.Add(start, job("a", policy, step(1, 100, func(s *workload.Step) { s.Service = true })))
+	first := orders(s, start)[0]
+	s.MarkSending(first)
 	first.Worker.ExtendLease(start, settings.Lease)
 	now := start.Add(400 * time.Millisecond)
-	b.OrderAnswered(first, now, 0, silence)
+	s.OrderAnswered(first, now, 0, silence)
 	if !stays {
-		b.SetIncarnations(now, nil)
+		s.SetIncarnations(now, nil)
 	}
 	for range 50 { // well beyond the execution lease
 		now = now.Add(100 * time.Millisecond)
-		b.PollFailed(first.Worker, now, silence)
-		for _, o := range orders(b, now) {
-			b.OrderAnswered(o, now, 0, silence)
+		s.PollFailed(first.Worker, now, silence)
+		for _, o := range orders(s, now) {
+			s.OrderAnswered(o, now, 0, silence)
 		}
 	}
-	return b, first, now
+	return s, first, now
 }
 
 // onlyWorker returns the worker of the only instance.
-func onlyWorker(t *testing.T, b *schedule.Scheduler) *schedule.Worker {
+func onlyWorker(t *testing.T, s *schedule.Scheduler) *schedule.Worker {
 	t.Helper()
-	all := b.Workers()
+	all := s.Workers()
 	if len(all) != 1 {
 		t.Fatalf("%d workers, want one", len(all))
 	}
@@ -132,15 +132,15 @@
 func TestRefusedStopDoesNotRuleOutReplacedRun(t *testing.T) {
 	for _, reason := range []pointport.RejectReason{pointport.RejectUnhealthy, pointport.RejectInvalid} {
 		t.Run(string(reason), func(t *testing.T) {
-			b, first, now := schedulerWithExpiredStart(t, true)
-			b.Report(first.Worker, now, now, pointport.Report{Clock: clockAt(now)})
-			stops := ordersFor(orders(b, now), schedule.OrderStop, first.TaskRun)
+			s, first, now := schedulerWithExpiredStart(t, true)
+			s.Report(first.Worker, now, now, pointport.Report{Clock: clockAt(now)})
+			stops := ordersFor(orders(s, now), schedule.OrderStop, first.TaskRun)
 			if len(stops) != 1 {
 				t.Fatalf("%d stops, want one that rules the start out", len(stops))
 			}
-			b.OrderAnswered(stops[0], now, 0, refusal(first, reason))
+			s.OrderAnswered(stops[0], now, 0, refusal(first, reason))
 			now = now.Add(time.Second)
-			all := orders(b, now)
+			all := orders(s, now)
 			if got := startsByIncarnation(all); len(got) != 0 || leaseExtended(first.Worker, now) {
 				t.Errorf("starts %v and an execution lease until %v at %v; the replaced start may still be carried out", got, first.Worker.ExtendLease(now, settings.Lease), clockAt(now))
 			}
@@ -148,7 +148,7 @@
 			if len(stops) != 1 {
 				t.Fatalf("%d stops, want the refused one again", len(stops))
 			}
-			b.OrderAnswered(stops[0], now, clockAt(now), nil)
+			s.OrderAnswered(stops[0], now, clockAt(now), nil)
 			if !leaseExtended(first.Worker, now) {
 				t.Error("the execution lease is not extended although the start is ruled out")
 			}
@@ -163,11 +163,11 @@
 // back. If the execution lease is extended before the start is ruled out, the start may be
 // carried out.
 func TestReplacedStartIsRuledOutOnReregisteredInstance(t *testing.T) {
-	b, first, now := schedulerWithExpiredStart(t, false)
-	b.SetIncarnations(now, []pointport.Incarnation{incarnation(0)})
-	w := onlyWorker(t, b)
-	b.Report(w, now, now, pointport.Report{Clock: clockAt(now)})
-	all := orders(b, now)
+	s, first, now := schedulerWithExpiredStart(t, false)
+	s.SetIncarnations(now, []pointport.Incarnation{incarnation(0)})
+	w := onlyWorker(t, s)
+	s.Report(w, now, now, pointport.Report{Clock: clockAt(now)})
+	all := orders(s, now)
 	if got := startsByIncarnation(all); len(got) != 0 || leaseExtended(w, now) {
 		t.Errorf("starts %v and an execution lease until %v at %v; the replaced start may still be carried out", got, w.ExtendLease(now, settings.Lease), clockAt(now))
 	}
@@ -175,7 +175,7 @@
 	if len(stops) != 1 {
 		t.Fatalf("%d stops, want one that rules the start out", len(stops))
 	}
-	b.OrderAnswered(stops[0], now, clockAt(now), nil)
+	s.OrderAnswered(stops[0], now, clockAt(now), nil)
 	if !leaseExtended(w, now) {
 		t.Error("the execution lease is not extended although the start is ruled out")
 	}
@@ -184,12 +184,12 @@
 // TestInstanceThatDoesNotComeBackIsForgotten checks that an instance that does not come back
 // is eventually forgotten, even with a start in flight to it.
 func TestInstanceThatDoesNotComeBackIsForgotten(t *testing.T) {
-	b, _, now := schedulerWithExpiredStart(t, false)
+	s, _, now := schedulerWithExpiredStart(t, false)
 	for range 120 {
 		now = now.Add(time.Second)
-		b.Plan(now)
+		s.Plan(now)
 	}
-	if n := b.WorkerCount(); n != 0 {
+	if n := s.WorkerCount(); n != 0 {
 		t.Errorf("%d instances are still remembered after %v, want none", n, now.Sub(start))
 	}
 }
@@ -198,15 +198,15 @@
 // gone is not sent one stop after the other to rule a start out. It is not polled, so nothing
 // shows that it is silent.
 func TestUnregisteredInstanceIsNotSentRepeatedStops(t *testing.T) {
-	b, first, now := schedulerWithExpiredStart(t, true)
-	b.Report(first.Worker, now, now, pointport.Report{Clock: clockAt(now)})
-	b.SetIncarnations(now, nil)
+	s, first, now := schedulerWithExpiredStart(t, true)
+	s.Report(first.Worker, now, now, pointport.Report{Clock: clockAt(now)})
+	s.SetIncarnations(now, nil)
 	stops := 0
 	for range 100 {
 		now = now.Add(100 * time.Millisecond)
-		for _, o := range ordersFor(orders(b, now), schedule.OrderStop, first.TaskRun) {
+		for _, o := range ordersFor(orders(s, now), schedule.OrderStop, first.TaskRun) {
 			stops++
-			b.OrderAnswered(o, now, 0, silence)
+			s.OrderAnswered(o, now, 0, silence)
 		}
 	}
 	if stops > 1 {
--- a/schedule/scheduler_test.go
+++ b/schedule/scheduler_test.go
@@ -46,10 +46,10 @@
 }
 
 // registerIdle registers instances and handles a report from each that it runs nothing.
-func registerIdle(b *schedule.Scheduler, now time.Time, all ...pointport.Incarnation) {
-	b.SetIncarnations(now, all)
-	for _, w := range b.Workers() {
-		b.Report(w, now, now, pointport.Report{Clock: 1})
+func registerIdle(s *schedule.Scheduler, now time.Time, all ...pointport.Incarnation) {
+	s.SetIncarnations(now, all)
+	for _, w := range s.Workers() {
+		s.Report(w, now, now, pointport.Report{Clock: 1})
 	}
 }
 
@@ -72,10 +72,10 @@
 }
 
 // orders plans, stores what has changed and returns the orders to be sent.
-func orders(b *schedule.Scheduler, now time.Time) []schedule.Order {
-	b.Plan(now)
-	b.Stored(b.TakeBatch(everything), now)
-	return b.TakeOrders()
+func orders(s *schedule.Scheduler, now time.Time) []schedule.Order {
+	s.Plan(now)
+	s.Stored(s.TakeBatch(everything), now)
+	return s.TakeOrders()
 }
 
 // startsByIncarnation counts the start orders by incarnation.
@@ -92,19 +92,19 @@
 // TestNothingIsSentBeforeItIsStored checks that a start order is returned only once the
 // placement of its task is stored.
 func TestNothingIsSentBeforeItIsStored(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(1))
-	b.Add(start, job("a", policy, step(2, 500, nil)))
-	b.Plan(start)
-	if got := b.TakeOrders(); len(got) != 0 {
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(1))
+	s.Add(start, job("a", policy, step(2, 500, nil)))
+	s.Plan(start)
+	if got := s.TakeOrders(); len(got) != 0 {
 		t.Fatalf("%d orders before anything is stored, want none", len(got))
 	}
-	batch := b.TakeBatch(everything)
+	batch := s.TakeBatch(everything)
 	if len(batch.Records) != 1 {
 		t.Fatalf("records %+v, want that of the job", batch.Records)
 	}
-	b.Stored(batch, start)
-	if got := startsByIncarnation(b.TakeOrders()); got["i-1"] != 2 {
+	s.Stored(batch, start)
+	if got := startsByIncarnation(s.TakeOrders()); got["i-1"] != 2 {
 		t.Errorf("starts %v, want two", got)
 	}
 }
@@ -129,10 +129,10 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newTestScheduler()
-			registerIdle(b, start, incarnation(0), incarnation(1), incarnation(2), incarnation(3))
-			b.Add(start, job("a", policy, c.step))
-			got := startsByIncarnation(orders(b, start))
+			s := newTestScheduler()
+			registerIdle(s, start, incarnation(0), incarnation(1), incarnation(2), incarnation(3))
+			s.Add(start, job("a", policy, c.step))
+			got := startsByIncarnation(orders(s, start))
 			if fmt.Sprint(got) != fmt.Sprint(c.want) {
 				t.Errorf("starts %v, want %v", got, c.want)
 			}
@@ -143,13 +143,13 @@
 // TestJobsThatCanEndInTimeGoFirst checks that jobs that can still meet their deadline are
 // placed before those that can no longer, even if these were submitted earlier.
 func TestJobsThatCanEndInTimeGoFirst(t *testing.T) {
-	b := newTestScheduler()
+	s := newTestScheduler()
 	late := start.Add(10 * time.Second)
 	whole := step(1, 4000, nil)
-	b.Add(late, job("late", policy, whole)) // submitted ten seconds earlier
-	b.Add(late, workload.New("fresh", "q", policy, &workload.Spec{Steps: []workload.Step{whole}}, late))
-	registerIdle(b, late, incarnation(0))
-	got := orders(b, late)
+	s.Add(late, job("late", policy, whole)) // submitted ten seconds earlier
+	s.Add(late, workload.New("fresh", "q", policy, &workload.Spec{Steps: []workload.Step{whole}}, late))
+	registerIdle(s, late, incarnation(0))
+	got := orders(s, late)
 	if len(got) != 1 || got[0].TaskRun.Task != "fresh.0.0.0" {
 		t.Errorf("orders %+v, want only the start of the job that can meet its deadline", got)
 	}
@@ -158,17 +158,17 @@
 // TestUrgentJobPreemptsOthers checks that a job of priority 0 that finds no free capacity has
 // tasks of a lower priority stopped.
 func TestUrgentJobPreemptsOthers(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0))
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0))
 	low := policy
 	low.Priority = 1
-	b.Add(start, job("low", low, step(1, 4000, nil)))
-	first := orders(b, start)
-	b.OrderAnswered(first[0], start, 1, nil)
-	b.Add(start, job("high", policy, step(1, 4000, nil)))
+	s.Add(start, job("low", low, step(1, 4000, nil)))
+	first := orders(s, start)
+	s.OrderAnswered(first[0], start, 1, nil)
+	s.Add(start, job("high", policy, step(1, 4000, nil)))
 	var stops int
 	for now := start; now.Before(start.Add(2 * time.Second)); now = now.Add(100 * time.Millisecond) {
-		for _, o := range orders(b, now) {
+		for _, o := range orders(s, now) {
 			if o.Kind == schedule.OrderStop && o.TaskRun.Task == "low.0.0.0" {
 				stops++
 			}
@@ -182,21 +182,21 @@
 // TestFailingInstanceIsAvoided checks that nothing is placed on an instance for a while after
 // two runs in a row have failed there.
 func TestFailingInstanceIsAvoided(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0), incarnation(1))
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0), incarnation(1))
 	for n := range 2 {
 		id := fmt.Sprintf("job%d", n)
-		b.Add(start, job(id, policy, step(1, 100, nil)))
-		o := orders(b, start)[0]
-		b.OrderAnswered(o, start, 1, nil)
-		b.Report(o.Worker, start, start, pointport.Report{Clock: 1, Ended: []pointport.TaskEnd{{
+		s.Add(start, job(id, policy, step(1, 100, nil)))
+		o := orders(s, start)[0]
+		s.OrderAnswered(o, start, 1, nil)
+		s.Report(o.Worker, start, start, pointport.Report{Clock: 1, Ended: []pointport.TaskEnd{{
 			Number: int64(n + 1), TaskRun: o.TaskRun, Kind: pointport.EndFailed,
 		}}})
-		b.Cancel(start, id)
+		s.Cancel(start, id)
 	}
-	orders(b, start)
-	b.Add(start, job("next", policy, step(3, 100, nil)))
-	if got := startsByIncarnation(orders(b, start)); got["i-1"] != 3 {
+	orders(s, start)
+	s.Add(start, job("next", policy, step(3, 100, nil)))
+	if got := startsByIncarnation(orders(s, start)); got["i-1"] != 3 {
 		t.Errorf("starts %v, want all on the other instance", got)
 	}
 }
@@ -204,13 +204,13 @@
 // TestFailedTaskGoesElsewhere checks that a task that has failed on an instance is started on
 // another one, if there is any.
 func TestFailedTaskGoesElsewhere(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0), incarnation(1))
-	b.Add(start, job("a", policy, step(1, 100, nil)))
-	o := orders(b, start)[0]
-	b.OrderAnswered(o, start, 1, nil)
-	b.Report(o.Worker, start, start, pointport.Report{Clock: 1, Ended: []pointport.TaskEnd{{Number: 1, TaskRun: o.TaskRun, Kind: pointport.EndFailed}}})
-	next := orders(b, start)
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0), incarnation(1))
+	s.Add(start, job("a", policy, step(1, 100, nil)))
+	o := orders(s, start)[0]
+	s.OrderAnswered(o, start, 1, nil)
+	s.Report(o.Worker, start, start, pointport.Report{Clock: 1, Ended: []pointport.TaskEnd{{Number: 1, TaskRun: o.TaskRun, Kind: pointport.EndFailed}}})
+	next := orders(s, start)
 	if len(next) != 1 || next[0].Worker == o.Worker || next[0].TaskRun.Run != 2 {
 		t.Errorf("orders %+v, want run 2 on the other instance", next)
 	}
@@ -220,29 +220,29 @@
 // step is restarted on another instance once. If the task is slow there too, the task itself
 // is slow, and another restart would only lose its progress.
 func TestSlowRunIsRestartedOnce(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0), incarnation(1))
-	b.Add(start, job("a", policy, step(2, 4000, nil)))
-	first := orders(b, start)
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0), incarnation(1))
+	s.Add(start, job("a", policy, step(2, 4000, nil)))
+	first := orders(s, start)
 	for _, o := range first {
-		b.OrderAnswered(o, start, clockAt(start), nil)
+		s.OrderAnswered(o, start, clockAt(start), nil)
 	}
 	quick, slow := first[0], first[1]
 	now := start.Add(500 * time.Millisecond)
-	b.Report(quick.Worker, start, now, pointport.Report{Clock: clockAt(now), Ended: []pointport.TaskEnd{{Number: 1, TaskRun: quick.TaskRun, Kind: pointport.EndDone}}})
+	s.Report(quick.Worker, start, now, pointport.Report{Clock: clockAt(now), Ended: []pointport.TaskEnd{{Number: 1, TaskRun: quick.TaskRun, Kind: pointport.EndDone}}})
 	restarts := 0
 	run, progress := slow, 0
 	for range 40 {
 		now = now.Add(250 * time.Millisecond)
 		progress = min(99, progress+3)
-		b.Report(run.Worker, now, now, pointport.Report{Clock: clockAt(now), Running: []pointport.RunningTask{{TaskRun: run.TaskRun, Progress: progress}}})
-		for _, o := range orders(b, now) {
+		s.Report(run.Worker, now, now, pointport.Report{Clock: clockAt(now), Running: []pointport.RunningTask{{TaskRun: run.TaskRun, Progress: progress}}})
+		for _, o := range orders(s, now) {
 			switch o.Kind {
 			case schedule.OrderStop:
-				b.OrderAnswered(o, now, clockAt(now), nil)
-				b.Report(o.Worker, now.Add(time.Millisecond), now, pointport.Report{Clock: clockAt(now), Ended: []pointport.TaskEnd{{Number: 2, TaskRun: o.TaskRun, Kind: pointport.EndStopped}}})
+				s.OrderAnswered(o, now, clockAt(now), nil)
+				s.Report(o.Worker, now.Add(time.Millisecond), now, pointport.Report{Clock: clockAt(now), Ended: []pointport.TaskEnd{{Number: 2, TaskRun: o.TaskRun, Kind: pointport.EndStopped}}})
 			case schedule.OrderStart:
-				b.OrderAnswered(o, now, clockAt(now), nil)
+				s.OrderAnswered(o, now, clockAt(now), nil)
 				restarts++
 				run, progress = o, 0
 			}
@@ -258,27 +258,27 @@
 // slow clock, or within a second if copies of the task may run.
 func TestTaskOfSilentInstanceRestartsElsewhere(t *testing.T) {
 	for _, copies := range []bool{false, true} {
-		b := newTestScheduler()
-		registerIdle(b, start, incarnation(0))
-		b.Add(start, job("a", policy, step(1, 100, func(s *workload.Step) { s.Copies = copies })))
-		o := orders(b, start)[0]
+		s := newTestScheduler()
+		registerIdle(s, start, incarnation(0))
+		s.Add(start, job("a", policy, step(1, 100, func(s *workload.Step) { s.Copies = copies })))
+		o := orders(s, start)[0]
 		o.Worker.ExtendLease(start, settings.Lease)
-		b.OrderAnswered(o, start, 1, nil)
-		b.SetIncarnations(start, []pointport.Incarnation{incarnation(0), incarnation(1)})
+		s.OrderAnswered(o, start, 1, nil)
+		s.SetIncarnations(start, []pointport.Incarnation{incarnation(0), incarnation(1)})
 		silent := &pointport.UnavailableError{Op: "hold", Ambiguous: true}
 		var again time.Duration
 		for now := start; again == 0 && now.Before(start.Add(8*time.Second)); now = now.Add(50 * time.Millisecond) {
-			b.PollFailed(o.Worker, now, silent)
-			b.SetRegistryCoverage(schedule.RegistryCoverage{Since: start, Until: now})
+			s.PollFailed(o.Worker, now, silent)
+			s.SetRegistryCoverage(schedule.RegistryCoverage{Since: start, Until: now})
 			if now.Sub(start) == time.Second {
-				b.SetIncarnations(now, []pointport.Incarnation{incarnation(1)})
+				s.SetIncarnations(now, []pointport.Incarnation{incarnation(1)})
 			}
-			for _, w := range b.Workers() {
+			for _, w := range s.Workers() {
 				if w != o.Worker {
-					b.Report(w, now, now, pointport.Report{Clock: 1})
+					s.Report(w, now, now, pointport.Report{Clock: 1})
 				}
 			}
-			for _, next := range orders(b, now) {
+			for _, next := range orders(s, now) {
 				if next.Kind == schedule.OrderStart && next.Worker != o.Worker {
 					again = now.Sub(start)
 				}
@@ -296,20 +296,20 @@
 // TestAdviceIsRequestedAndFollowed checks that the tasks of an advised step wait until the
 // advisor has answered, and are started as it advises, with its ticket.
 func TestAdviceIsRequestedAndFollowed(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0), incarnation(1), incarnation(2))
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0), incarnation(1), incarnation(2))
 	advised := policy
 	advised.Advised = true
-	b.Add(start, job("a", advised, step(2, 100, nil)))
-	if got := startsByIncarnation(orders(b, start)); len(got) != 0 {
+	s.Add(start, job("a", advised, step(2, 100, nil)))
+	if got := startsByIncarnation(orders(s, start)); len(got) != 0 {
 		t.Fatalf("starts %v without advice", got)
 	}
-	requests := b.TakeAdviceRequests()
+	requests := s.TakeAdviceRequests()
 	if len(requests) != 1 || requests[0].Step != "a.0.0" || len(requests[0].Incarnations) != 3 {
 		t.Fatalf("advice requests %+v, want one for all instances", requests)
 	}
-	b.AdviceAnswered(requests[0], start, start, map[pointport.IncarnationID]string{"i-2": "ticket"}, 3*time.Second, nil)
-	got := orders(b, start)
+	s.AdviceAnswered(requests[0], start, start, map[pointport.IncarnationID]string{"i-2": "ticket"}, 3*time.Second, nil)
+	got := orders(s, start)
 	if startsByIncarnation(got)["i-2"] != 2 || got[0].Ticket != "ticket" {
 		t.Errorf("orders %+v, want two starts with the ticket", got)
 	}
@@ -318,23 +318,23 @@
 // TestPaceFollowsTheTail checks that background tasks are slowed down beside a serving task
 // whose tail latency is over its target, and sped up again once it is below.
 func TestPaceFollowsTheTail(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0))
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0))
 	serve := step(1, 500, func(s *workload.Step) { s.Service, s.TailTarget = true, 40*time.Millisecond })
 	fill := step(1, 500, func(s *workload.Step) { s.Fills = true })
-	b.Add(start, job("serve", policy, serve))
-	b.Add(start, job("fill", policy, fill))
-	first := orders(b, start)
+	s.Add(start, job("serve", policy, serve))
+	s.Add(start, job("fill", policy, fill))
+	first := orders(s, start)
 	for _, o := range first {
-		b.OrderAnswered(o, start, 1, nil)
+		s.OrderAnswered(o, start, 1, nil)
 	}
 	pace := 100
 	report := func(now time.Time, tail int) {
-		b.Report(first[0].Worker, now, now, pointport.Report{Clock: 1, Running: []pointport.RunningTask{
+		s.Report(first[0].Worker, now, now, pointport.Report{Clock: 1, Running: []pointport.RunningTask{
 			{TaskRun: pointport.TaskRun{Task: "serve.0.0.0", Run: 1}, Progress: 100, Load: tail},
 			{TaskRun: pointport.TaskRun{Task: "fill.0.0.0", Run: 1}, Progress: int(now.Sub(start) / time.Second)},
 		}})
-		for _, o := range orders(b, now) {
+		for _, o := range orders(s, now) {
 			if o.Kind == schedule.OrderPace {
 				pace = o.Percent
 			}
@@ -357,17 +357,17 @@
 // TestDrainingInstanceIsLeft checks that serving tasks and tasks that cannot end in time are
 // stopped on a draining instance, and that a short task is left running.
 func TestDrainingInstanceIsLeft(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0))
-	b.Add(start, job("serve", policy, step(1, 500, func(s *workload.Step) { s.Service = true })))
-	b.Add(start, job("short", policy, step(1, 500, func(s *workload.Step) { s.Estimate = 200 * time.Millisecond })))
-	b.Add(start, job("long", policy, step(1, 500, func(s *workload.Step) { s.Estimate = 9 * time.Second })))
-	for _, o := range orders(b, start) {
-		b.OrderAnswered(o, start, 1, nil)
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0))
+	s.Add(start, job("serve", policy, step(1, 500, func(s *workload.Step) { s.Service = true })))
+	s.Add(start, job("short", policy, step(1, 500, func(s *workload.Step) { s.Estimate = 200 * time.Millisecond })))
+	s.Add(start, job("long", policy, step(1, 500, func(s *workload.Step) { s.Estimate = 9 * time.Second })))
+	for _, o := range orders(s, start) {
+		s.OrderAnswered(o, start, 1, nil)
 	}
-	b.SetIncarnations(start, []pointport.Incarnation{incarnation(0, pointport.WithDraining(2*time.Second))})
+	s.SetIncarnations(start, []pointport.Incarnation{incarnation(0, pointport.WithDraining(2*time.Second))})
 	stopped := make(map[string]bool)
-	for _, o := range orders(b, start) {
+	for _, o := range orders(s, start) {
 		if o.Kind == schedule.OrderStop {
 			stopped[o.TaskRun.Task] = true
 		}
@@ -382,29 +382,29 @@
 // part.
 func TestPlacementProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newTestScheduler()
+		s := newTestScheduler()
 		n := rapid.IntRange(1, 6).Draw(t, "instances")
 		var all []pointport.Incarnation
 		for i := range n {
 			all = append(all, incarnation(i))
 		}
-		registerIdle(b, start, all...)
+		registerIdle(s, start, all...)
 		specs := make(map[string]workload.Step)
 		for i := range rapid.IntRange(1, 8).Draw(t, "jobs") {
-			s := step(rapid.IntRange(1, 9).Draw(t, "count"), int64(100*rapid.IntRange(1, 30).Draw(t, "cpu")), func(s *workload.Step) {
+			spec := step(rapid.IntRange(1, 9).Draw(t, "count"), int64(100*rapid.IntRange(1, 30).Draw(t, "cpu")), func(s *workload.Step) {
 				s.MaxPerInstance = rapid.IntRange(0, 3).Draw(t, "most")
 				s.Gang = rapid.Bool().Draw(t, "gang")
 				s.SameRack = rapid.Bool().Draw(t, "sameRack")
 				s.Service = !s.Gang && rapid.Bool().Draw(t, "service")
 			})
 			id := fmt.Sprintf("job%d", i)
-			specs[id] = s
-			b.Add(start, job(id, policy, s))
+			specs[id] = spec
+			s.Add(start, job(id, policy, spec))
 		}
 		used := make(map[pointport.IncarnationID]pointport.Shape)
 		perStep := make(map[string]int)
 		perJob := make(map[string]int)
-		for _, o := range orders(b, start) {
+		for _, o := range orders(s, start) {
 			id, _, err := workload.ParseTaskName(o.TaskRun.Task)
 			if err != nil {
 				t.Fatal(err)
--- a/schedule/share_test.go
+++ b/schedule/share_test.go
@@ -157,10 +157,10 @@
 	return c
 }
 
-// TestExcessIsReportedOnlyForOverloadingCustomer checks that the scheduler reports, some time
+// TestBacklogRefusalsConcernOnlyOverloadingCustomer checks that the scheduler reports, some time
 // after one customer begins to overload the pool, that further jobs of this customer are of no
 // use, and that it reports so of no other customer and ceases when the backlog is gone.
-func TestExcessIsReportedOnlyForOverloadingCustomer(t *testing.T) {
+func TestBacklogRefusalsConcernOnlyOverloadingCustomer(t *testing.T) {
 	c := newShareSim(20)
 	weights := map[string]float64{"c0": 1, "c1": 1, "c2": 1, "c3": 1, "c4": 1}
 	c.scheduler.SetWeights(weights)
@@ -171,13 +171,13 @@
 				c.submit(name)
 			}
 		}
-		excess := c.scheduler.BacklogRefusals(c.now)
-		if at >= 4*time.Second && at < 14*time.Second && excess["c0"] == 0 {
+		refusals := c.scheduler.BacklogRefusals(c.now)
+		if at >= 4*time.Second && at < 14*time.Second && refusals["c0"] == 0 {
 			c.submit("c0") // 50 jobs a second, of which the pool completes 20
 		}
-		for name, d := range excess {
+		for name, d := range refusals {
 			if name != "c0" {
-				t.Fatalf("after %v, jobs of %s are reported as excess for %v, want only c0", at, name, d)
+				t.Fatalf("after %v, jobs of %s are refused for %v, want only c0", at, name, d)
 			}
 			if first == 0 {
 				first = at
@@ -187,6 +187,6 @@
 		c.step()
 	}
 	if first < 4*time.Second || first > 8*time.Second || last > 25*time.Second {
-		t.Errorf("jobs of c0 are reported as excess from %v to %v, want the first report between 4 s and 8 s and the last by 25 s", first, last)
+		t.Errorf("jobs of c0 are refused from %v to %v, want the first refusal between 4 s and 8 s and the last by 25 s", first, last)
 	}
 }
--- a/schedule/skip_start_test.go
+++ b/schedule/skip_start_test.go
@@ -24,24 +24,24 @@
 // schedulerWithUnsentCopy returns a scheduler with a task whose first run is on a silent
 // instance and of which a copy was placed elsewhere, the starts of both, and the time. The
 // start of the copy is not sent yet.
-func schedulerWithUnsentCopy(t *testing.T) (b *schedule.Scheduler, first, second schedule.Order, now time.Time) {
+func schedulerWithUnsentCopy(t *testing.T) (s *schedule.Scheduler, first, second schedule.Order, now time.Time) {
 	t.Helper()
-	b = newTestScheduler()
-	b.Add(start, job("a", policy, step(1, 100, func(s *workload.Step) { s.Copies = true })))
-	registerIdle(b, start, incarnation(0), incarnation(1))
-	sent := orders(b, start)
-	acceptStarts(b, sent, start)
+	s = newTestScheduler()
+	s.Add(start, job("a", policy, step(1, 100, func(s *workload.Step) { s.Copies = true })))
+	registerIdle(s, start, incarnation(0), incarnation(1))
+	sent := orders(s, start)
+	acceptStarts(s, sent, start)
 	first = sent[0]
 	first.Worker.ExtendLease(start, settings.Lease)
 	silence := &pointport.UnavailableError{Op: "hold", Ambiguous: true}
-	b.PollFailed(first.Worker, start, silence)
+	s.PollFailed(first.Worker, start, silence)
 	now = start.Add(600 * time.Millisecond)
-	b.PollFailed(first.Worker, now, silence)
-	all := orders(b, now)
+	s.PollFailed(first.Worker, now, silence)
+	all := orders(s, now)
 	if got := startsByIncarnation(all); len(all) != 1 || got[first.Worker.Incarnation().ID()] != 0 {
 		t.Fatalf("starts %v, want one of a copy", got)
 	}
-	return b, first, all[0], now
+	return s, first, all[0], now
 }
 
 // reportOfOrderEnd returns a report that lists the end of the run that an order has started.
@@ -52,13 +52,13 @@
 // TestStartThatWaitsIsNotSentOnceItsTaskIsDone checks that the start of a copy is skipped once
 // the task is done.
 func TestStartThatWaitsIsNotSentOnceItsTaskIsDone(t *testing.T) {
-	b, first, second, now := schedulerWithUnsentCopy(t)
-	b.Report(first.Worker, now, now, reportOfOrderEnd(first, pointport.EndDone))
-	if !b.SkipStart(now, second) {
+	s, first, second, now := schedulerWithUnsentCopy(t)
+	s.Report(first.Worker, now, now, reportOfOrderEnd(first, pointport.EndDone))
+	if !s.SkipStart(now, second) {
 		t.Error("the start of a copy is not skipped although the task is done")
 	}
-	orders(b, now)
-	if status, _ := b.Status("a"); status != workload.Completed {
+	orders(s, now)
+	if status, _ := s.Status("a"); status != workload.Completed {
 		t.Errorf("the job is %q, want completed without waiting for a copy that was never sent", status)
 	}
 }
@@ -66,16 +66,16 @@
 // TestStartThatWaitsIsNotSentOnceItsJobIsCancelled checks that the start of a cancelled job is
 // skipped, and that the job ends at once because nothing of it runs.
 func TestStartThatWaitsIsNotSentOnceItsJobIsCancelled(t *testing.T) {
-	b := newTestScheduler()
-	b.Add(start, job("a", policy, step(1, 100, nil)))
-	registerIdle(b, start, incarnation(0))
-	waits := orders(b, start)[0]
-	b.Cancel(start, "a")
-	if !b.SkipStart(start, waits) {
+	s := newTestScheduler()
+	s.Add(start, job("a", policy, step(1, 100, nil)))
+	registerIdle(s, start, incarnation(0))
+	waits := orders(s, start)[0]
+	s.Cancel(start, "a")
+	if !s.SkipStart(start, waits) {
 		t.Error("the start of a cancelled job is not skipped")
 	}
-	orders(b, start)
-	if status, _ := b.Status("a"); status != workload.Cancelled {
+	orders(s, start)
+	if status, _ := s.Status("a"); status != workload.Cancelled {
 		t.Errorf("the job is %q, want cancelled", status)
 	}
 }
@@ -84,12 +84,12 @@
 // dropped because its incarnation has ended or its execution lease has expired. Otherwise it
 // reaches whatever uses that address by then.
 func TestStartThatWaitsIsNotSentOnceItsRunIsDropped(t *testing.T) {
-	b := newTestScheduler()
-	b.Add(start, job("a", policy, step(1, 100, nil)))
-	registerIdle(b, start, incarnation(0))
-	waits := orders(b, start)[0]
-	b.EndIncarnation(start, incarnation(0).ID())
-	if !b.SkipStart(start, waits) {
+	s := newTestScheduler()
+	s.Add(start, job("a", policy, step(1, 100, nil)))
+	registerIdle(s, start, incarnation(0))
+	waits := orders(s, start)[0]
+	s.EndIncarnation(start, incarnation(0).ID())
+	if !s.SkipStart(start, waits) {
 		t.Error("the start of a dropped run is not skipped")
 	}
 }
@@ -97,15 +97,15 @@
 // TestStartIsNotSentAgainOnceItsRunIsStopped checks that a start without an answer is not sent
 // again once its run was stopped: the stop rules the start out.
 func TestStartIsNotSentAgainOnceItsRunIsStopped(t *testing.T) {
-	b, first, second, now := schedulerWithUnsentCopy(t)
-	if b.SkipStart(now, second) {
+	s, first, second, now := schedulerWithUnsentCopy(t)
+	if s.SkipStart(now, second) {
 		t.Fatal("the start is skipped before it was sent once")
 	}
-	b.MarkSending(second)
-	b.OrderAnswered(second, now, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true})
+	s.MarkSending(second)
+	s.OrderAnswered(second, now, 0, &pointport.UnavailableError{Op: "start", Ambiguous: true})
 	now = now.Add(200 * time.Millisecond)
 	var again []schedule.Order
-	for _, o := range orders(b, now) {
+	for _, o := range orders(s, now) {
 		if o.Kind == schedule.OrderStart {
 			again = append(again, o)
 		}
@@ -113,12 +113,12 @@
 	if len(again) != 1 || again[0].TaskRun != second.TaskRun {
 		t.Fatalf("orders %v, want the start once more", again)
 	}
-	b.Report(first.Worker, now, now, reportOfOrderEnd(first, pointport.EndDone))
-	if !b.SkipStart(now, again[0]) {
+	s.Report(first.Worker, now, now, reportOfOrderEnd(first, pointport.EndDone))
+	if !s.SkipStart(now, again[0]) {
 		t.Error("the repeated start is not skipped although the task is done")
 	}
 	stopped := false
-	for _, o := range orders(b, now) {
+	for _, o := range orders(s, now) {
 		stopped = stopped || o.Kind == schedule.OrderStop && o.TaskRun == second.TaskRun
 	}
 	if !stopped {
--- a/schedule/stall_test.go
+++ b/schedule/stall_test.go
@@ -19,13 +19,13 @@
 // schedulerWithRun returns a scheduler with one run that was started at start, and the order
 // that started it.
 func schedulerWithRun() (*schedule.Scheduler, schedule.Order) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0), incarnation(1))
-	b.Add(start, job("a", policy, step(1, 100, nil)))
-	o := orders(b, start)[0]
-	b.MarkSending(o)
-	b.OrderAnswered(o, start, clockAt(start), nil)
-	return b, o
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0), incarnation(1))
+	s.Add(start, job("a", policy, step(1, 100, nil)))
+	o := orders(s, start)[0]
+	s.MarkSending(o)
+	s.OrderAnswered(o, start, clockAt(start), nil)
+	return s, o
 }
 
 // TestRunIsNotStuckBecauseItsOwnerWasLate checks that a run does not count as stuck because
@@ -33,11 +33,11 @@
 // between handling the two answers. Progress must be timed by the instance's clock and not by
 // when answers are handled.
 func TestRunIsNotStuckBecauseItsOwnerWasLate(t *testing.T) {
-	b, o := schedulerWithRun()
-	b.Report(o.Worker, start.Add(100*time.Millisecond), start.Add(101*time.Millisecond), progressed(o, 100*time.Millisecond, 10))
+	s, o := schedulerWithRun()
+	s.Report(o.Worker, start.Add(100*time.Millisecond), start.Add(101*time.Millisecond), progressed(o, 100*time.Millisecond, 10))
 	late := start.Add(2200 * time.Millisecond)
-	b.Report(o.Worker, start.Add(110*time.Millisecond), late, progressed(o, 200*time.Millisecond, 10))
-	if stops := ordersFor(orders(b, late), schedule.OrderStop, o.TaskRun); len(stops) != 0 {
+	s.Report(o.Worker, start.Add(110*time.Millisecond), late, progressed(o, 200*time.Millisecond, 10))
+	if stops := ordersFor(orders(s, late), schedule.OrderStop, o.TaskRun); len(stops) != 0 {
 		t.Error("the run is stopped although it made no progress for at most 0.1 s")
 	}
 }
@@ -45,26 +45,26 @@
 // TestRunIsNotStuckByOutOfOrderAnswer checks that an answer that arrives after a newer
 // one does not change the known progress of a run.
 func TestRunIsNotStuckByOutOfOrderAnswer(t *testing.T) {
-	b, o := schedulerWithRun()
+	s, o := schedulerWithRun()
 	at := func(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
-	b.Report(o.Worker, start.Add(at(100)), start.Add(at(101)), progressed(o, at(100), 10))
-	b.Report(o.Worker, start.Add(at(1500)), start.Add(at(1501)), progressed(o, at(1500), 50))
-	b.Report(o.Worker, start.Add(at(110)), start.Add(at(1502)), progressed(o, at(200), 10))
-	b.Report(o.Worker, start.Add(at(1510)), start.Add(at(1800)), progressed(o, at(1790), 58))
-	if stops := ordersFor(orders(b, start.Add(at(1800))), schedule.OrderStop, o.TaskRun); len(stops) != 0 {
+	s.Report(o.Worker, start.Add(at(100)), start.Add(at(101)), progressed(o, at(100), 10))
+	s.Report(o.Worker, start.Add(at(1500)), start.Add(at(1501)), progressed(o, at(1500), 50))
+	s.Report(o.Worker, start.Add(at(110)), start.Add(at(1502)), progressed(o, at(200), 10))
+	s.Report(o.Worker, start.Add(at(1510)), start.Add(at(1800)), progressed(o, at(1790), 58))
+	if stops := ordersFor(orders(s, start.Add(at(1800))), schedule.OrderStop, o.TaskRun); len(stops) != 0 {
 		t.Error("the run is stopped although it has made progress all the time")
 	}
 }
 
 // TestStuckRunIsStopped checks that a run without progress is stopped.
 func TestStuckRunIsStopped(t *testing.T) {
-	b, o := schedulerWithRun()
+	s, o := schedulerWithRun()
 	now := start
 	for range 20 {
 		now = now.Add(100 * time.Millisecond)
-		b.Report(o.Worker, now, now, progressed(o, now.Sub(start), 10))
+		s.Report(o.Worker, now, now, progressed(o, now.Sub(start), 10))
 	}
-	if stops := ordersFor(orders(b, now), schedule.OrderStop, o.TaskRun); len(stops) != 1 {
+	if stops := ordersFor(orders(s, now), schedule.OrderStop, o.TaskRun); len(stops) != 1 {
 		t.Errorf("%d stops of a run without progress for 1.9 s, want one", len(stops))
 	}
 }
@@ -75,21 +75,21 @@
 // of its step took one. Progress must be timed by the instance's clock and not by when answers
 // are handled.
 func TestRunIsNotSlowBecauseItsOwnerWasLate(t *testing.T) {
-	b := newTestScheduler()
-	registerIdle(b, start, incarnation(0), incarnation(1))
-	b.Add(start, job("a", policy, step(2, 4000, nil)))
-	both := orders(b, start)
+	s := newTestScheduler()
+	registerIdle(s, start, incarnation(0), incarnation(1))
+	s.Add(start, job("a", policy, step(2, 4000, nil)))
+	both := orders(s, start)
 	for _, o := range both {
-		b.MarkSending(o)
-		b.OrderAnswered(o, start, clockAt(start), nil)
+		s.MarkSending(o)
+		s.OrderAnswered(o, start, clockAt(start), nil)
 	}
 	quick, other := both[0], both[1]
 	second := start.Add(time.Second)
-	b.Report(quick.Worker, start, second, pointport.Report{Clock: clockAt(second), Ended: []pointport.TaskEnd{{Number: 1, TaskRun: quick.TaskRun, Kind: pointport.EndDone}}})
-	b.Report(other.Worker, start, start.Add(200*time.Millisecond), progressed(other, 200*time.Millisecond, 20))
+	s.Report(quick.Worker, start, second, pointport.Report{Clock: clockAt(second), Ended: []pointport.TaskEnd{{Number: 1, TaskRun: quick.TaskRun, Kind: pointport.EndDone}}})
+	s.Report(other.Worker, start, start.Add(200*time.Millisecond), progressed(other, 200*time.Millisecond, 20))
 	late := start.Add(4 * time.Second)
-	b.Report(other.Worker, start, late, progressed(other, 700*time.Millisecond, 66))
-	if stops := ordersFor(orders(b, late), schedule.OrderStop, other.TaskRun); len(stops) != 0 {
+	s.Report(other.Worker, start, late, progressed(other, 700*time.Millisecond, 66))
+	if stops := ordersFor(orders(s, late), schedule.OrderStop, other.TaskRun); len(stops) != 0 {
 		t.Error("the run is stopped although it is as fast as the other run of its step")
 	}
 }
--- a/schedule/takeover_test.go
+++ b/schedule/takeover_test.go
@@ -18,14 +18,14 @@
 // placed its only task on incarnation(0), which has not reported yet. Another instance,
 // incarnation(1), is registered too. The worker of incarnation(0) is returned as well.
 func inheritingScheduler(t interface{ Fatal(args ...any) }) (*schedule.Scheduler, *schedule.Worker) {
-	b := newTestScheduler()
+	s := newTestScheduler()
 	j := job("a", policy, step(1, 100, nil))
 	j.BeginDue(start)
 	j.Place(workload.TaskRef{}, incarnation(0).ID(), 1)
-	b.Add(start, j)
-	b.SetIncarnations(start, []pointport.Incarnation{incarnation(0), incarnation(1)})
+	s.Add(start, j)
+	s.SetIncarnations(start, []pointport.Incarnation{incarnation(0), incarnation(1)})
 	var old *schedule.Worker
-	for _, w := range b.Workers() {
+	for _, w := range s.Workers() {
 		if w.Incarnation().ID() == incarnation(0).ID() {
 			old = w
 		}
@@ -33,15 +33,15 @@
 	if old == nil {
 		t.Fatal("the scheduler does not know the instance of the inherited task")
 	}
-	return b, old
+	return s, old
 }
 
 // reportOthersIdle handles a report from every worker but one, unless it has reported before,
 // that it runs nothing.
-func reportOthersIdle(b *schedule.Scheduler, but *schedule.Worker, now time.Time) {
-	for _, w := range b.Workers() {
+func reportOthersIdle(s *schedule.Scheduler, but *schedule.Worker, now time.Time) {
+	for _, w := range s.Workers() {
 		if w != but && !w.HasAnswered() {
-			b.Report(w, now, now, pointport.Report{Clock: 1})
+			s.Report(w, now, now, pointport.Report{Clock: 1})
 		}
 	}
 }
@@ -56,21 +56,21 @@
 // answers an order before its first report. That answer shows its clock, but not how far the
 // earlier owner has extended the execution lease.
 func TestAnswerToOrderDoesNotExpireInheritedRun(t *testing.T) {
-	b, old := inheritingScheduler(t)
-	b.PollFailed(old, start.Add(500*time.Millisecond), &pointport.UnavailableError{Op: "hold", Ambiguous: true})
+	s, old := inheritingScheduler(t)
+	s.PollFailed(old, start.Add(500*time.Millisecond), &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 	answered := start.Add(2 * time.Second)
-	b.OrderAnswered(stopOfUnknownRun(old), answered, pointport.InstanceTime(time.Hour), nil)
+	s.OrderAnswered(stopOfUnknownRun(old), answered, pointport.InstanceTime(time.Hour), nil)
 	for now := answered; now.Before(start.Add(settings.PredecessorBound)); now = now.Add(50 * time.Millisecond) {
-		reportOthersIdle(b, old, now)
-		if got := startsByIncarnation(orders(b, now)); len(got) != 0 {
+		reportOthersIdle(s, old, now)
+		if got := startsByIncarnation(orders(s, now)); len(got) != 0 {
 			t.Fatalf("the task is started on %v, %v after the change of owner; the earlier owner may have extended its execution lease to %v", got, now.Sub(start), settings.PredecessorBound)
 		}
 	}
 	now := start.Add(settings.PredecessorBound + 100*time.Millisecond)
-	b.SetIncarnations(now, []pointport.Incarnation{incarnation(1)})
+	s.SetIncarnations(now, []pointport.Incarnation{incarnation(1)})
 	now = now.Add(registrationGrace) // the instance will no longer report how the task ended
-	b.SetRegistryCoverage(schedule.RegistryCoverage{Since: start, Until: now})
-	if got := startsByIncarnation(orders(b, now)); got[incarnation(1).ID()] != 1 {
+	s.SetRegistryCoverage(schedule.RegistryCoverage{Since: start, Until: now})
+	if got := startsByIncarnation(orders(s, now)); got[incarnation(1).ID()] != 1 {
 		t.Errorf("starts %v once the bound for the earlier owner has passed, want one on the other instance", got)
 	}
 }
@@ -124,7 +124,7 @@
 // late answers and reports arrive after the change of owner.
 func TestInheritedRunIsNotReplacedEarly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, old := inheritingScheduler(t)
+		s, old := inheritingScheduler(t)
 		i := &inheritedInstance{
 			booted: start.Add(-time.Duration(rapid.IntRange(0, 100).Draw(t, "up")) * time.Second),
 			rate:   rapid.Float64Range(0.98, 1.0).Draw(t, "rate"),
@@ -158,16 +158,16 @@
 			switch event {
 			case 0: // an order is answered, at once or late
 				clock := i.clock(now)
-				late = append(late, answer{due, func(now time.Time) { b.OrderAnswered(stopOfUnknownRun(old), now, clock, nil) }})
+				late = append(late, answer{due, func(now time.Time) { s.OrderAnswered(stopOfUnknownRun(old), now, clock, nil) }})
 			case 1: // a poll is answered, at once or late
 				i.extend(now, old.ExtendLease(now, settings.Lease))
 				report := i.report(now)
-				late = append(late, answer{due, func(now time.Time) { b.Report(old, sent, now, report) }})
+				late = append(late, answer{due, func(now time.Time) { s.Report(old, sent, now, report) }})
 			case 2: // a poll is carried out and its answer lost
 				i.extend(now, old.ExtendLease(now, settings.Lease))
-				b.PollFailed(old, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
+				s.PollFailed(old, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 			case 3: // a poll does not reach the instance
-				b.PollFailed(old, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
+				s.PollFailed(old, now, &pointport.UnavailableError{Op: "hold", Ambiguous: true})
 			}
 			rest := late[:0]
 			for _, a := range late {
@@ -178,8 +178,8 @@
 				a.deliver(now)
 			}
 			late = rest
-			reportOthersIdle(b, old, now)
-			for _, o := range orders(b, now) {
+			reportOthersIdle(s, old, now)
+			for _, o := range orders(s, now) {
 				if o.Kind == schedule.OrderStart && i.runs(now) {
 					t.Fatalf("the task is started again %v after the change of owner, while its earlier run may go on for %v", now.Sub(start), time.Duration(i.until-i.clock(now)))
 				}
