--- a/member/pool_manager.go
+++ b/member/pool_manager.go
@@ -24,8 +24,9 @@
 	// with a lower load, so that pools do not change owners too often.
 	minOwnershipTime = 4 * time.Second
 	// avoidFor is how long a member leaves a pool to others after its controller reported
-	// that it should be handed over. During that time it takes the pool avoidDelay later than its rank allows,
-	// in case nobody else does: more than the rank delays of 30 members.
+	// that it should be handed over. During that time it takes the pool avoidDelay later
+	// than its rank allows, in case nobody else does: more than the rank delays of 30
+	// members.
 	avoidFor   = 30 * time.Second
 	avoidDelay = 2 * time.Second
 	// checkInterval is how often the pool manager runs when nothing changes.
--- a/peer/excess.go
+++ b/peer/excess.go
@@ -7,10 +7,10 @@
 
 const (
 	// minBacklogRefusal and maxBacklogRefusal bound how long a member refuses a customer's
-	// jobs after one answer of a pool's owner. Afterwards it sends one more job to the owner,
-	// whose answer renews the refusal. The shorter this time, the more jobs of an overload get through, one
-	// from each of 43 members; the longer, the later a member notices that the owner accepts
-	// jobs again. An overload lasts some seconds.
+	// jobs after one answer of a pool's owner. Afterwards it sends one more job to the
+	// owner, whose answer renews the refusal. The shorter this time, the more jobs of an
+	// overload get through, one from each of 43 members; the longer, the later a member
+	// notices that the owner accepts jobs again. An overload lasts some seconds.
 	minBacklogRefusal = time.Second
 	maxBacklogRefusal = 1500 * time.Millisecond
 )
--- a/schedule/excess.go
+++ b/schedule/excess.go
@@ -37,11 +37,11 @@
 }
 
 // BacklogRefusals computes how long further jobs of each overloading customer should be refused,
-// and returns the nonzero durations by customer name. A customer is overloading if, for some time, its waiting
-// jobs that can still end in time have needed far longer than they can wait, given its part of the
-// pool or its present share if that is larger. One more job would then be late before it begins.
-// Jobs without a customer have no share; they are never refused this way and are ordered by
-// deadline alone.
+// and returns the nonzero durations by customer name. A customer is overloading if, for some time,
+// its waiting jobs that can still end in time have needed far longer than they can wait, given its
+// part of the pool or its present share if that is larger. One more job would then be late before
+// it begins. Jobs without a customer have no share; they are never refused this way and are ordered
+// by deadline alone.
 func (s *Scheduler) BacklogRefusals(now time.Time) map[string]time.Duration {
 	var out map[string]time.Duration
 	workers := s.usableWorkers(now)
--- a/schedule/report.go
+++ b/schedule/report.go
@@ -187,8 +187,9 @@
 
 // replacedRunEnded processes the end of a run that is no longer current for its task. If it
 // succeeded, the task is done and must not be started again; on an instance that was silent until
-// its lease ended, a run may have ended before that. A failure counts like that of any run; otherwise a task
-// that fails each time would be started more often than its limit of failed runs allows.
+// its lease ended, a run may have ended before that. A failure counts like that of any run;
+// otherwise a task that fails each time would be started more often than its limit of failed runs
+// allows.
 func (s *Scheduler) replacedRunEnded(w *Worker, now time.Time, end pointport.TaskEnd) {
 	if end.Kind != pointport.EndDone && end.Kind != pointport.EndFailed {
 		return
--- a/schedule/silence.go
+++ b/schedule/silence.go
@@ -40,8 +40,8 @@
 // concurrently are started elsewhere.
 const replaceAfter = 500 * time.Millisecond
 
-// replaceRuns requeues the tasks on a silent worker of which copies may run concurrently, so that they
-// need not wait until the worker's lease expires.
+// replaceRuns requeues the tasks on a silent worker of which copies may run concurrently, so that
+// they need not wait until the worker's lease expires.
 func (s *Scheduler) replaceRuns(now time.Time, w *Worker) {
 	for _, r := range w.runs {
 		if r.step().Copies && !r.step().Gang && r.state != runUnstored && r.entry.runs[r.ref] == r && r.entry.mayReplace(r.ref) {
--- a/schedule/worker.go
+++ b/schedule/worker.go
@@ -309,8 +309,8 @@
 	return false
 }
 
-// freeAfterTasks returns the free capacity that remains once all runs but those of serving tasks have
-// ended.
+// freeAfterTasks returns the free capacity that remains once all runs but those of serving tasks
+// have ended.
 func (w *Worker) freeAfterTasks() pointport.Shape {
 	free := w.free
 	for _, r := range w.runs {
