--- a/schedule/evacuate.go
+++ b/schedule/evacuate.go
@@ -28,13 +28,13 @@
 // after a stop has ruled out that the unanswered start is carried out later. While the operators'
 // request is not known, the start is kept and retried later.
 func (s *Scheduler) skipStartInZone(now time.Time, r *Run) bool {
-	standing := r.worker.zoneState()
-	if standing == evacuation.Open {
+	state := r.worker.zoneState()
+	if state == evacuation.Open {
 		return false
 	}
 	event.StartSkipped.Log(s.logger, slog.String("task", r.name), slog.Int("run", r.number), slog.String("incarnation", string(r.worker.inc.ID())),
-		slog.String("zone", string(r.worker.inc.Zone())), slog.String("standing", standing.String()), slog.Bool("sentBefore", r.startSent))
-	if standing == evacuation.Unknown {
+		slog.String("zone", string(r.worker.inc.Zone())), slog.String("standing", state.String()), slog.Bool("sentBefore", r.startSent))
+	if state == evacuation.Unknown {
 		r.resendAt = now.Add(startRetryDelay)
 		return true
 	}
