--- a/schedule/share_test.go
+++ b/schedule/share_test.go
@@ -158,8 +158,8 @@
 }
 
 // TestBacklogRefusalsConcernOnlyOverloadingCustomer checks that the scheduler reports, some time
-// after one customer begins to overload the pool, that further jobs of this customer are of no
-// use, and that it reports so of no other customer and ceases when the backlog is gone.
+// after one customer begins to overload the pool, that further jobs of this customer should be
+// refused, and that it reports so of no other customer and ceases when the backlog is gone.
 func TestBacklogRefusalsConcernOnlyOverloadingCustomer(t *testing.T) {
 	c := newShareSim(20)
 	weights := map[string]float64{"c0": 1, "c1": 1, "c2": 1, "c3": 1, "c4": 1}
