--- a/schedule/stall.go
+++ b/schedule/stall.go
@@ -36,17 +36,17 @@
 )
 
 // stopStalledRuns stops the runs of a worker that would be done sooner elsewhere.
-func (b *Scheduler) stopStalledRuns(now time.Time, w *Worker) {
+func (s *Scheduler) stopStalledRuns(now time.Time, w *Worker) {
 	for _, r := range w.runs {
 		if r.state != runLive || r.stopping || r.step().Service || r.step().Gang || r.progress >= wholePercent || r.pace < fullPace {
 			continue
 		}
 		again := r.entry.stalled[r.ref]
 		stuck := r.stuck() && again < maxStuckRestarts
-		if !stuck && (again > 0 || !b.tooSlow(r)) {
+		if !stuck && (again > 0 || !s.tooSlow(r)) {
 			continue
 		}
-		event.RunStalled.Log(b.logger, slog.String("task", r.name), slog.Int("run", r.number),
+		event.RunStalled.Log(s.logger, slog.String("task", r.name), slog.Int("run", r.number),
 			slog.String("incarnation", string(w.inc.ID())), slog.Duration("age", r.age()),
 			slog.Int("progress", r.progress), slog.Duration("unchanged", r.unchanged()))
 		if r.entry.stalled == nil {
@@ -54,7 +54,7 @@
 		}
 		r.entry.stalled[r.ref]++
 		w.health.stalled(now)
-		b.stop(now, r, "it would be done sooner elsewhere")
+		s.stop(now, r, "it would be done sooner elsewhere")
 	}
 }
 
@@ -64,25 +64,25 @@
 // unchanged returns for how long a run has shown the same progress, by its instance's clock: an
 // owner that lags handles reports late, at times that do not reflect the run's progress.
 func (r *Run) unchanged() time.Duration {
-	if r.movedAt.IsZero() {
+	if r.progressAt.IsZero() {
 		return 0
 	}
-	return time.Duration(r.shownAt - r.movedClock)
+	return time.Duration(r.reportClock - r.progressClock)
 }
 
 // tooSlow reports whether a run would be done sooner elsewhere, judged by the other runs of its
 // step.
-func (b *Scheduler) tooSlow(r *Run) bool {
+func (s *Scheduler) tooSlow(r *Run) bool {
 	if r.age() < slowMinAge || r.progress <= r.from {
 		return false
 	}
-	peerDuration := b.peerDuration(r)
+	peerDuration := s.peerDuration(r)
 	if peerDuration == 0 {
 		return false
 	}
 	total := r.total()
 	factor := slowFactor
-	if b.slowness(r.worker) > slowTogetherFactor {
+	if s.slowness(r.worker) > slowTogetherFactor {
 		factor = slowTogetherFactor
 	}
 	left := total * time.Duration(wholePercent-r.progress) / wholePercent
@@ -90,36 +90,36 @@
 }
 
 // age returns for how long a run was known to run when it was last reported.
-func (r *Run) age() time.Duration { return time.Duration(r.shownAt - r.liveClock) }
+func (r *Run) age() time.Duration { return time.Duration(r.reportClock - r.liveClock) }
 
 // measured reports whether the reported progress of a run shows how fast it is.
-func (r *Run) measured() bool { return r.progress > r.from && r.movedClock > r.liveClock }
+func (r *Run) measured() bool { return r.progress > r.from && r.progressClock > r.liveClock }
 
 // total returns the estimated duration of the whole task, from the progress reported so far; the run
 // must have made some. It uses the instance's clock: with the owner's clock, a report that was
 // handled late made every run on the instance look slow.
 func (r *Run) total() time.Duration {
-	return time.Duration(r.movedClock-r.liveClock) * wholePercent / time.Duration(r.progress-r.from)
+	return time.Duration(r.progressClock-r.liveClock) * wholePercent / time.Duration(r.progress-r.from)
 }
 
 // observeProgress records the progress in a report that was made when the instance's clock showed
 // clock. A report that is older than one handled before is ignored.
 func (r *Run) observeProgress(now time.Time, clock pointport.InstanceTime, progress int) {
-	if clock < r.shownAt {
+	if clock < r.reportClock {
 		return
 	}
-	r.shownAt = clock
-	if r.movedAt.IsZero() || progress != r.progress {
-		r.movedClock = clock
+	r.reportClock = clock
+	if r.progressAt.IsZero() || progress != r.progress {
+		r.progressClock = clock
 	}
 	switch {
-	case r.movedAt.IsZero():
+	case r.progressAt.IsZero():
 		if r.inherited || r.age() > freshReport {
 			r.from = progress
 		}
-		r.progress, r.movedAt = progress, now
+		r.progress, r.progressAt = progress, now
 	case progress != r.progress:
-		r.progress, r.movedAt = progress, now
+		r.progress, r.progressAt = progress, now
 	}
 }
 
@@ -129,13 +129,13 @@
 
 // slowness returns the mean ratio of the durations of the runs on a worker to those elsewhere, zero
 // if there are too few runs to tell.
-func (b *Scheduler) slowness(w *Worker) float64 {
+func (s *Scheduler) slowness(w *Worker) float64 {
 	sum, n := 0.0, 0
 	for _, r := range w.runs {
 		if r.state != runLive || r.step().Service || !r.measured() {
 			continue
 		}
-		if peerDuration := b.peerDuration(r); peerDuration > 0 {
+		if peerDuration := s.peerDuration(r); peerDuration > 0 {
 			sum += float64(r.total()) / float64(peerDuration)
 			n++
 		}
@@ -149,7 +149,7 @@
 
 // peerDuration returns how long the other tasks of a run's step take: those that are done or, if
 // there are none, those that run on other instances. It returns zero if neither can be measured.
-func (b *Scheduler) peerDuration(r *Run) time.Duration {
+func (s *Scheduler) peerDuration(r *Run) time.Duration {
 	if took := r.entry.durations[stepKey{r.ref.Occurrence, r.ref.Step}]; took.n > 0 {
 		return took.mean()
 	}
@@ -169,13 +169,13 @@
 }
 
 // remaining returns the expected remaining time of a run.
-func (b *Scheduler) remaining(now time.Time, r *Run) time.Duration {
+func (s *Scheduler) remaining(now time.Time, r *Run) time.Duration {
 	age := now.Sub(r.liveAt)
 	if r.measured() {
 		left := r.total() * time.Duration(wholePercent-r.progress) / wholePercent
-		return max(0, left-now.Sub(r.movedAt))
+		return max(0, left-now.Sub(r.progressAt))
 	}
-	expected := b.estimates.duration(r.entry.job.Queue(), r.step())
+	expected := s.estimates.duration(r.entry.job.Queue(), r.step())
 	if took := r.entry.durations[stepKey{r.ref.Occurrence, r.ref.Step}]; took.n > 0 {
 		expected = took.mean()
 	}
--- a/standin/grid/grid.go
+++ b/standin/grid/grid.go
@@ -54,8 +54,8 @@
 	Capacity pointport.Shape
 	// Host is the host name that clients call.
 	Host string
-	// HolderTime is the minimum time between orders of two different holders for one machine.
-	HolderTime time.Duration
+	// MinHolderInterval is the minimum time between orders of two different holders for one machine.
+	MinHolderInterval time.Duration
 	// Customers are the customers whose keys are valid, and Keys holds their keys by customer
 	// name. Without customers, no caller needs a key. Callers without a key are served in any
 	// case.
@@ -114,7 +114,7 @@
 	if g.storeAddress, err = g.serve(platform.ServeStore(g.kv)); err != nil {
 		return err
 	}
-	g.list = newLaggingList(g.clock, g.fleet.Machines(g.settings.HolderTime))
+	g.list = newLaggingList(g.clock, g.fleet.Machines(g.settings.MinHolderInterval))
 	if g.machinesAddress, err = g.serve(platform.ServeMachines(g.list)); err != nil {
 		return err
 	}
@@ -293,8 +293,8 @@
 		Clients: at(2), Readiness: at(3), Peers: at(0), Metrics: at(1),
 		MemoryBytes: 284 << 20, CPU: 0.4, Bandwidth: 1000,
 		MaxHold: testbed.MaxHold, StopTime: testbed.DefaultStopTime, GangTime: testbed.DefaultGangTimeout,
-		StatusTime: 2 * time.Minute, Grace: 6 * time.Second, MoveTime: testbed.DefaultMoveTime, UpkeepTime: testbed.DefaultUpkeepTime,
-		Notice: 4500 * time.Millisecond, HolderTime: g.settings.HolderTime, MinLeaseTTL: time.Second, FarFactor: 2,
+		StatusTime: 2 * time.Minute, Grace: 6 * time.Second, MoveTime: testbed.DefaultMoveTime, UpkeepTime: testbed.DefaultMaintenanceTime,
+		Notice: 4500 * time.Millisecond, HolderTime: g.settings.MinHolderInterval, MinLeaseTTL: time.Second, FarFactor: 2,
 		EvacuationTime: testbed.EvacuationTime,
 	}
 }
