--- a/node/node.go
+++ b/node/node.go
@@ -71,7 +71,7 @@
 	Metrics, BriefMetrics http.Handler
 	// OperatorAPI returns the handler of the operators' API, which is served on the address of
 	// the metrics; nil if it is not served.
-	OperatorAPI func(*intake.Service, *peer.Owners, func() *workload.Catalog) http.Handler
+	OperatorAPI func(*intake.Service, *peer.OwnerClient, func() *workload.Catalog) http.Handler
 	// PeerTransport sends requests to peers; nil for a default HTTP transport.
 	PeerTransport http.RoundTripper
 }
@@ -99,8 +99,8 @@
 	RemoteDataSlowdown float64
 	// Grace is the time between the signal to stop and the forced end of the process.
 	Grace time.Duration
-	// HolderTime is the least time between the orders of two different holders of an instance.
-	HolderTime time.Duration
+	// MinHolderInterval is the least time between the orders of two different holders of an instance.
+	MinHolderInterval time.Duration
 	// ConfigApplyTime is the time within which a change of the configuration must be in force.
 	ConfigApplyTime time.Duration
 	// EvacuationTime is the time after which nothing may start in an availability zone whose
@@ -140,7 +140,7 @@
 	poolManager    *member.PoolManager[*shard.Owner]
 	stewardManager *member.PoolManager[*steward.Steward]
 	intake         *intake.Service
-	owners         *peer.Owners
+	owners         *peer.OwnerClient
 	peerClient     *http.Client // for requests and orders to peers
 	servers        []*http.Server
 	clientServer   *http.Server
@@ -167,7 +167,7 @@
 	n.registrations = newRegistrations(ctx, s.KV, s.Clock, s.Registrations, logger)
 	n.evacuations = newEvacuations(ctx, s.KV, s.Clock, s.Evacuations, cmp.Or(p.EvacuationTime, DefaultEvacuationTime), logger)
 	n.poolManager = member.StartPoolManager(ctx, s.Clock, n.session, n.roster, n.configs.workPools, n.startOwner(ctx), logger)
-	n.owners = peer.NewOwners(n.poolManager, n.roster, n.peerClient, s.Clock, logger)
+	n.owners = peer.NewOwnerClient(n.poolManager, n.roster, n.peerClient, s.Clock, logger)
 	if s.Machines != nil {
 		n.startSteward(ctx, n.owners)
 	}
@@ -206,7 +206,7 @@
 		KV: s.KV, Machines: s.Machines, Clock: s.Clock, Session: n.session, Pools: pools,
 		Waves: newWaves(ctx, s.KV, s.Clock, s.Waves, n.logger), Layout: n.configs.layout, Evacuations: n.evacuations.Zones,
 	}
-	settings := steward.Settings{Name: n.params.Name, HolderTime: n.params.HolderTime, OrdersPerSecond: n.params.MachineOrdersPerSecond, Planner: n.params.Capacity}
+	settings := steward.Settings{Name: n.params.Name, MinHolderInterval: n.params.MinHolderInterval, OrdersPerSecond: n.params.MachineOrdersPerSecond, Planner: n.params.Capacity}
 	ownerships := func() []string { return []string{steward.OwnershipName} }
 	n.stewardManager = member.StartPoolManager(ctx, s.Clock, n.session, n.roster, ownerships, func(own member.Ownership) *steward.Steward {
 		return steward.Start(ctx, services, settings, own, n.logger)
@@ -370,13 +370,13 @@
 	return sum
 }
 
-// CustomerUses returns each customer's usage, summed over the pools that this node owns.
-func (n *Node) CustomerUses() []schedule.CustomerUse {
-	sum := make(map[string]schedule.CustomerUse)
+// CustomerUsage returns each customer's usage, summed over the pools that this node owns.
+func (n *Node) CustomerUsage() []schedule.CustomerUsage {
+	sum := make(map[string]schedule.CustomerUsage)
 	for _, o := range n.poolManager.Controllers() {
-		for _, u := range o.Uses() {
+		for _, u := range o.CustomerUsage() {
 			was := sum[u.Customer]
-			sum[u.Customer] = schedule.CustomerUse{Customer: u.Customer, Used: was.Used.Plus(u.Used), HeldBack: was.HeldBack.Plus(u.HeldBack)}
+			sum[u.Customer] = schedule.CustomerUsage{Customer: u.Customer, Used: was.Used.Plus(u.Used), HeldBack: was.HeldBack.Plus(u.HeldBack)}
 		}
 	}
 	return slices.Collect(maps.Values(sum))
--- a/schedule/gang.go
+++ b/schedule/gang.go
@@ -13,8 +13,8 @@
 // This file defines gangs: the tasks of a step that can only work together. They are placed together
 // under one run number, and the end of one ends all.
 
-// gatherShare is the share of GangTime after which a gang whose members are not all running is given
-// up. A member that waits out the whole time has held its resources for nothing.
+// gatherShare is the share of GangTimeout after which a gang whose members are not all running is
+// given up. A member that waits out the whole time has held its resources for nothing.
 const gatherShare = 0.6
 
 // A gang is one start of all tasks of a step.
@@ -27,7 +27,7 @@
 }
 
 // otherMembers returns the runs of the other members of a run's gang, by index.
-func (b *Scheduler) otherMembers(r *Run) []*Run {
+func (s *Scheduler) otherMembers(r *Run) []*Run {
 	var out []*Run
 	for ref, other := range r.entry.runs {
 		if other != r && ref.Occurrence == r.ref.Occurrence && ref.Step == r.ref.Step {
@@ -39,16 +39,16 @@
 }
 
 // stopRestOfGang stops the other members of a run's gang because the run has ended or never started.
-func (b *Scheduler) stopRestOfGang(now time.Time, r *Run, reason string) {
-	for _, member := range b.otherMembers(r) {
-		b.stop(now, member, reason)
+func (s *Scheduler) stopRestOfGang(now time.Time, r *Run, reason string) {
+	for _, member := range s.otherMembers(r) {
+		s.stop(now, member, reason)
 	}
 }
 
 // gangDone handles the successful end of a gang: the end of one member counts for all.
-func (b *Scheduler) gangDone(now time.Time, r *Run) {
-	for _, member := range b.otherMembers(r) {
-		b.removeRun(now, member)
+func (s *Scheduler) gangDone(now time.Time, r *Run) {
+	for _, member := range s.otherMembers(r) {
+		s.removeRun(now, member)
 	}
 	for i := range r.entry.job.Spec().Steps[r.ref.Step].Count {
 		ref := r.ref
@@ -57,14 +57,14 @@
 			r.entry.job.Finish(ref)
 		}
 	}
-	b.markDirty(r.entry, true)
-	b.endJobIfDone(now, r.entry)
+	s.markDirty(r.entry, true)
+	s.endJobIfDone(now, r.entry)
 }
 
 // expireGangs gives up gangs whose members do not all start in time, before the members have waited
 // in vain.
-func (b *Scheduler) expireGangs(now time.Time) {
-	for g := range b.gangs {
+func (s *Scheduler) expireGangs(now time.Time) {
+	for g := range s.gangs {
 		gathered, first := 0, (*Run)(nil)
 		for ref, r := range g.entry.runs {
 			if ref.Occurrence != g.k || ref.Step != g.step || r.number != g.number {
@@ -77,13 +77,13 @@
 		}
 		switch {
 		case first == nil, gathered == g.entry.job.Spec().Steps[g.step].Count:
-			delete(b.gangs, g)
-		case now.Sub(g.since) > time.Duration(gatherShare*float64(b.settings.GangTime)):
-			delete(b.gangs, g)
-			event.GangGivenUp.Log(b.logger, slog.String("job", g.entry.job.ID()), slog.Int("step", g.step),
+			delete(s.gangs, g)
+		case now.Sub(g.since) > time.Duration(gatherShare*float64(s.settings.GangTimeout)):
+			delete(s.gangs, g)
+			event.GangGivenUp.Log(s.logger, slog.String("job", g.entry.job.ID()), slog.Int("step", g.step),
 				slog.Int("run", g.number), slog.Int("gathered", gathered))
-			b.stop(now, first, "its gang did not gather in time")
-			b.stopRestOfGang(now, first, "its gang did not gather in time")
+			s.stop(now, first, "its gang did not gather in time")
+			s.stopRestOfGang(now, first, "its gang did not gather in time")
 		}
 	}
 }
@@ -101,10 +101,10 @@
 			number = max(number, t.entry.job.Task(t.ref).Run)
 		}
 		for n, t := range tasks {
-			p.book.placeAs(p.now, t, chosen[n], number+1, len(workers))
+			p.scheduler.assign(p.now, t, chosen[n], number+1, len(workers))
 		}
 		t := tasks[0]
-		p.book.gangs[&gang{entry: t.entry, k: t.ref.Occurrence, step: t.ref.Step, number: number + 1, since: p.now}] = struct{}{}
+		p.scheduler.gangs[&gang{entry: t.entry, k: t.ref.Occurrence, step: t.ref.Step, number: number + 1, since: p.now}] = struct{}{}
 		return true
 	}
 	p.reserveGang(tasks)
@@ -146,7 +146,7 @@
 			if !p.holds(w, t, need, taken[w]) {
 				continue
 			}
-			score := p.book.score(p.now, t, w)
+			score := p.scheduler.score(p.now, t, w)
 			if best == nil || score > bestScore {
 				best, bestScore = w, score
 			}
@@ -167,10 +167,10 @@
 	for range more {
 		free = free.Minus(need)
 	}
-	if !free.Fits(need) || !p.book.permits(t, w, p.now) {
+	if !free.Fits(need) || !p.scheduler.permits(t, w, p.now) {
 		return false
 	}
-	return t.step.MaxPerInstance == 0 || p.book.crowd(t, w)+more < t.step.MaxPerInstance
+	return t.step.MaxPerInstance == 0 || p.scheduler.tasksOfStep(t, w)+more < t.step.MaxPerInstance
 }
 
 // reserveGang excludes as many workers from placement as a gang needs, because smaller tasks would
@@ -188,13 +188,13 @@
 	left := len(tasks)
 	for _, w := range byFree {
 		fits := 0
-		for all := w.soonFree(); all.Fits(need) && fits < left; all = all.Minus(need) {
+		for all := w.freeAfterTasks(); all.Fits(need) && fits < left; all = all.Minus(need) {
 			fits++
 			if step.MaxPerInstance > 0 && fits >= step.MaxPerInstance {
 				break
 			}
 		}
-		if left > 0 && fits > 0 && p.book.permits(tasks[0], w, p.now) {
+		if left > 0 && fits > 0 && p.scheduler.permits(tasks[0], w, p.now) {
 			left -= fits
 			continue
 		}
--- a/schedule/resize_test.go
+++ b/schedule/resize_test.go
@@ -32,7 +32,7 @@
 
 const capacitySimInstances = 3
 
-// register tells the scheduler the current capacity of all instances.
+// register reports to the scheduler the current capacity of all instances.
 func (s *capacitySim) register() {
 	var all []pointport.Incarnation
 	for n := range capacitySimInstances {
@@ -63,11 +63,11 @@
 			continue
 		}
 		s.scheduler.MarkSending(o)
-		fate := rapid.SampledFrom([]string{"answered", "answered", "lost", "answer lost"}).Draw(s.t, "fate")
-		if fate != "lost" {
+		delivery := rapid.SampledFrom([]string{"answered", "answered", "lost", "answer lost"}).Draw(s.t, "fate")
+		if delivery != "lost" {
 			s.carryOut(o)
 		}
-		if fate == "answered" {
+		if delivery == "answered" {
 			s.scheduler.OrderAnswered(o, s.now, pointport.InstanceTime(s.now.Sub(start)), nil)
 			continue
 		}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -107,7 +107,7 @@
 	s := &soak{jobs: &jobs{byJobID: make(map[string]*submission)}, began: time.Now(), links: make(map[pointport.InstanceID]*proxy)}
 	t.Cleanup(s.closeLinks)
 	g, err := grid.Start(clock.System{}, grid.Settings{
-		Pools: []string{"shift", "payout"}, PerPool: 4, Zones: soakZones, Host: host, HolderTime: holderTime,
+		Pools: []string{"shift", "payout"}, PerPool: 4, Zones: soakZones, Host: host, MinHolderInterval: holderTime,
 		Capacity: soakCapacity, Work: s.jobs.workOf, Customers: soakCustomers(), Keys: soakKeys(), AdvertisedAddress: s.addLink,
 	}, slog.New(slog.DiscardHandler))
 	if err != nil {
--- a/testbed/fleet.go
+++ b/testbed/fleet.go
@@ -137,18 +137,18 @@
 // The durations of a fleet's operations, as on the users' platform. MaxHold is the longest lease
 // that an instance grants.
 const (
-	DefaultGangTimeout = 3 * time.Second
-	DefaultStopTime    = 200 * time.Millisecond
-	DefaultMoveTime    = 1500 * time.Millisecond
-	DefaultUpkeepTime  = 2 * time.Second
-	MaxHold            = 10 * time.Second
+	DefaultGangTimeout     = 3 * time.Second
+	DefaultStopTime        = 200 * time.Millisecond
+	DefaultMoveTime        = 1500 * time.Millisecond
+	DefaultMaintenanceTime = 2 * time.Second
+	MaxHold                = 10 * time.Second
 )
 
 // New returns a fleet without machines.
 func New(clock pointport.Clock, options ...Option) *Fleet {
 	f := &Fleet{
 		clock: clock, work: PayloadWork, enforcesCapacity: true,
-		gangTimeout: DefaultGangTimeout, stopTime: DefaultStopTime, moveTime: DefaultMoveTime, upkeepTime: DefaultUpkeepTime,
+		gangTimeout: DefaultGangTimeout, stopTime: DefaultStopTime, moveTime: DefaultMoveTime, upkeepTime: DefaultMaintenanceTime,
 		random: rand.New(rand.NewPCG(1, 2)), address: placeholderAddress,
 		machines: make(map[pointport.InstanceID]*Machine), byAddressee: make(map[pointport.Addressee]*incarnation),
 		changed: make(chan struct{}), done: make(map[string]bool), unacknowledged: make(map[*incarnation]map[int64]string), listedSince: make(map[string]time.Time),
--- a/testbed/machines.go
+++ b/testbed/machines.go
@@ -14,7 +14,7 @@
 // Machines lists, moves and maintains the machines of a fleet.
 type Machines struct {
 	fleet      *Fleet
-	holderTime time.Duration
+	minHolderInterval time.Duration
 }
 
 var _ pointport.Machines = (*Machines)(nil)
@@ -109,7 +109,7 @@
 		m.fleet.addViolation(now, string(machine.id), fmt.Sprintf("was ordered with fence %d after %d", by.Fence, machine.lastHolder.Fence))
 	case machine.lastHolder.Name != "" && by.Fence == machine.lastHolder.Fence && by.Name != machine.lastHolder.Name:
 		m.fleet.addViolation(now, string(machine.id), "was ordered by two holders with one fence")
-	case machine.lastHolder.Name != "" && by.Name != machine.lastHolder.Name && now.Sub(machine.lastOrderAt) < m.holderTime:
+	case machine.lastHolder.Name != "" && by.Name != machine.lastHolder.Name && now.Sub(machine.lastOrderAt) < m.minHolderInterval:
 		m.fleet.addViolation(now, string(machine.id), "was ordered by two holders in turn")
 	}
 	machine.lastHolder, machine.lastOrderAt = by, now
