--- a/cli/join.go
+++ b/cli/join.go
@@ -120,13 +120,13 @@
 // startNode starts a node that uses the services named in the settings, and registers the
 // node's metrics.
 func startNode(ctx context.Context, s *platform.Settings, sink *event.Sink) (*node.Node, error) {
-	nodeMeter := meter.New(clock.System{})
+	m := meter.New(clock.System{})
 	limiter := event.NewRateLimiter(slog.NewJSONHandler(sink, nil), clock.System{})
-	logger := slog.New(nodeMeter.Events(limiter)).With(slog.String("node", s.Name))
+	logger := slog.New(m.Events(limiter)).With(slog.String("node", s.Name))
 	memory := heap.Start(ctx, clock.System{}, s.MemoryBytes, logger)
 	services := node.Services{
-		KV:       nodeMeter.KV(platform.NewStore(s.Store, platform.WithReceiveObserver(nodeMeter.AddStoreBytes))),
-		Executor: nodeMeter.Executor(platform.NewExecutor()),
+		KV:       m.KV(platform.NewStore(s.Store, platform.WithReceiveObserver(m.AddStoreBytes))),
+		Executor: m.Executor(platform.NewExecutor()),
 		Clock:    suspend.Clock(logger),
 		Config: node.Source[*workload.Catalog]{
 			Prefix: platform.ConfigKey,
@@ -150,12 +150,12 @@
 		onUnusable := platform.OnUnusableLine(func(err error) {
 			event.MachineUnreadable.Log(logger, slog.Any("error", err))
 		})
-		services.Machines = nodeMeter.Machines(platform.NewMachines(s.Machines, onUnusable))
+		services.Machines = m.Machines(platform.NewMachines(s.Machines, onUnusable))
 	}
 	if s.Advisor != "" {
-		services.Advisor = nodeMeter.Advisor(platform.NewAdvisor(s.Advisor))
+		services.Advisor = m.Advisor(platform.NewAdvisor(s.Advisor))
 	}
-	services.Metrics, services.BriefMetrics = nodeMeter.Handler(), nodeMeter.BriefHandler()
+	services.Metrics, services.BriefMetrics = m.Handler(), m.BriefHandler()
 	services.OperatorAPI = func(jobs *intake.Service, owners *peer.OwnerClient, catalog func() *workload.Catalog) http.Handler {
 		return operator.NewWorkloads(jobs.ForCaller(customer.Operator()), owners, catalog)
 	}
@@ -171,9 +171,9 @@
 		event.Failed.Log(logger, slog.String("part", "start"), slog.Any("error", err))
 		return nil, err
 	}
-	addGauges(nodeMeter, n, limiter, sink)
-	nodeMeter.Gauge("pointport_memory_bytes", "Memory that the process has taken from the system.", func() float64 { return float64(memory.Used()) })
-	nodeMeter.Gauge("pointport_memory_limit_bytes", "Memory that the process may take, by the settings.", func() float64 { return float64(s.MemoryBytes) })
+	addGauges(m, n, limiter, sink)
+	m.Gauge("pointport_memory_bytes", "Memory that the process has taken from the system.", func() float64 { return float64(memory.Used()) })
+	m.Gauge("pointport_memory_limit_bytes", "Memory that the process may take, by the settings.", func() float64 { return float64(s.MemoryBytes) })
 	return n, nil
 }
 
