--- a/command/config.go
+++ b/command/config.go
@@ -69,7 +69,7 @@
 // *config.RaceError if the object has changed since the author read it, with a
 // *ReferenceError if a reference would lead nowhere, with a
 // *pointport.NotFoundError if the object to remove does not exist, with a
-// *changelog.UnsettledError if the effect is unknown, and with a
+// *changelog.AmbiguousError if the effect is unknown, and with a
 // *pointport.UnavailableError if the store was unavailable and nothing changed.
 func Configure(ctx context.Context, log *ConfigLog, clock pointport.Clock, p Proposal) (config.Change, error) {
 	if p.Author == "" {
--- a/shard/jobs.go
+++ b/shard/jobs.go
@@ -225,7 +225,7 @@
 	})
 }
 
-// query runs a function on the loop and returns its result. It fails with member.ErrLost if
+// query runs a function on the loop and returns its result. It fails with member.ErrNotOwner if
 // the owner has ended.
 func query[T any](ctx context.Context, o *Owner, question func() T) (T, error) {
 	answer := make(chan T, 1)
