--- a/testbed/machines.go
+++ b/testbed/machines.go
@@ -13,7 +13,7 @@
 
 // Machines lists, moves and maintains the machines of a fleet.
 type Machines struct {
-	fleet      *Fleet
+	fleet             *Fleet
 	minHolderInterval time.Duration
 }
 
